--- a/internal/jobmatrix/burst_test.go
+++ b/internal/jobmatrix/burst_test.go
@@ -30,7 +30,7 @@
 // busyWorkers is a way to workers that takes processor time of the daemon for each call,
 // also for one that is given up meanwhile: half before and half after the answer.
 type busyWorkers struct {
-	owner.Workers
+	owner.WorkerClient
 	processor *processor
 	cost      time.Duration
 }
@@ -51,15 +51,15 @@
 var lateAnswer = owner.Answer{Outcome: owner.Unanswered, Err: context.DeadlineExceeded}
 
 func (b busyWorkers) Start(ctx context.Context, o owner.Start) owner.Answer {
-	return charged(b, ctx, lateAnswer, func() owner.Answer { return b.Workers.Start(ctx, o) })
+	return charged(b, ctx, lateAnswer, func() owner.Answer { return b.WorkerClient.Start(ctx, o) })
 }
 
 func (b busyWorkers) Stop(ctx context.Context, o owner.Stop) owner.Answer {
-	return charged(b, ctx, lateAnswer, func() owner.Answer { return b.Workers.Stop(ctx, o) })
+	return charged(b, ctx, lateAnswer, func() owner.Answer { return b.WorkerClient.Stop(ctx, o) })
 }
 
-func (b busyWorkers) Hold(ctx context.Context, o owner.Hold) owner.Held {
-	return charged(b, ctx, owner.Held{Answer: lateAnswer}, func() owner.Held { return b.Workers.Hold(ctx, o) })
+func (b busyWorkers) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
+	return charged(b, ctx, owner.HoldAnswer{Answer: lateAnswer}, func() owner.HoldAnswer { return b.WorkerClient.Hold(ctx, o) })
 }
 
 // What a call to a worker costs, measured at 0.8 and at 0.19 of a core.
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		in := jobfleet.NewInstallation(ctx, zap.NewNop())
-		in.Reach = func(w owner.Workers) owner.Workers { return busyWorkers{w, newProcessor(), call} }
+		in.Reach = func(w owner.WorkerClient) owner.WorkerClient { return busyWorkers{w, newProcessor(), call} }
 		for i := range instances {
 			in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "orders", "r1", job.Resources{CPUMilli: 32000, MemMB: 64000})
 		}
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -239,7 +239,7 @@
 	}
 	end := submission{Job: *r.Job, Ended: &Ended{r.Progress.State, r.Progress.EndedAt}}
 	end.Payload = ""
-	if r.Kept {
+	if r.Stored {
 		deletes = []string{progress}
 	}
 	return []Put{{Key: prefixSubmitted + string(r.Job.ID), Value: encode(end)}}, deletes
--- a/jobs/ledger/term_test.go
+++ b/jobs/ledger/term_test.go
@@ -65,12 +65,12 @@
 		term := elect(t, s, "d1")
 		running := owner.Record{Job: j, Progress: job.Progress{State: job.Running}}
 		puts, deletes := ledger.RecordWrites(running)
-		assert.Len(t, puts, running.Entries())
+		assert.Len(t, puts, running.TxnEntries())
 		require.NoError(t, term.Write(ctx, puts, deletes, nil))
 
-		ended := owner.Record{Job: j, Kept: true, Progress: job.Progress{State: job.Failed, EndedAt: time.Now()}}
+		ended := owner.Record{Job: j, Stored: true, Progress: job.Progress{State: job.Failed, EndedAt: time.Now()}}
 		puts, deletes = ledger.RecordWrites(ended)
-		assert.Equal(t, ended.Entries(), len(puts)+len(deletes))
+		assert.Equal(t, ended.TxnEntries(), len(puts)+len(deletes))
 		require.NoError(t, term.Write(ctx, puts, deletes, nil))
 
 		require.NoError(t, a.Accept(ctx, j), "the caller's repeat")
--- a/jobs/node/fanout_test.go
+++ b/jobs/node/fanout_test.go
@@ -16,7 +16,7 @@
 
 // slowStarts is a way to workers on which every start takes its whole timeout.
 type slowStarts struct {
-	owner.Workers
+	owner.WorkerClient
 	mu   sync.Mutex
 	sent []time.Time
 }
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -18,7 +18,7 @@
 // the owner next finds them there, and may order all other instances at once.
 type instanceOrders struct {
 	self    string
-	pending []owner.MoveOrder
+	pending []owner.InstanceOrder
 	newest  map[owner.InstanceID]arrival // of the orders for each instance
 	keep    time.Duration
 }
@@ -39,12 +39,12 @@
 	return o
 }
 
-func (o *instanceOrders) add(list []owner.MoveOrder) { o.pending = append(o.pending, list...) }
+func (o *instanceOrders) add(list []owner.InstanceOrder) { o.pending = append(o.pending, list...) }
 
 func (o *instanceOrders) waiting() int { return len(o.pending) }
 
 // take returns the orders that wait, for the next transaction.
-func (o *instanceOrders) take(now time.Time) []owner.MoveOrder {
+func (o *instanceOrders) take(now time.Time) []owner.InstanceOrder {
 	out := o.pending
 	o.pending = nil
 	for _, m := range out {
@@ -83,7 +83,7 @@
 }
 
 // refuse tells the core that orders were not sent.
-func (t *termRun) refuse(c *owner.Core, orders []owner.MoveOrder, now time.Time) {
+func (t *termRun) refuse(c *owner.Core, orders []owner.InstanceOrder, now time.Time) {
 	for _, o := range orders {
 		t.orders.settle(o.Instance, false, now)
 		c.OnInstanceOrder(o, owner.DutyRefused, now)
@@ -92,7 +92,7 @@
 
 // sendInstanceOrders sends orders that the store knows of. They do not wait for slots:
 // until when they may arrive is recorded.
-func (t *termRun) sendInstanceOrders(orders []owner.MoveOrder) {
+func (t *termRun) sendInstanceOrders(orders []owner.InstanceOrder) {
 	for _, o := range orders {
 		go t.call(2*instanceOrderTimeout, func(ctx context.Context) event { return t.orderInstance(ctx, o) })
 	}
--- a/jobs/node/instanceorders_test.go
+++ b/jobs/node/instanceorders_test.go
@@ -12,7 +12,7 @@
 func TestRecentOrdersAreKept(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	o := newInstanceOrders("d", 3*time.Second, []owner.RecentOrder{{Instance: "old", Holder: "e", Age: time.Second}}, now)
-	o.add([]owner.MoveOrder{{Instance: "b", Pool: "p"}, {Instance: "a", Pool: "p"}, {Instance: "c", Pool: "p"}})
+	o.add([]owner.InstanceOrder{{Instance: "b", Pool: "p"}, {Instance: "a", Pool: "p"}, {Instance: "c", Pool: "p"}})
 	assert.Equal(t, 3, o.waiting())
 	assert.Equal(t, []owner.RecentOrder{{Instance: "old", Holder: "e", Age: time.Second}}, o.recent(now), "one that waits is not sent")
 	assert.Len(t, o.take(now), 3)
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -65,7 +65,7 @@
 	Clock   Clock
 	Probe   func() time.Duration // times a fixed piece of work on the instance's processor
 	Store   ledger.Store
-	Workers owner.Workers
+	Workers owner.WorkerClient
 	Manager owner.InstanceManager
 	Advisor owner.Advisor // nil if no queue needs advice
 	Peers   Peers
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -45,7 +45,7 @@
 
 // countedWorkers counts the starts that are sent.
 type countedWorkers struct {
-	owner.Workers
+	owner.WorkerClient
 	starts int
 }
 
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -60,7 +60,7 @@
 	return out
 }
 
-func (t *termRun) write(puts []ledger.Put, deletes []string, records []owner.Record, taken int, orders []owner.MoveOrder, recent []owner.RecentOrder) {
+func (t *termRun) write(puts []ledger.Put, deletes []string, records []owner.Record, taken int, orders []owner.InstanceOrder, recent []owner.RecentOrder) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	began := t.n.clock.Now()
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -51,8 +51,8 @@
 			return func(c *owner.Core, now time.Time) { c.OnAdvice(q, a, now) }
 		})
 	}
-	t.orders.add(e.Instances)
-	for _, s := range e.Waves {
+	t.orders.add(e.InstanceOrders)
+	for _, s := range e.WaveStatuses {
 		t.putWave(s)
 	}
 }
@@ -72,7 +72,7 @@
 		if time.Duration(t.n.sinceStart()-decided) <= orderAge {
 			sent := t.n.clock.Now()
 			a = t.n.platform.Workers.Start(ctx, o)
-			a.Took = t.n.clock.Now().Sub(sent)
+			a.Latency = t.n.clock.Now().Sub(sent)
 		}
 		t.n.metrics.order("start", a.Outcome)
 		return func(c *owner.Core, now time.Time) { c.OnStarted(o, a, now) }
@@ -100,7 +100,7 @@
 
 // orderInstance moves or maintains an instance. The lease is looked at right
 // before the call: another daemon may do the duty some time after it has ended.
-func (t *termRun) orderInstance(ctx context.Context, o owner.MoveOrder) event {
+func (t *termRun) orderInstance(ctx context.Context, o owner.InstanceOrder) event {
 	outcome := owner.DutyRefused
 	sent := t.n.mayDoDuty()
 	if sent {
--- a/jobs/owner/account_test.go
+++ b/jobs/owner/account_test.go
@@ -35,22 +35,22 @@
 	j.AcceptedAt = r.now
 	r.core.Submit(j, r.now)
 	r.tick(5 * time.Second) // no room
-	ends := []End{}
+	ends := []RunEnd{}
 	for i, s := range first { // the worker's room comes free
-		ends = append(ends, End{Number: uint64(i + 1), Task: s.Task, Run: s.Run, Kind: EndDone})
+		ends = append(ends, RunEnd{Seq: uint64(i + 1), Task: s.Task, Run: s.Run, Kind: EndDone})
 	}
 	r.held(a, nil, ends...)
 	r.tick(25 * time.Millisecond)
 	second := r.started()
 	require.Len(t, second, 1)
 	r.tick(500 * time.Millisecond)
-	r.held(a, nil, End{Number: 9, Task: second[0].Task, Run: second[0].Run, Kind: EndFailed})
+	r.held(a, nil, RunEnd{Seq: 9, Task: second[0].Task, Run: second[0].Run, Kind: EndFailed})
 	r.tick(1500 * time.Millisecond) // it waits for another worker, of which there is none
 	third := r.started()
 	require.Len(t, third, 1)
 	r.tick(3 * time.Second)
 	r.core.TakeDecisions()
-	r.held(a, nil, End{Number: 10, Task: third[0].Task, Run: third[0].Run, Kind: EndDone})
+	r.held(a, nil, RunEnd{Seq: 10, Task: third[0].Task, Run: third[0].Run, Kind: EndDone})
 	late := r.lateLines()
 	require.Len(t, late, 1)
 	spent := late[0].Spent
@@ -77,7 +77,7 @@
 	s := r.started()
 	require.Len(t, s, 1)
 	r.tick(time.Second)
-	r.held(a, nil, End{Number: 1, Task: s[0].Task, Run: s[0].Run, Kind: EndDone})
+	r.held(a, nil, RunEnd{Seq: 1, Task: s[0].Task, Run: s[0].Run, Kind: EndDone})
 	assert.Equal(t, job.Completed, r.core.jobs[j.ID].state)
 	assert.Empty(t, r.lateLines())
 }
--- a/jobs/owner/attempts_test.go
+++ b/jobs/owner/attempts_test.go
@@ -30,7 +30,7 @@
 	require.Len(t, filling, 1)
 	require.Equal(t, good, filling[0].Worker)
 
-	r.held(bad, nil, End{Number: 1, Task: first[0].Task, Run: first[0].Run, Kind: EndFailed})
+	r.held(bad, nil, RunEnd{Seq: 1, Task: first[0].Task, Run: first[0].Run, Kind: EndFailed})
 	busy := []ActiveRun{{Task: filling[0].Task, Run: filling[0].Run, Percent: 50}}
 	for range 5 {
 		r.tick(100 * time.Millisecond)
@@ -38,7 +38,7 @@
 		r.held(good, busy)
 	}
 	require.Empty(t, r.started(), "it would fail again on the same worker")
-	r.held(good, nil, End{Number: 1, Task: filling[0].Task, Run: filling[0].Run, Kind: EndDone})
+	r.held(good, nil, RunEnd{Seq: 1, Task: filling[0].Task, Run: filling[0].Run, Kind: EndDone})
 	r.tick(100 * time.Millisecond)
 	again := r.started()
 	require.Len(t, again, 1)
@@ -63,7 +63,7 @@
 	for n := uint64(1); n <= 2; n++ {
 		s := r.started()
 		require.Len(t, s, 1, "attempt %d", n)
-		r.held(a, nil, End{Number: n, Task: s[0].Task, Run: s[0].Run, Kind: EndFailed})
+		r.held(a, nil, RunEnd{Seq: n, Task: s[0].Task, Run: s[0].Run, Kind: EndFailed})
 		r.tick(100 * time.Millisecond)
 	}
 	r.tick(elsewherePatience - 200*time.Millisecond)
--- a/jobs/owner/checkpoint_test.go
+++ b/jobs/owner/checkpoint_test.go
@@ -23,7 +23,7 @@
 	require.Len(t, first, 1)
 	assert.Empty(t, first[0].Checkpoint)
 
-	r.held(a, nil, End{Number: 1, Task: first[0].Task, Run: first[0].Run, Kind: EndStopped, Checkpoint: "half"})
+	r.held(a, nil, RunEnd{Seq: 1, Task: first[0].Task, Run: first[0].Run, Kind: EndStopped, Checkpoint: "half"})
 	r.tick(100 * time.Millisecond)
 	second := r.started()
 	require.Len(t, second, 1)
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -15,7 +15,7 @@
 	if !w.contact.lostAt.IsZero() {
 		return false
 	}
-	w.contact = contact{lostAt: now, heardAt: w.heardAt, broken: a.Broken}
+	w.contact = contact{lostAt: now, heardAt: w.heardAt, broken: a.ConnFailed}
 	return true
 }
 
--- a/jobs/owner/copies_test.go
+++ b/jobs/owner/copies_test.go
@@ -60,7 +60,7 @@
 			ended = s
 		}
 	}
-	r.held(other, on(other, ended, 90), End{Number: 1, Task: ended.Task, Run: ended.Run, Kind: EndDone})
+	r.held(other, on(other, ended, 90), RunEnd{Seq: 1, Task: ended.Task, Run: ended.Run, Kind: EndDone})
 	r.tick(100 * time.Millisecond)
 	assert.Empty(t, r.started(), "one core is free, and a task waits for eight")
 }
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -39,7 +39,7 @@
 
 // worker registers a worker and its instance.
 func (r *rig) worker(id string) WorkerID {
-	r.regs = append(r.regs, Registration{Worker: WorkerID(id), Service: "s", Addr: id, Room: job.Resources{CPUMilli: 8000, MemMB: 8000}})
+	r.regs = append(r.regs, Registration{Worker: WorkerID(id), Service: "s", Addr: id, Capacity: job.Resources{CPUMilli: 8000, MemMB: 8000}})
 	r.inst = append(r.inst, Instance{ID: InstanceID("i-" + id), Pool: "s", State: InstanceUp, Worker: WorkerID(id)})
 	r.list()
 	return WorkerID(id)
@@ -67,8 +67,8 @@
 	r.out.Starts = append(r.out.Starts, e.Starts...)
 	r.out.Stops = append(r.out.Stops, e.Stops...)
 	r.out.Holds = append(r.out.Holds, e.Holds...)
-	r.out.Instances = append(r.out.Instances, e.Instances...)
-	r.out.Waves = append(r.out.Waves, e.Waves...)
+	r.out.InstanceOrders = append(r.out.InstanceOrders, e.InstanceOrders...)
+	r.out.WaveStatuses = append(r.out.WaveStatuses, e.WaveStatuses...)
 	r.out.Questions = append(r.out.Questions, e.Questions...)
 	r.out.Throttles = append(r.out.Throttles, e.Throttles...)
 }
@@ -78,15 +78,15 @@
 }
 
 // held answers the hold that is under way.
-func (r *rig) held(id WorkerID, active []ActiveRun, ends ...End) {
-	r.core.OnHeld(Target{Worker: id}, Held{Answer: Answer{Outcome: Taken, Clock: r.clock()}, Active: active, Ends: ends}, r.now)
+func (r *rig) held(id WorkerID, active []ActiveRun, ends ...RunEnd) {
+	r.core.OnHeld(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clock()}, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
 
 // unheard lets the hold that is under way go unanswered.
 func (r *rig) unheard(id WorkerID) {
-	r.core.OnHeld(Target{Worker: id}, Held{Answer: Answer{Outcome: Unanswered, Err: errors.New("lost")}}, r.now)
+	r.core.OnHeld(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("lost")}}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
@@ -110,7 +110,7 @@
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 	}
 	r.take()
 	return out
@@ -154,7 +154,7 @@
 	a := r.worker("a")
 	b := r.worker("b")
 	r.held(b, nil)
-	r.inst[0].State = InstanceMaintained // while the first hold of a is under way
+	r.inst[0].State = InstanceInMaintenance // while the first hold of a is under way
 	r.list()
 	r.held(a, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: 1_000_001}})
 	r.tick(100 * time.Millisecond)
@@ -215,12 +215,12 @@
 	second := r.out.Starts[0]
 	assert.Equal(t, first.Run, second.Run, "with the same run")
 	r.out.Starts = nil
-	r.core.OnStarted(second, Answer{Outcome: NoRoom, Clock: r.clock()}, r.now)
+	r.core.OnStarted(second, Answer{Outcome: NoRoom, ClockMs: r.clock()}, r.now)
 	r.take()
 	require.Len(t, r.out.Stops, 1, "the first order may still arrive")
 	r.tick(300 * time.Millisecond)
 	assert.Empty(t, r.out.Starts, "the task waits for the stop")
-	r.core.OnStopped(r.out.Stops[0], Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+	r.core.OnStopped(r.out.Stops[0], Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 	r.tick(25 * time.Millisecond)
 	r.held(a, nil) // that was under way
 	r.tick(25 * time.Millisecond)
@@ -237,10 +237,10 @@
 	j := r.submit(1, 1)
 	s := r.started()[0]
 	r.out.Holds = nil
-	r.held(a, nil, End{Number: 1, Task: s.Task, Run: s.Run, Kind: EndDone})
+	r.held(a, nil, RunEnd{Seq: 1, Task: s.Task, Run: s.Run, Kind: EndDone})
 	r.tick(400 * time.Millisecond)
 	require.NotEmpty(t, r.out.Holds)
-	assert.Zero(t, r.out.Holds[len(r.out.Holds)-1].Acknowledge)
+	assert.Zero(t, r.out.Holds[len(r.out.Holds)-1].AckThrough)
 	state, _ := r.core.State(j.ID)
 	assert.Equal(t, job.Running, state, "not completed before it is recorded")
 	r.core.Committed(r.core.Uncommitted(10), r.now)
@@ -248,7 +248,7 @@
 	assert.Equal(t, job.Completed, state)
 	r.held(a, nil)
 	r.tick(25 * time.Millisecond)
-	assert.EqualValues(t, 1, r.out.Holds[len(r.out.Holds)-1].Acknowledge)
+	assert.EqualValues(t, 1, r.out.Holds[len(r.out.Holds)-1].AckThrough)
 }
 
 func TestAttemptsAreCountedOverTerms(t *testing.T) {
@@ -268,7 +268,7 @@
 	a := r.worker("a")
 	r.held(a, nil)
 	s := r.started()[0]
-	r.held(a, nil, End{Number: 1, Task: s.Task, Run: s.Run, Kind: EndFailed})
+	r.held(a, nil, RunEnd{Seq: 1, Task: s.Task, Run: s.Run, Kind: EndFailed})
 	r.tick(time.Second)
 	assert.Empty(t, r.out.Starts)
 	r.core.Committed(r.core.Uncommitted(10), r.now)
@@ -283,7 +283,7 @@
 	p := &job.Progress{State: job.Running, Steps: []job.StepProgress{{Failed: map[int]job.Failures{0: {1_000_007}}}}}
 	r := newRig(t, 2, Loaded{Job: j, Progress: p})
 	a := r.worker("a")
-	r.held(a, nil, End{Number: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_007, Kind: EndFailed})
+	r.held(a, nil, RunEnd{Seq: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_007, Kind: EndFailed})
 	r.tick(100 * time.Millisecond)
 	assert.Len(t, r.started(), 1, "one of two attempts has failed")
 }
@@ -294,16 +294,16 @@
 	j := simpleJob(1, 1)
 	r := newRig(t, 2, Loaded{Job: j})
 	a, b := r.worker("a"), r.worker("b")
-	r.held(a, nil, End{Number: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_009, Kind: EndFailed})
-	r.held(b, nil, End{Number: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_008, Kind: EndFailed})
+	r.held(a, nil, RunEnd{Seq: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_009, Kind: EndFailed})
+	r.held(b, nil, RunEnd{Seq: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_008, Kind: EndFailed})
 	r.tick(time.Second)
 	assert.Empty(t, r.out.Starts, "both of two attempts have failed")
 }
 
 // maintenances returns the maintenance that was ordered so far.
-func (r *rig) maintenances() []MoveOrder {
-	var out []MoveOrder
-	for _, o := range r.out.Instances {
+func (r *rig) maintenances() []InstanceOrder {
+	var out []InstanceOrder
+	for _, o := range r.out.InstanceOrders {
 		if o.Wave != 0 {
 			out = append(out, o)
 		}
@@ -334,11 +334,11 @@
 	r.core.OnWave(WaveRequest{Wave: 1, Instances: []InstanceID{"i-a"}, Within: time.Minute, MaxDown: 1}, nil, false, r.now)
 	r.tick(100 * time.Millisecond)
 	require.Len(t, r.maintenances(), 1)
-	r.inst[0].State = InstanceMaintained
+	r.inst[0].State = InstanceInMaintenance
 	r.list()
 	r.core.OnInstanceOrder(r.maintenances()[0], DutyDone, r.now)
 	r.tick(100 * time.Millisecond)
-	assert.True(t, r.out.Waves[len(r.out.Waves)-1].Done)
+	assert.True(t, r.out.WaveStatuses[len(r.out.WaveStatuses)-1].Done)
 }
 
 func TestMaintenanceDoneByAnEarlierOwner(t *testing.T) {
@@ -389,7 +389,7 @@
 		assert.Equal(t, "t-b", s.Ticket)
 	}
 	r.tick(4 * time.Second)
-	r.held(b, nil, End{Number: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndFailed})
+	r.held(b, nil, RunEnd{Seq: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndFailed})
 	r.tick(100 * time.Millisecond)
 	require.Len(t, r.out.Questions, 2, "the ticket has run out")
 	assert.Equal(t, []WorkerID{b}, r.out.Questions[1].Workers, "a may not run it, which does not change")
@@ -416,7 +416,7 @@
 	copies := r.started()
 	require.Len(t, copies, 1, "a copy starts at once when the worker is silent")
 	assert.Equal(t, other, copies[0].Worker)
-	r.held(other, nil, End{Number: 1, Task: copies[0].Task, Run: copies[0].Run, Kind: EndDone})
+	r.held(other, nil, RunEnd{Seq: 1, Task: copies[0].Task, Run: copies[0].Run, Kind: EndDone})
 	require.NotEmpty(t, r.out.Stops, "the other run is stopped")
 	assert.Equal(t, first.Run, r.out.Stops[0].Run)
 }
@@ -483,7 +483,7 @@
 	first := r.started()
 	require.Len(t, first, 1)
 	assert.Zero(t, first[0].Task.Occurrence)
-	r.held(a, nil, End{Number: 1, Task: first[0].Task, Run: first[0].Run, Kind: EndDone})
+	r.held(a, nil, RunEnd{Seq: 1, Task: first[0].Task, Run: first[0].Run, Kind: EndDone})
 	r.tick(500 * time.Millisecond)
 	assert.Empty(t, r.out.Starts)
 	for range 4 {
@@ -508,9 +508,9 @@
 	s := r.started()
 	done := s[0]
 	r.held(a, nil,
-		End{Number: 1, Task: done.Task, Run: done.Run, Kind: EndDone},
-		End{Number: 2, Task: done.Task, Run: done.Run + 100, Kind: EndFailed},
-		End{Number: 3, Task: done.Task, Run: done.Run + 101, Kind: EndFailed})
+		RunEnd{Seq: 1, Task: done.Task, Run: done.Run, Kind: EndDone},
+		RunEnd{Seq: 2, Task: done.Task, Run: done.Run + 100, Kind: EndFailed},
+		RunEnd{Seq: 3, Task: done.Task, Run: done.Run + 101, Kind: EndFailed})
 	r.core.Committed(r.core.Uncommitted(10), r.now)
 	state, _ := r.core.State(j.ID)
 	assert.Equal(t, job.Running, state, "the task is done, whatever its copies come to")
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -14,7 +14,7 @@
 
 // loseContact breaks the connections to a worker.
 func (r *rig) loseContact(id WorkerID) {
-	r.core.OnHeld(Target{Worker: id}, Held{Answer: Answer{Outcome: Unanswered, Err: errors.New("refused"), Broken: true}}, r.now)
+	r.core.OnHeld(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("refused"), ConnFailed: true}}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
@@ -278,7 +278,7 @@
 		j := r.submit(1, 1)
 		sent := r.out.Starts
 		require.Len(t, sent, 1)
-		r.core.OnStarted(sent[0], Answer{Outcome: Unanswered, Err: errors.New("lost"), Broken: broken}, r.now)
+		r.core.OnStarted(sent[0], Answer{Outcome: Unanswered, Err: errors.New("lost"), ConnFailed: broken}, r.now)
 		assert.Len(t, r.core.jobs[j.ID].steps[0].tasks[0].crashes, open, "broken %t", broken)
 	}
 }
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -37,18 +37,18 @@
 }
 
 // onEnd handles one end that a worker lists.
-func (c *Core) onEnd(w *worker, e End, now time.Time) {
+func (c *Core) onEnd(w *worker, e RunEnd, now time.Time) {
 	j := c.jobs[e.Task.Job]
 	if j == nil {
-		w.waiting[e.Number] = waitingEnd{e, now}
-		w.unacked = append(w.unacked, unackedEnd{number: e.Number})
+		w.waiting[e.Seq] = waitingEnd{e, now}
+		w.unacked = append(w.unacked, unackedEnd{number: e.Seq})
 		return
 	}
 	c.applyEnd(w, j, e, now)
-	w.unacked = append(w.unacked, unackedEnd{e.Number, j, j.version})
+	w.unacked = append(w.unacked, unackedEnd{e.Seq, j, j.version})
 }
 
-func (c *Core) applyEnd(w *worker, j *jobState, e End, now time.Time) {
+func (c *Core) applyEnd(w *worker, j *jobState, e RunEnd, now time.Time) {
 	delete(w.strangers, e.Task)
 	c.begin(j, e.Task.Occurrence)
 	s := j.step(e.Task.Occurrence, e.Task.Step)
@@ -120,7 +120,7 @@
 // on one bad worker.
 const failureBackoff = 20 * time.Millisecond
 
-func (c *Core) onFailed(w *worker, t *task, e End, now time.Time) {
+func (c *Core) onFailed(w *worker, t *task, e RunEnd, now time.Time) {
 	s := t.step
 	j := s.job
 	c.keepCheckpoint(t, e.Checkpoint)
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -51,7 +51,7 @@
 	r.submit(3, 1)
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.out.Starts)
-	assert.Empty(t, r.out.Instances, "a spare instance there is of no use")
+	assert.Empty(t, r.out.InstanceOrders, "a spare instance there is of no use")
 	assert.Equal(t, CauseEvacuated, r.core.waitCause("s"))
 	r.core.Evacuate(nil)
 	r.held("a", nil)
--- a/jobs/owner/forget_test.go
+++ b/jobs/owner/forget_test.go
@@ -16,7 +16,7 @@
 	j := r.submit(1, 1)
 	starts := r.started()
 	require.Len(t, starts, 1)
-	r.held(w, nil, End{Number: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
+	r.held(w, nil, RunEnd{Seq: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
 	r.core.Committed(r.core.Uncommitted(10), r.now)
 	return j, starts[0]
 }
@@ -45,7 +45,7 @@
 	r.held(a, []ActiveRun{{Task: s.Task, Run: s.Run + 1}})
 	require.Len(t, r.out.Stops, 1)
 	assert.Equal(t, s.Run+1, r.out.Stops[0].Run)
-	r.held(a, nil, End{Number: 2, Task: s.Task, Run: s.Run + 1, Kind: EndStopped})
+	r.held(a, nil, RunEnd{Seq: 2, Task: s.Task, Run: s.Run + 1, Kind: EndStopped})
 	r.tick(100 * time.Millisecond)
 	assert.EqualValues(t, 2, r.core.workers[a].acked)
 }
@@ -64,9 +64,9 @@
 	require.NotNil(t, r.core.jobs[j.ID].steps)
 	r.submit(2, 1)
 	assert.Empty(t, r.out.Starts, "its room is taken")
-	var ends []End
+	var ends []RunEnd
 	for i, s := range starts {
-		ends = append(ends, End{Number: uint64(i + 1), Task: s.Task, Run: s.Run, Kind: EndStopped})
+		ends = append(ends, RunEnd{Seq: uint64(i + 1), Task: s.Task, Run: s.Run, Kind: EndStopped})
 	}
 	r.held(a, nil, ends...)
 	assert.Nil(t, r.core.jobs[j.ID].steps)
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -49,7 +49,7 @@
 }
 
 func (x *freeIndex) add(w *worker) {
-	w.class = x.classOf(w.Room)
+	w.class = x.classOf(w.Capacity)
 	w.indexedFree = w.free().CPUMilli
 	at, _ := slices.BinarySearchFunc(w.class.byFree, w, compareFree)
 	w.class.byFree = slices.Insert(w.class.byFree, at, w)
@@ -146,7 +146,7 @@
 // placementView returns the worker as placement sees it.
 func (w *worker) placementView(now time.Time) placement.Worker {
 	return placement.Worker{
-		Room: w.Room, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
+		Room: w.Capacity, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
 		Fillers: w.fillers, Serving: w.serving, Lasting: w.lasting, Suspect: w.isSuspect(now),
 	}
 }
@@ -177,7 +177,7 @@
 func (c *Core) reindex(w *worker, now time.Time) {
 	c.sharing.put(w, w.fillers > 0 && w.serving > 0 && !w.gone)
 	usable := c.workers[w.Worker] == w && c.isUsable(w, now)
-	if usable && w.class != nil && w.indexedIn == w.Service && w.class.room == w.Room && w.indexedFree == w.free().CPUMilli {
+	if usable && w.class != nil && w.indexedIn == w.Service && w.class.room == w.Capacity && w.indexedFree == w.free().CPUMilli {
 		return
 	}
 	w.unindex()
--- a/jobs/owner/freeindex_test.go
+++ b/jobs/owner/freeindex_test.go
@@ -22,7 +22,7 @@
 		w.Service = "s"
 		w.Rack = fmt.Sprint("r", r.IntN(4))
 		w.Labels = []string{fmt.Sprint("k", r.IntN(2)), w.Rack}
-		w.Room = job.Resources{CPUMilli: 16000 * (1 + r.IntN(2)), MemMB: 64000}
+		w.Capacity = job.Resources{CPUMilli: 16000 * (1 + r.IntN(2)), MemMB: 64000}
 		w.used = job.Resources{CPUMilli: 1000 * r.IntN(17), MemMB: 1000 * r.IntN(65)}
 		if r.IntN(5) == 0 {
 			w.ends.add(EndFailed, now)
--- a/jobs/owner/handover_test.go
+++ b/jobs/owner/handover_test.go
@@ -34,20 +34,20 @@
 	}
 	r.list()
 	r.tick(200 * time.Millisecond)
-	require.Len(t, r.out.Instances, 1)
-	assert.Equal(t, InstanceID("y"), r.out.Instances[0].Instance)
+	require.Len(t, r.out.InstanceOrders, 1)
+	assert.Equal(t, InstanceID("y"), r.out.InstanceOrders[0].Instance)
 
-	r.core.OnInstanceOrder(r.out.Instances[0], DutyDone, r.now)
+	r.core.OnInstanceOrder(r.out.InstanceOrders[0], DutyDone, r.now)
 	for range 9 {
 		r.tick(400 * time.Millisecond)
 		r.list()
 	}
-	assert.Len(t, r.out.Instances, 1, "4.2 s have not passed")
+	assert.Len(t, r.out.InstanceOrders, 1, "4.2 s have not passed")
 	for range 3 {
 		r.tick(400 * time.Millisecond)
 		r.list()
 	}
-	assert.Len(t, r.out.Instances, 3)
+	assert.Len(t, r.out.InstanceOrders, 3)
 }
 
 // TestANewOwnerKnowsTheRateOfArrivals: the jobs in the store tell it.
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -43,7 +43,7 @@
 		if !c.mayMeanFormerLife(i.Worker, now) {
 			c.lifeOverOf(i.Worker, "the instance list shows it down", now)
 		}
-	case InstanceMaintained, InstanceMoving:
+	case InstanceInMaintenance, InstanceMoving:
 		if !c.mayMeanFormerLife(i.Worker, now) {
 			c.markOrdered(i.Worker)
 			c.lifeOverOf(i.Worker, "the instance list shows it away", now)
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -49,7 +49,7 @@
 	return life{WorkerID(s[:at]), born}
 }
 
-func (w *worker) life() life { return life{w.Worker, w.Born} }
+func (w *worker) life() life { return life{w.Worker, w.StartedMs} }
 
 // lifeOn returns the life that the instance list shows on an instance, as far as is known.
 func (c *Core) lifeOn(i *Instance) life {
@@ -69,7 +69,7 @@
 
 // meant returns the worker that an order was sent to, nil if that life of it is over: what
 // became of the order says nothing of the present one.
-func (c *Core) meant(t Target) *worker { return c.present(life{t.Worker, t.Born}) }
+func (c *Core) meant(t Target) *worker { return c.present(life{t.Worker, t.StartedMs}) }
 
 // relation is how a life that is spoken of relates to the one that is known.
 type relation int
@@ -82,7 +82,7 @@
 
 func (w *worker) relation(born int64) relation {
 	switch {
-	case born == w.Born || born == 0 || w.Born == 0:
+	case born == w.StartedMs || born == 0 || w.StartedMs == 0:
 		return sameLife
 	case slices.Contains(w.formerBorn, born):
 		return formerLife
@@ -97,7 +97,7 @@
 // newWorker adds a worker of which nothing is known yet.
 func (c *Core) newWorker(id WorkerID, born int64, now time.Time) *worker {
 	w := &worker{
-		Registration: Registration{Worker: id, Born: born},
+		Registration: Registration{Worker: id, StartedMs: born},
 		since:        now,
 		runs:         map[job.TaskID]*run{},
 		strangers:    map[job.TaskID]stranger{},
@@ -119,10 +119,10 @@
 	}
 	c.forget(old.Worker)
 	w := c.newWorker(old.Worker, born, now)
-	w.formerBorn = append(slices.Clone(old.formerBorn), old.Born)
+	w.formerBorn = append(slices.Clone(old.formerBorn), old.StartedMs)
 	w.formerBorn = w.formerBorn[max(0, len(w.formerBorn)-formerKept):]
 	w.Registration = old.Registration
-	w.Born, w.Draining = born, false
+	w.StartedMs, w.Draining = born, false
 	c.roster.add(w)
 	for _, r := range sortedRuns(old) {
 		old.dropRun(r)
@@ -155,7 +155,7 @@
 // acknowledgement returns the number up to which the worker may forget ends. While it does not
 // answer another life of it may have begun, which would forget its own.
 func (w *worker) acknowledgement() uint64 {
-	if w.Born != 0 && (!w.silentSince.IsZero() || !w.contact.lostAt.IsZero()) {
+	if w.StartedMs != 0 && (!w.silentSince.IsZero() || !w.contact.lostAt.IsZero()) {
 		return 0
 	}
 	return w.acked
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -14,16 +14,16 @@
 func (r *rig) lifeOf(id WorkerID, born int64) Target {
 	for n := range r.regs {
 		if r.regs[n].Worker == id {
-			r.regs[n].Born = born
+			r.regs[n].StartedMs = born
 		}
 	}
 	r.list()
-	return Target{Worker: id, Born: born}
+	return Target{Worker: id, StartedMs: born}
 }
 
 // heldBy answers a hold of one life with the list of another.
-func (r *rig) heldBy(of Target, born int64, active []ActiveRun, ends ...End) {
-	r.core.OnHeld(of, Held{Answer: Answer{Outcome: Taken, Clock: r.clock()}, Born: born, Active: active, Ends: ends}, r.now)
+func (r *rig) heldBy(of Target, born int64, active []ActiveRun, ends ...RunEnd) {
+	r.core.OnHeld(of, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clock()}, StartedMs: born, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
@@ -38,7 +38,7 @@
 	j := r.submit(1, 1)
 	starts := r.started()
 	require.Len(t, starts, 1)
-	r.heldBy(first, 500, nil, End{Number: 90, Task: starts[0].Task, Run: starts[0].Run, Kind: EndFailed})
+	r.heldBy(first, 500, nil, RunEnd{Seq: 90, Task: starts[0].Task, Run: starts[0].Run, Kind: EndFailed})
 	r.tick(100 * time.Millisecond)
 	starts = r.started()
 	require.Len(t, starts, 1, "it failed")
@@ -51,8 +51,8 @@
 	r.tick(verdictPatience)
 	starts = r.started()
 	require.Len(t, starts, 1, "it ended with the life before")
-	assert.Equal(t, int64(700), starts[0].Born)
-	r.heldBy(second, 700, nil, End{Number: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
+	assert.Equal(t, int64(700), starts[0].StartedMs)
+	r.heldBy(second, 700, nil, RunEnd{Seq: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
 	assert.Equal(t, job.Completed, r.core.jobs[j.ID].state, "its end has a lower number than what was seen of the life before")
 }
 
@@ -71,13 +71,13 @@
 	r.heldBy(second, 700, running)
 
 	clock := r.core.workers[a].lease.clock
-	r.heldBy(first, 500, nil, End{Number: 3, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
+	r.heldBy(first, 500, nil, RunEnd{Seq: 3, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
 	r.heldBy(second, 500, nil)
-	r.core.OnStarted(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Taken, Clock: 9 * rigClock}, r.now)
+	r.core.OnStarted(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Taken, ClockMs: 9 * rigClock}, r.now)
 	r.lifeOf(a, 500)
 	r.tick(time.Second)
 	w := r.core.workers[a]
-	assert.Equal(t, int64(700), w.Born)
+	assert.Equal(t, int64(700), w.StartedMs)
 	assert.Equal(t, clock, w.lease.clock)
 	assert.Len(t, w.runs, 1)
 	assert.Empty(t, r.out.Starts)
@@ -93,9 +93,9 @@
 	require.Len(t, r.started(), 1)
 	r.tick(100 * time.Millisecond)
 	r.heldBy(first, 300, nil) // its list comes before its registration
-	assert.Equal(t, int64(300), r.core.workers[a].Born)
+	assert.Equal(t, int64(300), r.core.workers[a].StartedMs)
 	r.lifeOf(a, 500) // which is of the life before
-	assert.Equal(t, int64(300), r.core.workers[a].Born)
+	assert.Equal(t, int64(300), r.core.workers[a].StartedMs)
 	second := r.lifeOf(a, 300)
 	r.heldBy(second, 300, nil)
 	r.tick(verdictPatience)
@@ -153,7 +153,7 @@
 	r.held(b, nil)
 	wait := func(d time.Duration) {
 		for range d / (100 * time.Millisecond) {
-			r.core.OnHeld(second, Held{Answer: Answer{Outcome: Unanswered}}, r.now)
+			r.core.OnHeld(second, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, r.now)
 			r.held(b, nil)
 			r.tick(100 * time.Millisecond)
 		}
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -66,7 +66,7 @@
 	}
 	c.giveBack-- // each order takes a turn at the platform
 	c.note(Decision{Event: "move-ordered", Worker: ms.life.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
-	c.out.Instances = append(c.out.Instances, MoveOrder{Instance: id, Pool: m.To})
+	c.out.InstanceOrders = append(c.out.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
 }
 
 // misfit is an instance that a pool does not take.
@@ -75,7 +75,7 @@
 	pool     string
 }
 
-func (c *Core) onMove(o MoveOrder, outcome DutyOutcome, now time.Time) {
+func (c *Core) onMove(o InstanceOrder, outcome DutyOutcome, now time.Time) {
 	m := c.moves[o.Instance]
 	if m == nil {
 		return
@@ -86,7 +86,7 @@
 		m.accepted = true
 		return
 	case DutyUnanswered:
-		c.out.Instances = append(c.out.Instances, o) // it may have been done
+		c.out.InstanceOrders = append(c.out.InstanceOrders, o) // it may have been done
 		return
 	case DutyFenced:
 		c.fenced = true
--- a/jobs/owner/narrow_test.go
+++ b/jobs/owner/narrow_test.go
@@ -26,7 +26,7 @@
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Taken, Clock: r.clock(), Took: narrowLink}, r.now)
+		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clock(), Latency: narrowLink}, r.now)
 	}
 	r.take()
 	return out
@@ -67,7 +67,7 @@
 	}
 	renewed := map[WorkerID]bool{}
 	for _, h := range r.out.Holds {
-		if h.Until > r.clock()+(rigLease/2).Milliseconds() {
+		if h.LeaseUntilMs > r.clock()+(rigLease/2).Milliseconds() {
 			renewed[h.Worker] = true
 		}
 	}
@@ -112,7 +112,7 @@
 	r.tick(holdRetry + 50*time.Millisecond)
 	renewed := map[WorkerID]bool{}
 	for _, h := range r.out.Holds {
-		renewed[h.Worker] = h.Until > r.clock()+(rigLease-holdRetry).Milliseconds()
+		renewed[h.Worker] = h.LeaseUntilMs > r.clock()+(rigLease-holdRetry).Milliseconds()
 	}
 	for _, w := range all[:silent] {
 		assert.True(t, renewed[w], "the lease of %s is renewed", w)
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -15,21 +15,21 @@
 	r.sentAt = now
 	r.tries++
 	c.out.Starts = append(c.out.Starts, Start{
-		Number:     c.line.order(now),
-		Target:     c.target(r.worker),
-		Task:       r.task.id(),
-		Run:        r.number,
-		Payload:    r.task.step.job.spec.Payload,
-		Until:      c.renewal(r.worker, now),
-		Checkpoint: r.task.checkpoint,
-		Ticket:     r.task.step.ticketFor(r.worker),
-		Timeout:    c.calls.Timeout(OrderTimeout),
+		Seq:          c.line.order(now),
+		Target:       c.target(r.worker),
+		Task:         r.task.id(),
+		Run:          r.number,
+		Payload:      r.task.step.job.spec.Payload,
+		LeaseUntilMs: c.renewal(r.worker, now),
+		Checkpoint:   r.task.checkpoint,
+		Ticket:       r.task.step.ticketFor(r.worker),
+		Timeout:      c.calls.Timeout(OrderTimeout),
 	})
 }
 
 // OnStarted takes a worker's answer to a start.
 func (c *Core) OnStarted(o Start, a Answer, now time.Time) {
-	c.line.answered(o.Number, now)
+	c.line.answered(o.Seq, now)
 	w := c.meant(o.Target)
 	if w == nil {
 		return
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -77,7 +77,7 @@
 	assert.Empty(t, r.out.Starts, "what may run is not started again")
 	renewed := map[WorkerID]bool{}
 	for _, h := range r.out.Holds {
-		if h.Until > r.clock()+(rigLease/2).Milliseconds() {
+		if h.LeaseUntilMs > r.clock()+(rigLease/2).Milliseconds() {
 			renewed[h.Worker] = true
 		}
 	}
@@ -137,7 +137,7 @@
 	for _, h := range r.out.Holds {
 		if h.Worker != all[0] {
 			sent++
-			assert.LessOrEqual(t, h.Until, given, "not renewed")
+			assert.LessOrEqual(t, h.LeaseUntilMs, given, "not renewed")
 		}
 	}
 	assert.Greater(t, sent, 20)
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -20,7 +20,7 @@
 func TestAJobWaitsUntilATaskIsKnownToHaveStarted(t *testing.T) {
 	answer := func(o Outcome) func(r *rig, s Start) {
 		return func(r *rig, s Start) {
-			r.core.OnStarted(s, Answer{Outcome: o, Clock: r.clock()}, r.now)
+			r.core.OnStarted(s, Answer{Outcome: o, ClockMs: r.clock()}, r.now)
 			r.take()
 		}
 	}
@@ -77,11 +77,11 @@
 		then func(r *rig, s Start)
 	}{
 		{"it takes the start", func(r *rig, s Start) {
-			r.core.OnStarted(s, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+			r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 		}},
 		{"it lists the run", func(r *rig, s Start) { r.held(s.Worker, []ActiveRun{{Task: s.Task, Run: s.Run}}) }},
 		{"it lists the end of a run that failed", func(r *rig, s Start) {
-			r.held(s.Worker, nil, End{Number: 1, Task: s.Task, Run: s.Run, Kind: EndFailed})
+			r.held(s.Worker, nil, RunEnd{Seq: 1, Task: s.Task, Run: s.Run, Kind: EndFailed})
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -119,10 +119,10 @@
 	r.take()
 	require.Len(t, r.out.Starts, 2)
 	first, second := r.out.Starts[0], r.out.Starts[1]
-	r.core.OnStarted(first, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+	r.core.OnStarted(first, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 	assert.Equal(t, 1, r.core.Pending("q"), "one member waits for the other")
-	r.held(first.Worker, nil, End{Number: 1, Task: first.Task, Run: first.Run, Kind: EndGangIncomplete})
+	r.held(first.Worker, nil, RunEnd{Seq: 1, Task: first.Task, Run: first.Run, Kind: EndGangIncomplete})
 	assert.Equal(t, 1, r.core.Pending("q"), "it waited in vain")
-	r.core.OnStarted(second, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+	r.core.OnStarted(second, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 	assert.Equal(t, 1, r.core.Pending("q"), "the other one came too late")
 }
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -65,8 +65,8 @@
 	r.pass(preemptLastingAfter, a, active)
 	require.Len(t, r.out.Stops, 1, "one task is in the way")
 	stop := r.out.Stops[0]
-	r.core.OnStopped(stop, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
-	r.held(a, without(active, stop.Task), End{Number: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
+	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
+	r.held(a, without(active, stop.Task), RunEnd{Seq: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
 	r.tick(scheduleEvery)
 	starts := r.started()
 	require.Len(t, starts, 1)
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -41,8 +41,8 @@
 func (c *Core) Uncommitted(n int) []Record {
 	var out []Record
 	for j := range c.toWrite.all(c.dirty) {
-		r := Record{Job: j.spec, Progress: j.progress(), Kept: j.written > 0, version: j.version}
-		if n -= r.Entries(); n < 0 {
+		r := Record{Job: j.spec, Progress: j.progress(), Stored: j.written > 0, version: j.version}
+		if n -= r.TxnEntries(); n < 0 {
 			break
 		}
 		out = append(out, r)
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -132,19 +132,19 @@
 func (c *Core) registerOne(r Registration, now time.Time) {
 	w := c.workers[r.Worker]
 	if w == nil {
-		w = c.newWorker(r.Worker, r.Born, now)
+		w = c.newWorker(r.Worker, r.StartedMs, now)
 		c.note(Decision{Event: "worker-new", Worker: r.Worker, Reason: r.Service})
 	}
-	switch w.relation(r.Born) {
+	switch w.relation(r.StartedMs) {
 	case formerLife:
 		return // written before its present life registered
 	case nextLife:
-		w = c.beginLife(w, r.Born, "it has registered anew", now)
+		w = c.beginLife(w, r.StartedMs, "it has registered anew", now)
 	}
-	if r.Born == 0 {
-		r.Born = w.Born // which it does not say
+	if r.StartedMs == 0 {
+		r.StartedMs = w.StartedMs // which it does not say
 	}
-	if w.Born != r.Born && len(c.openCrashes[w.life()]) > 0 {
+	if w.StartedMs != r.StartedMs && len(c.openCrashes[w.life()]) > 0 {
 		c.clearCrashes(w.life(), "it has only now said which life it is")
 	}
 	if r.Draining && !w.Draining {
@@ -159,8 +159,8 @@
 	if w.Service != "" { // not of a worker that is new
 		c.roster.remove(w)
 		c.changed[w.Service] = true
-		if w.Room != r.Room {
-			c.note(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Room, r.Room, w.used)})
+		if w.Capacity != r.Capacity {
+			c.note(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Capacity, r.Capacity, w.used)})
 		}
 	}
 	w.Registration = r
@@ -173,7 +173,7 @@
 // sameAs reports whether the registration says the same.
 func (r *Registration) sameAs(o *Registration) bool {
 	return r.Worker == o.Worker && r.Service == o.Service && r.Addr == o.Addr && r.Zone == o.Zone && r.Rack == o.Rack &&
-		r.Room == o.Room && r.Draining == o.Draining && r.Born == o.Born && slices.Equal(r.Labels, o.Labels)
+		r.Capacity == o.Capacity && r.Draining == o.Draining && r.StartedMs == o.StartedMs && slices.Equal(r.Labels, o.Labels)
 }
 
 // forget removes a worker of which nothing is left to know.
--- a/jobs/owner/repeat_test.go
+++ b/jobs/owner/repeat_test.go
@@ -22,7 +22,7 @@
 func (r *rig) answerAll(a Answer) []Start {
 	out := r.out.Starts
 	r.out.Starts = nil
-	a.Clock = r.clock()
+	a.ClockMs = r.clock()
 	for _, s := range out {
 		r.core.OnStarted(s, a, r.now)
 	}
@@ -48,7 +48,7 @@
 				n++
 				longest, last = max(longest, r.now.Sub(last)), r.now
 				ends[s.Worker]++
-				r.held(s.Worker, nil, End{Number: ends[s.Worker], Task: s.Task, Run: s.Run, Kind: EndFailed})
+				r.held(s.Worker, nil, RunEnd{Seq: ends[s.Worker], Task: s.Task, Run: s.Run, Kind: EndFailed})
 			}
 		}
 		assert.LessOrEqual(t, n, 60, "starts in a minute")
@@ -66,7 +66,7 @@
 				stops++
 				ends[s.Worker]++
 				running = nil
-				r.held(s.Worker, nil, End{Number: ends[s.Worker], Task: s.Task, Run: s.Run, Kind: EndStopped})
+				r.held(s.Worker, nil, RunEnd{Seq: ends[s.Worker], Task: s.Task, Run: s.Run, Kind: EndStopped})
 			}
 			r.out.Stops = nil
 			running = append(running, r.started()...)
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -67,7 +67,7 @@
 	}
 	for _, k := range free.classes {
 		for _, w := range k.byFree {
-			if !t.failedOnWorker(w) && placement.Possible(&placement.Worker{Room: w.Room, Labels: w.Labels}, req) {
+			if !t.failedOnWorker(w) && placement.Possible(&placement.Worker{Room: w.Capacity, Labels: w.Labels}, req) {
 				return true
 			}
 		}
@@ -145,4 +145,4 @@
 }
 
 // free returns the room that no run occupies, as far as is known.
-func (w *worker) free() job.Resources { return w.Room.Sub(w.used) }
+func (w *worker) free() job.Resources { return w.Capacity.Sub(w.used) }
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -56,14 +56,14 @@
 	r.core.OnInstances(r.inst, r.now)
 	r.core.OnWave(WaveRequest{Wave: 1, Instances: []InstanceID{"i-a"}, Within: time.Minute, MaxDown: 1}, nil, false, r.now)
 	r.tick(100 * time.Millisecond)
-	assert.Empty(t, r.out.Instances, "whether b still serves is not known")
+	assert.Empty(t, r.out.InstanceOrders, "whether b still serves is not known")
 	r.held(a, runs[a])
 	r.held(b, runs[b])
 	r.tick(100 * time.Millisecond)
 	r.held(a, runs[a])
 	r.held(b, runs[b])
 	r.tick(100 * time.Millisecond)
-	assert.Len(t, r.out.Instances, 1)
+	assert.Len(t, r.out.InstanceOrders, 1)
 }
 
 // TestADelayedOwnerDoesNotLetLeasesEnd: if its own timer was late, answers may wait
@@ -83,7 +83,7 @@
 		r.unheard(a)
 		r.tick(holdRetry)
 		require.Len(t, r.out.Holds, 1)
-		renewed := r.out.Holds[0].Until > r.clock()+(rigLease-500*time.Millisecond).Milliseconds()
+		renewed := r.out.Holds[0].LeaseUntilMs > r.clock()+(rigLease-500*time.Millisecond).Milliseconds()
 		assert.Equal(t, delayed, renewed)
 	}
 }
@@ -104,12 +104,12 @@
 		r.core.OnInstances(r.inst, r.now)
 		r.held(b, nil)
 	}
-	assert.Empty(t, r.out.Instances, "it may run a task of the owner before")
+	assert.Empty(t, r.out.InstanceOrders, "it may run a task of the owner before")
 	for range 24 { // 6.6 s
 		r.unheard(a)
 		r.tick(75 * time.Millisecond)
 		r.core.OnInstances(r.inst, r.now)
 		r.held(b, nil)
 	}
-	assert.Len(t, r.out.Instances, 1, "every lease has ended")
+	assert.Len(t, r.out.InstanceOrders, 1, "every lease has ended")
 }
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -260,7 +260,7 @@
 }
 
 type waitingEnd struct {
-	end   End
+	end   RunEnd
 	since time.Time
 }
 
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -95,7 +95,7 @@
 // again.
 func (s *poolSupply) couldTake(need job.Resources) bool {
 	for _, i := range s.shrunk {
-		if i.Room.Fits(need) {
+		if i.Capacity.Fits(need) {
 			return true
 		}
 	}
@@ -166,7 +166,7 @@
 // roomOf returns the thousandths of a core that the instance has, and how many of them its
 // worker lacks at present.
 func (i *instanceState) roomOf(w *worker) (room, missing int) {
-	has, whole := w.Room.CPUMilli, i.Room.CPUMilli
+	has, whole := w.Capacity.CPUMilli, i.Capacity.CPUMilli
 	if float64(has) >= shrunkBelow*float64(whole) {
 		return has, 0
 	}
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -54,7 +54,7 @@
 type busyWorker struct {
 	lease time.Time
 	runs  []ActiveRun
-	ends  []End
+	ends  []RunEnd
 }
 
 // busyEvent is something that waits for the processor.
@@ -115,7 +115,7 @@
 	for n := range busyWorkers * 4 { // ends that the owner before has not recorded
 		w := f.workers[busyID(n%busyWorkers)]
 		task := job.TaskID{Job: simpleJob(n/8+1, 1).ID, Index: n % 8}
-		w.ends = append(w.ends, End{Number: uint64(len(w.ends) + 1), Task: task, Run: 3*termRuns + 1000 + uint64(n), Kind: EndDone})
+		w.ends = append(w.ends, RunEnd{Seq: uint64(len(w.ends) + 1), Task: task, Run: 3*termRuns + 1000 + uint64(n), Kind: EndDone})
 	}
 }
 
@@ -125,7 +125,7 @@
 	var regs []Registration
 	var inst []Instance
 	for n := range busyWorkers {
-		regs = append(regs, Registration{Worker: busyID(n), Service: "s", Addr: string(busyID(n)), Room: job.Resources{CPUMilli: 32000, MemMB: 128000}})
+		regs = append(regs, Registration{Worker: busyID(n), Service: "s", Addr: string(busyID(n)), Capacity: job.Resources{CPUMilli: 32000, MemMB: 128000}})
 		inst = append(inst, Instance{ID: InstanceID("i-" + busyID(n)), Pool: "s", State: InstanceUp, Worker: busyID(n)})
 	}
 	f.core.Register(regs, now)
@@ -187,7 +187,7 @@
 	for _, o := range e.Starts {
 		f.free = f.free.Add(costOfCall)
 		f.pending = append(f.pending, busyEvent{at: f.free.Add(roundTrip), do: func(now time.Time, _ bool) {
-			f.core.OnStarted(o, Answer{Outcome: Taken, Clock: f.clock(now)}, now)
+			f.core.OnStarted(o, Answer{Outcome: Taken, ClockMs: f.clock(now)}, now)
 		}})
 	}
 }
@@ -203,14 +203,14 @@
 	answered := at.Add(h.Wait)
 	f.pending = append(f.pending, busyEvent{at: answered.Add(roundTrip), deadline: deadline, do: func(now time.Time, late bool) {
 		if late {
-			f.core.OnHeld(h.Target, Held{Answer: Answer{Outcome: Unanswered}}, now)
+			f.core.OnHeld(h.Target, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, now)
 			return
 		}
-		f.core.OnHeld(h.Target, Held{Answer: Answer{Outcome: Taken, Clock: f.clock(answered)}, Active: w.runs, Ends: w.ends}, now)
+		f.core.OnHeld(h.Target, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(answered)}, Active: w.runs, Ends: w.ends}, now)
 	}})
 	f.lapse(w, at)
-	until := f.begin.Add(time.Duration(h.Until-rigClock) * time.Millisecond)
-	if h.Until != 0 && until.After(w.lease) {
+	until := f.begin.Add(time.Duration(h.LeaseUntilMs-rigClock) * time.Millisecond)
+	if h.LeaseUntilMs != 0 && until.After(w.lease) {
 		w.lease = until
 	}
 }
@@ -247,7 +247,7 @@
 	now := f.begin
 	for n := range busyWorkers - 1 { // one does not answer
 		now = now.Add(time.Millisecond)
-		f.core.OnHeld(Target{Worker: busyID(n)}, Held{Answer: Answer{Outcome: Taken, Clock: f.clock(now)}}, now)
+		f.core.OnHeld(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(now)}}, now)
 		f.core.React(now)
 	}
 	looks := f.core.counts.Considered / busyJobs
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -41,7 +41,7 @@
 	r := newRig(t, 1)
 	r.limit(3)
 	r.workers("w0", "w1")
-	r.regs = append(r.regs, Registration{Worker: "o0", Service: "other", Addr: "o0", Room: job.Resources{CPUMilli: 8000, MemMB: 8000}})
+	r.regs = append(r.regs, Registration{Worker: "o0", Service: "other", Addr: "o0", Capacity: job.Resources{CPUMilli: 8000, MemMB: 8000}})
 	r.inst = append(r.inst, Instance{ID: "i-o0", Pool: "other", State: InstanceUp, Worker: "o0"})
 	r.list()
 	r.held("o0", nil)
@@ -58,7 +58,7 @@
 	r.tick(50 * time.Millisecond)
 	assert.Empty(t, r.started(), "what is being stopped counts")
 	ended := byJob(starts, two)[0]
-	r.held(ended.Worker, nil, End{Number: 1, Task: ended.Task, Run: ended.Run, Kind: EndStopped})
+	r.held(ended.Worker, nil, RunEnd{Seq: 1, Task: ended.Task, Run: ended.Run, Kind: EndStopped})
 	assert.Len(t, byJob(r.started(), one), 1, "in the other service")
 }
 
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -20,15 +20,15 @@
 
 // Registration is what a worker says of itself in the store.
 type Registration struct {
-	Worker   WorkerID
-	Service  string
-	Addr     string
-	Zone     string
-	Rack     string
-	Labels   []string
-	Room     job.Resources
-	Draining bool
-	Born     int64 // when this life began, in ms of Unix time on its own clock; 0: not told
+	Worker    WorkerID
+	Service   string
+	Addr      string
+	Zone      string
+	Rack      string
+	Labels    []string
+	Capacity  job.Resources
+	Draining  bool
+	StartedMs int64 // when this life began, in ms of Unix time on its own clock; 0: not told
 }
 
 // Validate returns why the registration names no worker that can be used.
@@ -36,10 +36,10 @@
 	switch {
 	case r.Worker == "" || r.Service == "" || r.Addr == "":
 		return fmt.Errorf("it lacks a name, a service or an address: %q, %q, %q", r.Worker, r.Service, r.Addr)
-	case r.Room.CPUMilli < 0 || r.Room.MemMB < 0 || r.Room.GPU < 0:
-		return fmt.Errorf("its room is less than nothing: %s", r.Room)
-	case r.Born < 0:
-		return fmt.Errorf("it was born at %d ms", r.Born)
+	case r.Capacity.CPUMilli < 0 || r.Capacity.MemMB < 0 || r.Capacity.GPU < 0:
+		return fmt.Errorf("its room is less than nothing: %s", r.Capacity)
+	case r.StartedMs < 0:
+		return fmt.Errorf("it was born at %d ms", r.StartedMs)
 	}
 	return nil
 }
@@ -52,19 +52,19 @@
 	InstanceUnknown InstanceState = iota
 	InstanceUp
 	InstanceMoving
-	InstanceMaintained
+	InstanceInMaintenance
 	InstanceDown
 )
 
 // Instance is an entry of the platform's instance list.
 type Instance struct {
-	ID     InstanceID
-	Pool   string
-	State  InstanceState
-	Zone   string
-	Rack   string
-	Worker WorkerID      // of its present life; "" if there is none
-	Room   job.Resources // of the instance, of which its worker may have less for a while; zero: not told
+	ID       InstanceID
+	Pool     string
+	State    InstanceState
+	Zone     string
+	Rack     string
+	Worker   WorkerID      // of its present life; "" if there is none
+	Capacity job.Resources // of the instance, of which its worker may have less for a while; zero: not told
 }
 
 // WaveRequest is an operators' request for the maintenance of instances.
@@ -77,23 +77,23 @@
 
 // Target is the worker that an order is meant for.
 type Target struct {
-	Worker WorkerID
-	Addr   string
-	Token  uint64 // fencing token of the owner
-	Born   int64  // of the life that is meant; 0: not known
+	Worker    WorkerID
+	Addr      string
+	Token     uint64 // fencing token of the owner
+	StartedMs int64  // of the life that is meant; 0: not known
 }
 
 // Start orders a worker to run a task.
 type Start struct {
 	Target
-	Number     uint64 // of the order, within the term
-	Task       job.TaskID
-	Run        uint64
-	Payload    string
-	Until      int64 // end of the worker's lease, on the worker's clock, in ms
-	Checkpoint string
-	Ticket     string
-	Timeout    time.Duration // of its answer
+	Seq          uint64 // of the order, within the term
+	Task         job.TaskID
+	Run          uint64
+	Payload      string
+	LeaseUntilMs int64 // end of the worker's lease, on the worker's clock, in ms
+	Checkpoint   string
+	Ticket       string
+	Timeout      time.Duration // of its answer
 }
 
 // Stop orders a worker to end a run, or never to begin it.
@@ -115,10 +115,10 @@
 // Hold renews a worker's lease, acknowledges ends and asks what runs.
 type Hold struct {
 	Target
-	Until       int64  // as in Start; 0: do not renew
-	Acknowledge uint64 // ends up to this number are recorded and may be forgotten
-	Wait        time.Duration
-	Timeout     time.Duration // of its answer, beyond Wait
+	LeaseUntilMs int64  // as in Start; 0: do not renew
+	AckThrough   uint64 // ends up to this number are recorded and may be forgotten
+	Wait         time.Duration
+	Timeout      time.Duration // of its answer, beyond Wait
 }
 
 // Outcome is how a worker met an order.
@@ -148,12 +148,12 @@
 // Answer is a worker's answer to an order.
 type Answer struct {
 	Outcome Outcome
-	Clock   int64 // the worker's clock when it answered, in ms; 0: not told
-	// Took is the time from when a start was sent until its answer was read; 0: not
+	ClockMs int64 // the worker's clock when it answered, in ms; 0: not told
+	// Latency is the time from when a start was sent until its answer was read; 0: not
 	// measured, as for other orders.
-	Took   time.Duration
-	Err    error // why there is no answer
-	Broken bool  // there is none as the connection was refused or ended, not as time ran out
+	Latency    time.Duration
+	Err        error // why there is no answer
+	ConnFailed bool  // there is none as the connection was refused or ended, not as time ran out
 }
 
 // ActiveRun is a run that a worker lists as running.
@@ -183,29 +183,29 @@
 // String returns the kind's name in logs and metrics.
 func (k EndKind) String() string { return endNames[k] }
 
-// End is a run that a worker lists as ended.
-type End struct {
-	Number     uint64 // rises within one life of the worker
+// RunEnd is a run that a worker lists as ended.
+type RunEnd struct {
+	Seq        uint64 // rises within one life of the worker
 	Task       job.TaskID
 	Run        uint64
 	Kind       EndKind
 	Checkpoint string
 }
 
-// Held is a worker's answer to a Hold.
-type Held struct {
+// HoldAnswer is a worker's answer to a Hold.
+type HoldAnswer struct {
 	Answer
-	Born   int64 // of the life that answered; 0: not told
-	Active []ActiveRun
-	Ends   []End
+	StartedMs int64 // of the life that answered; 0: not told
+	Active    []ActiveRun
+	Ends      []RunEnd
 }
 
-// Workers sends orders to workers.
-type Workers interface {
+// WorkerClient sends orders to workers.
+type WorkerClient interface {
 	Start(ctx context.Context, o Start) Answer
 	Stop(ctx context.Context, o Stop) Answer
 	Throttle(ctx context.Context, o Throttle) Answer
-	Hold(ctx context.Context, o Hold) Held
+	Hold(ctx context.Context, o Hold) HoldAnswer
 }
 
 // Duty identifies the holder of the duty of moves and maintenance.
@@ -237,20 +237,20 @@
 type Record struct {
 	Job      *job.Job
 	Progress job.Progress
-	Kept     bool // the store holds an earlier record of it, which the end replaces
+	Stored   bool // the store holds an earlier record of it, which the end replaces
 	version  uint64
 }
 
-// Entries is how many entries of a transaction the record takes.
-func (r *Record) Entries() int {
-	if r.Progress.State.Final() && r.Kept {
+// TxnEntries is how many entries of a transaction the record takes.
+func (r *Record) TxnEntries() int {
+	if r.Progress.State.Final() && r.Stored {
 		return 2
 	}
 	return 1
 }
 
-// MoveOrder moves an instance to a pool, or maintains it for a wave.
-type MoveOrder struct {
+// InstanceOrder moves an instance to a pool, or maintains it for a wave.
+type InstanceOrder struct {
 	Instance InstanceID
 	Pool     string // if it is to be moved
 	Wave     int    // if it is to be maintained
@@ -274,11 +274,11 @@
 
 // Effects are what the shell has to carry out, in any order.
 type Effects struct {
-	Starts    []Start
-	Stops     []Stop
-	Throttles []Throttle
-	Holds     []Hold
-	Instances []MoveOrder
-	Waves     []WaveStatus
-	Questions []Question
+	Starts         []Start
+	Stops          []Stop
+	Throttles      []Throttle
+	Holds          []Hold
+	InstanceOrders []InstanceOrder
+	WaveStatuses   []WaveStatus
+	Questions      []Question
 }
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -69,7 +69,7 @@
 		stops := r.stopsOf(s.Task)
 		require.Len(t, stops, 1, "the order may arrive yet")
 		assert.Empty(t, r.out.Starts, "the task waits for the stop")
-		r.core.OnStopped(stops[0], Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+		r.core.OnStopped(stops[0], Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 		r.tick(25 * time.Millisecond)
 		r.held(a, nil) // asked for before the stop was answered
 		r.tick(25 * time.Millisecond)
--- a/jobs/owner/unasked_test.go
+++ b/jobs/owner/unasked_test.go
@@ -58,8 +58,8 @@
 	r.tick(time.Second)
 	require.NotEmpty(t, r.stopsOf(start.Task))
 	stop := Stop{Target: start.Target, Task: start.Task, Run: start.Run}
-	r.core.OnStopped(stop, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
-	r.held(a, nil, End{Number: 1, Task: start.Task, Run: start.Run, Kind: EndStopped})
+	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
+	r.held(a, nil, RunEnd{Seq: 1, Task: start.Task, Run: start.Run, Kind: EndStopped})
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.stopsOf(start.Task), "it is gone")
 }
@@ -73,7 +73,7 @@
 	j, start := r.unansweredStart(1)
 	r.core.Cancel(j.ID, r.now)
 	r.take()
-	r.core.OnStopped(Stop{Target: start.Target, Task: start.Task, Run: start.Run}, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+	r.core.OnStopped(Stop{Target: start.Target, Task: start.Task, Run: start.Run}, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 	for range 4 {
 		r.tick(500 * time.Millisecond)
 		r.held(a, nil)
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -59,7 +59,7 @@
 func (ws *waveState) observe(i Instance, only bool) {
 	d, down := ws.down[i.ID]
 	switch {
-	case i.State == InstanceMaintained:
+	case i.State == InstanceInMaintenance:
 		if only || !d.at.IsZero() {
 			ws.begun[i.ID] = true
 		}
@@ -115,12 +115,12 @@
 		open += len(ws.Instances)
 		if !ws.announced {
 			ws.announced = true
-			c.out.Waves = append(c.out.Waves, WaveStatus{Wave: ws.Wave})
+			c.out.WaveStatuses = append(c.out.WaveStatuses, WaveStatus{Wave: ws.Wave})
 		}
 		if c.waveDone(ws) {
 			ws.completed = true
 			c.note(Decision{Event: "wave-completed", Reason: now.Sub(ws.since).String()})
-			c.out.Waves = append(c.out.Waves, WaveStatus{Wave: ws.Wave, Done: true})
+			c.out.WaveStatuses = append(c.out.WaveStatuses, WaveStatus{Wave: ws.Wave, Done: true})
 			continue
 		}
 		c.forecast(ws, now)
@@ -340,11 +340,11 @@
 		cand.w.departing = true
 	}
 	c.note(Decision{Event: "maintenance-ordered", Worker: d.life.worker, Reason: string(cand.id)})
-	c.out.Instances = append(c.out.Instances, MoveOrder{Instance: cand.id, Wave: ws.Wave})
+	c.out.InstanceOrders = append(c.out.InstanceOrders, InstanceOrder{Instance: cand.id, Wave: ws.Wave})
 }
 
 // OnInstanceOrder takes the platform's answer to an order for an instance.
-func (c *Core) OnInstanceOrder(o MoveOrder, outcome DutyOutcome, now time.Time) {
+func (c *Core) OnInstanceOrder(o InstanceOrder, outcome DutyOutcome, now time.Time) {
 	if o.Wave == 0 {
 		c.onMove(o, outcome, now)
 		return
@@ -364,11 +364,11 @@
 			d.accepted = now
 			ws.down[o.Instance] = d
 		}
-		c.out.Waves = append(c.out.Waves, WaveStatus{Wave: o.Wave, Done: ws.completed})
+		c.out.WaveStatuses = append(c.out.WaveStatuses, WaveStatus{Wave: o.Wave, Done: ws.completed})
 	case DutyUnanswered:
 		// It may have begun: it stays among those that are down and is asked for
 		// again until the platform answers.
-		c.out.Instances = append(c.out.Instances, o)
+		c.out.InstanceOrders = append(c.out.InstanceOrders, o)
 	case DutyFenced:
 		c.fenced = true
 	default:
--- a/jobs/owner/wave_test.go
+++ b/jobs/owner/wave_test.go
@@ -25,7 +25,7 @@
 
 func (r *rig) isDone(wave int) bool {
 	done := false
-	for _, w := range r.out.Waves {
+	for _, w := range r.out.WaveStatuses {
 		done = done || w.Wave == wave && w.Done
 	}
 	return done
@@ -38,8 +38,8 @@
 	r.held(r.worker("a"), nil)
 	r.twoWaves()
 	r.tick(100 * time.Millisecond)
-	require.Equal(t, []MoveOrder{{Instance: "i-a", Wave: 1}}, r.maintenances(), "one at a time")
-	r.inst[0].State = InstanceMaintained
+	require.Equal(t, []InstanceOrder{{Instance: "i-a", Wave: 1}}, r.maintenances(), "one at a time")
+	r.inst[0].State = InstanceInMaintenance
 	r.list()
 	r.core.OnInstanceOrder(r.maintenances()[0], DutyDone, r.now)
 	r.tick(100 * time.Millisecond)
@@ -48,7 +48,7 @@
 	r.back("a2")
 	r.tick(200 * time.Millisecond)
 	require.Len(t, r.maintenances(), 2)
-	assert.Equal(t, MoveOrder{Instance: "i-a", Wave: 2}, r.maintenances()[1])
+	assert.Equal(t, InstanceOrder{Instance: "i-a", Wave: 2}, r.maintenances()[1])
 	r.core.OnInstanceOrder(r.maintenances()[1], DutyDone, r.now)
 	r.tick(100 * time.Millisecond)
 	assert.True(t, r.isDone(2))
@@ -60,7 +60,7 @@
 	r := newRig(t, 2)
 	r.held(r.worker("a"), nil)
 	r.twoWaves()
-	r.inst[0].State = InstanceMaintained
+	r.inst[0].State = InstanceInMaintenance
 	r.list()
 	r.tick(5 * time.Second)
 	assert.False(t, r.isDone(1) || r.isDone(2))
@@ -71,7 +71,7 @@
 		require.Len(t, r.maintenances(), wave)
 		require.Equal(t, wave, r.maintenances()[wave-1].Wave)
 		r.core.OnInstanceOrder(r.maintenances()[wave-1], DutyDone, r.now)
-		r.inst[0].State = InstanceMaintained
+		r.inst[0].State = InstanceInMaintenance
 		r.list()
 		r.tick(3 * time.Second)
 		r.back("a" + string(rune('2'+wave)))
--- a/jobs/owner/window_test.go
+++ b/jobs/owner/window_test.go
@@ -66,12 +66,12 @@
 		out := r.out.Starts
 		r.out.Starts = nil
 		for i, s := range out {
-			a := Answer{Outcome: Taken, Clock: r.clock()}
+			a := Answer{Outcome: Taken, ClockMs: r.clock()}
 			switch {
 			case n%5 == 1 && i == 0:
 				a = Answer{Outcome: NotSent}
 			case n%5 == 2 && i == 0:
-				a = Answer{Outcome: NoRoom, Clock: r.clock()}
+				a = Answer{Outcome: NoRoom, ClockMs: r.clock()}
 			default:
 				began[s.Task] = true
 			}
@@ -153,7 +153,7 @@
 		out := r.out.Starts
 		r.out.Starts = nil
 		for _, s := range out[:min(1, len(out))] { // one each 25 ms
-			r.core.OnStarted(s, Answer{Outcome: Taken, Clock: r.clock()}, r.now)
+			r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 		}
 		r.out.Starts = append(r.out.Starts, out[min(1, len(out)):]...)
 		r.core.React(r.now)
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -34,7 +34,7 @@
 
 // target returns the address of an order to w.
 func (c *Core) target(w *worker) Target {
-	return Target{Worker: w.Worker, Addr: w.Addr, Token: c.token, Born: w.Born}
+	return Target{Worker: w.Worker, Addr: w.Addr, Token: c.token, StartedMs: w.StartedMs}
 }
 
 // holdAt says when the worker is to be held next.
@@ -54,11 +54,11 @@
 		w.holding = true
 		w.holdSent = now
 		c.out.Holds = append(c.out.Holds, Hold{
-			Target:      c.target(w),
-			Until:       c.renewal(w, now),
-			Acknowledge: w.acknowledgement(),
-			Wait:        c.holdWait(w),
-			Timeout:     c.calls.Timeout(holdTimeout),
+			Target:       c.target(w),
+			LeaseUntilMs: c.renewal(w, now),
+			AckThrough:   w.acknowledgement(),
+			Wait:         c.holdWait(w),
+			Timeout:      c.calls.Timeout(holdTimeout),
 		})
 	}
 }
@@ -127,7 +127,7 @@
 // there. Where a fifth of the orders are lost, each would else count as a possible crash.
 func (c *Core) heardOrder(w *worker, a Answer, now time.Time) {
 	c.tallyCall(w, a)
-	if a.Outcome == Unanswered && !a.Broken {
+	if a.Outcome == Unanswered && !a.ConnFailed {
 		c.touchWorker(w)
 		return
 	}
@@ -137,7 +137,7 @@
 // isDoubtful reports whether a hold may have no answer because it alone was lost: the next one
 // tells. Else what had just started on the worker would be a suspect of its crash.
 func (c *Core) isDoubtful(w *worker, a Answer) bool {
-	return a.Outcome == Unanswered && !a.Broken && w.silentSince.IsZero() && c.calls.Lossy()
+	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.calls.Lossy()
 }
 
 // tallyCall takes note of whether a call was answered, for how long to wait for others.
@@ -147,7 +147,7 @@
 	case a.Outcome != Unanswered:
 		c.calls.Answered()
 		w.lossTold = false
-	case a.Broken:
+	case a.ConnFailed:
 	case w.lossTold:
 		c.calls.LostAgain()
 	default:
@@ -169,12 +169,12 @@
 	if a.Outcome == NotSent || a.Outcome == OtherBoot {
 		return // which says nothing of this life's answers
 	}
-	w.lease.heard(a.Clock, now)
+	w.lease.heard(a.ClockMs, now)
 	w.heardAt = now
 	w.suspect = false
 	w.contact = contact{}
 	c.clearSurvivors(w, now)
-	c.judgeAnswer(a.Took, now)
+	c.judgeAnswer(a.Latency, now)
 }
 
 // unheard takes note of an order, sent at sent, that went unanswered.
@@ -186,20 +186,20 @@
 }
 
 // OnHeld takes a worker's answer to a hold of the life that is meant.
-func (c *Core) OnHeld(of Target, h Held, now time.Time) {
+func (c *Core) OnHeld(of Target, h HoldAnswer, now time.Time) {
 	w := c.meant(of)
 	if w == nil {
 		return
 	}
 	w.holding = false
 	if h.Outcome == Taken {
-		switch w.relation(h.Born) {
+		switch w.relation(h.StartedMs) {
 		case formerLife:
 			c.holdAt(w, now.Add(holdRetry))
 			return
 		case nextLife:
 			sent := w.holdSent
-			w = c.beginLife(w, h.Born, "its list is of another life", now)
+			w = c.beginLife(w, h.StartedMs, "its list is of another life", now)
 			w.holdSent = sent
 		}
 	}
@@ -239,8 +239,8 @@
 	w.held = true
 	w.answered = w.holdSent
 	for _, e := range h.Ends {
-		if e.Number > w.seen {
-			w.seen = e.Number
+		if e.Seq > w.seen {
+			w.seen = e.Seq
 			c.onEnd(w, e, now)
 		}
 	}
--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -154,7 +154,7 @@
 		return answerBytes, 0
 	}, func(took time.Duration) {
 		leave()
-		a.Took = took
+		a.Latency = took
 		if took > owner.OrderTimeout {
 			a = owner.Answer{Outcome: owner.Unanswered}
 		}
@@ -182,17 +182,17 @@
 	term := h.s.term
 	sent := h.s.engine.now
 	answered := false
-	answer := func(held owner.Held) {
+	answer := func(held owner.HoldAnswer) {
 		if !answered {
 			answered = true
 			h.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHeld(o.Target, held, h.s.engine.now) })
 		}
 	}
-	h.s.engine.after(o.Wait+holdReserve, func() { answer(owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+	h.s.engine.after(o.Wait+holdReserve, func() { answer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 	h.compute(callCost/2, func() {
 		h.carry(&h.up, answerBytes, func() {
 			h.s.engine.after(orderTime, func() {
-				h.s.receiveHold(o, func(held owner.Held) {
+				h.s.receiveHold(o, func(held owner.HoldAnswer) {
 					h.carry(&h.down, answerBytes+rowBytes*(len(held.Active)+len(held.Ends)), func() {
 						h.compute(callCost/2, func() {
 							if h.s.engine.now.Sub(sent) <= o.Wait+holdReserve {
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -34,7 +34,7 @@
 	token  uint64
 	active map[job.TaskID]*execution
 	order  []job.TaskID // of active, as they were started
-	ends   []owner.End
+	ends   []owner.RunEnd
 	number uint64
 	latest map[job.TaskID]uint64
 	dead   bool
@@ -44,7 +44,7 @@
 }
 
 // pendingHold is a hold that waits for an end.
-type pendingHold struct{ answer func(owner.Held) }
+type pendingHold struct{ answer func(owner.HoldAnswer) }
 
 type execution struct {
 	run     uint64
@@ -65,7 +65,7 @@
 	id := owner.WorkerID(fmt.Sprintf("%s.%d", i.ID, i.lives))
 	i.Worker = id
 	i.up = &worker{
-		reg:    owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Room: s.scenario.Room},
+		reg:    owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Capacity: s.scenario.Room},
 		on:     i,
 		active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{},
 	}
@@ -97,7 +97,7 @@
 // start is a worker's reaction to an order to start a task.
 func (s *sim) start(o owner.Start) owner.Answer {
 	w := s.workers[o.Worker]
-	a := owner.Answer{Outcome: owner.Taken, Clock: s.clock()}
+	a := owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}
 	switch {
 	case w == nil || w.dead:
 		return owner.Answer{Outcome: owner.Unanswered}
@@ -109,12 +109,12 @@
 	case w.active[o.Task] != nil || o.Run <= w.latest[o.Task]:
 		a.Outcome = owner.RunTooOld
 		return a
-	case o.Until != 0 && o.Until < s.clock():
+	case o.LeaseUntilMs != 0 && o.LeaseUntilMs < s.clock():
 		a.Outcome = owner.LeaseOver
 		return a
 	}
 	w.token = o.Token
-	s.renew(w, o.Until)
+	s.renew(w, o.LeaseUntilMs)
 	if s.done[o.Task] || s.running[o.Task] > 0 {
 		s.result.Twice++
 	}
@@ -142,7 +142,7 @@
 	w.order = slices.DeleteFunc(w.order, func(o job.TaskID) bool { return o == t })
 	w.latest[t] = max(w.latest[t], e.run)
 	w.number++
-	w.ends = append(w.ends, owner.End{Number: w.number, Task: t, Run: e.run, Kind: kind})
+	w.ends = append(w.ends, owner.RunEnd{Seq: w.number, Task: t, Run: e.run, Kind: kind})
 	if w.hold != nil {
 		s.answerHold(w, w.hold)
 	}
@@ -158,28 +158,28 @@
 		s.throw(e)
 		s.end(w, o.Task, e, owner.EndStopped)
 	}
-	return owner.Answer{Outcome: owner.Taken, Clock: s.clock()}
+	return owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}
 }
 
 // beginHold carries out a hold whose way takes no time to speak of.
 func (s *sim) beginHold(o owner.Hold) {
 	term := s.term
-	tell := func(held owner.Held) {
+	tell := func(held owner.HoldAnswer) {
 		s.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHeld(o.Target, held, s.engine.now) })
 	}
 	if w := s.workers[o.Worker]; w == nil || w.dead {
-		s.engine.after(o.Wait+owner.OrderTimeout, func() { tell(owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+		s.engine.after(o.Wait+owner.OrderTimeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 		return
 	}
 	if s.loses() {
-		s.engine.after(o.Wait+o.Timeout, func() { tell(owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+		s.engine.after(o.Wait+o.Timeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 		return
 	}
 	if s.loses() {
-		s.engine.after(o.Wait+o.Timeout, func() { tell(owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+		s.engine.after(o.Wait+o.Timeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 		return
 	}
-	s.receiveHold(o, func(held owner.Held) {
+	s.receiveHold(o, func(held owner.HoldAnswer) {
 		if held.Outcome == owner.Unanswered {
 			tell(held)
 			return
@@ -190,14 +190,14 @@
 
 // receiveHold lets a worker have a hold, which it answers at an end or when its wait is
 // over. A worker that is gone does not answer.
-func (s *sim) receiveHold(o owner.Hold, answer func(owner.Held)) {
+func (s *sim) receiveHold(o owner.Hold, answer func(owner.HoldAnswer)) {
 	w := s.workers[o.Worker]
 	if w == nil || w.dead {
 		return
 	}
 	w.token = max(w.token, o.Token)
-	s.renew(w, o.Until)
-	w.ends = slices.DeleteFunc(w.ends, func(e owner.End) bool { return e.Number <= o.Acknowledge })
+	s.renew(w, o.LeaseUntilMs)
+	w.ends = slices.DeleteFunc(w.ends, func(e owner.RunEnd) bool { return e.Seq <= o.AckThrough })
 	h := &pendingHold{answer: answer}
 	w.hold = h
 	wait := o.Wait
@@ -213,10 +213,10 @@
 	}
 	w.hold = nil
 	if w.dead {
-		h.answer(owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered}})
+		h.answer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}})
 		return
 	}
-	held := owner.Held{Answer: owner.Answer{Outcome: owner.Taken, Clock: s.clock()}, Ends: slices.Clone(w.ends)}
+	held := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}, Ends: slices.Clone(w.ends)}
 	for _, t := range w.order {
 		e := w.active[t]
 		percent := min(99, int(100*s.engine.now.Sub(e.began)/e.takes))
@@ -245,7 +245,7 @@
 }
 
 // order carries out an order for an instance.
-func (s *sim) order(o owner.MoveOrder) owner.DutyOutcome {
+func (s *sim) order(o owner.InstanceOrder) owner.DutyOutcome {
 	i := s.instances[o.Instance]
 	if i == nil {
 		return owner.DutyInvalid
@@ -254,7 +254,7 @@
 		return owner.DutyRefused
 	}
 	if o.Wave != 0 {
-		s.fall(i, owner.InstanceMaintained, maintenanceTime)
+		s.fall(i, owner.InstanceInMaintenance, maintenanceTime)
 		return owner.DutyDone
 	}
 	if i.Pool == o.Pool {
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -215,7 +215,7 @@
 	for _, o := range e.Holds {
 		s.beginHold(o)
 	}
-	s.sendInstanceOrders(e.Instances)
+	s.sendInstanceOrders(e.InstanceOrders)
 	s.account()
 }
 
@@ -230,11 +230,11 @@
 	for _, o := range e.Holds {
 		s.shell.hold(o)
 	}
-	s.sendInstanceOrders(e.Instances)
+	s.sendInstanceOrders(e.InstanceOrders)
 	s.account()
 }
 
-func (s *sim) sendInstanceOrders(orders []owner.MoveOrder) {
+func (s *sim) sendInstanceOrders(orders []owner.InstanceOrder) {
 	term := s.term
 	for _, o := range orders {
 		s.ordered[o.Instance] = s.engine.now
--- a/lab/jobload/same_test.go
+++ b/lab/jobload/same_test.go
@@ -26,7 +26,7 @@
 		for _, o := range e.Stops {
 			lines = append(lines, fmt.Sprintf("stop %s %s", o.Task, o.Worker))
 		}
-		for _, o := range e.Instances {
+		for _, o := range e.InstanceOrders {
 			lines = append(lines, fmt.Sprintf("order %s %s %d", o.Instance, o.Pool, o.Wave))
 		}
 		slices.Sort(lines)
--- a/standin/jobfleet/away_test.go
+++ b/standin/jobfleet/away_test.go
@@ -80,7 +80,7 @@
 func (r *lastingRun) start(i int, run uint64) {
 	to, task := r.order(i)
 	until := r.fleet.workers[to.Worker].clock() + r.lease.Milliseconds()
-	a := r.client.Start(context.Background(), owner.Start{Target: to, Task: task, Run: run, Until: until})
+	a := r.client.Start(context.Background(), owner.Start{Target: to, Task: task, Run: run, LeaseUntilMs: until})
 	require.Equal(r.t, owner.Taken, a.Outcome)
 }
 
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -34,7 +34,7 @@
 		w := reached // an order ends with the life that it has reached
 		switch {
 		case w != nil && w.refuses:
-			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, Broken: true}
+			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}
 		case w == nil || w.dead || w.cut:
 			return unheard
 		}
@@ -53,7 +53,7 @@
 		a = apply()
 	}
 	if a.Outcome == owner.Unanswered {
-		if !a.Broken {
+		if !a.ConnFailed {
 			<-ctx.Done()
 		}
 		return a
@@ -83,15 +83,15 @@
 // Throttle implements owner.Workers.
 func (c *FleetClient) Throttle(ctx context.Context, o owner.Throttle) owner.Answer {
 	return c.order(ctx, o.Target, "throttle", func(w *worker) owner.Answer {
-		return owner.Answer{Outcome: owner.Taken, Clock: w.clock()}
+		return owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
 	})
 }
 
 // Hold implements owner.Workers.
-func (c *FleetClient) Hold(ctx context.Context, o owner.Hold) owner.Held {
+func (c *FleetClient) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
 	a := c.order(ctx, o.Target, "hold", func(w *worker) owner.Answer { return c.fleet.beginHold(w, o) })
 	if a.Outcome != owner.Taken {
-		return owner.Held{Answer: a}
+		return owner.HoldAnswer{Answer: a}
 	}
 	end := time.NewTimer(o.Wait)
 	defer end.Stop()
@@ -106,34 +106,34 @@
 			h, _ = c.look(o.Worker)
 			return c.heard(ctx, h)
 		case <-ctx.Done():
-			return owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}
+			return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}
 		}
 	}
 }
 
 // heard loses an answer that comes to a daemon that is cut off or killed.
-func (c *FleetClient) heard(ctx context.Context, h owner.Held) owner.Held {
+func (c *FleetClient) heard(ctx context.Context, h owner.HoldAnswer) owner.HoldAnswer {
 	if h.Outcome == owner.Unanswered {
-		if !h.Broken {
+		if !h.ConnFailed {
 			<-ctx.Done()
 		}
 		return h
 	}
 	if c.gate.pass(ctx, toWorkers) != nil {
-		return owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}
+		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}
 	}
 	return h
 }
 
-func (c *FleetClient) look(id owner.WorkerID) (owner.Held, <-chan struct{}) {
+func (c *FleetClient) look(id owner.WorkerID) (owner.HoldAnswer, <-chan struct{}) {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	w := c.fleet.workers[id]
 	switch {
 	case w != nil && w.refuses:
-		return owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errRefused, Broken: true}}, nil
+		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}}, nil
 	case w == nil || w.dead || w.cut:
-		return owner.Held{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}, nil
+		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}, nil
 	}
 	return c.fleet.list(w), w.ping
 }
@@ -148,7 +148,7 @@
 	var out []owner.Instance
 	for _, i := range c.fleet.instances {
 		shown := i.Instance
-		shown.Room = i.room
+		shown.Capacity = i.room
 		out = append(out, shown)
 	}
 	return out, nil
@@ -190,7 +190,7 @@
 		}
 		c.fleet.down[id] = wave
 		c.fleet.judge.duty(d, id, wave, c.fleet.downOf(wave), late)
-		c.fleet.fall(i, owner.InstanceMaintained)
+		c.fleet.fall(i, owner.InstanceInMaintenance)
 		c.fleet.riseAfter(i, maintenance)
 		return owner.DutyDone
 	})
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -28,7 +28,7 @@
 	Network *Network
 	Judge   *Judge
 	// Reach, if set, changes the way of daemons that start from now on to workers.
-	Reach func(owner.Workers) owner.Workers
+	Reach func(owner.WorkerClient) owner.WorkerClient
 
 	lang Language
 	log  *zap.Logger
@@ -93,7 +93,7 @@
 		Node: name, IP: name, PeerPort: 1, Cores: cores, MaxTaskLease: 10 * time.Second, StopGrace: 6 * time.Second,
 		DutyHandover: dutyHandover, MinStoreLease: time.Second, KeepStatus: 2 * time.Minute, Policy: policy.Default(),
 	}
-	var workers owner.Workers = in.Fleet.Client(name, d.Gate, in.ask)
+	var workers owner.WorkerClient = in.Fleet.Client(name, d.Gate, in.ask)
 	if in.Reach != nil {
 		workers = in.Reach(workers)
 	}
--- a/standin/jobfleet/shrink.go
+++ b/standin/jobfleet/shrink.go
@@ -43,7 +43,7 @@
 }
 
 func (f *Fleet) resize(w *worker, room job.Resources) {
-	w.reg.Room = room
+	w.reg.Capacity = room
 	f.publish(string(w.reg.Worker), &w.reg)
 }
 
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -50,7 +50,7 @@
 	at      *instance
 	token   uint64
 	active  map[job.TaskID]*execution
-	ended   []owner.End
+	ended   []owner.RunEnd
 	number  uint64
 	latest  map[job.TaskID]uint64 // highest run that ended or was stopped
 	lease   time.Time
@@ -112,7 +112,7 @@
 	i.State = owner.InstanceUp
 	i.Worker = id
 	w := &worker{
-		reg:   owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Zone: i.Zone, Labels: []string{i.Rack}, Room: i.room, Born: time.Now().UnixMilli()},
+		reg:   owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Zone: i.Zone, Labels: []string{i.Rack}, Capacity: i.room, StartedMs: time.Now().UnixMilli()},
 		began: time.Now(),
 		at:    i, active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{}, ping: make(chan struct{}),
 	}
@@ -277,7 +277,7 @@
 	delete(w.active, e.task)
 	w.latest[e.task] = max(w.latest[e.task], e.run)
 	w.number++
-	w.ended = append(w.ended, owner.End{Number: w.number, Task: e.task, Run: e.run, Kind: kind})
+	w.ended = append(w.ended, owner.RunEnd{Seq: w.number, Task: e.task, Run: e.run, Kind: kind})
 	if kind == owner.EndStopped || kind == owner.EndLapsed {
 		f.judge.taken(e.task, w.reg.Worker, kind.String(), w.sound())
 	}
@@ -287,17 +287,17 @@
 }
 
 func (f *Fleet) start(w *worker, o owner.Start) owner.Answer {
-	a := owner.Answer{Outcome: owner.Taken, Clock: w.clock()}
+	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
 	}
 	w.token = o.Token
-	if o.Until <= w.clock() {
+	if o.LeaseUntilMs <= w.clock() {
 		a.Outcome = owner.LeaseOver
 		return a
 	}
-	f.extend(w, o.Until)
+	f.extend(w, o.LeaseUntilMs)
 	if e := w.active[o.Task]; e != nil && e.run == o.Run {
 		return a
 	}
@@ -330,7 +330,7 @@
 }
 
 func (f *Fleet) freeOf(w *worker) job.Resources {
-	room := w.reg.Room
+	room := w.reg.Capacity
 	for _, e := range w.active {
 		room = room.Sub(e.need)
 	}
@@ -365,7 +365,7 @@
 }
 
 func (f *Fleet) stop(w *worker, o owner.Stop) owner.Answer {
-	a := owner.Answer{Outcome: owner.Taken, Clock: w.clock()}
+	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
@@ -380,16 +380,16 @@
 
 // beginHold applies a hold; the caller waits for its end.
 func (f *Fleet) beginHold(w *worker, o owner.Hold) owner.Answer {
-	a := owner.Answer{Outcome: owner.Taken, Clock: w.clock()}
+	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
 	}
 	w.token = o.Token
-	f.extend(w, o.Until)
+	f.extend(w, o.LeaseUntilMs)
 	kept := w.ended[:0]
 	for _, e := range w.ended {
-		if e.Number > o.Acknowledge {
+		if e.Seq > o.AckThrough {
 			kept = append(kept, e)
 			continue
 		}
@@ -401,8 +401,8 @@
 	return a
 }
 
-func (f *Fleet) list(w *worker) owner.Held {
-	h := owner.Held{Answer: owner.Answer{Outcome: owner.Taken, Clock: w.clock()}, Born: w.reg.Born}
+func (f *Fleet) list(w *worker) owner.HoldAnswer {
+	h := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}, StartedMs: w.reg.StartedMs}
 	for _, e := range w.active {
 		h.Active = append(h.Active, owner.ActiveRun{Task: e.task, Run: e.run, Percent: e.percent()})
 	}
