--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -16,7 +16,7 @@
 func own(loaded owner.Loaded) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{Queues: []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2}}, Services: []job.Service{{Name: "s"}}}
-	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, KeepStatus: time.Minute}, catalog, []owner.Loaded{loaded}, now)
+	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, StatusRetention: time.Minute}, catalog, []owner.Loaded{loaded}, now)
 	for range 3 {
 		now = now.Add(10 * time.Second)
 		c.Tick(now)
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -81,13 +81,13 @@
 	defer t.cancel()
 	t.core = owner.New(owner.Options{
 		Term:      term.Number,
-		TaskLease: min(taskLease, n.set.MaxTaskLease), LongestLease: n.set.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
-		HoldsPerSec:  lossyHoldsPerCore * n.set.Cores,
-		MovesPerSec:  n.set.MovesPerSec,
-		DutyHandover: n.set.DutyHandover, OrderedBefore: n.ofOthers(term.OrderedBefore), ElectedAt: began, OrdersUnknown: term.OrdersUnknown, Successor: term.Successor,
-		KeepStatus:   n.set.KeepStatus,
-		StartsAtOnce: startsInLine * cap(t.starts.slots),
-		Weights:      n.set.Policy.Pools.Weights(), Pools: n.set.Policy.Pools.Size, Order: n.set.Policy.Jobs.Order, Calls: n.set.Policy.Workers.Calls,
+		TaskLease: min(taskLease, n.set.MaxTaskLease), MaxWorkerLease: n.set.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
+		MaxHoldsPerSec: lossyHoldsPerCore * n.set.Cores,
+		MaxMovesPerSec: n.set.MovesPerSec,
+		DutyHandover:   n.set.DutyHandover, PriorOrders: n.ofOthers(term.OrderedBefore), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.Successor,
+		StatusRetention:  n.set.KeepStatus,
+		MaxPendingStarts: startsInLine * cap(t.starts.slots),
+		Weights:          n.set.Policy.Pools.Weights(), PoolPolicy: n.set.Policy.Pools.Size, JobOrder: n.set.Policy.Jobs.Order, CallPolicy: n.set.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
 	for _, e := range snap.Refused {
 		n.refused.refuse(e.Key, e.Revision, e.Err)
--- a/jobs/owner/account.go
+++ b/jobs/owner/account.go
@@ -52,14 +52,14 @@
 // note adds the time since the task was last looked at, or since it became ready,
 // to the cause for which it still waits.
 func (t *task) note(c Cause, ready, now time.Time) {
-	from := t.lookedAt
+	from := t.accountedUntil
 	if from.Before(ready) {
 		from = ready
 	}
 	if now.After(from) {
-		t.spent[c] += now.Sub(from)
+		t.timeSpent[c] += now.Sub(from)
 	}
-	t.lookedAt = now
+	t.accountedUntil = now
 }
 
 // noteWaits does so for all steps of the job that are ready.
@@ -96,23 +96,23 @@
 
 // ended accounts for a run that ended without the task's being done.
 func (r *run) ended(c Cause, now time.Time) {
-	if r.firstSent.IsZero() || r.task.done {
+	if r.firstSentAt.IsZero() || r.task.done {
 		return
 	}
-	r.task.spent[c] += now.Sub(r.firstSent)
-	r.task.lookedAt = now
+	r.task.timeSpent[c] += now.Sub(r.firstSentAt)
+	r.task.accountedUntil = now
 }
 
 // doneBy notes which run ended the task, and the step with it if it was the last.
 func (t *task) doneBy(r *run, now time.Time) {
-	if r != nil && !r.firstSent.IsZero() {
-		took := now.Sub(r.firstSent)
+	if r != nil && !r.firstSentAt.IsZero() {
+		took := now.Sub(r.firstSentAt)
 		work := min(took, t.step.spec.Estimate)
-		t.spent[CauseWork] += work
-		t.spent[CauseSlow] += took - work
+		t.timeSpent[CauseWork] += work
+		t.timeSpent[CauseSlow] += took - work
 	}
-	if t.step.left == 0 {
-		t.step.doneAt, t.step.last = now, t
+	if t.step.remaining == 0 {
+		t.step.doneAt, t.step.lastDone = now, t
 	}
 }
 
@@ -134,19 +134,19 @@
 func (j *jobState) account(now time.Time) Account {
 	a := Account{Total: now.Sub(j.spec.AcceptedAt)}
 	before := CauseUnknown
-	if j.loaded {
+	if j.loadedFromStore {
 		before = CauseEarlier
 	}
 	a.Spent[before] = max(0, j.knownAt.Sub(j.spec.AcceptedAt))
 	work := time.Duration(0)
 	for s := j.lastStep(); s != nil; s = s.lastBefore() {
-		if s.last == nil {
+		if s.lastDone == nil {
 			break // done in an earlier term
 		}
-		for c, d := range s.last.spent {
+		for c, d := range s.lastDone.timeSpent {
 			a.Spent[c] += d
 		}
-		work += s.last.spent[CauseWork] + s.last.spent[CauseSlow]
+		work += s.lastDone.timeSpent[CauseWork] + s.lastDone.timeSpent[CauseSlow]
 	}
 	a.Allowed = time.Duration(j.queue.Stretch*float64(work)) + j.queue.Objective
 	rest := a.Total
--- a/jobs/owner/begun.go
+++ b/jobs/owner/begun.go
@@ -12,10 +12,10 @@
 func (c *Core) noteBegun(r *run, now time.Time) {
 	s := r.task.step
 	j := s.job
-	if j.begun || s.spec.Gang && !s.together(r.number) {
+	if j.started || s.spec.Gang && !s.together(r.number) {
 		return
 	}
-	j.begun = true
+	j.started = true
 	c.tally(j)
 	c.note(Decision{Event: "job-started", Job: j.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number,
 		Reason: "accepted " + now.Sub(j.spec.AcceptedAt).Round(time.Millisecond).String() + " ago"})
@@ -25,7 +25,7 @@
 // tasks start only then.
 func (s *stepState) together(number uint64) bool {
 	for _, t := range s.tasks {
-		r := t.live()
+		r := t.activeRun()
 		if r == nil || r.number != number || r.phase != running {
 			return false
 		}
--- a/jobs/owner/budget.go
+++ b/jobs/owner/budget.go
@@ -9,7 +9,7 @@
 
 // known reports whether what runs on the worker is known well enough to count on.
 func (w *worker) known(now time.Time) bool {
-	return !w.silent() && now.Sub(w.answered) <= viewAge
+	return !w.silent() && now.Sub(w.answeredHoldSentAt) <= viewAge
 }
 
 // lastingOn counts the long-running tasks on a worker by their step.
@@ -28,7 +28,7 @@
 func awayBeside(s *stepState, w *worker, now time.Time) int {
 	away := 0
 	for _, t := range s.tasks {
-		if !t.on(w) && !t.atWork(now) {
+		if !t.on(w) && !t.isServing(now) {
 			away++
 		}
 	}
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -12,10 +12,10 @@
 // loseContact takes note of a call without an answer; first is true if the worker had
 // answered until then.
 func (w *worker) loseContact(a Answer, now time.Time) (first bool) {
-	if !w.contact.lostAt.IsZero() {
+	if !w.contactLoss.lostAt.IsZero() {
 		return false
 	}
-	w.contact = contact{lostAt: now, heardAt: w.heardAt, broken: a.ConnFailed}
+	w.contactLoss = contact{lostAt: now, heardAt: w.lastAnswerAt, broken: a.ConnFailed}
 	return true
 }
 
@@ -38,10 +38,10 @@
 
 // lifeSeen says for how long the worker of a lost run was seen to be there after the start.
 func (r *run) lifeSeen() string {
-	if r.firstSent.IsZero() {
+	if r.firstSentAt.IsZero() {
 		return "started by an earlier owner"
 	}
-	if r.worker.contact.lostAt.IsZero() {
+	if r.worker.contactLoss.lostAt.IsZero() {
 		return "its worker did not fail to answer before"
 	}
 	return "its worker was there for " + r.seenFor().Round(time.Millisecond).String() + " after the start"
@@ -50,9 +50,9 @@
 // seenFor returns for how long the worker was there for certain after it had confirmed the
 // run, or after the order if it has not; 0 at least.
 func (r *run) seenFor() time.Duration {
-	from := r.firstSent
+	from := r.firstSentAt
 	if r.phase == running {
-		from = r.ackedAt
+		from = r.confirmedAt
 	}
-	return max(0, r.worker.contact.aliveUntil().Sub(from))
+	return max(0, r.worker.contactLoss.aliveUntil().Sub(from))
 }
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -39,7 +39,7 @@
 		return urgentCopy
 	}
 	late := time.Duration(copyAfter*float64(spec.Estimate)) + copySlack
-	if r.phase == running && now.Sub(r.ackedAt) > late && t.suspicion() == job.Unsuspected {
+	if r.phase == running && now.Sub(r.confirmedAt) > late && t.suspicion() == job.Unsuspected {
 		return lateCopy
 	}
 	return noCopy
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -33,7 +33,7 @@
 		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Objective: time.Second}},
 		Services: []job.Service{{Name: "s"}, {Name: "spare", Spare: true}},
 	}
-	opt := Options{Term: term, TaskLease: rigLease, HoldWait: 500 * time.Millisecond, DutyHandover: 3 * time.Second, KeepStatus: time.Minute}
+	opt := Options{Term: term, TaskLease: rigLease, HoldWait: 500 * time.Millisecond, DutyHandover: 3 * time.Second, StatusRetention: time.Minute}
 	return &rig{t: t, core: New(opt, catalog, loaded, now), now: now}
 }
 
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -39,7 +39,7 @@
 // isEarly reports whether the run's worker was lost as soon as the run began, as far as is
 // known.
 func (r *run) isEarly() bool {
-	return !r.firstSent.IsZero() && (r.phase == starting || r.seenFor() <= crashSoon)
+	return !r.firstSentAt.IsZero() && (r.phase == starting || r.seenFor() <= crashSoon)
 }
 
 // loseContact takes note of a call to the worker without an answer. What was started there a
@@ -60,10 +60,10 @@
 // for another reason.
 func (c *Core) noteCrash(r *run, now time.Time) {
 	t := r.task
-	if r.unbegun || t.done || t.step.job.state.Final() || r.worker.endsByOrder() {
+	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsByOrder() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.life().String(), Early: r.isEarly(), Exact: r.worker.contact.broken, Alone: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.life().String(), Early: r.isEarly(), Exact: r.worker.contactLoss.broken, Alone: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
@@ -93,18 +93,18 @@
 
 // endsByOrder reports whether the worker's life ends as planned: moved, maintained or drained.
 func (w *worker) endsByOrder() bool {
-	return w.departing || w.Draining || w.reserved == reservedMove
+	return w.endOrdered || w.Draining || w.reserved == reservedMove
 }
 
 // lookInto decides later whether a task may have ended a life.
 func (c *Core) lookInto(w *worker, now time.Time) {
-	if w.contact.lostAt.IsZero() {
-		w.contact = contact{lostAt: now, heardAt: w.heardAt}
+	if w.contactLoss.lostAt.IsZero() {
+		w.contactLoss = contact{lostAt: now, heardAt: w.lastAnswerAt}
 	}
 	for _, r := range sortedRuns(w) {
 		c.noteCrash(r, now)
 	}
-	w.suspects = slices.Clone(c.openCrashes[w.life()])
+	w.crashSuspects = slices.Clone(c.openCrashes[w.life()])
 	c.lostLately = append(c.lostLately, w)
 	if len(c.openCrashes[w.life()]) > 0 {
 		c.verdicts.add(now.Add(verdictAfter), w)
@@ -117,7 +117,7 @@
 		c.decideCrash(w, now)
 	}
 	c.decideOnUnknown(now)
-	c.lostLately = slices.DeleteFunc(c.lostLately, func(w *worker) bool { return now.Sub(w.contact.lostAt) > lostKept })
+	c.lostLately = slices.DeleteFunc(c.lostLately, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostKept })
 }
 
 // decideCrash decides on a life that ended. Silence of the others of its rack is waited out:
@@ -129,7 +129,7 @@
 	}
 	with := c.lostWith(w)
 	switch {
-	case with == perhapsTogether && now.Sub(w.contact.lostAt) < verdictPatience:
+	case with == perhapsTogether && now.Sub(w.contactLoss.lostAt) < verdictPatience:
 		c.verdicts.add(now.Add(verdictAfter), w)
 	case with == lostAlone:
 		c.confirmCrashes(w.life(), now)
@@ -157,7 +157,7 @@
 	if w != nil && w.relation(l.born) != sameLife {
 		return true // another one has followed
 	}
-	return (w == nil || !w.held && !w.gone) && !c.isLife(l.worker)
+	return (w == nil || !w.heldByUs && !w.ended) && !c.isLife(l.worker)
 }
 
 // isLife reports whether the instance list shows the worker as present.
@@ -233,7 +233,7 @@
 func (j *jobState) serves(now time.Time) bool {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
-			if s.spec.LongRunning && t.atWork(now) {
+			if s.spec.LongRunning && t.isServing(now) {
 				return true
 			}
 		}
@@ -340,11 +340,11 @@
 // isFateOpen reports whether it will be known soon what became of the worker.
 func (c *Core) isFateOpen(l life, now time.Time) bool {
 	if w := c.present(l); w != nil {
-		return now.Sub(w.contact.lostAt) < verdictPatience
+		return now.Sub(w.contactLoss.lostAt) < verdictPatience
 	}
 	for _, w := range c.lostLately {
 		if w.life() == l {
-			return now.Sub(w.contact.lostAt) < verdictPatience
+			return now.Sub(w.contactLoss.lostAt) < verdictPatience
 		}
 	}
 	return now.Sub(c.startedAt) < verdictPatience
@@ -354,10 +354,10 @@
 // it before says nothing of it any more.
 func (c *Core) clearLasting(r *run, now time.Time) {
 	t := r.task
-	if !t.step.spec.LongRunning || r.percent < 100 || now.Sub(r.ackedAt) < lastingProof {
+	if !t.step.spec.LongRunning || r.percent < 100 || now.Sub(r.confirmedAt) < lastingProof {
 		return
 	}
-	t.retries, t.stalls = 0, 0
+	t.consecutiveRetries, t.stalls = 0, 0
 	if len(t.crashes) > 0 {
 		t.crashes = nil
 		c.touch(t.step.job)
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -121,7 +121,7 @@
 	assert.Equal(t, job.Failed, r.core.jobs[bad.ID].state)
 	assert.Empty(t, r.started(), "nothing is started again")
 	assert.Equal(t, job.Queued, r.core.jobs[good.ID].state, "the other is not given up")
-	assert.NotNil(t, r.core.jobs[good.ID].steps[0].tasks[0].live(), "it runs on")
+	assert.NotNil(t, r.core.jobs[good.ID].steps[0].tasks[0].activeRun(), "it runs on")
 }
 
 // TestLateNewsOfACrash: the lease of a silent worker ends, its task starts elsewhere, and only
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -10,29 +10,29 @@
 func (c *Core) advanceAck(w *worker, now time.Time) {
 	n := 0
 	for _, u := range w.unacked {
-		if u.job != nil && u.job.written < u.version {
+		if u.job != nil && u.job.storedVersion < u.version {
 			u.job.awaitedBy(w)
 			break
 		}
-		if _, waits := w.waiting[u.number]; waits {
+		if _, waits := w.unknownEnds[u.seq]; waits {
 			break
 		}
-		w.acked = u.number
+		w.lastAckedEnd = u.seq
 		n++
 	}
 	if n == 0 {
 		return
 	}
 	w.unacked = w.unacked[n:]
-	if len(w.unacked) == 0 && w.nextHold.After(now) {
+	if len(w.unacked) == 0 && w.nextHoldAt.After(now) {
 		c.holdAt(w, now)
 	}
 }
 
 // awaitedBy lets the worker's ends be acknowledged once the job is recorded.
 func (j *jobState) awaitedBy(w *worker) {
-	if n := len(j.ackers); n == 0 || j.ackers[n-1] != w {
-		j.ackers = append(j.ackers, w)
+	if n := len(j.ackWaiters); n == 0 || j.ackWaiters[n-1] != w {
+		j.ackWaiters = append(j.ackWaiters, w)
 	}
 }
 
@@ -40,8 +40,8 @@
 func (c *Core) onEnd(w *worker, e RunEnd, now time.Time) {
 	j := c.jobs[e.Task.Job]
 	if j == nil {
-		w.waiting[e.Seq] = waitingEnd{e, now}
-		w.unacked = append(w.unacked, unackedEnd{number: e.Seq})
+		w.unknownEnds[e.Seq] = unknownEnd{e, now}
+		w.unacked = append(w.unacked, unackedEnd{seq: e.Seq})
 		return
 	}
 	c.applyEnd(w, j, e, now)
@@ -49,7 +49,7 @@
 }
 
 func (c *Core) applyEnd(w *worker, j *jobState, e RunEnd, now time.Time) {
-	delete(w.strangers, e.Task)
+	delete(w.unknownRuns, e.Task)
 	c.begin(j, e.Task.Occurrence)
 	s := j.step(e.Task.Occurrence, e.Task.Step)
 	if s == nil || e.Task.Index >= len(s.tasks) {
@@ -58,7 +58,7 @@
 	}
 	t := s.tasks[e.Task.Index]
 	r := t.findRun(e.Run, w)
-	j.begun = j.begun || s.showsBegun(e.Kind)
+	j.started = j.started || s.showsBegun(e.Kind)
 	c.tally(j)
 	if r != nil {
 		c.release(r, e.Kind.cause(), now)
@@ -66,11 +66,11 @@
 	if j.state.Final() {
 		return
 	}
-	if r != nil && e.Kind == EndDone && !r.ackedAt.IsZero() && !s.spec.LongRunning {
+	if r != nil && e.Kind == EndDone && !r.confirmedAt.IsZero() && !s.spec.LongRunning {
 		cores := float64(s.spec.Occupies().CPUMilli) / 1000
-		c.pool(j.service).trend.add(cores*now.Sub(r.ackedAt).Seconds(), cores*s.spec.Estimate.Seconds())
+		c.pool(j.service).trend.add(cores*now.Sub(r.confirmedAt).Seconds(), cores*s.spec.Estimate.Seconds())
 	}
-	w.ends.add(e.Kind, now)
+	w.recentEnds.add(e.Kind, now)
 	switch e.Kind {
 	case EndDone:
 		c.counts.Done++
@@ -130,8 +130,8 @@
 		return // a copy of it was
 	}
 	if s.spec.LongRunning { // it has no limit of attempts
-		t.retries++
-		t.notBefore = now.Add(lastingPauses.after(t.retries))
+		t.consecutiveRetries++
+		t.notBefore = now.Add(lastingPauses.after(t.consecutiveRetries))
 		return
 	}
 	t.failures = t.failures.With(e.Run)
@@ -140,7 +140,7 @@
 		t.notBefore = now.Add(elsewherePatience)
 	}
 	t.failedOn = append(t.failedOn, w.Worker)
-	t.failedAt = now
+	t.lastFailedAt = now
 	attempts := len(t.failures)
 	if s.spec.Gang {
 		s.failures = s.failures.With(e.Run)
@@ -186,7 +186,7 @@
 		r.ended(cause, now)
 	}
 	c.dropRun(r)
-	if r.worker.contact.lostAt.IsZero() && !r.former {
+	if r.worker.contactLoss.lostAt.IsZero() && !r.fromPastIncarnation {
 		r.task.forgetCrash(r.number) // its worker is there
 	}
 	c.touchWorker(r.worker)
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -66,7 +66,7 @@
 func TestGiveBacksLeaveTurns(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.core
-	c.opt.MovesPerSec = 10
+	c.opt.MaxMovesPerSec = 10
 	assert.Equal(t, 5, c.mayGiveBack(r.now), "half of a second's")
 	c.giveBack -= 12 // ordered at once for tasks that wait
 	assert.Zero(t, c.mayGiveBack(r.now))
--- a/jobs/owner/forget_test.go
+++ b/jobs/owner/forget_test.go
@@ -47,7 +47,7 @@
 	assert.Equal(t, s.Run+1, r.out.Stops[0].Run)
 	r.held(a, nil, RunEnd{Seq: 2, Task: s.Task, Run: s.Run + 1, Kind: EndStopped})
 	r.tick(100 * time.Millisecond)
-	assert.EqualValues(t, 2, r.core.workers[a].acked)
+	assert.EqualValues(t, 2, r.core.workers[a].lastAckedEnd)
 }
 
 // TestAStoppedRunIsHeldOnTo: the steps of a job that was cancelled are kept until its runs
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -22,8 +22,8 @@
 
 // compareFree orders workers by free processors as they are in the index, then by id.
 func compareFree(a, b *worker) int {
-	if a.indexedFree != b.indexedFree {
-		return a.indexedFree - b.indexedFree
+	if a.indexedFreeCPUMilli != b.indexedFreeCPUMilli {
+		return a.indexedFreeCPUMilli - b.indexedFreeCPUMilli
 	}
 	return byID(a, b)
 }
@@ -49,21 +49,21 @@
 }
 
 func (x *freeIndex) add(w *worker) {
-	w.class = x.classOf(w.Capacity)
-	w.indexedFree = w.free().CPUMilli
-	at, _ := slices.BinarySearchFunc(w.class.byFree, w, compareFree)
-	w.class.byFree = slices.Insert(w.class.byFree, at, w)
+	w.sizeClass = x.classOf(w.Capacity)
+	w.indexedFreeCPUMilli = w.free().CPUMilli
+	at, _ := slices.BinarySearchFunc(w.sizeClass.byFree, w, compareFree)
+	w.sizeClass.byFree = slices.Insert(w.sizeClass.byFree, at, w)
 }
 
 // unindex takes the worker out of the index that it is in, if any.
 func (w *worker) unindex() {
-	if w.class == nil {
+	if w.sizeClass == nil {
 		return
 	}
-	if at, found := slices.BinarySearchFunc(w.class.byFree, w, compareFree); found {
-		w.class.byFree = slices.Delete(w.class.byFree, at, at+1)
+	if at, found := slices.BinarySearchFunc(w.sizeClass.byFree, w, compareFree); found {
+		w.sizeClass.byFree = slices.Delete(w.sizeClass.byFree, at, at+1)
 	}
-	w.class = nil
+	w.sizeClass = nil
 }
 
 // possible reports whether any worker could take the request if it were empty; true if
@@ -108,7 +108,7 @@
 // room, and the fullest of those that are not suspect or on the preferred rack.
 func (k *sizeClass) candidates(out []*worker, req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) []*worker {
 	from, _ := slices.BinarySearchFunc(k.byFree, req.Need.CPUMilli, func(w *worker, need int) int {
-		if w.indexedFree < need {
+		if w.indexedFreeCPUMilli < need {
 			return -1
 		}
 		return 1
@@ -141,20 +141,20 @@
 }
 
 // isSuspect reports whether several of the worker's newest tasks failed.
-func (w *worker) isSuspect(now time.Time) bool { return w.ends.failures(now) >= failuresToAvoid }
+func (w *worker) isSuspect(now time.Time) bool { return w.recentEnds.failures(now) >= failuresToAvoid }
 
 // placementView returns the worker as placement sees it.
 func (w *worker) placementView(now time.Time) placement.Worker {
 	return placement.Worker{
 		Room: w.Capacity, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
-		Fillers: w.fillers, Serving: w.serving, Lasting: w.lasting, Suspect: w.isSuspect(now),
+		Fillers: w.fillerRuns, Serving: w.servingRuns, Lasting: w.longRunningRuns, Suspect: w.isSuspect(now),
 	}
 }
 
 // touchWorker says that something of the worker may have changed that placement sees.
 func (c *Core) touchWorker(w *worker) {
-	if !w.touched {
-		w.touched = true
+	if !w.indexStale {
+		w.indexStale = true
 		c.touchedWorkers = append(c.touchedWorkers, w)
 	}
 }
@@ -166,7 +166,7 @@
 		c.touchWorker(w)
 	}
 	for _, w := range c.touchedWorkers {
-		w.touched = false
+		w.indexStale = false
 		c.reindex(w, now)
 		c.countOfWorker(w)
 	}
@@ -175,14 +175,14 @@
 }
 
 func (c *Core) reindex(w *worker, now time.Time) {
-	c.sharing.put(w, w.fillers > 0 && w.serving > 0 && !w.gone)
+	c.sharing.put(w, w.fillerRuns > 0 && w.servingRuns > 0 && !w.ended)
 	usable := c.workers[w.Worker] == w && c.isUsable(w, now)
-	if usable && w.class != nil && w.indexedIn == w.Service && w.class.room == w.Capacity && w.indexedFree == w.free().CPUMilli {
+	if usable && w.sizeClass != nil && w.indexedService == w.Service && w.sizeClass.room == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
 		return
 	}
 	w.unindex()
 	if usable {
-		w.indexedIn = w.Service
+		w.indexedService = w.Service
 		c.pool(w.Service).free.add(w)
 	}
 }
--- a/jobs/owner/freeindex_test.go
+++ b/jobs/owner/freeindex_test.go
@@ -23,10 +23,10 @@
 		w.Rack = fmt.Sprint("r", r.IntN(4))
 		w.Labels = []string{fmt.Sprint("k", r.IntN(2)), w.Rack}
 		w.Capacity = job.Resources{CPUMilli: 16000 * (1 + r.IntN(2)), MemMB: 64000}
-		w.used = job.Resources{CPUMilli: 1000 * r.IntN(17), MemMB: 1000 * r.IntN(65)}
+		w.allocated = job.Resources{CPUMilli: 1000 * r.IntN(17), MemMB: 1000 * r.IntN(65)}
 		if r.IntN(5) == 0 {
-			w.ends.add(EndFailed, now)
-			w.ends.add(EndFailed, now)
+			w.recentEnds.add(EndFailed, now)
+			w.recentEnds.add(EndFailed, now)
 		}
 		out[i] = w
 	}
--- a/jobs/owner/handover_test.go
+++ b/jobs/owner/handover_test.go
@@ -23,8 +23,8 @@
 func TestANewOwnerMovesInstancesAtOnce(t *testing.T) {
 	r := newRig(t, 1)
 	opt := r.core.opt
-	opt.Term, opt.Pools, opt.Weights = 2, capacity.Demand, capacity.DefaultWeights
-	opt.OrderedBefore = []RecentOrder{{Instance: "x1", Age: -time.Second}, {Instance: "x2", Age: -time.Second}, {Instance: "x0", Age: time.Minute}}
+	opt.Term, opt.PoolPolicy, opt.Weights = 2, capacity.Demand, capacity.DefaultWeights
+	opt.PriorOrders = []RecentOrder{{Instance: "x1", Age: -time.Second}, {Instance: "x2", Age: -time.Second}, {Instance: "x0", Age: time.Minute}}
 	r.core = New(opt, r.core.catalog, nil, r.now)
 	r.spares("x1", "x2", "y")
 	w := r.worker("a")
@@ -70,7 +70,7 @@
 	j.Payload = ""
 	r := newRig(t, 2, Loaded{Job: j, Progress: &job.Progress{State: job.Cancelled}})
 	w := r.worker("a")
-	r.held(w, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: termRuns + 5}})
+	r.held(w, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: runsPerTerm + 5}})
 	require.Len(t, r.out.Stops, 1)
-	assert.Equal(t, uint64(termRuns+5), r.out.Stops[0].Run)
+	assert.Equal(t, uint64(runsPerTerm+5), r.out.Stops[0].Run)
 }
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -79,7 +79,7 @@
 
 // judge puts a worker aside if too much failed on it.
 func (c *Core) judge(w *worker, now time.Time) {
-	failed, all := w.ends.count(now)
+	failed, all := w.recentEnds.count(now)
 	if failed < failuresToAvoid || failed*2 < all {
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 	all, aside := 0, 0
 	for _, o := range c.roster[w.Service] {
-		if o.gone || !o.registered {
+		if o.ended || !o.registered {
 			continue
 		}
 		all++
@@ -105,26 +105,26 @@
 	if float64(aside+1) > avoidedShare*float64(all) {
 		return
 	}
-	w.penalty = min(maxPenalty, max(firstPenalty, 2*w.penalty))
-	c.putAside(w, now.Add(w.penalty))
-	c.note(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.penalty.String()})
+	w.avoidPenalty = min(maxPenalty, max(firstPenalty, 2*w.avoidPenalty))
+	c.putAside(w, now.Add(w.avoidPenalty))
+	c.note(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
 }
 
 // watchStall lets the run be looked at once it may stand still, if it is one that can.
 func (c *Core) watchStall(r *run) {
-	if r.watched || r.phase != running || r.task.step.spec.Gang || r.percent >= 100 {
+	if r.stallWatched || r.phase != running || r.task.step.spec.Gang || r.percent >= 100 {
 		return
 	}
-	r.watched = true
-	c.stallsDue.add(r.movedAt.Add(r.stallLimit()), r)
+	r.stallWatched = true
+	c.stallsDue.add(r.progressAt.Add(r.stallLimit()), r)
 }
 
 // endStalls stops tasks that make no progress, to run them elsewhere.
 func (c *Core) endStalls(now time.Time) {
 	for _, r := range c.stallsDue.due(now) {
 		w := r.worker
-		r.watched = false
-		if w.gone || w.runs[r.task.id()] != r {
+		r.stallWatched = false
+		if w.ended || w.runs[r.task.id()] != r {
 			continue
 		}
 		if !w.silentSince.IsZero() || !stalled(r, now) {
@@ -135,7 +135,7 @@
 			c.avoid(w, "a task stands still", now)
 		}
 		r.task.stalls++
-		c.stop(r, "no progress for "+now.Sub(r.movedAt).String(), now)
+		c.stop(r, "no progress for "+now.Sub(r.progressAt).String(), now)
 	}
 }
 
@@ -144,8 +144,8 @@
 	if r.phase != running || r.percent >= 100 {
 		return // it is watched anew if it falls back
 	}
-	r.watched = true
-	c.stallsDue.add(later(r.movedAt.Add(r.stallLimit()), now.Add(stallLook)), r)
+	r.stallWatched = true
+	c.stallsDue.add(later(r.progressAt.Add(r.stallLimit()), now.Add(stallLook)), r)
 }
 
 // stallLimit is how long the run may be without progress.
@@ -159,20 +159,20 @@
 
 func stalled(r *run, now time.Time) bool {
 	spec := r.task.step.spec
-	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttle < 100 {
+	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttlePercent < 100 {
 		return false
 	}
 	limit := r.stallLimit()
 	// The hold that showed the last percentage may be old: only one that was
 	// sent since then, and answered, proves the standstill.
-	return now.Sub(r.movedAt) > limit && r.worker.answered.Sub(r.movedAt) > limit/2
+	return now.Sub(r.progressAt) > limit && r.worker.answeredHoldSentAt.Sub(r.progressAt) > limit/2
 }
 
 // remain works out anew what is left of the job, after a task was done or an
 // occurrence has begun.
 func (j *jobState) remain() {
-	j.leftWork = j.remainingWork()
-	j.leftChain = j.remainingChain()
+	j.workLeft = j.remainingWork()
+	j.criticalPathLeft = j.remainingChain()
 }
 
 // remainingWork returns the core-seconds of a job that are not done, by its
@@ -180,7 +180,7 @@
 func (j *jobState) remainingWork() float64 {
 	sum := 0.0
 	for _, s := range j.steps {
-		sum += float64(s.left) * float64(s.spec.Need.CPUMilli) / 1000 * s.spec.Estimate.Seconds()
+		sum += float64(s.remaining) * float64(s.spec.Need.CPUMilli) / 1000 * s.spec.Estimate.Seconds()
 	}
 	return sum
 }
@@ -199,7 +199,7 @@
 				from = max(from, ends[a])
 			}
 			ends[i] = from
-			if s.left > 0 {
+			if s.remaining > 0 {
 				ends[i] += s.spec.Estimate
 			}
 			longest = max(longest, ends[i])
@@ -210,10 +210,10 @@
 
 // deadline is when the job stops being worth its whole value.
 func (j *jobState) deadline() time.Time {
-	allowed := time.Duration(j.queue.Stretch*float64(j.chain)) + j.queue.Objective
+	allowed := time.Duration(j.queue.Stretch*float64(j.criticalPath)) + j.queue.Objective
 	from := j.spec.AcceptedAt
 	if j.spec.Repeat > 0 {
-		from = j.spec.Due(max(0, j.nextOcc-1))
+		from = j.spec.Due(max(0, j.nextOccurrence-1))
 	}
 	return from.Add(allowed)
 }
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -30,7 +30,7 @@
 		return
 	}
 	if old != nil && old.Worker != i.Worker {
-		if w := c.workers[i.Worker]; w != nil && w.gone {
+		if w := c.workers[i.Worker]; w != nil && w.ended {
 			return // an answer that is older than what is known
 		}
 		if old.Pool != i.Pool || c.orderedByOther(i.ID, now) {
@@ -97,7 +97,7 @@
 // markOrdered takes note that an order, of this owner or of one before, ends the life.
 func (c *Core) markOrdered(id WorkerID) {
 	if w := c.workers[id]; w != nil {
-		w.departing = true
+		w.endOrdered = true
 	}
 }
 
@@ -136,7 +136,7 @@
 // have arrived, and the instance list shows what they began.
 func (c *Core) handedOver(now time.Time) bool {
 	wait := c.opt.DutyHandover + DutyMargin
-	if c.opt.Successor {
+	if c.opt.SucceedsSelf {
 		wait = DutyMargin
 	}
 	return c.opt.Term == 1 || now.Sub(c.electedAt) > wait
@@ -145,7 +145,7 @@
 // mayOrder reports whether an order for the instance may be sent. Two owners must not
 // take turns with one instance; the others need not wait for that.
 func (c *Core) mayOrder(id InstanceID, now time.Time) bool {
-	if c.opt.OrdersUnknown && now.Sub(c.electedAt) < c.opt.DutyHandover+DutyMargin {
+	if c.opt.PriorOrdersUnknown && now.Sub(c.electedAt) < c.opt.DutyHandover+DutyMargin {
 		return false
 	}
 	return !now.Before(c.leaveTo[id])
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -11,7 +11,7 @@
 func (c *Core) load(l Loaded, now time.Time) {
 	j := c.add(l.Job, now)
 	j.inherited = true
-	j.loaded = true
+	j.loadedFromStore = true
 	if l.Progress != nil {
 		c.restore(j, l.Progress, now)
 		c.giveUpProven(j, now)
@@ -22,7 +22,7 @@
 }
 
 func (c *Core) restore(j *jobState, p *job.Progress, now time.Time) {
-	j.version, j.written = 1, 1
+	j.version, j.storedVersion = 1, 1
 	for _, sp := range p.Steps {
 		c.begin(j, sp.Occurrence)
 		s := j.step(sp.Occurrence, sp.Step)
@@ -40,12 +40,12 @@
 				c.complete(t)
 			}
 		}
-		j.begun = true
+		j.started = true
 	}
 	if p.State.Final() {
 		j.state = p.State
 		j.endedAt = now
-		j.written = j.version
+		j.storedVersion = j.version
 		delete(c.open, j.spec.ID)
 		delete(c.dirty, j.spec.ID)
 	}
@@ -103,7 +103,7 @@
 	c.jobs[spec.ID] = j
 	c.open[spec.ID] = j
 	c.requeue(j)
-	j.chain, j.work = chainAndWork(spec)
+	j.criticalPath, j.work = chainAndWork(spec)
 	c.tally(j)
 	c.beginDue(j, now)
 	return j
@@ -129,7 +129,7 @@
 	before := j.service
 	j.takeQueue(c.catalog)
 	if j.service != before {
-		j.queued = false // it leaves the queue of the service before
+		j.queuedForPlacement = false // it leaves the queue of the service before
 	}
 	c.wants(j)
 }
@@ -161,11 +161,11 @@
 // beginDue begins the occurrences whose time has come, and looks again when that of the
 // next one has.
 func (c *Core) beginDue(j *jobState, now time.Time) {
-	for j.nextOcc < j.spec.Occurrences() && !j.spec.Due(j.nextOcc).After(now) {
-		c.begin(j, j.nextOcc)
+	for j.nextOccurrence < j.spec.Occurrences() && !j.spec.Due(j.nextOccurrence).After(now) {
+		c.begin(j, j.nextOccurrence)
 	}
-	if j.nextOcc < j.spec.Occurrences() {
-		c.timed.add(j.spec.Due(j.nextOcc), j)
+	if j.nextOccurrence < j.spec.Occurrences() {
+		c.timed.add(j.spec.Due(j.nextOccurrence), j)
 	}
 }
 
@@ -183,11 +183,11 @@
 	if k >= j.spec.Occurrences() {
 		return
 	}
-	for ; j.nextOcc <= k; j.nextOcc++ {
+	for ; j.nextOccurrence <= k; j.nextOccurrence++ {
 		for i := range j.spec.Steps {
-			s := &stepState{job: j, spec: &j.spec.Steps[i], occurrence: j.nextOcc, index: i}
-			s.left, s.idle = s.spec.Count, s.spec.Count
-			s.blocked = len(s.spec.After)
+			s := &stepState{job: j, spec: &j.spec.Steps[i], occurrence: j.nextOccurrence, index: i}
+			s.remaining, s.withoutRun = s.spec.Count, s.spec.Count
+			s.openPredecessors = len(s.spec.After)
 			for n := range s.spec.Count {
 				s.tasks = append(s.tasks, &task{step: s, index: n})
 			}
@@ -208,18 +208,18 @@
 	t.crashes = nil
 	s := t.step
 	j := s.job
-	s.left--
+	s.remaining--
 	if len(t.runs) == 0 {
-		s.idle--
+		s.withoutRun--
 	}
 	j.remain()
-	if s.left > 0 {
+	if s.remaining > 0 {
 		return
 	}
 	for i := range j.spec.Steps {
 		for _, a := range j.spec.Steps[i].After {
 			if a == s.index {
-				j.step(s.occurrence, i).blocked--
+				j.step(s.occurrence, i).openPredecessors--
 			}
 		}
 	}
@@ -228,11 +228,11 @@
 
 // finishIfDone moves a job to completed once all its occurrences are done.
 func (c *Core) finishIfDone(j *jobState, now time.Time) {
-	if j.state.Final() || j.nextOcc < j.spec.Occurrences() {
+	if j.state.Final() || j.nextOccurrence < j.spec.Occurrences() {
 		return
 	}
 	for _, s := range j.steps {
-		if s.left > 0 {
+		if s.remaining > 0 {
 			return
 		}
 	}
@@ -290,10 +290,10 @@
 	if j.state == job.Cancelled {
 		return job.Cancelled, true // the caller's request is in the store
 	}
-	if j.state.Final() && j.written == j.version {
+	if j.state.Final() && j.storedVersion == j.version {
 		return j.state, true
 	}
-	if j.begun {
+	if j.started {
 		return job.Running, true
 	}
 	return job.Queued, true
@@ -312,14 +312,14 @@
 
 // tally counts the job among the pending ones, or no longer, after a change of its state.
 func (c *Core) tally(j *jobState) {
-	pending := !j.begun && !j.state.Final()
+	pending := !j.started && !j.state.Final()
 	switch {
-	case pending && !j.counted:
+	case pending && !j.countedPending:
 		c.pending[j.spec.Queue]++
-	case !pending && j.counted:
+	case !pending && j.countedPending:
 		c.pending[j.spec.Queue]--
 	}
-	j.counted = pending
+	j.countedPending = pending
 }
 
 // Configure takes a newer configuration.
--- a/jobs/owner/line.go
+++ b/jobs/owner/line.go
@@ -140,11 +140,11 @@
 	if !c.line.held[j.service] {
 		return 0
 	}
-	j.chain, j.leftWork = chainAndWork(spec)
-	j.leftChain = j.chain
-	ahead := len(c.line.waiting) + readyBefore(c.pool(j.service).claims, c.claimOf(j, now), c.opt.Order)
+	j.criticalPath, j.workLeft = chainAndWork(spec)
+	j.criticalPathLeft = j.criticalPath
+	ahead := len(c.line.waiting) + readyBefore(c.pool(j.service).claims, c.claimOf(j, now), c.opt.JobOrder)
 	wait := time.Duration(float64(ahead) / c.line.rate * float64(time.Second))
-	return max(0, wait-j.deadline().Sub(now.Add(j.chain)))
+	return max(0, wait-j.deadline().Sub(now.Add(j.criticalPath)))
 }
 
 // readyBefore counts the tasks that can start and go before those of a claim, of jobs that
@@ -157,7 +157,7 @@
 		}
 		for _, s := range w.job.steps {
 			if s.ready() {
-				n += s.idle
+				n += s.withoutRun
 			}
 		}
 	}
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -84,7 +84,7 @@
 	switch {
 	case born == w.StartedMs || born == 0 || w.StartedMs == 0:
 		return sameLife
-	case slices.Contains(w.formerBorn, born):
+	case slices.Contains(w.pastStartsMs, born):
 		return formerLife
 	}
 	return nextLife
@@ -98,10 +98,10 @@
 func (c *Core) newWorker(id WorkerID, born int64, now time.Time) *worker {
 	w := &worker{
 		Registration: Registration{Worker: id, StartedMs: born},
-		since:        now,
+		firstSeenAt:  now,
 		runs:         map[job.TaskID]*run{},
-		strangers:    map[job.TaskID]stranger{},
-		waiting:      map[uint64]waitingEnd{},
+		unknownRuns:  map[job.TaskID]unknownRun{},
+		unknownEnds:  map[uint64]unknownEnd{},
 	}
 	c.workers[id] = w
 	c.holdsDue.add(now, w)
@@ -113,14 +113,14 @@
 // list tells, so that nothing starts elsewhere until then.
 func (c *Core) beginLife(old *worker, born int64, proof string, now time.Time) *worker {
 	c.note(Decision{Event: "worker-reborn", Worker: old.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(old.runs))})
-	if !old.gone {
-		old.gone = true
+	if !old.ended {
+		old.ended = true
 		c.lookInto(old, now)
 	}
 	c.forget(old.Worker)
 	w := c.newWorker(old.Worker, born, now)
-	w.formerBorn = append(slices.Clone(old.formerBorn), old.StartedMs)
-	w.formerBorn = w.formerBorn[max(0, len(w.formerBorn)-formerKept):]
+	w.pastStartsMs = append(slices.Clone(old.pastStartsMs), old.StartedMs)
+	w.pastStartsMs = w.pastStartsMs[max(0, len(w.pastStartsMs)-formerKept):]
 	w.Registration = old.Registration
 	w.StartedMs, w.Draining = born, false
 	c.roster.add(w)
@@ -135,30 +135,30 @@
 // carryOver lets the next life of the run's worker tell what became of it.
 func (r *run) carryOver(w *worker, now time.Time) {
 	r.worker = w
-	r.former = true
+	r.fromPastIncarnation = true
 	w.addRun(r)
 	if r.phase == starting {
-		r.lost, r.givenUp = true, now
+		r.mayStartLate, r.startAbandonedAt = true, now
 	}
 }
 
 // leasesOver reports whether nothing that the worker was told to start can run any more, if it
 // does not answer. Of a life that never has, no more is known than how long any lease can be.
 func (c *Core) leasesOver(w *worker, now time.Time) bool {
-	if w.lease.known || len(w.formerBorn) == 0 {
+	if w.lease.known || len(w.pastStartsMs) == 0 {
 		return w.lease.over(now)
 	}
-	longest := time.Duration(float64(max(c.opt.LongestLease, c.opt.TaskLease))/(1-workerClockSlow)) + leaseSlack
-	return now.Sub(w.since) > longest
+	longest := time.Duration(float64(max(c.opt.MaxWorkerLease, c.opt.TaskLease))/(1-workerClockSlow)) + leaseSlack
+	return now.Sub(w.firstSeenAt) > longest
 }
 
 // acknowledgement returns the number up to which the worker may forget ends. While it does not
 // answer another life of it may have begun, which would forget its own.
 func (w *worker) acknowledgement() uint64 {
-	if w.StartedMs != 0 && (!w.silentSince.IsZero() || !w.contact.lostAt.IsZero()) {
+	if w.StartedMs != 0 && (!w.silentSince.IsZero() || !w.contactLoss.lostAt.IsZero()) {
 		return 0
 	}
-	return w.acked
+	return w.lastAckedEnd
 }
 
 // newLifeUnlisted is for how long after a life began the instance list may still say what
@@ -169,5 +169,5 @@
 // worker, under the same id.
 func (c *Core) mayMeanFormerLife(id WorkerID, now time.Time) bool {
 	w := c.workers[id]
-	return w != nil && len(w.formerBorn) > 0 && now.Sub(w.since) < newLifeUnlisted
+	return w != nil && len(w.pastStartsMs) > 0 && now.Sub(w.firstSeenAt) < newLifeUnlisted
 }
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -135,7 +135,7 @@
 	require.Len(t, r.started(), 1)
 	r.inst[0].State = InstanceDown
 	r.list()
-	assert.False(t, r.core.workers[a].gone)
+	assert.False(t, r.core.workers[a].ended)
 	assert.Len(t, r.core.workers[a].runs, 1)
 }
 
@@ -143,7 +143,7 @@
 // that a worker gives, as nothing is known of its clock.
 func TestANextLifeThatNeverAnswers(t *testing.T) {
 	r := newRig(t, 1)
-	r.core.opt.LongestLease = 2 * rigLease
+	r.core.opt.MaxWorkerLease = 2 * rigLease
 	a, b := r.worker("a"), r.worker("b")
 	first := r.lifeOf(a, 500)
 	r.heldBy(first, 500, nil)
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -35,7 +35,7 @@
 // endMove forgets a move that is over, or was not begun.
 func (c *Core) endMove(id InstanceID, m *moveState) {
 	delete(c.moves, id)
-	if w := c.present(m.life); w != nil && !w.gone {
+	if w := c.present(m.life); w != nil && !w.ended {
 		c.unreserve(w)
 	}
 	if i := c.instances[id]; i != nil {
@@ -109,10 +109,10 @@
 // mayGiveBack returns how many instances may be given back now: no more than their share of what
 // the platform accepts, less what has been ordered besides.
 func (c *Core) mayGiveBack(now time.Time) int {
-	if c.opt.MovesPerSec <= 0 {
+	if c.opt.MaxMovesPerSec <= 0 {
 		return manyMoves
 	}
-	c.giveBack = min(c.giveBack+giveBackShare*c.opt.MovesPerSec*now.Sub(c.gaveBackAt).Seconds(), giveBackShare*c.opt.MovesPerSec)
+	c.giveBack = min(c.giveBack+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.gaveBackAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
 	c.gaveBackAt = now
 	return max(0, int(c.giveBack))
 }
--- a/jobs/owner/narrow_test.go
+++ b/jobs/owner/narrow_test.go
@@ -50,7 +50,7 @@
 	for n := range 60 { // 6 s
 		for i, w := range all {
 			switch {
-			case !r.core.workers[w].holding:
+			case !r.core.workers[w].holdInFlight:
 			case i < silent:
 				r.unheard(w)
 			default:
@@ -104,7 +104,7 @@
 		r.core.OnStarted(s, Answer{Outcome: Unanswered}, r.now)
 	}
 	for _, w := range all[:silent] {
-		if r.core.workers[w].holding {
+		if r.core.workers[w].holdInFlight {
 			r.unheard(w)
 		}
 	}
@@ -131,10 +131,10 @@
 	r.submit(1, 16)
 	require.Len(t, r.started(), 16)
 	for range 80 { // 8 s
-		if r.core.workers[a].holding {
+		if r.core.workers[a].holdInFlight {
 			r.unheard(a)
 		}
-		if r.core.workers[b].holding {
+		if r.core.workers[b].holdInFlight {
 			r.held(b, r.activeOn(b))
 		}
 		r.tick(100 * time.Millisecond)
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -13,7 +13,7 @@
 
 func (c *Core) sendStart(r *run, now time.Time) {
 	r.sentAt = now
-	r.tries++
+	r.sends++
 	c.out.Starts = append(c.out.Starts, Start{
 		Seq:          c.line.order(now),
 		Target:       c.target(r.worker),
@@ -48,8 +48,8 @@
 		r.taken()
 		if r.phase == starting {
 			r.phase = running
-			r.ackedAt = now
-			r.movedAt = now
+			r.confirmedAt = now
+			r.progressAt = now
 			c.watchStall(r)
 		}
 		c.noteBegun(r, now)
@@ -74,17 +74,17 @@
 	}
 	switch a.Outcome {
 	case NoRoom:
-		w.fullFor++
-		c.putAside(w, now.Add(roomPauses.after(w.fullFor)))
+		w.consecutiveNoRoom++
+		c.putAside(w, now.Add(roomPauses.after(w.consecutiveNoRoom)))
 	case BadTicket:
 		r.task.step.dropTicket(w, now)
 	case Unhealthy:
 		c.putAside(w, now.Add(unhealthyPause))
 	case Invalid:
-		r.task.retries++
-		r.task.notBefore = now.Add(invalidPauses.after(r.task.retries))
+		r.task.consecutiveRetries++
+		r.task.notBefore = now.Add(invalidPauses.after(r.task.consecutiveRetries))
 	}
-	if r.lost {
+	if r.mayStartLate {
 		c.stop(r, "an earlier order for it may still arrive", now)
 		return
 	}
@@ -93,7 +93,7 @@
 
 // taken ends the pauses of what this worker or the step was refused before.
 func (r *run) taken() {
-	r.worker.fullFor = 0
+	r.worker.consecutiveNoRoom = 0
 	if p := r.task.step.permits; p != nil {
 		p.refusals = 0
 	}
@@ -112,8 +112,8 @@
 func (c *Core) startNotSent(r *run, now time.Time) {
 	switch {
 	case r.phase != starting:
-	case r.lost:
-		r.givenUp = now
+	case r.mayStartLate:
+		r.startAbandonedAt = now
 	default:
 		c.release(r, CauseLost, now)
 	}
@@ -123,26 +123,26 @@
 	if r.phase != starting {
 		return
 	}
-	r.lost = true
+	r.mayStartLate = true
 	c.unheard(r.worker, r.sentAt)
 	id := r.task.id()
 	c.note(Decision{Event: "start-unanswered", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number, Reason: reasonOf(a)})
 	switch {
 	case r.task.done:
 		c.stop(r, "the task is done", now)
-	case r.tries < c.calls.Attempts(startTries):
+	case r.sends < c.calls.Attempts(startTries):
 		c.sendStart(r, now)
 	default:
 		// The worker may have begun it, and a stop would end a task at work. Its next
 		// list tells.
-		r.givenUp = now
+		r.startAbandonedAt = now
 	}
 }
 
 // neverBegan reports whether a list that the worker was asked for at asked, and that
 // does not show the run, tells that no order to start it has arrived so far.
 func (r *run) neverBegan(asked time.Time) bool {
-	return r.phase == starting && !r.givenUp.IsZero() && !asked.Before(r.givenUp)
+	return r.phase == starting && !r.startAbandonedAt.IsZero() && !asked.Before(r.startAbandonedAt)
 }
 
 // stop ends a run. Its room is free once its end is listed.
@@ -151,8 +151,8 @@
 		return
 	}
 	r.phase = stopping
-	r.reason = reason
-	r.ackedAt = time.Time{}
+	r.stopReason = reason
+	r.confirmedAt = time.Time{}
 	c.note(Decision{Event: "run-stopped", Job: r.task.step.job.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: reason})
 	c.sendStop(r, now)
 }
@@ -186,19 +186,19 @@
 		c.unheard(w, r.sentAt)
 	}
 	if a.Outcome == Taken || a.Outcome == RunTooOld {
-		r.ackedAt = now
+		r.confirmedAt = now
 		return
 	}
 	r.sentAt = now
-	r.ackedAt = time.Time{}
-	r.tries++
+	r.confirmedAt = time.Time{}
+	r.sends++
 	c.stopsDue.add(now.Add(c.stopPause()), r)
 }
 
 // resendStops sends unanswered stops again.
 func (c *Core) resendStops(now time.Time) {
 	for _, r := range c.stopsDue.due(now) {
-		if r.phase != stopping || !r.ackedAt.IsZero() || r.worker.gone || r.worker.runs[r.task.id()] != r {
+		if r.phase != stopping || !r.confirmedAt.IsZero() || r.worker.ended || r.worker.runs[r.task.id()] != r {
 			continue
 		}
 		if again := r.sentAt.Add(c.stopPause()); now.Before(again) {
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -45,7 +45,7 @@
 		c.toldAt = c.toldAt.Add(-d)
 	}
 	for _, w := range c.workers {
-		w.answered = w.answered.Add(-d)
+		w.answeredHoldSentAt = w.answeredHoldSentAt.Add(-d)
 		w.lease.at = w.lease.at.Add(-d)
 	}
 }
@@ -61,7 +61,7 @@
 	}
 	all, silent := 0, 0
 	for _, w := range c.workers {
-		if w.gone || !w.registered || w.departing || w.reserved == reservedMove || !c.listed(w) {
+		if w.ended || !w.registered || w.endOrdered || w.reserved == reservedMove || !c.listed(w) {
 			continue // its life is over, or ends by an order
 		}
 		all++
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -40,7 +40,7 @@
 	for range d / (100 * time.Millisecond) {
 		for i, w := range all {
 			switch {
-			case !r.core.workers[w].holding:
+			case !r.core.workers[w].holdInFlight:
 			case i < heard:
 				r.held(w, r.activeOn(w))
 			default:
@@ -56,7 +56,7 @@
 	var out []ActiveRun
 	w := r.core.workers[id]
 	for _, run := range sortedRuns(w) {
-		out = append(out, ActiveRun{Task: run.task.id(), Run: run.number, Percent: min(99, int(r.now.Sub(run.firstSent).Milliseconds()/200))})
+		out = append(out, ActiveRun{Task: run.task.id(), Run: run.number, Percent: min(99, int(r.now.Sub(run.firstSentAt).Milliseconds()/200))})
 	}
 	return out
 }
--- a/jobs/owner/pace.go
+++ b/jobs/owner/pace.go
@@ -22,17 +22,17 @@
 // additive increase, multiplicative decrease.
 func (c *Core) pace(now time.Time) {
 	for _, w := range c.sharing.sorted() {
-		if w.gone || !w.silentSince.IsZero() || now.Before(w.nextPace) {
+		if w.ended || !w.silentSince.IsZero() || now.Before(w.nextThrottleAt) {
 			continue
 		}
-		w.nextPace = now.Add(paceEvery)
+		w.nextThrottleAt = now.Add(paceEvery)
 		worst := worstTail(w)
 		if worst == 0 {
 			continue
 		}
 		for _, r := range w.runs {
 			if r.task.step.spec.Filler && r.phase == running {
-				c.throttle(r, paceFor(worst, r.throttle))
+				c.throttle(r, paceFor(worst, r.throttlePercent))
 			}
 		}
 	}
@@ -67,10 +67,10 @@
 }
 
 func (c *Core) throttle(r *run, percent int) {
-	if percent == r.throttle {
+	if percent == r.throttlePercent {
 		return
 	}
-	r.throttle = percent
+	r.throttlePercent = percent
 	c.out.Throttles = append(c.out.Throttles, Throttle{
 		Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Percent: percent,
 	})
@@ -89,7 +89,7 @@
 		return
 	}
 	if r := w.runs[o.Task]; r != nil && r.number == o.Run && (a.Outcome == Unanswered || a.Outcome == NotSent) {
-		r.throttle = unknownThrottle
+		r.throttlePercent = unknownThrottle
 	}
 }
 
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -104,7 +104,7 @@
 	r := newRig(t, 2, Loaded{Job: j})
 	a := r.worker("a")
 	assert.Equal(t, 1, r.core.Pending("q"))
-	r.held(a, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: termRuns + 1}})
+	r.held(a, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: runsPerTerm + 1}})
 	assert.Zero(t, r.core.Pending("q"))
 }
 
--- a/jobs/owner/placing.go
+++ b/jobs/owner/placing.go
@@ -162,7 +162,7 @@
 			return
 		}
 		choice.start(t, w)
-		s.waitsSince = time.Time{}
+		s.waitingSince = time.Time{}
 	}
 }
 
@@ -189,10 +189,10 @@
 // noteWaiting says once for each job why a task of it was not placed.
 func (p *placing) noteWaiting(s *stepState, possible bool) {
 	j := s.job
-	if j.waitNoted {
+	if j.waitLogged {
 		return
 	}
-	j.waitNoted = true
+	j.waitLogged = true
 	why := "no room"
 	if !possible {
 		why = "no worker can ever take it"
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -94,7 +94,7 @@
 	c.settleMoves(now)
 	pools, spare := c.poolViews(now)
 	c.noteSupply(pools)
-	for _, m := range capacity.Plan(c.opt.Pools, c.opt.Weights, pools, spare, c.mayGiveBack(now)) {
+	for _, m := range capacity.Plan(c.opt.PoolPolicy, c.opt.Weights, pools, spare, c.mayGiveBack(now)) {
 		c.orderMove(m, now)
 	}
 }
@@ -117,7 +117,7 @@
 		return true
 	}
 	w := c.workers[i.Worker]
-	return w != nil && w.held
+	return w != nil && w.heldByUs
 }
 
 // poolViews returns the pools as the plan sees them.
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -29,16 +29,16 @@
 // room. The worker that is cleared is kept for the step.
 func (p *placing) preempt(s *stepState, req *placement.Request) {
 	now := p.now
-	if s.waitsSince.IsZero() {
-		s.waitsSince = now
+	if s.waitingSince.IsZero() {
+		s.waitingSince = now
 	}
-	if s.job.band >= bandBeyond || now.Sub(s.waitsSince) < s.preemptPatience() || s.preemptedLately(now) {
+	if s.job.band >= bandBeyond || now.Sub(s.waitingSince) < s.preemptPatience() || s.preemptedLately(now) {
 		return
 	}
-	if now.Sub(s.lookedAt) < preemptLook || !p.pool.someYieldTo(s) {
+	if now.Sub(s.preemptCheckedAt) < preemptLook || !p.pool.someYieldTo(s) {
 		return
 	}
-	s.lookedAt = now
+	s.preemptCheckedAt = now
 	room := p.room(s)
 	runs := make([][]*run, len(room.workers))
 	occupants := make([][]placement.Occupant, len(room.workers))
@@ -56,7 +56,7 @@
 	}
 	s.preemptedAt = now
 	w := room.workers[cleared.Worker]
-	w.clearedFor, w.clearedUntil = s, now.Add(preemptEvery)
+	w.preemptedFor, w.preemptedUntil = s, now.Add(preemptEvery)
 	for _, i := range cleared.Occupants {
 		p.core.stop(runs[cleared.Worker][i], "preempted by "+string(s.job.spec.ID), now)
 	}
@@ -96,7 +96,7 @@
 // lossAt returns the core-seconds of work that are lost if the run is stopped.
 func (r *run) lossAt(now time.Time) float64 {
 	spec := r.task.step.spec
-	lost := float64(spec.Occupies().CPUMilli) / 1000 * now.Sub(r.ackedAt).Seconds()
+	lost := float64(spec.Occupies().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
 	if spec.Checkpoints {
 		lost *= checkpointLoss
 	}
@@ -105,5 +105,5 @@
 
 // keptFromOthers reports whether the worker was cleared for another step, or for a suspect.
 func (w *worker) keptFromOthers(s *stepState, now time.Time) bool {
-	return w.isQuarantinedFrom(s.job, now) || w.clearedFor != nil && w.clearedFor != s && now.Before(w.clearedUntil) && !w.clearedFor.job.state.Final()
+	return w.isQuarantinedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
 }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -47,7 +47,7 @@
 
 // hasSettled reports whether the run is there long enough.
 func (r *run) hasSettled(now time.Time) bool {
-	return r.phase != starting && r.worker.contact.lostAt.IsZero() && (r.firstSent.IsZero() || now.Sub(r.ackedAt) > settleAfter)
+	return r.phase != starting && r.worker.contactLoss.lostAt.IsZero() && (r.firstSentAt.IsZero() || now.Sub(r.confirmedAt) > settleAfter)
 }
 
 // isTrial reports whether nothing may be started beside the run.
@@ -56,7 +56,7 @@
 	case job.SuspectAtOnce:
 		return !r.hasSettled(now)
 	case job.SuspectAlways:
-		return !r.task.step.spec.LongRunning || now.Sub(r.firstSent) < lastingProof
+		return !r.task.step.spec.LongRunning || now.Sub(r.firstSentAt) < lastingProof
 	}
 	return false
 }
@@ -71,9 +71,9 @@
 	}
 	c.counts.Trials++
 	w, t := r.worker, r.task
-	t.isolateSince = time.Time{}
-	w.keptFor = nil
-	w.trials = append(w.trials, r)
+	t.isolationWaitSince = time.Time{}
+	w.isolatedFor = nil
+	w.trialRuns = append(w.trialRuns, r)
 	c.note(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
 	c.addCrash(t, job.Crash{Run: r.number, Worker: w.life().String(), Early: true, Exact: true, Alone: true})
 	c.touchCrash(t.step.job)
@@ -82,19 +82,19 @@
 // isQuarantinedFrom reports whether the worker is kept for a suspect of another job, or runs
 // one that has not settled.
 func (w *worker) isQuarantinedFrom(j *jobState, now time.Time) bool {
-	if w.keptFor != nil && w.keptFor != j && now.Before(w.keptUntil) && !w.keptFor.state.Final() {
+	if w.isolatedFor != nil && w.isolatedFor != j && now.Before(w.isolatedUntil) && !w.isolatedFor.state.Final() {
 		return true
 	}
-	kept := w.trials[:0]
+	kept := w.trialRuns[:0]
 	quarantined := false
-	for _, r := range w.trials {
+	for _, r := range w.trialRuns {
 		if w.runs[r.task.id()] != r || !r.isTrial(now) {
 			continue
 		}
 		kept = append(kept, r)
 		quarantined = quarantined || r.task.step.job != j
 	}
-	w.trials = kept
+	w.trialRuns = kept
 	return quarantined
 }
 
@@ -129,13 +129,13 @@
 // quarantines returns the conditions for a worker of a suspect, the best first.
 func (p *placing) quarantines(t *task) []func(*worker) bool {
 	j := t.step.job
-	if t.isolateSince.IsZero() {
-		t.isolateSince = p.now
+	if t.isolationWaitSince.IsZero() {
+		t.isolationWaitSince = p.now
 	}
 	sound := func(w *worker) bool { return p.core.isSound(w, p.now) }
 	settled := func(w *worker) bool { return w.hasSettledFor(j, p.now) }
 	out := []func(*worker) bool{func(w *worker) bool { return w.isEmptyFor(j) && sound(w) }}
-	if p.now.Sub(t.isolateSince) < t.step.isolatePatience() {
+	if p.now.Sub(t.isolationWaitSince) < t.step.isolatePatience() {
 		return out
 	}
 	return append(out,
@@ -153,7 +153,7 @@
 
 // barredSince returns the workers on which a suspect that failed a moment ago is not started.
 func (t *task) barredSince(now time.Time) func(*worker) bool {
-	if now.Sub(t.failedAt) > elsewherePatience {
+	if now.Sub(t.lastFailedAt) > elsewherePatience {
 		return nobody
 	}
 	return t.failedOnWorker
@@ -168,12 +168,12 @@
 		}
 		if !p.holdBack() {
 			choice.start(t, w)
-			t.step.waitsSince = time.Time{}
+			t.step.waitingSince = time.Time{}
 		}
 		return
 	}
 	p.awaitQuarantine(t, &choice.req)
-	if p.now.Sub(t.isolateSince) >= t.step.isolatePatience() {
+	if p.now.Sub(t.isolationWaitSince) >= t.step.isolatePatience() {
 		p.preempt(t.step, &choice.req) // there is no room at all
 	}
 }
@@ -189,14 +189,14 @@
 	kept := 0
 	var best *worker
 	for i, w := range room.workers {
-		if w.keptFor != nil && p.now.Before(w.keptUntil) {
-			if w.keptFor == s.job {
+		if w.isolatedFor != nil && p.now.Before(w.isolatedUntil) {
+			if w.isolatedFor == s.job {
 				return
 			}
 			kept++
 			continue
 		}
-		if w.lasting > 0 || room.views[i].Barred || // a long-running task does not end for it
+		if w.longRunningRuns > 0 || room.views[i].Barred || // a long-running task does not end for it
 			!placement.Possible(&room.views[i], req) {
 			continue
 		}
@@ -207,7 +207,7 @@
 	if best == nil || float64(kept+1) > max(1, keptShare*float64(len(room.workers))) {
 		return
 	}
-	best.keptFor, best.keptUntil = s.job, p.now.Add(keepEmptying)
+	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(keepEmptying)
 }
 
 // quarantineViews returns the views of the room with the workers barred on which a gang of
--- a/jobs/owner/rack_test.go
+++ b/jobs/owner/rack_test.go
@@ -34,12 +34,12 @@
 func (r *rig) cutOff(d time.Duration, cut, sound []WorkerID) {
 	for range d / (100 * time.Millisecond) {
 		for _, w := range cut {
-			if r.core.workers[w].holding {
+			if r.core.workers[w].holdInFlight {
 				r.unheard(w)
 			}
 		}
 		for _, w := range sound {
-			if r.core.workers[w].holding {
+			if r.core.workers[w].holdInFlight {
 				r.held(w, r.activeOn(w))
 			}
 		}
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -20,7 +20,7 @@
 // of this owner would hide it from the next one.
 func (c *Core) touchCrash(j *jobState) {
 	c.touch(j)
-	j.crashNew = true
+	j.crashUnstored = true
 	c.crashesNew[j.spec.ID] = j
 	c.toWrite.add(j)
 }
@@ -31,7 +31,7 @@
 // enqueue puts the job last among those that have to be written.
 func (c *Core) enqueue(j *jobState) {
 	c.lastTurn++
-	j.turn = c.lastTurn
+	j.writeSeq = c.lastTurn
 	c.toWrite.add(j)
 }
 
@@ -41,7 +41,7 @@
 func (c *Core) Uncommitted(n int) []Record {
 	var out []Record
 	for j := range c.toWrite.all(c.dirty) {
-		r := Record{Job: j.spec, Progress: j.progress(), Stored: j.written > 0, version: j.version}
+		r := Record{Job: j.spec, Progress: j.progress(), Stored: j.storedVersion > 0, version: j.version}
 		if n -= r.TxnEntries(); n < 0 {
 			break
 		}
@@ -69,14 +69,14 @@
 		if j == nil {
 			continue
 		}
-		j.written = max(j.written, r.version)
-		if j.written < j.version {
+		j.storedVersion = max(j.storedVersion, r.version)
+		if j.storedVersion < j.version {
 			c.enqueue(j)
 			continue
 		}
 		delete(c.dirty, r.Job.ID)
 		delete(c.crashesNew, r.Job.ID)
-		j.crashNew = false
+		j.crashUnstored = false
 		if j.state.Final() {
 			delete(c.open, r.Job.ID)
 			c.note(Decision{Event: "job-recorded", Job: r.Job.ID, Reason: string(j.state)})
@@ -94,18 +94,18 @@
 // recorded and nothing of it runs. Its state is asked for long after: of 5,400 jobs in half
 // a minute all but the open ones are kept for that alone.
 func (c *Core) forgetSteps(j *jobState) {
-	if j.forgotten || !j.state.Final() || j.written < j.version || c.occupied(j) {
+	if j.stepsDropped || !j.state.Final() || j.storedVersion < j.version || c.occupied(j) {
 		return
 	}
-	j.forgotten = true
+	j.stepsDropped = true
 	j.steps = nil
 	j.spec = &job.Job{ID: j.spec.ID, Queue: j.spec.Queue, Service: j.spec.Service}
 }
 
 // acknowledge lets workers forget the ends that waited for a record of the job.
 func (c *Core) acknowledge(j *jobState, now time.Time) {
-	waited := j.ackers
-	j.ackers = nil
+	waited := j.ackWaiters
+	j.ackWaiters = nil
 	for _, w := range waited {
 		if c.workers[w.Worker] == w {
 			c.advanceAck(w, now)
@@ -165,7 +165,7 @@
 		if len(out) == n {
 			break
 		}
-		if !j.state.Final() || j.written < j.version || now.Sub(j.endedAt) < 2*c.opt.KeepStatus {
+		if !j.state.Final() || j.storedVersion < j.version || now.Sub(j.endedAt) < 2*c.opt.StatusRetention {
 			continue
 		}
 		if c.occupied(j) {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -112,8 +112,8 @@
 
 // missing takes note that the worker is not among the registrations.
 func (c *Core) missing(w *worker, now time.Time) {
-	if w.missingSince.IsZero() {
-		w.missingSince = now
+	if w.unlistedSince.IsZero() {
+		w.unlistedSince = now
 	}
 	c.unlisted.put(w, w.registered)
 }
@@ -151,7 +151,7 @@
 		c.note(Decision{Event: "worker-draining", Worker: r.Worker})
 	}
 	known := w.registered && w.sameAs(&r)
-	w.missingSince = time.Time{}
+	w.unlistedSince = time.Time{}
 	c.unlisted.put(w, false)
 	if known {
 		return
@@ -160,7 +160,7 @@
 		c.roster.remove(w)
 		c.changed[w.Service] = true
 		if w.Capacity != r.Capacity {
-			c.note(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Capacity, r.Capacity, w.used)})
+			c.note(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Capacity, r.Capacity, w.allocated)})
 		}
 	}
 	w.Registration = r
@@ -179,7 +179,7 @@
 // forget removes a worker of which nothing is left to know.
 func (c *Core) forget(id WorkerID) {
 	w := c.workers[id]
-	if !w.gone && len(c.openCrashes[w.life()]) > 0 {
+	if !w.ended && len(c.openCrashes[w.life()]) > 0 {
 		c.clearCrashes(w.life(), "nobody can tell what became of it")
 	}
 	delete(c.workers, id)
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -25,7 +25,7 @@
 		if !c.isUsable(w, now) {
 			continue
 		}
-		w.view, w.viewAt = v, len(v.workers)
+		w.roomView, w.roomViewIndex = v, len(v.workers)
 		v.workers = append(v.workers, w)
 		v.views = append(v.views, w.placementView(now))
 	}
@@ -34,7 +34,7 @@
 
 // indexOf returns the place of a worker in the view; ok is false if it is not
 // there.
-func (v *roomView) indexOf(w *worker) (i int, ok bool) { return w.viewAt, w.view == v }
+func (v *roomView) indexOf(w *worker) (i int, ok bool) { return w.roomViewIndex, w.roomView == v }
 
 // countOf sets how many tasks of the step run on each worker, and bars those
 // that it may not run on.
@@ -62,7 +62,7 @@
 // that could take it and on which it did not. Tickets last for a short time, so
 // that tasks that need one do not wait.
 func (t *task) awaitsOther(free *freeIndex, req *placement.Request, now time.Time) bool {
-	if len(t.failedOn) == 0 || req.Permits || now.Sub(t.failedAt) > elsewherePatience {
+	if len(t.failedOn) == 0 || req.Permits || now.Sub(t.lastFailedAt) > elsewherePatience {
 		return false
 	}
 	for _, k := range free.classes {
@@ -87,7 +87,7 @@
 // addRun adds a run to its task and its worker.
 func (t *task) addRun(r *run) {
 	if len(t.runs) == 0 && !t.done {
-		t.step.idle--
+		t.step.withoutRun--
 	}
 	t.runs = append(t.runs, r)
 	r.worker.addRun(r)
@@ -102,7 +102,7 @@
 	}
 	t.runs = slices.Delete(t.runs, i, i+1)
 	if len(t.runs) == 0 && !t.done {
-		t.step.idle++
+		t.step.withoutRun++
 	}
 	return true
 }
@@ -131,18 +131,18 @@
 func (w *worker) account(r *run, n int) {
 	spec := r.task.step.spec
 	need := spec.Occupies()
-	w.used = w.used.Add(job.Resources{CPUMilli: n * need.CPUMilli, MemMB: n * need.MemMB, GPU: n * need.GPU})
+	w.allocated = w.allocated.Add(job.Resources{CPUMilli: n * need.CPUMilli, MemMB: n * need.MemMB, GPU: n * need.GPU})
 	if spec.Filler {
-		w.fillers += n
+		w.fillerRuns += n
 	}
 	if spec.LatencyTarget > 0 {
-		w.serving += n
+		w.servingRuns += n
 	}
 	if spec.LongRunning {
-		w.lasting += n
-		w.lastingCPU += n * need.CPUMilli
+		w.longRunningRuns += n
+		w.longRunningCPUMilli += n * need.CPUMilli
 	}
 }
 
 // free returns the room that no run occupies, as far as is known.
-func (w *worker) free() job.Resources { return w.Capacity.Sub(w.used) }
+func (w *worker) free() job.Resources { return w.Capacity.Sub(w.allocated) }
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -28,14 +28,14 @@
 }
 
 func (c *Core) claimOf(j *jobState, now time.Time) claim {
-	cl := claim{job: j, band: bandInTime, priority: j.queue.Priority, work: j.leftWork, accepted: j.spec.AcceptedAt}
-	cl.slack = j.deadline().Sub(now.Add(j.leftChain))
+	cl := claim{job: j, band: bandInTime, priority: j.queue.Priority, work: j.workLeft, accepted: j.spec.AcceptedAt}
+	cl.slack = j.deadline().Sub(now.Add(j.criticalPathLeft))
 	switch {
 	case j.spec.Steps[0].LongRunning:
 		cl.band = bandLasting
 	case cl.slack < 0:
 		cl.band = bandLate
-	case j.beyondShare:
+	case j.overShare:
 		cl.band = bandBeyond
 	}
 	j.band = cl.band
@@ -123,15 +123,15 @@
 	pool.waiting, pool.late = 0, 0
 	pool.placedAt = now
 	pool.jobs = len(claims)
-	slices.SortFunc(claims, func(a, b claim) int { return a.compare(b, c.opt.Order) })
+	slices.SortFunc(claims, func(a, b claim) int { return a.compare(b, c.opt.JobOrder) })
 	return &placing{core: c, service: service, pool: pool, now: now, claims: claims}
 }
 
 // wants puts the job among those of its service that may have tasks to place.
 func (c *Core) wants(j *jobState) {
 	c.changed[j.service] = true
-	if !j.queued {
-		j.queued = true
+	if !j.queuedForPlacement {
+		j.queuedForPlacement = true
 		p := c.pool(j.service)
 		p.queue = append(p.queue, j)
 	}
@@ -167,14 +167,14 @@
 // leaveQueue says that the job is in no queue, unless it went over to another service's.
 func (j *jobState) leaveQueue(service string) {
 	if j.service == service {
-		j.queued = false
+		j.queuedForPlacement = false
 	}
 }
 
 // mayWait reports whether the job has a task to place now or, if it has copies, later.
 func mayWait(j *jobState) bool {
 	for _, s := range j.steps {
-		if s.ready() && (s.idle > 0 || s.spec.Speculative) {
+		if s.ready() && (s.withoutRun > 0 || s.spec.Speculative) {
 			return true
 		}
 	}
@@ -187,7 +187,7 @@
 		if !s.ready() {
 			continue
 		}
-		if s.idle > 0 {
+		if s.withoutRun > 0 {
 			return true
 		}
 		if s.spec.Speculative && slices.ContainsFunc(s.tasks, func(t *task) bool { return t.wantsCopy(now) != noCopy }) {
@@ -207,7 +207,7 @@
 }
 
 func (c *Core) start(t *task, w *worker, number uint64, now time.Time) {
-	r := &run{task: t, number: number, worker: w, phase: starting, throttle: 100, firstSent: now}
+	r := &run{task: t, number: number, worker: w, phase: starting, throttlePercent: 100, firstSentAt: now}
 	c.addRun(r)
 	c.beginTrial(r, now)
 	c.touchWorker(w)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -11,55 +11,55 @@
 
 // Options are the figures that the core works with.
 type Options struct {
-	Term         uint64        // number of this ownership; rises with each owner
-	TaskLease    time.Duration // how long a worker's tasks live without renewal
-	LongestLease time.Duration // that a worker gives, whatever it is told; 0: TaskLease
-	HoldWait     time.Duration // how long a hold waits for an end
-	IdleHoldWait time.Duration // the same if nothing runs there; 0: as long as HoldWait
-	Calls        calls.Policy  // how long answers are waited for; "": adaptive
-	HoldsPerSec  float64       // holds that this daemon's processor bears; 0: any number
+	Term           uint64        // number of this ownership; rises with each owner
+	TaskLease      time.Duration // how long a worker's tasks live without renewal
+	MaxWorkerLease time.Duration // that a worker gives, whatever it is told; 0: TaskLease
+	HoldWait       time.Duration // how long a hold waits for an end
+	IdleHoldWait   time.Duration // the same if nothing runs there; 0: as long as HoldWait
+	CallPolicy     calls.Policy  // how long answers are waited for; "": adaptive
+	MaxHoldsPerSec float64       // holds that this daemon's processor bears; 0: any number
 	// DutyHandover is the least time between orders for one instance by two holders.
 	// OrderedBefore are those of other holders, as old at least as they say when this
 	// owner was elected, at ElectedAt; zero: now. Successor says that the owner before
 	// was an earlier life of this daemon.
-	DutyHandover  time.Duration
-	OrderedBefore []RecentOrder
-	ElectedAt     time.Time
-	// OrdersUnknown says that what other holders ordered cannot be known.
-	OrdersUnknown bool
-	Successor     bool
-	KeepStatus    time.Duration // how long ended jobs are kept
-	StartsAtOnce  int           // starts that may be without an answer at the same time; 0: any number
-	Weights       capacity.Weights
-	MovesPerSec   float64 // that the platform accepts; 0: any number
-	Pools         capacity.Policy
-	Order         OrderPolicy
+	DutyHandover time.Duration
+	PriorOrders  []RecentOrder
+	ElectedAt    time.Time
+	// PriorOrdersUnknown says that what other holders ordered cannot be known.
+	PriorOrdersUnknown bool
+	SucceedsSelf       bool
+	StatusRetention    time.Duration // how long ended jobs are kept
+	MaxPendingStarts   int           // starts that may be without an answer at the same time; 0: any number
+	Weights            capacity.Weights
+	MaxMovesPerSec     float64 // that the platform accepts; 0: any number
+	PoolPolicy         capacity.Policy
+	JobOrder           OrderPolicy
 }
 
-// termRuns is how many runs an owner can start in one term.
-const termRuns = 1_000_000
+// runsPerTerm is how many runs an owner can start in one term.
+const runsPerTerm = 1_000_000
 
 // run is one attempt of a task on a worker.
 type run struct {
-	task      *task
-	number    uint64
-	worker    *worker
-	phase     phase
-	sentAt    time.Time // last order for it
-	firstSent time.Time // first order for it; zero: an earlier owner started it
-	tries     int       // orders sent without an answer
-	ackedAt   time.Time // when the worker confirmed the start, or the stop
-	percent   int
-	movedAt   time.Time // when percent last changed
-	watched   bool      // it is looked at again for a standstill
-	usage     int
-	trial     job.Suspicion // it was started with nothing beside it, to see whether it crashes its worker
-	throttle  int           // percent of its speed that was ordered; 100 at the start
-	lost      bool          // an order for it went unanswered; it may arrive late
-	former    bool          // ordered while the life before of its worker was known, and not seen on this one
-	unbegun   bool          // its worker has said that it does not run, and it is kept from beginning
-	givenUp   time.Time     // no further order to start it is sent since; zero: one may be
-	reason    string
+	task                *task
+	number              uint64
+	worker              *worker
+	phase               phase
+	sentAt              time.Time // last order for it
+	firstSentAt         time.Time // first order for it; zero: an earlier owner started it
+	sends               int       // orders sent without an answer
+	confirmedAt         time.Time // when the worker confirmed the start, or the stop
+	percent             int
+	progressAt          time.Time // when percent last changed
+	stallWatched        bool      // it is looked at again for a standstill
+	usage               int
+	trial               job.Suspicion // it was started with nothing beside it, to see whether it crashes its worker
+	throttlePercent     int           // percent of its speed that was ordered; 100 at the start
+	mayStartLate        bool          // an order for it went unanswered; it may arrive late
+	fromPastIncarnation bool          // ordered while the life before of its worker was known, and not seen on this one
+	neverStarted        bool          // its worker has said that it does not run, and it is kept from beginning
+	startAbandonedAt    time.Time     // no further order to start it is sent since; zero: one may be
+	stopReason          string
 }
 
 type phase int
@@ -72,29 +72,29 @@
 
 // task is one task of a step of an occurrence.
 type task struct {
-	step         *stepState
-	index        int
-	done         bool
-	failures     job.Failures
-	crashes      job.Crashes
-	checkpoint   string
-	runs         []*run
-	isolateSince time.Time  // since when it waits for a worker of its own; zero: it does not
-	notBefore    time.Time  // backoff after a failure
-	retries      int        // failures or refusals on end, of a task without a limit of them
-	stalls       int        // runs that stood still
-	failedOn     []WorkerID // in this term; the fault may have been the worker's
-	failedAt     time.Time  // newest of these
-	spent        spent      // what its time went to so far
-	lookedAt     time.Time  // until when that is accounted for
+	step               *stepState
+	index              int
+	done               bool
+	failures           job.Failures
+	crashes            job.Crashes
+	checkpoint         string
+	runs               []*run
+	isolationWaitSince time.Time  // since when it waits for a worker of its own; zero: it does not
+	notBefore          time.Time  // backoff after a failure
+	consecutiveRetries int        // failures or refusals on end, of a task without a limit of them
+	stalls             int        // runs that stood still
+	failedOn           []WorkerID // in this term; the fault may have been the worker's
+	lastFailedAt       time.Time  // newest of these
+	timeSpent          spent      // what its time went to so far
+	accountedUntil     time.Time  // until when that is accounted for
 }
 
 func (t *task) id() job.TaskID {
 	return job.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.index, Index: t.index}
 }
 
-// live returns the run that works for the task, nil if there is none.
-func (t *task) live() *run {
+// activeRun returns the run that works for the task, nil if there is none.
+func (t *task) activeRun() *run {
 	for _, r := range t.runs {
 		if r.phase != stopping {
 			return r
@@ -112,10 +112,10 @@
 	return nil
 }
 
-// atWork reports whether a long-running task serves, as far as is known.
-func (t *task) atWork(now time.Time) bool {
+// isServing reports whether a long-running task serves, as far as is known.
+func (t *task) isServing(now time.Time) bool {
 	for _, r := range t.runs {
-		if r.phase == running && r.percent >= 100 && r.worker.known(now) && !r.worker.departing {
+		if r.phase == running && r.percent >= 100 && r.worker.known(now) && !r.worker.endOrdered {
 			return true
 		}
 	}
@@ -124,55 +124,55 @@
 
 // stepState is one step of one occurrence.
 type stepState struct {
-	job        *jobState
-	spec       *job.Step
-	occurrence int
-	index      int
-	tasks      []*task
-	left       int          // tasks that are not done
-	idle       int          // of these, tasks without a run
-	blocked    int          // earlier steps that are not done
-	failures   job.Failures // of the whole gang
-	permits    *permits     // nil: the advisor was not asked
-	doneAt     time.Time    // when its last task was done; zero: not yet, or in an earlier term
-	last       *task        // the task that was done last
-
-	waitsSince  time.Time // a task of it has found no room since; zero: none waits
-	preemptedAt time.Time // last time that runs were stopped for it
-	lookedAt    time.Time // last time that such runs were looked for
+	job              *jobState
+	spec             *job.Step
+	occurrence       int
+	index            int
+	tasks            []*task
+	remaining        int          // tasks that are not done
+	withoutRun       int          // of these, tasks without a run
+	openPredecessors int          // earlier steps that are not done
+	failures         job.Failures // of the whole gang
+	permits          *permits     // nil: the advisor was not asked
+	doneAt           time.Time    // when its last task was done; zero: not yet, or in an earlier term
+	lastDone         *task        // the task that was done last
+
+	waitingSince     time.Time // a task of it has found no room since; zero: none waits
+	preemptedAt      time.Time // last time that runs were stopped for it
+	preemptCheckedAt time.Time // last time that such runs were looked for
 }
 
-func (s *stepState) ready() bool { return s.blocked == 0 && s.left > 0 }
+func (s *stepState) ready() bool { return s.openPredecessors == 0 && s.remaining > 0 }
 
 // jobState is a job and what became of it.
 type jobState struct {
-	spec    *job.Job
-	queue   job.Queue // newest known settings of its queue
-	service string
-	steps   []*stepState // in the order occurrence, step
-	nextOcc int          // first occurrence that has not begun
-	state   job.State
-	queued  bool // it is among the jobs of its service that may have tasks to place
-	counted bool // it is among the pending jobs of its queue
-	band    band // at the last placement
-
-	beyondShare bool // its tenant had sent its share already
-	begun       bool // a worker has said that a task of it started
-	waitNoted   bool // the log says why a task of it was not placed at once
-	endedAt     time.Time
-	forgotten   bool          // its steps are: it is over, recorded, and nothing of it runs
-	inherited   bool          // accepted before this term
-	loaded      bool          // known from the store when this term began
-	version     uint64        // rises with each change that has to be kept
-	written     uint64        // newest version in the store
-	crashNew    bool          // a crash under a task of it is not in the store
-	turn        uint64        // place among the jobs that have to be written
-	leftWork    float64       // core-seconds that are not done, by the estimates
-	leftChain   time.Duration // longest chain of steps that are not done, likewise
-	chain       time.Duration
-	work        float64   // core-seconds by the estimates, for the order of jobs
-	knownAt     time.Time // when this owner learned of it
-	ackers      []*worker // that wait for a record of it before ends may be forgotten
+	spec               *job.Job
+	queue              job.Queue // newest known settings of its queue
+	service            string
+	steps              []*stepState // in the order occurrence, step
+	nextOccurrence     int          // first occurrence that has not begun
+	state              job.State
+	queuedForPlacement bool // it is among the jobs of its service that may have tasks to place
+	countedPending     bool // it is among the pending jobs of its queue
+	band               band // at the last placement
+
+	overShare        bool // its tenant had sent its share already
+	started          bool // a worker has said that a task of it started
+	waitLogged       bool // the log says why a task of it was not placed at once
+	endedAt          time.Time
+	stepsDropped     bool          // its steps are: it is over, recorded, and nothing of it runs
+	inherited        bool          // accepted before this term
+	loadedFromStore  bool          // known from the store when this term began
+	version          uint64        // rises with each change that has to be kept
+	storedVersion    uint64        // newest version in the store
+	crashUnstored    bool          // a crash under a task of it is not in the store
+	writeSeq         uint64        // place among the jobs that have to be written
+	workLeft         float64       // core-seconds that are not done, by the estimates
+	criticalPathLeft time.Duration // longest chain of steps that are not done, likewise
+	criticalPath     time.Duration
+	work             float64   // core-seconds by the estimates, for the order of jobs
+	knownAt          time.Time // when this owner learned of it
+	ackWaiters       []*worker // that wait for a record of it before ends may be forgotten
 }
 
 func (j *jobState) step(occurrence, index int) *stepState {
@@ -185,7 +185,7 @@
 
 // unackedEnd is an end that the worker may forget once version of job is kept.
 type unackedEnd struct {
-	number  uint64
+	seq     uint64
 	job     *jobState
 	version uint64
 }
@@ -193,56 +193,56 @@
 // worker is one life of a worker and what it may be running.
 type worker struct {
 	Registration
-	lease        workerLease
-	held         bool      // answered a hold with our token
-	registered   bool      // in the newest list of registrations
-	since        time.Time // when it was first heard of
-	formerBorn   []int64   // when its lives before were born, the newest last
-	missingSince time.Time // when it was first missing there
-	gone         bool      // this life has ended for certain
-	holding      bool      // a hold is under way
-	holdSent     time.Time
-	answered     time.Time // when the newest hold that was answered was sent
-	nextHold     time.Time
-	silentSince  time.Time // no hold was answered since; zero: answered
-	heardAt      time.Time // newest answer to any order
-	suspect      bool      // an order sent after heardAt went unanswered
-	suspects     []*task   // of its end, once its life is over
-	lossTold     bool      // a call went unanswered, and none was answered since
-	contact      contact   // with it, since it was lost
-	runs         map[job.TaskID]*run
-	used         job.Resources           // by runs
-	fillers      int                     // of runs
-	serving      int                     // of runs, with a latency target
-	lasting      int                     // of runs, long-running
-	lastingCPU   int                     // thousandths of a core that these use
-	strangers    map[job.TaskID]stranger // runs of jobs that are not known yet
-	seen         uint64                  // highest end that was handled
-	acked        uint64                  // highest end that may be forgotten
-	unacked      []unackedEnd
-	waiting      map[uint64]waitingEnd // ends of jobs that are not known yet
-	avoidUntil   time.Time             // no new tasks until then
-	ends         endWindow             // recent ends, to find bad workers
-	nextPace     time.Time
-	view         *roomView  // newest view of its service that it is in
-	viewAt       int        // its place there
-	class        *sizeClass // its place in the index of usable workers; nil: it is not there
-	indexedIn    string     // the service of that index
-	indexedFree  int        // thousandths of a core that were free then
-	touched      bool       // it has to be indexed anew
-	penalty      time.Duration
-	fullFor      int // starts on end that it refused for want of room
-	reservedAt   time.Time
-	departing    bool      // an order that ends this life was sent
-	idleSince    time.Time // nothing runs on it since; zero: something does
-	reserved     reservation
-
-	trials    []*run    // those that were started as trials; some may be over
-	keptFor   *jobState // a suspect of it gets the worker once nothing else runs there; nil: none
-	keptUntil time.Time
-
-	clearedFor   *stepState // runs were stopped for it; nil: for none
-	clearedUntil time.Time  // until then it alone gets the room
+	lease               workerLease
+	heldByUs            bool      // answered a hold with our token
+	registered          bool      // in the newest list of registrations
+	firstSeenAt         time.Time // when it was first heard of
+	pastStartsMs        []int64   // when its lives before were born, the newest last
+	unlistedSince       time.Time // when it was first missing there
+	ended               bool      // this life has ended for certain
+	holdInFlight        bool      // a hold is under way
+	holdSentAt          time.Time
+	answeredHoldSentAt  time.Time // when the newest hold that was answered was sent
+	nextHoldAt          time.Time
+	silentSince         time.Time // no hold was answered since; zero: answered
+	lastAnswerAt        time.Time // newest answer to any order
+	orderUnanswered     bool      // an order sent after heardAt went unanswered
+	crashSuspects       []*task   // of its end, once its life is over
+	lossReported        bool      // a call went unanswered, and none was answered since
+	contactLoss         contact   // with it, since it was lost
+	runs                map[job.TaskID]*run
+	allocated           job.Resources             // by runs
+	fillerRuns          int                       // of runs
+	servingRuns         int                       // of runs, with a latency target
+	longRunningRuns     int                       // of runs, long-running
+	longRunningCPUMilli int                       // thousandths of a core that these use
+	unknownRuns         map[job.TaskID]unknownRun // runs of jobs that are not known yet
+	lastSeenEnd         uint64                    // highest end that was handled
+	lastAckedEnd        uint64                    // highest end that may be forgotten
+	unacked             []unackedEnd
+	unknownEnds         map[uint64]unknownEnd // ends of jobs that are not known yet
+	avoidUntil          time.Time             // no new tasks until then
+	recentEnds          endWindow             // recent ends, to find bad workers
+	nextThrottleAt      time.Time
+	roomView            *roomView  // newest view of its service that it is in
+	roomViewIndex       int        // its place there
+	sizeClass           *sizeClass // its place in the index of usable workers; nil: it is not there
+	indexedService      string     // the service of that index
+	indexedFreeCPUMilli int        // thousandths of a core that were free then
+	indexStale          bool       // it has to be indexed anew
+	avoidPenalty        time.Duration
+	consecutiveNoRoom   int // starts on end that it refused for want of room
+	reservedAt          time.Time
+	endOrdered          bool      // an order that ends this life was sent
+	idleSince           time.Time // nothing runs on it since; zero: something does
+	reserved            reservation
+
+	trialRuns     []*run    // those that were started as trials; some may be over
+	isolatedFor   *jobState // a suspect of it gets the worker once nothing else runs there; nil: none
+	isolatedUntil time.Time
+
+	preemptedFor   *stepState // runs were stopped for it; nil: for none
+	preemptedUntil time.Time  // until then it alone gets the room
 }
 
 // reservation is why a worker gets no new tasks; empty: it gets them.
@@ -254,19 +254,19 @@
 	reservedMove        reservation = "move"
 )
 
-type stranger struct {
+type unknownRun struct {
 	run   uint64
 	since time.Time
 }
 
-type waitingEnd struct {
+type unknownEnd struct {
 	end   RunEnd
 	since time.Time
 }
 
 // isReady reports whether nothing of the worker itself keeps new tasks from it.
 func (w *worker) isReady(now time.Time) bool {
-	return w.held && w.registered && !w.gone && !w.Draining && w.lease.known &&
+	return w.heldByUs && w.registered && !w.ended && !w.Draining && w.lease.known &&
 		w.reserved == "" && !w.silent() && !now.Before(w.avoidUntil)
 }
 
@@ -403,7 +403,7 @@
 	c := &Core{
 		opt:         opt,
 		token:       opt.Term,
-		lastRun:     opt.Term * termRuns,
+		lastRun:     opt.Term * runsPerTerm,
 		catalog:     catalog,
 		jobs:        map[job.ID]*jobState{},
 		open:        map[job.ID]*jobState{},
@@ -433,17 +433,17 @@
 		settled:     map[string]bool{},
 		awaited:     map[string]awaited{},
 		awaitedOf:   map[string]InstanceID{},
-		line:        newLine(opt.StartsAtOnce),
+		line:        newLine(opt.MaxPendingStarts),
 		leaveTo:     map[InstanceID]time.Time{},
 		startedAt:   now,
 		electedAt:   now,
 		settleAt:    now,
 	}
-	c.calls.Policy = opt.Calls
+	c.calls.Policy = opt.CallPolicy
 	if !opt.ElectedAt.IsZero() {
 		c.electedAt = opt.ElectedAt
 	}
-	for _, o := range opt.OrderedBefore {
+	for _, o := range opt.PriorOrders {
 		wait := min(opt.DutyHandover+DutyMargin, opt.DutyHandover+orderFlight-o.Age)
 		c.leaveTo[o.Instance] = c.electedAt.Add(wait)
 	}
--- a/jobs/owner/stats.go
+++ b/jobs/owner/stats.go
@@ -30,11 +30,11 @@
 func (c *Core) Stats(now time.Time) Stats {
 	s := Stats{Counts: c.counts, OpenJobs: len(c.open), Unrecorded: len(c.dirty), Moving: len(c.moves)}
 	for _, w := range c.workers {
-		if w.gone {
+		if w.ended {
 			continue
 		}
 		s.Running += len(w.runs)
-		if w.held {
+		if w.heldByUs {
 			s.Workers++
 		}
 		if c.isUsable(w, now) {
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -151,7 +151,7 @@
 	if w == nil {
 		return contribution{pool: i.Pool, idle: i.Worker == "", closed: closed}
 	}
-	k := contribution{closed: closed, pool: i.Pool, busy: w.used.CPUMilli, lasting: w.lastingCPU, idle: len(w.runs)+len(w.strangers) == 0}
+	k := contribution{closed: closed, pool: i.Pool, busy: w.allocated.CPUMilli, lasting: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
 	k.room, k.missing = i.roomOf(w)
 	if !k.idle {
 		w.idleSince = time.Time{}
@@ -185,6 +185,6 @@
 		w.idleSince = now
 	}
 	out.IdleFor = now.Sub(w.idleSince)
-	out.Movable = w.held && w.registered && !w.gone && !w.Draining && w.reserved == "" && !w.silent() && c.mayOrder(i.ID, now)
+	out.Movable = w.heldByUs && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.silent() && c.mayOrder(i.ID, now)
 	return out
 }
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -4,19 +4,19 @@
 
 // adopt takes over a run that an earlier owner started, or stops it.
 func (c *Core) adopt(w *worker, j *jobState, a ActiveRun, now time.Time) {
-	delete(w.strangers, a.Task)
+	delete(w.unknownRuns, a.Task)
 	c.begin(j, a.Task.Occurrence)
 	s := j.step(a.Task.Occurrence, a.Task.Step)
 	if s == nil || a.Task.Index >= len(s.tasks) {
 		return
 	}
-	if a.Run > c.opt.Term*termRuns {
+	if a.Run > c.opt.Term*runsPerTerm {
 		c.stopUnexpected(w, a, "it was given up for certain")
 		return
 	}
 	t := s.tasks[a.Task.Index]
-	r := &run{task: t, number: a.Run, worker: w, phase: running, sentAt: now, ackedAt: now, movedAt: now, percent: a.Percent, throttle: 100}
-	other := t.live()
+	r := &run{task: t, number: a.Run, worker: w, phase: running, sentAt: now, confirmedAt: now, progressAt: now, percent: a.Percent, throttlePercent: 100}
+	other := t.activeRun()
 	c.addRun(r)
 	c.touchWorker(w)
 	c.watchStall(r)
@@ -41,20 +41,20 @@
 // resolveStrangers handles what workers said of a job before it was known.
 func (c *Core) resolveStrangers(j *jobState, now time.Time) {
 	for _, w := range c.puzzling.sorted() {
-		for n, we := range w.waiting {
+		for n, we := range w.unknownEnds {
 			if we.end.Task.Job != j.spec.ID {
 				continue
 			}
-			delete(w.waiting, n)
+			delete(w.unknownEnds, n)
 			c.applyEnd(w, j, we.end, now)
 			for i := range w.unacked {
-				if w.unacked[i].number == n {
+				if w.unacked[i].seq == n {
 					w.unacked[i].job, w.unacked[i].version = j, j.version
 				}
 			}
 		}
 		c.advanceAck(w, now)
-		c.puzzling.put(w, len(w.strangers)+len(w.waiting) > 0)
+		c.puzzling.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
 	}
 }
 
@@ -62,16 +62,16 @@
 // and their ends forgotten.
 func (c *Core) expireStrangers(now time.Time) {
 	for _, w := range c.puzzling.sorted() {
-		for n, we := range w.waiting {
+		for n, we := range w.unknownEnds {
 			if now.Sub(we.since) > strangerWait {
-				delete(w.waiting, n)
+				delete(w.unknownEnds, n)
 				c.note(Decision{Event: "end-of-unknown-job", Task: we.end.Task.String(), Worker: w.Worker})
 				c.advanceAck(w, now)
 			}
 		}
-		for id, s := range w.strangers {
+		for id, s := range w.unknownRuns {
 			if now.Sub(s.since) > strangerWait {
-				w.strangers[id] = stranger{s.run, now}
+				w.unknownRuns[id] = unknownRun{s.run, now}
 				c.note(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: s.run})
 				c.out.Stops = append(c.out.Stops, Stop{Target: c.target(w), Task: id, Run: s.run, Timeout: OrderTimeout})
 			}
@@ -164,5 +164,5 @@
 		return false
 	}
 	w := c.workers[i.Worker]
-	return w == nil || !w.held && !w.gone
+	return w == nil || !w.heldByUs && !w.ended
 }
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -77,7 +77,7 @@
 		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 3, Stretch: 1.6, Objective: 600 * time.Millisecond}},
 		Services: []job.Service{{Name: "s"}},
 	}
-	opt := Options{Term: 4, TaskLease: fullLease, HoldWait: 900 * time.Millisecond, DutyHandover: 3 * time.Second, KeepStatus: time.Minute}
+	opt := Options{Term: 4, TaskLease: fullLease, HoldWait: 900 * time.Millisecond, DutyHandover: 3 * time.Second, StatusRetention: time.Minute}
 	f.core = New(opt, catalog, f.jobs(), f.begin)
 	f.place()
 	return f
@@ -110,12 +110,12 @@
 	for n := range busySteps * 24 {
 		id := job.TaskID{Job: simpleJob(busyJobs+n/24+1, 1).ID, Index: n % 24}
 		w := f.workers[busyID(n%busyWorkers)]
-		w.runs = append(w.runs, ActiveRun{Task: id, Run: 3*termRuns + uint64(n), Percent: 100})
+		w.runs = append(w.runs, ActiveRun{Task: id, Run: 3*runsPerTerm + uint64(n), Percent: 100})
 	}
 	for n := range busyWorkers * 4 { // ends that the owner before has not recorded
 		w := f.workers[busyID(n%busyWorkers)]
 		task := job.TaskID{Job: simpleJob(n/8+1, 1).ID, Index: n % 8}
-		w.ends = append(w.ends, RunEnd{Seq: uint64(len(w.ends) + 1), Task: task, Run: 3*termRuns + 1000 + uint64(n), Kind: EndDone})
+		w.ends = append(w.ends, RunEnd{Seq: uint64(len(w.ends) + 1), Task: task, Run: 3*runsPerTerm + 1000 + uint64(n), Kind: EndDone})
 	}
 }
 
@@ -231,7 +231,7 @@
 	assert.Zero(t, f.lapsed, "long-running tasks ended because their leases were not renewed")
 	held := 0
 	for _, w := range f.core.workers {
-		if w.held {
+		if w.heldByUs {
 			held++
 		}
 	}
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -21,7 +21,7 @@
 // no room that jobs within theirs could use in time.
 func (c *Core) takeShare(j *jobState) {
 	if !j.lasts() {
-		j.beyondShare = !c.shares.Take(j.spec.Tenant, j.spec.AcceptedAt)
+		j.overShare = !c.shares.Take(j.spec.Tenant, j.spec.AcceptedAt)
 	}
 }
 
@@ -88,7 +88,7 @@
 			continue
 		}
 		for _, s := range j.steps {
-			out[j.spec.Tenant] = out[j.spec.Tenant].Add(s.spec.Need.Times(s.idle))
+			out[j.spec.Tenant] = out[j.spec.Tenant].Add(s.spec.Need.Times(s.withoutRun))
 		}
 	}
 	return out
@@ -110,10 +110,10 @@
 // noteLimit says once for each job that a task of it waits for its tenant's limit.
 func (c *Core) noteLimit(s *stepState) {
 	j := s.job
-	if j.waitNoted {
+	if j.waitLogged {
 		return
 	}
-	j.waitNoted = true
+	j.waitLogged = true
 	used, limit := c.quotas.Used(j.spec.Tenant)
 	c.note(Decision{Event: "job-waits", Job: j.spec.ID,
 		Reason: "tenant " + j.spec.Tenant + " has " + used.String() + " running, its limit is " + limit.String()})
--- a/jobs/owner/together.go
+++ b/jobs/owner/together.go
@@ -26,22 +26,22 @@
 func (c *Core) lostWith(w *worker) togetherness {
 	rack, zone := lossCount{least: leastOfRack}, lossCount{least: leastOfZone}
 	count := func(o *worker) {
-		if o.endsByOrder() || !o.held || o.since.After(w.contact.lostAt) || o != w && c.shareSuspect(o, w) {
+		if o.endsByOrder() || !o.heldByUs || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareSuspect(o, w) {
 			return
 		}
-		lost := o.contact.overlaps(&w.contact)
-		if o.gone && !lost {
+		lost := o.contactLoss.overlaps(&w.contactLoss)
+		if o.ended && !lost {
 			return // it was over before
 		}
 		if w.Rack != "" && o.Rack == w.Rack {
-			rack.add(lost, o.gone)
+			rack.add(lost, o.ended)
 		}
 		if w.Zone != "" && o.Zone == w.Zone {
-			zone.add(lost, o.gone)
+			zone.add(lost, o.ended)
 		}
 	}
 	for _, o := range c.workers {
-		if !o.gone {
+		if !o.ended {
 			count(o)
 		}
 	}
@@ -60,8 +60,8 @@
 
 // suspectsOf returns the tasks that may have crashed the worker.
 func (c *Core) suspectsOf(w *worker) []*task {
-	if w.gone {
-		return w.suspects
+	if w.ended {
+		return w.crashSuspects
 	}
 	return c.openCrashes[w.life()]
 }
--- a/jobs/owner/unasked_test.go
+++ b/jobs/owner/unasked_test.go
@@ -101,7 +101,7 @@
 			task := job.TaskID{Job: loaded.Job.ID}
 			r.held(a, nil) // nothing runs there yet
 			r.tick(2 * time.Second)
-			r.held(a, []ActiveRun{{Task: task, Run: termRuns + 1}})
+			r.held(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
 			require.NotEmpty(t, r.stopsOf(task))
 			r.tick(time.Second)
 			assert.NotEmpty(t, r.stopsOf(task), "until it is answered")
@@ -115,7 +115,7 @@
 	r := newRig(t, 2, Loaded{Job: simpleJob(1, 1)})
 	a := r.worker("a")
 	task := job.TaskID{Job: simpleJob(1, 1).ID}
-	r.held(a, []ActiveRun{{Task: task, Run: termRuns + 1}})
+	r.held(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
 	require.Empty(t, r.stopsOf(task), "it is adopted")
 	r.core.Cancel(task.Job, r.now)
 	r.take()
@@ -125,9 +125,9 @@
 	// the cancelled job is heard of.
 	b := r.worker("b")
 	late := job.TaskID{Job: simpleJob(2, 1).ID}
-	r.held(b, []ActiveRun{{Task: late, Run: termRuns + 2}})
+	r.held(b, []ActiveRun{{Task: late, Run: runsPerTerm + 2}})
 	r.core.Cancel(late.Job, r.now)
 	r.core.Submit(simpleJob(2, 1), r.now)
-	r.held(b, []ActiveRun{{Task: late, Run: termRuns + 2}})
+	r.held(b, []ActiveRun{{Task: late, Run: runsPerTerm + 2}})
 	assert.NotEmpty(t, r.stopsOf(late))
 }
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -201,7 +201,7 @@
 			continue
 		}
 		w := c.present(d.life)
-		alive := w != nil && !w.gone && w.answered.After(d.accepted)
+		alive := w != nil && !w.ended && w.answeredHoldSentAt.After(d.accepted)
 		if w == nil && d.life.worker == "" {
 			i := c.instances[id]
 			alive = i != nil && i.State == InstanceUp && c.instAt.Sub(d.accepted) > doneBefore
@@ -263,7 +263,7 @@
 	for _, id := range ws.Instances {
 		w := c.workerOf(id)
 		_, down := ws.down[id]
-		if w != nil && w.reserved == reservedMaintenance && !w.gone && !down && !ws.begun[id] && !c.isDownForOther(ws, id) {
+		if w != nil && w.reserved == reservedMaintenance && !w.ended && !down && !ws.begun[id] && !c.isDownForOther(ws, id) {
 			out = append(out, candidate{id: id, w: w})
 		}
 	}
@@ -283,7 +283,7 @@
 		if w == nil && i.Worker != "" || c.moves[id] != nil || !c.mayOrder(id, now) {
 			continue // on its way to a pool: what runs there is not known yet
 		}
-		if w != nil && (w.gone || w.Draining || w.reserved != "" || !c.runsKnown(w, now)) {
+		if w != nil && (w.ended || w.Draining || w.reserved != "" || !c.runsKnown(w, now)) {
 			continue
 		}
 		cand := candidate{id: id, w: w}
@@ -302,7 +302,7 @@
 // runsKnown reports whether what runs on the worker is known: it has answered this
 // owner, or every lease of an earlier one has ended.
 func (c *Core) runsKnown(w *worker, now time.Time) bool {
-	return w.held || now.Sub(c.startedAt) > c.leaseBound()
+	return w.heldByUs || now.Sub(c.startedAt) > c.leaseBound()
 }
 
 // load returns the core-seconds that are left of what runs on the worker.
@@ -337,7 +337,7 @@
 	d := downSince{at: now, life: c.lifeOn(&c.instances[cand.id].Instance)}
 	ws.down[cand.id] = d
 	if cand.w != nil {
-		cand.w.departing = true
+		cand.w.endOrdered = true
 	}
 	c.note(Decision{Event: "maintenance-ordered", Worker: d.life.worker, Reason: string(cand.id)})
 	c.out.InstanceOrders = append(c.out.InstanceOrders, InstanceOrder{Instance: cand.id, Wave: ws.Wave})
@@ -385,14 +385,14 @@
 func (c *Core) reserve(w *worker, why reservation, now time.Time) {
 	w.reserved = why
 	w.reservedAt = now
-	c.maintaining.put(w, why == reservedMaintenance && !w.gone)
+	c.maintaining.put(w, why == reservedMaintenance && !w.ended)
 	c.touchWorker(w)
 }
 
 // unreserve lets a worker have new tasks again.
 func (c *Core) unreserve(w *worker) {
 	w.reserved = ""
-	w.departing = false
+	w.endOrdered = false
 	c.maintaining.put(w, false)
 	c.touchWorker(w)
 }
--- a/jobs/owner/window_test.go
+++ b/jobs/owner/window_test.go
@@ -80,7 +80,7 @@
 		r.core.React(r.now)
 		r.take()
 		for _, w := range all {
-			if r.core.workers[w].holding {
+			if r.core.workers[w].holdInFlight {
 				active := slices.DeleteFunc(r.activeOn(w), func(a ActiveRun) bool { return !began[a.Task] })
 				r.held(w, active)
 			}
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -39,7 +39,7 @@
 
 // holdAt says when the worker is to be held next.
 func (c *Core) holdAt(w *worker, at time.Time) {
-	w.nextHold = at
+	w.nextHoldAt = at
 	c.holdsDue.add(at, w)
 }
 
@@ -48,11 +48,11 @@
 	due := c.holdsDue.due(now)
 	slices.SortFunc(due, byID)
 	for _, w := range due {
-		if w.holding || w.gone || now.Before(w.nextHold) || c.workers[w.Worker] != w {
+		if w.holdInFlight || w.ended || now.Before(w.nextHoldAt) || c.workers[w.Worker] != w {
 			continue
 		}
-		w.holding = true
-		w.holdSent = now
+		w.holdInFlight = true
+		w.holdSentAt = now
 		c.out.Holds = append(c.out.Holds, Hold{
 			Target:       c.target(w),
 			LeaseUntilMs: c.renewal(w, now),
@@ -75,7 +75,7 @@
 // holdWait returns how long the worker is to wait for an end before it answers.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
-	case !w.held || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.inDoubt():
+	case !w.heldByUs || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.inDoubt():
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
@@ -88,21 +88,21 @@
 // holdPace returns how long each worker with tasks has to wait for the daemon to bear the
 // holds of all of them.
 func (c *Core) holdPace() time.Duration {
-	if c.opt.HoldsPerSec <= 0 {
+	if c.opt.MaxHoldsPerSec <= 0 {
 		return 0
 	}
 	atWork := 0
 	for _, p := range c.pools {
 		atWork += p.supply.instances - len(p.supply.idle)
 	}
-	return time.Duration(float64(atWork) / c.opt.HoldsPerSec * float64(time.Second))
+	return time.Duration(float64(atWork) / c.opt.MaxHoldsPerSec * float64(time.Second))
 }
 
 // inDoubt reports whether the worker's list has to tell if a start without an answer
 // began: the task stands still until it does.
 func (w *worker) inDoubt() bool {
 	for _, r := range w.runs {
-		if r.phase == starting && !r.givenUp.IsZero() {
+		if r.phase == starting && !r.startAbandonedAt.IsZero() {
 			return true
 		}
 	}
@@ -120,7 +120,7 @@
 
 // silent reports whether the newest order to w, or its newest hold, went
 // unanswered, and nothing was heard of it since.
-func (w *worker) silent() bool { return !w.silentSince.IsZero() || w.suspect }
+func (w *worker) silent() bool { return !w.silentSince.IsZero() || w.orderUnanswered }
 
 // heardOrder takes note of the answer to an order, or that there is none. An order that is
 // lost on its way says nothing of the worker: the hold that is under way tells whether it is
@@ -146,20 +146,20 @@
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
 		c.calls.Answered()
-		w.lossTold = false
+		w.lossReported = false
 	case a.ConnFailed:
-	case w.lossTold:
+	case w.lossReported:
 		c.calls.LostAgain()
 	default:
 		c.calls.Lost()
-		w.lossTold = true
+		w.lossReported = true
 	}
 }
 
 // heard takes note of an answer, or that there is none.
 func (c *Core) heard(w *worker, a Answer, now time.Time) {
 	c.touchWorker(w)
-	if w.gone {
+	if w.ended {
 		return // an answer that was on its way
 	}
 	if a.Outcome == Unanswered {
@@ -170,17 +170,17 @@
 		return // which says nothing of this life's answers
 	}
 	w.lease.heard(a.ClockMs, now)
-	w.heardAt = now
-	w.suspect = false
-	w.contact = contact{}
+	w.lastAnswerAt = now
+	w.orderUnanswered = false
+	w.contactLoss = contact{}
 	c.clearSurvivors(w, now)
 	c.judgeAnswer(a.Latency, now)
 }
 
 // unheard takes note of an order, sent at sent, that went unanswered.
 func (c *Core) unheard(w *worker, sent time.Time) {
-	if w.heardAt.Before(sent) {
-		w.suspect = true
+	if w.lastAnswerAt.Before(sent) {
+		w.orderUnanswered = true
 		c.touchWorker(w)
 	}
 }
@@ -191,19 +191,19 @@
 	if w == nil {
 		return
 	}
-	w.holding = false
+	w.holdInFlight = false
 	if h.Outcome == Taken {
 		switch w.relation(h.StartedMs) {
 		case formerLife:
 			c.holdAt(w, now.Add(holdRetry))
 			return
 		case nextLife:
-			sent := w.holdSent
+			sent := w.holdSentAt
 			w = c.beginLife(w, h.StartedMs, "its list is of another life", now)
-			w.holdSent = sent
+			w.holdSentAt = sent
 		}
 	}
-	if w.gone {
+	if w.ended {
 		return // sent before the end of its life, and nothing of it runs any more
 	}
 	c.tallyCall(w, h.Answer)
@@ -235,23 +235,23 @@
 		w.silentSince = time.Time{}
 		c.silent.put(w, false)
 	}
-	first := !w.held
-	w.held = true
-	w.answered = w.holdSent
+	first := !w.heldByUs
+	w.heldByUs = true
+	w.answeredHoldSentAt = w.holdSentAt
 	for _, e := range h.Ends {
-		if e.Seq > w.seen {
-			w.seen = e.Seq
+		if e.Seq > w.lastSeenEnd {
+			w.lastSeenEnd = e.Seq
 			c.onEnd(w, e, now)
 		}
 	}
 	c.onActive(w, h.Active, now)
-	c.puzzling.put(w, len(w.strangers)+len(w.waiting) > 0)
-	w.nextHold = now
+	c.puzzling.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
+	w.nextHoldAt = now
 	c.advanceAck(w, now)
 	if len(w.unacked) > 0 {
-		w.nextHold = now.Add(ackWait)
+		w.nextHoldAt = now.Add(ackWait)
 	}
-	c.holdAt(w, w.nextHold)
+	c.holdAt(w, w.nextHoldAt)
 	if first {
 		c.note(Decision{Event: "worker-held", Worker: w.Worker, Reason: w.Service})
 	}
@@ -295,13 +295,13 @@
 		if listed[id] {
 			continue
 		}
-		if r.neverBegan(w.holdSent) {
-			r.unbegun = true
+		if r.neverBegan(w.holdSentAt) {
+			r.neverStarted = true
 			r.task.forgetCrash(r.number)
 			c.stop(r, "its start was not answered, and it does not run", now)
 			continue
 		}
-		confirmed := r.phase != starting && !r.ackedAt.IsZero() && w.holdSent.After(r.ackedAt)
+		confirmed := r.phase != starting && !r.confirmedAt.IsZero() && w.holdSentAt.After(r.confirmedAt)
 		if !confirmed {
 			continue
 		}
@@ -311,9 +311,9 @@
 			c.note(Decision{Event: "run-vanished", Job: id.Job, Task: id.String(), Worker: w.Worker, Run: r.number})
 		}
 	}
-	for id := range w.strangers {
+	for id := range w.unknownRuns {
 		if !listed[id] {
-			delete(w.strangers, id)
+			delete(w.unknownRuns, id)
 		}
 	}
 }
@@ -326,12 +326,12 @@
 	}
 	j := c.jobs[a.Task.Job]
 	if j == nil {
-		if _, known := w.strangers[a.Task]; !known {
-			w.strangers[a.Task] = stranger{a.Run, now}
+		if _, known := w.unknownRuns[a.Task]; !known {
+			w.unknownRuns[a.Task] = unknownRun{a.Run, now}
 		}
 		return
 	}
-	if j.forgotten {
+	if j.stepsDropped {
 		c.stopUnexpected(w, a, "its job is over")
 		return
 	}
@@ -339,21 +339,21 @@
 }
 
 func (c *Core) onProgress(r *run, a ActiveRun, now time.Time) {
-	r.lost = false
-	if r.former {
-		r.former = false
+	r.mayStartLate = false
+	if r.fromPastIncarnation {
+		r.fromPastIncarnation = false
 		r.task.forgetCrash(r.number)
 	}
 	if r.phase == starting {
 		r.phase = running
-		r.ackedAt = now
-		r.movedAt = now
+		r.confirmedAt = now
+		r.progressAt = now
 	}
 	c.watchStall(r)
 	c.noteBegun(r, now)
 	if a.Percent != r.percent {
 		r.percent = a.Percent
-		r.movedAt = now
+		r.progressAt = now
 	}
 	r.usage = a.Usage
 	c.clearLasting(r, now)
@@ -364,10 +364,10 @@
 
 // lifeOver handles the certain end of a worker's life: nothing runs there.
 func (c *Core) lifeOver(w *worker, proof string, now time.Time) {
-	if w.gone {
+	if w.ended {
 		return
 	}
-	w.gone = true
+	w.ended = true
 	c.over.put(w, true)
 	c.maintaining.put(w, false)
 	c.silent.put(w, false)
@@ -387,7 +387,7 @@
 // none: what was done there may be in answers that it has not read.
 func (c *Core) expireLeases(now time.Time) {
 	for id, w := range c.over {
-		if !w.registered && !w.holding {
+		if !w.registered && !w.holdInFlight {
 			c.forget(id)
 		}
 	}
@@ -402,7 +402,7 @@
 				c.lose(r, "its lease is over", now)
 			}
 		}
-		if !w.registered && len(w.runs) == 0 && !w.holding && now.Sub(w.silentSince) > c.opt.TaskLease*2 {
+		if !w.registered && len(w.runs) == 0 && !w.holdInFlight && now.Sub(w.silentSince) > c.opt.TaskLease*2 {
 			c.forget(id) // it is known anew if it registers again
 		}
 	}
--- a/jobs/owner/writequeue.go
+++ b/jobs/owner/writequeue.go
@@ -27,7 +27,7 @@
 
 func (j *jobState) writeClass() writeClass {
 	switch {
-	case j.crashNew:
+	case j.crashUnstored:
 		return writeCrashed
 	case j.state.Final():
 		return writeEnded
@@ -44,9 +44,9 @@
 // this is the last one, but for jobs that end.
 func (q *writeQueue) add(j *jobState) {
 	list := &q[j.writeClass()]
-	at, found := slices.BinarySearchFunc(*list, j.turn, func(e writeTurn, turn uint64) int { return cmp.Compare(e.turn, turn) })
+	at, found := slices.BinarySearchFunc(*list, j.writeSeq, func(e writeTurn, turn uint64) int { return cmp.Compare(e.turn, turn) })
 	if !found {
-		*list = slices.Insert(*list, at, writeTurn{j, j.turn})
+		*list = slices.Insert(*list, at, writeTurn{j, j.writeSeq})
 	}
 }
 
@@ -66,7 +66,7 @@
 
 // holds reports whether the job still has this turn.
 func (e writeTurn) holds(class writeClass, dirty map[job.ID]*jobState) bool {
-	return e.job.turn == e.turn && e.job.writeClass() == class && dirty[e.job.spec.ID] == e.job
+	return e.job.writeSeq == e.turn && e.job.writeClass() == class && dirty[e.job.spec.ID] == e.job
 }
 
 // trim drops entries at the front that do not hold any more.
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -164,10 +164,10 @@
 		startsAtOnce = s.shell.startsAtOnce()
 	}
 	s.core = owner.New(owner.Options{
-		StartsAtOnce: startsAtOnce,
-		Term:         s.term, TaskLease: taskLease, HoldWait: holdWait, KeepStatus: 2 * time.Minute,
-		DutyHandover: dutyHandover, OrderedBefore: s.orderedOfLate(), ElectedAt: s.electedAt,
-		Weights: capacity.DefaultWeights, Pools: s.scenario.Size, Order: s.scenario.Order, Calls: s.scenario.Calls,
+		MaxPendingStarts: startsAtOnce,
+		Term:             s.term, TaskLease: taskLease, HoldWait: holdWait, StatusRetention: 2 * time.Minute,
+		DutyHandover: dutyHandover, PriorOrders: s.orderedOfLate(), ElectedAt: s.electedAt,
+		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.Size, JobOrder: s.scenario.Order, CallPolicy: s.scenario.Calls,
 	}, s.catalog, loaded, s.engine.now)
 	s.commits = false
 	s.listInstances()
