--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -57,7 +57,7 @@
 	}
 }
 
-func (t *termRun) advise(ctx context.Context, q owner.Question) owner.Advice {
+func (t *termRun) advise(ctx context.Context, q owner.AdviceQuery) owner.Advice {
 	if t.n.platform.Advisor == nil {
 		return owner.Advice{Err: errors.New("a queue needs advice, and the settings name no advisor")}
 	}
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -248,7 +248,7 @@
 	t.lastReport = now
 	stats := t.core.Stats(now)
 	t.idle.Store(stats.OpenJobs == 0 && stats.Unrecorded == 0)
-	t.behind.Store(t.core.IsBehind(now))
+	t.behind.Store(t.core.IsBacklogged(now))
 	t.overloaded.Store(t.core.StarvedFor(now) > overloadedAfter)
 	t.n.metrics.owner(stats)
 }
@@ -414,7 +414,7 @@
 // admit tells by how much a job would be late if it was accepted now.
 func (t *termRun) admit(j *job.Job) peer.AdmitReply {
 	r, _ := ask(t, func(c *owner.Core) peer.AdmitReply {
-		return peer.AdmitReply{Owner: true, LateBy: c.LateBy(j, t.n.clock.Now())}
+		return peer.AdmitReply{Owner: true, LateBy: c.ExpectedLateness(j, t.n.clock.Now())}
 	})
 	return r
 }
--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -9,8 +9,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Question asks the advisor which workers may run a step.
-type Question struct {
+// AdviceQuery asks the advisor which workers may run a step.
+type AdviceQuery struct {
 	Step    StepID
 	Workers []WorkerID
 }
@@ -43,7 +43,7 @@
 
 // Advisor says which workers may run the steps of some queues.
 type Advisor interface {
-	Advise(ctx context.Context, q Question) Advice
+	Advise(ctx context.Context, q AdviceQuery) Advice
 }
 
 // Figures of advice.
@@ -115,7 +115,7 @@
 		return
 	}
 	sort.SliceStable(list, func(a, b int) bool { return list[a].free().CPUMilli > list[b].free().CPUMilli })
-	q := Question{Step: s.id()}
+	q := AdviceQuery{Step: s.id()}
 	for _, w := range list[:min(len(list), advisedWorkers)] {
 		q.Workers = append(q.Workers, w.Worker)
 	}
@@ -127,7 +127,7 @@
 
 // OnAdvice takes the advisor's answer. Tickets count from the question on, as
 // it is not known when they were written.
-func (c *Core) OnAdvice(q Question, a Advice, now time.Time) {
+func (c *Core) OnAdvice(q AdviceQuery, a Advice, now time.Time) {
 	c.questions--
 	j := c.jobs[q.Step.Job]
 	if j == nil {
--- a/jobs/owner/line.go
+++ b/jobs/owner/line.go
@@ -124,12 +124,12 @@
 	return len(l.held) > 0 && l.rate > 0 && now.Sub(l.since) <= rateForgotten
 }
 
-// IsBehind reports whether work waits for its orders to be sent.
-func (c *Core) IsBehind(now time.Time) bool { return c.line.isBehind(now) }
+// IsBacklogged reports whether work waits for its orders to be sent.
+func (c *Core) IsBacklogged(now time.Time) bool { return c.line.isBehind(now) }
 
-// LateBy returns by how much a job that was accepted now would be late, because starts that
+// ExpectedLateness returns by how much a job that was accepted now would be late, because starts that
 // go before its own wait to be sent; 0 if it would not be, or does not run now.
-func (c *Core) LateBy(spec *job.Job, now time.Time) time.Duration {
+func (c *Core) ExpectedLateness(spec *job.Job, now time.Time) time.Duration {
 	if !c.line.isBehind(now) || spec.Repeat > 0 || spec.Steps[0].LongRunning {
 		return 0
 	}
@@ -149,7 +149,7 @@
 
 // readyBefore counts the tasks that can start and go before those of a claim, of jobs that
 // wait in this order.
-func readyBefore(waiting []claim, cl claim, policy OrderPolicy) int {
+func readyBefore(waiting []claim, cl claim, policy SchedulingPolicy) int {
 	n := 0
 	for _, w := range waiting {
 		if w.compare(cl, policy) > 0 {
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -42,33 +42,33 @@
 	return cl
 }
 
-// OrderPolicy says which of the waiting jobs gets room first.
-type OrderPolicy string
+// SchedulingPolicy says which of the waiting jobs gets room first.
+type SchedulingPolicy string
 
-// The policies. All but OrderByWorth are baselines that measurements compare
+// The policies. All but SchedulePriority are baselines that measurements compare
 // with. Long-running jobs come first in each.
 const (
-	OrderByWorth      OrderPolicy = "worth"              // in time before late, then priority, then least work
-	OrderFirstInFirst OrderPolicy = "first-in-first-out" // by when they were accepted
-	OrderShortest     OrderPolicy = "shortest"           // least remaining work
-	OrderSlack        OrderPolicy = "slack"              // in time before late, then least time to spare
+	SchedulePriority      SchedulingPolicy = "worth"              // in time before late, then priority, then least work
+	ScheduleFIFO          SchedulingPolicy = "first-in-first-out" // by when they were accepted
+	ScheduleShortestFirst SchedulingPolicy = "shortest"           // least remaining work
+	ScheduleLeastSlack    SchedulingPolicy = "slack"              // in time before late, then least time to spare
 )
 
 // compare orders claims; a comes first if it is negative.
-func (a claim) compare(b claim, policy OrderPolicy) int {
+func (a claim) compare(b claim, policy SchedulingPolicy) int {
 	if (a.band == bandLasting) != (b.band == bandLasting) {
 		return boolFirst(a.band == bandLasting)
 	}
-	if policy != OrderFirstInFirst && policy != OrderShortest {
+	if policy != ScheduleFIFO && policy != ScheduleShortestFirst {
 		if order := cmp.Or(cmp.Compare(a.band, b.band), cmp.Compare(a.priority, b.priority)); order != 0 {
 			return order
 		}
 	}
 	order := 0
 	switch policy {
-	case OrderFirstInFirst:
+	case ScheduleFIFO:
 		order = a.accepted.Compare(b.accepted)
-	case OrderSlack:
+	case ScheduleLeastSlack:
 		order = cmp.Or(cmp.Compare(a.slack, b.slack), cmp.Compare(a.work, b.work))
 	default:
 		order = cmp.Compare(a.work, b.work)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -33,7 +33,7 @@
 	Weights            capacity.Weights
 	MaxMovesPerSec     float64 // that the platform accepts; 0: any number
 	PoolPolicy         capacity.Policy
-	JobOrder           OrderPolicy
+	JobOrder           SchedulingPolicy
 }
 
 // runsPerTerm is how many runs an owner can start in one term.
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -280,5 +280,5 @@
 	Holds          []Hold
 	InstanceOrders []InstanceOrder
 	WaveStatuses   []WaveStatus
-	Questions      []Question
+	Questions      []AdviceQuery
 }
--- a/jobs/owner/window_test.go
+++ b/jobs/owner/window_test.go
@@ -140,7 +140,7 @@
 	}
 	like := simpleJob(900, width)
 	like.Steps[0].Estimate = estimate
-	assert.Zero(t, r.core.LateBy(like, r.now), "nothing waits")
+	assert.Zero(t, r.core.ExpectedLateness(like, r.now), "nothing waits")
 	for n := range jobs {
 		j := simpleJob(1+n, width)
 		j.AcceptedAt = r.now
@@ -164,25 +164,25 @@
 		answer()
 	}
 	r.out.Holds = nil
-	assert.True(t, r.core.IsBehind(r.now))
-	assert.Zero(t, r.core.LateBy(like, r.now), "its work is less than the others'")
+	assert.True(t, r.core.IsBacklogged(r.now))
+	assert.Zero(t, r.core.ExpectedLateness(like, r.now), "its work is less than the others'")
 
 	more := simpleJob(901, width)
 	more.Steps[0].Estimate = 10 * estimate
 	more.Steps[0].Count = 2 * width
 	wait := float64(jobs*width-60) / 40
 	spare := 2*10.0 + 1 - 10 // stretch and objective of the queue, less the chain
-	assert.Zero(t, r.core.LateBy(more, r.now), "%.1f s to spare for a wait of %.1f s", spare, wait)
+	assert.Zero(t, r.core.ExpectedLateness(more, r.now), "%.1f s to spare for a wait of %.1f s", spare, wait)
 
 	r.core.catalog.Queues[0].Stretch = 1
-	assert.InDelta(t, wait-1, r.core.LateBy(more, r.now).Seconds(), 0.3*wait)
+	assert.InDelta(t, wait-1, r.core.ExpectedLateness(more, r.now).Seconds(), 0.3*wait)
 	lasting, timed := *more, *more
 	lasting.Steps = []job.Step{{Count: 8, LongRunning: true}}
 	timed.Repeat, timed.StartAt = 1, r.now.Add(time.Hour)
-	assert.Zero(t, r.core.LateBy(&lasting, r.now))
-	assert.Zero(t, r.core.LateBy(&timed, r.now))
+	assert.Zero(t, r.core.ExpectedLateness(&lasting, r.now))
+	assert.Zero(t, r.core.ExpectedLateness(&timed, r.now))
 	for range jobs * width {
 		answer()
 	}
-	assert.Zero(t, r.core.LateBy(more, r.now), "all are started")
+	assert.Zero(t, r.core.ExpectedLateness(more, r.now), "all are started")
 }
--- a/jobs/policy/policy.go
+++ b/jobs/policy/policy.go
@@ -23,7 +23,7 @@
 
 // Jobs is about which job gets room first.
 type Jobs struct {
-	Order owner.OrderPolicy `toml:"order" validate:"oneof=worth first-in-first-out shortest slack"`
+	Order owner.SchedulingPolicy `toml:"order" validate:"oneof=worth first-in-first-out shortest slack"`
 }
 
 // Pools is about how many instances a pool has.
@@ -39,7 +39,7 @@
 // Default returns the settings that hold where a file says nothing.
 func Default() Settings {
 	return Settings{
-		Jobs:    Jobs{Order: owner.OrderByWorth},
+		Jobs:    Jobs{Order: owner.SchedulePriority},
 		Workers: Workers{Calls: calls.Adaptive},
 		Pools: Pools{
 			Size:           capacity.Demand,
--- a/jobs/policy/policy_test.go
+++ b/jobs/policy/policy_test.go
@@ -22,14 +22,14 @@
 func TestTheDeployedFileIsValid(t *testing.T) {
 	s, err := Load("../../deploy/policy.toml")
 	require.NoError(t, err)
-	assert.Equal(t, owner.OrderByWorth, s.Jobs.Order)
+	assert.Equal(t, owner.SchedulePriority, s.Jobs.Order)
 	assert.Equal(t, capacity.Demand, s.Pools.Size)
 }
 
 func TestDefaultsHoldWhereAFileSaysNothing(t *testing.T) {
 	s, err := Load(write(t, "[jobs]\norder = \"slack\"\n"))
 	require.NoError(t, err)
-	assert.Equal(t, owner.OrderSlack, s.Jobs.Order)
+	assert.Equal(t, owner.ScheduleLeastSlack, s.Jobs.Order)
 	assert.Equal(t, capacity.DefaultWeights, s.Pools.Weights())
 }
 
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -97,7 +97,7 @@
 		sc.Size = capacity.Demand
 	}
 	if sc.Order == "" {
-		sc.Order = owner.OrderByWorth
+		sc.Order = owner.SchedulePriority
 	}
 	s := &sim{
 		scenario: sc, engine: newEngine(), rand: rand.New(rand.NewPCG(sc.Seed, 1)),
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -21,7 +21,7 @@
 	Daemon    *Daemon // the owner's; nil: its work takes no time
 
 	Size  capacity.Policy
-	Order owner.OrderPolicy
+	Order owner.SchedulingPolicy
 	Calls calls.Policy
 
 	// Observe is told each decision of an owner; it may be nil.
