--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -95,7 +95,7 @@
 		return *reply, nil
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.conns.Leave(conn)
+			c.conns.Retire(conn)
 		}
 		return none, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeer, "peer %s", addr)
 	}
@@ -107,7 +107,7 @@
 	}
 	var answered rpc.ServerError
 	if !errors.As(err, &answered) {
-		c.conns.Drop(conn)
+		c.conns.Discard(conn)
 	}
 	return verdict.Wrap(err, verdict.MayHaveRun, CodePeer, "peer %s", addr)
 }
--- a/internal/jobmatrix/pending_test.go
+++ b/internal/jobmatrix/pending_test.go
@@ -19,7 +19,7 @@
 	r := httptest.NewRequest(http.MethodGet, ordersPrefix, nil)
 	r.Host = "jobs.example"
 	w := httptest.NewRecorder()
-	d.Node.Callers().ServeHTTP(w, r)
+	d.Node.CallerHandler().ServeHTTP(w, r)
 	var out struct{ Pending int }
 	ok = w.Code == http.StatusOK && json.Unmarshal(w.Body.Bytes(), &out) == nil
 	return out.Pending, ok
--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -39,17 +39,17 @@
 	return n, err
 }
 
-// Ended reports whether the other side, or the network, has ended the connection.
-func (c *Conn) Ended() bool { return c.ended.ended.Load() }
+// Broken reports whether the other side, or the network, has ended the connection.
+func (c *Conn) Broken() bool { return c.ended.ended.Load() }
 
 // Get returns the kept connection to addr, or one that dial opens if there is none or it
 // has ended. The call that it is for ends with Release.
 func (p *Pool) Get(addr string, dial func() (net.Conn, error)) (*Conn, error) {
 	if kept := p.take(addr); kept != nil {
-		if !kept.Ended() {
+		if !kept.Broken() {
 			return kept, nil
 		}
-		p.Drop(kept)
+		p.Discard(kept)
 		p.Release(kept)
 	}
 	raw, err := dial()
@@ -99,18 +99,18 @@
 	}
 }
 
-// Leave takes a connection on which an answer is late out of use: it may have gone
+// Retire takes a connection on which an answer is late out of use: it may have gone
 // silent. Calls under way keep it, as the peer may be slow with that one answer alone;
 // a slow peer would else do the work of all of them twice.
-func (p *Pool) Leave(c *Conn) {
+func (p *Pool) Retire(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.left = true
 	p.forget(c)
 }
 
-// Drop closes a connection that failed.
-func (p *Pool) Drop(c *Conn) {
+// Discard closes a connection that failed.
+func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
 	p.forget(c)
 	p.mu.Unlock()
--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -21,12 +21,12 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Jobs is what the gateway needs of the daemon.
-type Jobs interface {
+// JobService is what the gateway needs of the daemon.
+type JobService interface {
 	// Catalog returns the configuration in force, nil before the first one.
 	Catalog() *job.Catalog
-	// Confirmed reports whether that is certain to be the newest one, or may pass for it.
-	Confirmed() bool
+	// ConfigConfirmed reports whether that is certain to be the newest one, or may pass for it.
+	ConfigConfirmed() bool
 	Accept(ctx context.Context, j *job.Job) error
 	// Cancel cancels a job for a tenant; it reports whether the job is known.
 	Cancel(ctx context.Context, id job.ID, tenant string) (bool, error)
@@ -35,8 +35,8 @@
 	Pending(ctx context.Context, queue string) (int, error)
 }
 
-// Decoder decodes the body of a submission.
-type Decoder func(raw []byte) (*job.Job, error)
+// JobDecoder decodes the body of a submission.
+type JobDecoder func(raw []byte) (*job.Job, error)
 
 // KeyReader returns the key that a call carries, "" if it carries none.
 type KeyReader func(h http.Header) string
@@ -66,21 +66,21 @@
 
 // Gateway is an http.Handler.
 type Gateway struct {
-	jobs     Jobs
+	jobs     JobService
 	key      KeyReader
-	decode   Decoder
+	decode   JobDecoder
 	observe  Observer
 	log      *zap.Logger
 	stopping atomic.Bool
 }
 
 // New returns a gateway.
-func New(jobs Jobs, key KeyReader, decode Decoder, observe Observer, log *zap.Logger) *Gateway {
+func New(jobs JobService, key KeyReader, decode JobDecoder, observe Observer, log *zap.Logger) *Gateway {
 	return &Gateway{jobs: jobs, key: key, decode: decode, observe: observe, log: log}
 }
 
-// Stop makes each answer the last one on its connection.
-func (g *Gateway) Stop() { g.stopping.Store(true) }
+// DisableKeepAlives makes each answer the last one on its connection.
+func (g *Gateway) DisableKeepAlives() { g.stopping.Store(true) }
 
 // reply is what is answered to a caller.
 type reply struct {
@@ -90,13 +90,13 @@
 	retry   time.Duration // when to come back; 0: it is not said
 }
 
-// Overloaded says that a job was refused because it could not be done in time, and after
+// OverloadedError says that a job was refused because it could not be done in time, and after
 // which time it could.
-type Overloaded struct{ After time.Duration }
+type OverloadedError struct{ RetryAfter time.Duration }
 
 // Error implements error.
-func (e *Overloaded) Error() string {
-	return fmt.Sprintf("it would be late by %s", e.After.Round(time.Millisecond))
+func (e *OverloadedError) Error() string {
+	return fmt.Sprintf("it would be late by %s", e.RetryAfter.Round(time.Millisecond))
 }
 
 type stateBody struct {
@@ -176,7 +176,7 @@
 	key := g.key(r.Header)
 	tenant, ok := catalog.Keys.Tenant(key)
 	switch {
-	case ok && g.jobs.Confirmed():
+	case ok && g.jobs.ConfigConfirmed():
 		return tenant, nil
 	case ok:
 		return "", &reply{status: http.StatusServiceUnavailable, problem: "whether the key is still good is not known at present", retry: retryAfter}
@@ -264,9 +264,9 @@
 
 // retryOf returns when a caller should come back whose request has not run.
 func retryOf(err error) time.Duration {
-	var overloaded *Overloaded
+	var overloaded *OverloadedError
 	if errors.As(err, &overloaded) {
-		return max(retryAfter, overloaded.After)
+		return max(retryAfter, overloaded.RetryAfter)
 	}
 	return retryAfter
 }
--- a/jobs/gateway/gateway_test.go
+++ b/jobs/gateway/gateway_test.go
@@ -31,7 +31,7 @@
 	accepted []*job.Job
 }
 
-func (f *fakeJobs) Confirmed() bool { return !f.stale }
+func (f *fakeJobs) ConfigConfirmed() bool { return !f.stale }
 
 func (f *fakeJobs) Catalog() *job.Catalog { return f.catalog }
 
@@ -137,7 +137,7 @@
 
 func TestStoppingGatewayEndsConnections(t *testing.T) {
 	g := New(&fakeJobs{catalog: catalog(), known: true}, keyOf, decode, noObserver{}, zap.NewNop())
-	g.Stop()
+	g.DisableKeepAlives()
 	r := httptest.NewRequest(http.MethodGet, "/a/"+id, nil)
 	r.Host = "h.example"
 	w := httptest.NewRecorder()
@@ -155,8 +155,8 @@
 	}{
 		{notRun, "1"},
 		{mayHave, "1"},
-		{verdict.Wrap(&Overloaded{After: 2300 * time.Millisecond}, verdict.NotRun, "overloaded", "job"), "3"},
-		{verdict.Wrap(&Overloaded{After: time.Millisecond}, verdict.NotRun, "overloaded", "job"), "1"},
+		{verdict.Wrap(&OverloadedError{RetryAfter: 2300 * time.Millisecond}, verdict.NotRun, "overloaded", "job"), "3"},
+		{verdict.Wrap(&OverloadedError{RetryAfter: time.Millisecond}, verdict.NotRun, "overloaded", "job"), "1"},
 	} {
 		g := New(&fakeJobs{catalog: catalog(), err: c.err}, keyOf, decode, noObserver{}, zap.NewNop())
 		r := httptest.NewRequest(http.MethodPost, "http://h.example/a/"+id, strings.NewReader("good"))
--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -31,7 +31,7 @@
 		return nil // accepted before, or that is not known: accepting decides
 	}
 	n.log.Info("job-not-admitted", zap.String("job", string(j.ID)), zap.String("queue", j.Queue), zap.Duration("late-by", late))
-	return verdict.Wrap(&gateway.Overloaded{After: late}, verdict.NotRun, codeOverloaded, "job %s", j.ID)
+	return verdict.Wrap(&gateway.OverloadedError{RetryAfter: late}, verdict.NotRun, codeOverloaded, "job %s", j.ID)
 }
 
 // lateBy asks the owner by how much the job would be late, 0 if it cannot tell.
--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -68,7 +68,7 @@
 
 // applyEvacuation takes an operators' request to evacuate a zone, or that it was taken back.
 func (n *Node) applyEvacuation(e ledger.Event) {
-	zone := strings.TrimPrefix(e.Key, n.platform.Dialect.EvacuationPrefix)
+	zone := strings.TrimPrefix(e.Key, n.platform.Formats.EvacuationPrefix)
 	if zone == "" {
 		n.refused.refuse(e.Key, e.Revision, errors.New("it names no zone"))
 		return
--- a/jobs/node/handler.go
+++ b/jobs/node/handler.go
@@ -52,14 +52,14 @@
 // Relay implements peer.Handler. It goes the direct way only, so that calls do
 // not circle between daemons.
 func (h peerHandler) Relay(r peer.RelayRequest) peer.RelayReply {
-	return peer.Answer(h.n.platform.Store, r)
+	return peer.ServeRelay(h.n.platform.Store, r)
 }
 
-// Look implements peer.Handler.
-func (h peerHandler) Look(addr string) peer.Presence {
+// CheckPresence implements peer.Handler.
+func (h peerHandler) CheckPresence(addr string) peer.Presence {
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	return h.n.peers.Look(ctx, addr)
+	return h.n.peers.CheckPresence(ctx, addr)
 }
 
 // ownState answers from this daemon's term, if it has one.
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -223,7 +223,7 @@
 // watchOperators follows the configuration, the waves and the evacuations.
 func (n *Node) watchOperators(ctx context.Context) {
 	n.follow(ctx, follower{
-		prefix: n.platform.Dialect.OperatorKeys,
+		prefix: n.platform.Formats.OperatorPrefix,
 		reset:  n.evacuations.beginList,
 		apply:  n.applyOperators,
 		heard:  n.operatorsListed,
@@ -232,13 +232,13 @@
 
 func (n *Node) applyOperators(e ledger.Event) {
 	switch {
-	case strings.HasPrefix(e.Key, n.platform.Dialect.EvacuationPrefix):
+	case strings.HasPrefix(e.Key, n.platform.Formats.EvacuationPrefix):
 		n.applyEvacuation(e)
 	case e.Deleted:
 		n.refused.accept(e.Key)
-	case e.Key == n.platform.Dialect.ConfigKey:
+	case e.Key == n.platform.Formats.ConfigKey:
 		n.configure(e.Item)
-	case strings.HasPrefix(e.Key, n.platform.Dialect.WavePrefix):
+	case strings.HasPrefix(e.Key, n.platform.Formats.WavePrefix):
 		n.addWave(e.Item)
 	}
 }
@@ -246,7 +246,7 @@
 // configure applies a configuration, unless a newer one is in force. One that cannot be
 // used leaves the one before in force.
 func (n *Node) configure(i ledger.Item) {
-	c, err := n.platform.Dialect.DecodeCatalog(i.Value)
+	c, err := n.platform.Formats.DecodeCatalog(i.Value)
 	if err != nil {
 		n.refused.refuse(i.Key, i.Revision, err)
 		return
@@ -264,7 +264,7 @@
 }
 
 func (n *Node) addWave(i ledger.Item) {
-	w, err := n.platform.Dialect.DecodeWave(i.Value)
+	w, err := n.platform.Formats.DecodeWave(i.Value)
 	if err != nil {
 		n.refused.refuse(i.Key, i.Revision, err)
 		return
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -21,19 +21,19 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Dialect is how the platform spells what others write into its store.
-type Dialect struct {
+// Formats is how the platform spells what others write into its store.
+type Formats struct {
 	ConfigKey        string
-	OperatorKeys     string // prefix of ConfigKey and of the waves
+	OperatorPrefix   string // prefix of ConfigKey and of the waves
 	WavePrefix       string
 	EvacuationPrefix string // before the name of a zone that gets no new tasks
 	WorkerPrefix     string
 	CallerKey        gateway.KeyReader
-	DecodeJob        gateway.Decoder
+	DecodeJob        gateway.JobDecoder
 	DecodeCatalog    func(raw []byte) (*job.Catalog, error)
 	DecodeWorker     func(key string, raw []byte) (owner.Registration, error)
 	DecodeWave       func(raw []byte) (owner.WaveRequest, error)
-	WaveStatus       func(wave int, done bool) (key string, value []byte)
+	EncodeWaveStatus func(wave int, done bool) (key string, value []byte)
 }
 
 // Peers reaches other daemons by the addresses of their peer listeners.
@@ -44,11 +44,11 @@
 	Cancelled(ctx context.Context, addr string, id job.ID) error
 	Submitted(ctx context.Context, addr string, j *job.Job) (peer.SubmitReply, error)
 	Admit(ctx context.Context, addr string, j *job.Job) (peer.AdmitReply, error)
-	// AwaitEnd returns when a connection to a daemon has ended.
-	AwaitEnd(ctx context.Context, addr string) error
-	// Look tells whether a process listens there, and LookBy what another daemon says.
-	Look(ctx context.Context, addr string) peer.Presence
-	LookBy(ctx context.Context, by, addr string) (peer.Presence, error)
+	// AwaitDisconnect returns when a connection to a daemon has ended.
+	AwaitDisconnect(ctx context.Context, addr string) error
+	// CheckPresence tells whether a process listens there, CheckPresenceVia what another daemon says.
+	CheckPresence(ctx context.Context, addr string) peer.Presence
+	CheckPresenceVia(ctx context.Context, by, addr string) (peer.Presence, error)
 }
 
 // Clock is the time of an instance.
@@ -62,14 +62,14 @@
 
 // Platform is what a daemon reaches outside of itself.
 type Platform struct {
-	Clock   Clock
-	Probe   func() time.Duration // times a fixed piece of work on the instance's processor
-	Store   ledger.Store
-	Workers owner.WorkerClient
-	Manager owner.InstanceManager
-	Advisor owner.Advisor // nil if no queue needs advice
-	Peers   Peers
-	Dialect Dialect
+	Clock    Clock
+	CPUProbe func() time.Duration // times a fixed piece of work on the instance's processor
+	Store    ledger.Store
+	Workers  owner.WorkerClient
+	Manager  owner.InstanceManager
+	Advisor  owner.Advisor // nil if no queue needs advice
+	Peers    Peers
+	Formats  Formats
 }
 
 // Node is one daemon.
@@ -121,7 +121,7 @@
 	n.platform.Store = ledger.Counted(p.Store, m.storeCall)
 	n.store = ledger.NewFailover(n.platform.Store, n, p.Clock.Now, n.storeFailed)
 	n.accept = ledger.NewAcceptor(n.store)
-	n.gateway = gateway.New(n, p.Dialect.CallerKey, p.Dialect.DecodeJob, m, log)
+	n.gateway = gateway.New(n, p.Formats.CallerKey, p.Formats.DecodeJob, m, log)
 	return n
 }
 
@@ -145,7 +145,7 @@
 	work, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
 	done := make(chan struct{})
-	go func() { defer close(done); n.Work(work) }()
+	go func() { defer close(done); n.RunBackground(work) }()
 	go n.serve(callers, listeners.callers)
 	go n.serve(&http.Server{Handler: n.readyHandler()}, listeners.ready)
 	go n.serve(&http.Server{Handler: n.metrics.Handler()}, listeners.metrics)
@@ -159,10 +159,10 @@
 	return nil
 }
 
-// Work does all that a daemon does beside listening, until ctx ends. It ends
+// RunBackground does all that a daemon does beside listening, until ctx ends. It ends
 // at once, as a process that is killed does; HandOver is what a planned stop
 // does before.
-func (n *Node) Work(ctx context.Context) {
+func (n *Node) RunBackground(ctx context.Context) {
 	n.accept.Run(ctx)
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){n.keepLease, n.watchOperators, n.listMembers, n.elect, n.watchSpeed} {
@@ -171,14 +171,14 @@
 	wg.Wait()
 }
 
-// Callers returns the handler of callers' requests.
-func (n *Node) Callers() http.Handler { return n.gateway }
+// CallerHandler returns the handler of callers' requests.
+func (n *Node) CallerHandler() http.Handler { return n.gateway }
 
 // PeerHandler returns what answers other daemons.
 func (n *Node) PeerHandler() peer.Handler { return peerHandler{n} }
 
-// Owner reports whether this daemon schedules the jobs at present.
-func (n *Node) Owner() bool { return n.term.Load() != nil }
+// IsOwner reports whether this daemon schedules the jobs at present.
+func (n *Node) IsOwner() bool { return n.term.Load() != nil }
 
 // Bounds of callers' connections. They are wider than those of the operators'
 // configuration, which comes only after the listeners are open.
@@ -270,9 +270,9 @@
 // Catalog implements gateway.Jobs.
 func (n *Node) Catalog() *job.Catalog { return n.catalog.Load() }
 
-// Confirmed implements gateway.Jobs.
-func (n *Node) Confirmed() bool {
-	return n.set.RevokeWithin == 0 || time.Duration(n.sinceStart()-n.configKnown.Load()) <= n.set.RevokeWithin
+// ConfigConfirmed implements gateway.Jobs.
+func (n *Node) ConfigConfirmed() bool {
+	return n.set.MaxConfigAge == 0 || time.Duration(n.sinceStart()-n.configKnown.Load()) <= n.set.MaxConfigAge
 }
 
 // Accept implements gateway.Jobs.
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -54,7 +54,7 @@
 		}
 		cancel()
 	}()
-	if err := n.peers.AwaitEnd(ctx, l.Addr); err == nil || ctx.Err() != nil {
+	if err := n.peers.AwaitDisconnect(ctx, l.Addr); err == nil || ctx.Err() != nil {
 		return
 	}
 	if !n.mayReplace(l.Node) || !n.ownerGone(ctx, l) {
@@ -80,14 +80,14 @@
 func (n *Node) ownerGone(ctx context.Context, l *ledger.Lock) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	if n.peers.Look(ctx, l.Addr) != peer.Absent {
+	if n.peers.CheckPresence(ctx, l.Addr) != peer.Absent {
 		return false
 	}
 	others := n.othersThan(l.Node)
 	n.chance.shuffle(others)
 	confirmed := 0
 	for _, addr := range others[:min(len(others), mostAsked)] {
-		seen, err := n.peers.LookBy(ctx, addr, l.Addr)
+		seen, err := n.peers.CheckPresenceVia(ctx, addr, l.Addr)
 		if err != nil {
 			n.log.Info("witness-not-asked", zap.String("addr", addr), zap.Error(err))
 			continue
--- a/jobs/node/ownerwatch_test.go
+++ b/jobs/node/ownerwatch_test.go
@@ -19,9 +19,9 @@
 	others map[string]peer.Presence // one that is missing cannot be asked
 }
 
-func (s sights) Look(context.Context, string) peer.Presence { return s.own }
+func (s sights) CheckPresence(context.Context, string) peer.Presence { return s.own }
 
-func (s sights) LookBy(_ context.Context, by, _ string) (peer.Presence, error) {
+func (s sights) CheckPresenceVia(_ context.Context, by, _ string) (peer.Presence, error) {
 	if p, ok := s.others[by]; ok {
 		return p, nil
 	}
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -33,7 +33,7 @@
 // a term begins and when the store has dropped the changes in between: of 132 workers it has
 // 49 KB, a fifth of a second of a link of 2 Mbit/s.
 func (t *termRun) followRegistrations() {
-	prefix := t.n.platform.Dialect.WorkerPrefix
+	prefix := t.n.platform.Formats.WorkerPrefix
 	for t.ctx.Err() == nil {
 		items, revision, err := t.n.readAll(t.ctx, prefix)
 		if err != nil {
@@ -97,7 +97,7 @@
 	for _, e := range events {
 		newest[e.Key] = e
 	}
-	prefix := t.n.platform.Dialect.WorkerPrefix
+	prefix := t.n.platform.Formats.WorkerPrefix
 	for key, e := range newest {
 		name := owner.WorkerID(strings.TrimPrefix(key, prefix))
 		if e.Deleted {
@@ -118,7 +118,7 @@
 }
 
 func (t *termRun) decodeRegistration(name owner.WorkerID, i ledger.Item) (owner.Registration, error) {
-	r, err := t.n.platform.Dialect.DecodeWorker(i.Key, i.Value)
+	r, err := t.n.platform.Formats.DecodeWorker(i.Key, i.Value)
 	switch {
 	case err != nil:
 	case r.Worker != name:
--- a/jobs/node/relays.go
+++ b/jobs/node/relays.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		if last != nil && m.Addr == *last {
-			return peer.StoreBy(n.peers, m.Addr)
+			return peer.StoreVia(n.peers, m.Addr)
 		}
 		others = append(others, m)
 	}
@@ -33,13 +33,13 @@
 	}
 	addr := n.chance.byWeight(others).Addr
 	n.lastRelay.Store(&addr)
-	return peer.StoreBy(n.peers, addr)
+	return peer.StoreVia(n.peers, addr)
 }
 
 // RelayFailed implements ledger.Relays.
 func (n *Node) RelayFailed(s ledger.Store) {
 	n.lastRelay.Store(nil)
-	n.badRelays.Store(peer.AddrOf(s), n.clock.Now().Add(relayPause))
+	n.badRelays.Store(peer.RelayAddr(s), n.clock.Now().Add(relayPause))
 }
 
 func (n *Node) relayBad(addr string) bool {
--- a/jobs/node/relays_test.go
+++ b/jobs/node/relays_test.go
@@ -31,15 +31,15 @@
 		d.members.Store(&list)
 		first := d.Relay()
 		require.NotNil(t, first)
-		addr := peer.AddrOf(first)
+		addr := peer.RelayAddr(first)
 		assert.NotEqual(t, list[n].Addr, addr)
-		assert.Equal(t, addr, peer.AddrOf(d.Relay()), "one that serves is kept")
+		assert.Equal(t, addr, peer.RelayAddr(d.Relay()), "one that serves is kept")
 		chosen[addr]++
 		if addr < list[strong].Addr {
 			byStrong++
 		}
 		d.RelayFailed(first)
-		assert.NotEqual(t, addr, peer.AddrOf(d.Relay()), "one that does not is left")
+		assert.NotEqual(t, addr, peer.RelayAddr(d.Relay()), "one that does not is left")
 	}
 	for addr, n := range chosen {
 		most := 9
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -35,10 +35,10 @@
 	MovesPerSec   float64       // orders for instances that the platform accepts; 0: any number
 	MinStoreLease time.Duration
 	KeepStatus    time.Duration // of ended jobs
-	Tenants       bool          // callers need the key of a tenant, but for public queues
-	// RevokeWithin is how long a daemon that hears nothing of the configuration goes on taking
+	RequireKeys   bool          // callers need the key of a tenant, but for public queues
+	// MaxConfigAge is how long a daemon that hears nothing of the configuration goes on taking
 	// its keys for good; 0: for ever, so that a store that is away stops nobody.
-	RevokeWithin time.Duration
+	MaxConfigAge time.Duration
 
 	Policy policy.Settings
 }
@@ -65,8 +65,8 @@
 	if s.MovesPerSec < 0 {
 		errs = append(errs, fmt.Errorf("MovesPerSec is %v", s.MovesPerSec))
 	}
-	if s.RevokeWithin < 0 {
-		errs = append(errs, fmt.Errorf("RevokeWithin is %s", s.RevokeWithin))
+	if s.MaxConfigAge < 0 {
+		errs = append(errs, fmt.Errorf("MaxConfigAge is %s, must not be negative", s.MaxConfigAge))
 	}
 	return errors.Join(errs...)
 }
--- a/jobs/node/slowness.go
+++ b/jobs/node/slowness.go
@@ -123,7 +123,7 @@
 	was := 1.0
 	for sleep.For(ctx, n.probePause()) {
 		now := n.clock.Now()
-		n.slow.add(n.platform.Probe(), now)
+		n.slow.add(n.platform.CPUProbe(), now)
 		by := n.slow.at(now)
 		if (by > 1) != (was > 1) {
 			n.log.Warn("instance-speed", zap.Float64("slower-by", by))
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -14,7 +14,7 @@
 // one can be the owner at once.
 func (n *Node) HandOver() {
 	n.stopping.Store(true)
-	n.gateway.Stop()
+	n.gateway.DisableKeepAlives()
 	if t := n.term.Load(); t != nil && !t.handOver() && !n.store.Away() {
 		n.endLease() // the lock goes with it
 	}
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -127,7 +127,7 @@
 
 // putWave adds the status of a wave to the next transaction.
 func (t *termRun) putWave(s owner.WaveStatus) {
-	key, value := t.n.platform.Dialect.WaveStatus(s.Wave, s.Done)
+	key, value := t.n.platform.Formats.EncodeWaveStatus(s.Wave, s.Done)
 	progress := ledger.WaveProgress{Begun: t.core.Begun(s.Wave), Done: s.Done}
 	t.extra = append(t.extra, ledger.Put{Key: key, Value: value}, ledger.WavePut(s.Wave, progress))
 }
--- a/jobs/peer/peer.go
+++ b/jobs/peer/peer.go
@@ -23,8 +23,8 @@
 // dialTimeout bounds opening a connection to a peer: some round trips.
 const dialTimeout = 400 * time.Millisecond
 
-// CodePeer says that a peer could not be asked.
-const CodePeer verdict.Code = "peer-unreachable"
+// CodePeerUnreachable says that a peer could not be asked.
+const CodePeerUnreachable verdict.Code = "peer-unreachable"
 
 // StateRequest asks for the state of a job.
 type StateRequest struct{ Job job.ID }
@@ -117,7 +117,7 @@
 	Submitted(r SubmitRequest) SubmitReply
 	Admit(r AdmitRequest) AdmitReply
 	Relay(r RelayRequest) RelayReply
-	Look(addr string) Presence
+	CheckPresence(addr string) Presence
 }
 
 // server adapts a Handler to net/rpc's form of methods.
@@ -174,23 +174,23 @@
 func (c *Client) call(ctx context.Context, addr, method string, req, reply any) error {
 	conn, err := c.conns.Get(addr, func() (net.Conn, error) { return netdial.Dialer(dialTimeout).DialContext(ctx, "tcp", addr) })
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, CodePeer, "peer %s", addr)
+		return verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "peer %s", addr)
 	}
 	defer c.conns.Release(conn)
 	pending := conn.Go(serviceName+"."+method, req, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			c.conns.Leave(conn)
+			c.conns.Retire(conn)
 		}
-		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeer, "peer %s %s", addr, method)
+		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s %s", addr, method)
 	case <-pending.Done:
 	}
 	if pending.Error == nil {
 		return nil
 	}
-	c.conns.Drop(conn)
-	return verdict.Wrap(pending.Error, verdict.MayHaveRun, CodePeer, "peer %s %s", addr, method)
+	c.conns.Discard(conn)
+	return verdict.Wrap(pending.Error, verdict.MayHaveRun, CodePeerUnreachable, "peer %s %s", addr, method)
 }
 
 // ask puts a question that may be repeated. A first try has half the time until
--- a/jobs/peer/peer_test.go
+++ b/jobs/peer/peer_test.go
@@ -31,7 +31,7 @@
 	first, err := c.conns.Get(addr, nil)
 	require.NoError(t, err)
 	(<-accepted).Close()
-	for !first.Ended() {
+	for !first.Broken() {
 		runtime.Gosched()
 	}
 	reply, err := c.State(context.Background(), addr, "a")
--- a/jobs/peer/presence.go
+++ b/jobs/peer/presence.go
@@ -40,13 +40,13 @@
 }
 
 func (s *server) Look(r LookRequest, out *LookReply) error {
-	out.Presence = s.h.Look(r.Addr)
+	out.Presence = s.h.CheckPresence(r.Addr)
 	return nil
 }
 
-// AwaitEnd returns when a connection to the peer at addr has ended, with nil if ctx
+// AwaitDisconnect returns when a connection to the peer at addr has ended, with nil if ctx
 // has. The connection is kept for that alone.
-func (c *Client) AwaitEnd(ctx context.Context, addr string) error {
+func (c *Client) AwaitDisconnect(ctx context.Context, addr string) error {
 	own := NewClient()
 	defer own.conns.Close()
 	for ctx.Err() == nil {
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// Look reports whether a process listens at addr.
-func (c *Client) Look(ctx context.Context, addr string) Presence {
+// CheckPresence reports whether a process listens at addr.
+func (c *Client) CheckPresence(ctx context.Context, addr string) Presence {
 	conn, err := netdial.Dialer(dialTimeout).DialContext(ctx, "tcp", addr)
 	switch {
 	case err == nil:
@@ -70,11 +70,11 @@
 	return Unknown
 }
 
-// LookBy asks the peer at by whether a process listens at addr.
-func (c *Client) LookBy(ctx context.Context, by, addr string) (Presence, error) {
+// CheckPresenceVia asks the peer at by whether a process listens at addr.
+func (c *Client) CheckPresenceVia(ctx context.Context, by, addr string) (Presence, error) {
 	var out LookReply
 	if err := c.call(ctx, by, "Look", LookRequest{addr}, &out); err != nil {
-		return Unknown, verdict.Wrap(err, verdict.NotRun, CodePeer, "look at %s", addr)
+		return Unknown, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "look at %s", addr)
 	}
 	return out.Presence, nil
 }
--- a/jobs/peer/relay.go
+++ b/jobs/peer/relay.go
@@ -16,11 +16,11 @@
 	Relay(ctx context.Context, addr string, r RelayRequest) (RelayReply, error)
 }
 
-// StoreBy returns the store as the peer at addr reaches it.
-func StoreBy(client Relayer, addr string) ledger.Store { return &relayed{client, addr} }
+// StoreVia returns the store as the peer at addr reaches it.
+func StoreVia(client Relayer, addr string) ledger.Store { return &relayed{client, addr} }
 
-// AddrOf returns the peer that a store of StoreBy goes by, "" for other stores.
-func AddrOf(s ledger.Store) string {
+// RelayAddr returns the peer that a store of StoreVia goes by, "" for other stores.
+func RelayAddr(s ledger.Store) string {
 	if r, ok := s.(*relayed); ok {
 		return r.addr
 	}
@@ -81,8 +81,8 @@
 	return err
 }
 
-// Answer makes a relayed call to the store.
-func Answer(s ledger.Store, r RelayRequest) RelayReply {
+// ServeRelay makes a relayed call to the store.
+func ServeRelay(s ledger.Store, r RelayRequest) RelayReply {
 	timeout := relayTimeout
 	if r.Op == OpWatch {
 		timeout += r.Wait
@@ -114,7 +114,7 @@
 	case OpEndLease:
 		err = s.EndLease(ctx, r.Lease)
 	default:
-		err = verdict.New(verdict.NotRun, CodePeer, "unknown operation %d", r.Op)
+		err = verdict.New(verdict.NotRun, CodePeerUnreachable, "unknown operation %d", r.Op)
 	}
 	return err
 }
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -98,13 +98,13 @@
 		workers = in.Reach(workers)
 	}
 	d.Node = node.New(set, node.Platform{
-		Clock:   clock{d.Gate},
-		Probe:   d.Gate.probe,
-		Store:   in.Store.Client(name, d.Gate, in.ask),
-		Workers: workers,
-		Manager: in.Fleet.Client(name, d.Gate, in.ask),
-		Peers:   in.Network.Client(d.Gate),
-		Dialect: in.lang.Dialect,
+		Clock:    clock{d.Gate},
+		CPUProbe: d.Gate.probe,
+		Store:    in.Store.Client(name, d.Gate, in.ask),
+		Workers:  workers,
+		Manager:  in.Fleet.Client(name, d.Gate, in.ask),
+		Peers:    in.Network.Client(d.Gate),
+		Formats:  in.lang.Formats,
 	}, in.log.Named(name), node.NewMetrics(tally.NoopScope, nil))
 	in.Network.Join(name+":1", d.Node.PeerHandler(), d.Gate)
 	ctx, cancel := context.WithCancel(in.ctx)
@@ -114,7 +114,7 @@
 	in.mu.Unlock()
 	go func() {
 		defer close(d.done)
-		d.Node.Work(ctx)
+		d.Node.RunBackground(ctx)
 	}()
 	return d
 }
@@ -160,7 +160,7 @@
 // Owner returns the daemon that is the owner, nil if none is.
 func (in *Installation) Owner() *Daemon {
 	for _, d := range in.Daemons() {
-		if d.Node.Owner() {
+		if d.Node.IsOwner() {
 			return d
 		}
 	}
@@ -182,7 +182,7 @@
 
 // WaveDone reports whether a wave is said to be completed.
 func (in *Installation) WaveDone(wave int) bool {
-	key, done := in.lang.WaveStatus(wave, true)
+	key, done := in.lang.EncodeWaveStatus(wave, true)
 	return string(in.Store.Value(key)) == string(done)
 }
 
@@ -227,7 +227,7 @@
 	r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(string(body)))
 	r.Host = "jobs.example"
 	w := httptest.NewRecorder()
-	d.Node.Callers().ServeHTTP(w, r)
+	d.Node.CallerHandler().ServeHTTP(w, r)
 	if d.Gate.dead() || ctx.Err() != nil {
 		return 0, ""
 	}
--- a/standin/jobfleet/language.go
+++ b/standin/jobfleet/language.go
@@ -12,7 +12,7 @@
 
 // Language is how the operator, the workers and callers spell what they write.
 type Language struct {
-	node.Dialect
+	node.Formats
 	EncodeCatalog func(*job.Catalog) []byte
 	EncodeWorker  func(*owner.Registration) []byte
 	EncodeWave    func(owner.WaveRequest) []byte
@@ -30,9 +30,9 @@
 
 // Plain is the stand-in's own language: the types as JSON.
 var Plain = Language{
-	Dialect: node.Dialect{
+	Formats: node.Formats{
 		ConfigKey:        keyCatalog,
-		OperatorKeys:     "operator/",
+		OperatorPrefix:   "operator/",
 		WavePrefix:       prefixWave,
 		EvacuationPrefix: prefixEvac,
 		WorkerPrefix:     prefixWorker,
@@ -44,7 +44,7 @@
 		DecodeCatalog: decodeCatalog,
 		DecodeWorker:  func(_ string, raw []byte) (owner.Registration, error) { return unmarshal[owner.Registration](raw) },
 		DecodeWave:    unmarshal[owner.WaveRequest],
-		WaveStatus: func(wave int, done bool) (string, []byte) {
+		EncodeWaveStatus: func(wave int, done bool) (string, []byte) {
 			state := "running"
 			if done {
 				state = "completed"
--- a/standin/jobfleet/network.go
+++ b/standin/jobfleet/network.go
@@ -59,10 +59,10 @@
 	h, gate := c.network.handlers[addr], c.network.gates[addr]
 	c.network.mu.Unlock()
 	if h == nil {
-		return nil, verdict.New(verdict.NotRun, peer.CodePeer, "nobody listens at %s", addr)
+		return nil, verdict.New(verdict.NotRun, peer.CodePeerUnreachable, "nobody listens at %s", addr)
 	}
 	if c.gate.pass(ctx, toPeers) != nil || gate.pass(ctx, toPeers) != nil {
-		return nil, verdict.Wrap(errLost, verdict.MayHaveRun, peer.CodePeer, "peer %s", addr)
+		return nil, verdict.Wrap(errLost, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
 	}
 	time.Sleep(peerLatency)
 	return h, ctx.Err()
@@ -122,13 +122,13 @@
 	}
 	out := h.Relay(r)
 	if c.gate.pass(ctx, toPeers) != nil {
-		return peer.RelayReply{}, verdict.Wrap(errLost, verdict.MayHaveRun, peer.CodePeer, "peer %s", addr)
+		return peer.RelayReply{}, verdict.Wrap(errLost, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
 	}
 	return out, nil
 }
 
-// AwaitEnd implements node.Peers.
-func (c *PeerClient) AwaitEnd(ctx context.Context, addr string) error {
+// AwaitDisconnect implements node.Peers.
+func (c *PeerClient) AwaitDisconnect(ctx context.Context, addr string) error {
 	if _, err := c.reach(ctx, addr); err != nil {
 		return err
 	}
@@ -143,8 +143,8 @@
 	}
 }
 
-// Look implements node.Peers.
-func (c *PeerClient) Look(ctx context.Context, addr string) peer.Presence {
+// CheckPresence implements node.Peers.
+func (c *PeerClient) CheckPresence(ctx context.Context, addr string) peer.Presence {
 	c.network.mu.Lock()
 	h, gate := c.network.handlers[addr], c.network.gates[addr]
 	c.network.mu.Unlock()
@@ -159,11 +159,11 @@
 	return peer.Present
 }
 
-// LookBy implements node.Peers.
-func (c *PeerClient) LookBy(ctx context.Context, by, addr string) (peer.Presence, error) {
+// CheckPresenceVia implements node.Peers.
+func (c *PeerClient) CheckPresenceVia(ctx context.Context, by, addr string) (peer.Presence, error) {
 	h, err := c.reach(ctx, by)
 	if err != nil {
 		return peer.Unknown, err
 	}
-	return h.Look(addr), nil
+	return h.CheckPresence(addr), nil
 }
