--- a/jobs/owner/account.go
+++ b/jobs/owner/account.go
@@ -76,7 +76,7 @@
 func (s *stepState) noteWaits(c Cause, now time.Time) {
 	ready := s.readySince()
 	for _, t := range s.tasks {
-		if t.waits(now) {
+		if t.needsPlacement(now) {
 			t.note(c, ready, now)
 		}
 	}
--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -97,7 +97,7 @@
 }
 
 // ask asks the advisor about usable workers, those with the most room first.
-func (c *Core) ask(s *stepState, room *roomView, now time.Time) {
+func (c *Core) ask(s *stepState, room *workerView, now time.Time) {
 	if s.permits == nil {
 		s.permits = &permits{tickets: map[WorkerID]ticket{}, refused: map[WorkerID]bool{}}
 	}
--- a/jobs/owner/attempts_test.go
+++ b/jobs/owner/attempts_test.go
@@ -66,7 +66,7 @@
 		r.held(a, nil, RunEnd{Seq: n, Task: s[0].Task, Run: s[0].Run, Kind: EndFailed})
 		r.tick(100 * time.Millisecond)
 	}
-	r.tick(elsewherePatience - 200*time.Millisecond)
+	r.tick(otherWorkerWait - 200*time.Millisecond)
 	assert.Empty(t, r.started(), "the last attempt is not spent at once")
 	r.tick(200 * time.Millisecond)
 	assert.Len(t, r.started(), 1)
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -47,7 +47,7 @@
 
 // placeLateCopies starts copies of tasks that take long. It comes after all
 // placements that left no task waiting: a copy is worth less than a first run.
-func (p *placing) placeLateCopies(claims []claim) {
+func (p *schedulingPass) placeLateCopies(claims []queueEntry) {
 	for _, cl := range claims {
 		for _, s := range cl.job.steps {
 			if s.ready() && s.spec.Speculative {
@@ -59,17 +59,17 @@
 
 // placeCopies starts copies of the step's tasks that need one so much. A copy of an
 // inherited task may run beside a run that is not known yet; its step allows that.
-func (p *placing) placeCopies(s *stepState, need copyNeed) {
-	var choice *stepChoice
+func (p *schedulingPass) placeCopies(s *stepState, need copyNeed) {
+	var choice *workerSelector
 	for _, t := range s.tasks {
 		if t.wantsCopy(p.now) != need {
 			continue
 		}
-		if p.holdBack() || !p.core.mayStart(s.job.spec, s.spec, 1, p.now) {
+		if p.deferStarts() || !p.core.mayStart(s.job.spec, s.spec, 1, p.now) {
 			return
 		}
 		if choice == nil {
-			choice = p.choiceFor(s)
+			choice = p.newWorkerSelector(s)
 		}
 		first := t.runs[0].worker
 		barred := func(o *worker) bool { return o == first }
@@ -77,7 +77,7 @@
 			p.placeSuspect(t, choice, barred)
 			continue
 		}
-		w := choice.best(barred)
+		w := choice.pick(barred)
 		if w == nil {
 			return
 		}
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -49,7 +49,7 @@
 	if !w.loseContact(a, now) || c.isStarved(now) {
 		return
 	}
-	for _, r := range sortedRuns(w) {
+	for _, r := range runsByNumber(w) {
 		if r.isEarly() {
 			c.noteCrash(r, now)
 		}
@@ -101,7 +101,7 @@
 	if w.contactLoss.lostAt.IsZero() {
 		w.contactLoss = contact{lostAt: now, heardAt: w.lastAnswerAt}
 	}
-	for _, r := range sortedRuns(w) {
+	for _, r := range runsByNumber(w) {
 		c.noteCrash(r, now)
 	}
 	w.crashSuspects = slices.Clone(c.openCrashes[w.life()])
@@ -201,7 +201,7 @@
 		}
 	}
 	c.touch(j)
-	c.wants(j)
+	c.queueForPlacement(j)
 	c.giveUpIfProven(t, now)
 }
 
@@ -274,7 +274,7 @@
 		before := len(t.crashes)
 		t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Worker == l.String() })
 		if len(t.crashes) < before {
-			c.wants(t.step.job)
+			c.queueForPlacement(t.step.job)
 		}
 	}
 	delete(c.openCrashes, l)
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -136,8 +136,8 @@
 	}
 	t.failures = t.failures.With(e.Run)
 	t.notBefore = now.Add(failureBackoff)
-	if t.failedOnWorker(w) { // there was no other, and attempts are few
-		t.notBefore = now.Add(elsewherePatience)
+	if t.hasFailedOn(w) { // there was no other, and attempts are few
+		t.notBefore = now.Add(otherWorkerWait)
 	}
 	t.failedOn = append(t.failedOn, w.Worker)
 	t.lastFailedAt = now
@@ -189,8 +189,8 @@
 	if r.worker.contactLoss.lostAt.IsZero() && !r.fromPastIncarnation {
 		r.task.forgetCrash(r.number) // its worker is there
 	}
-	c.touchWorker(r.worker)
+	c.markWorkerChanged(r.worker)
 	c.changed[r.worker.Service] = true
-	c.wants(r.task.step.job)
+	c.queueForPlacement(r.task.step.job)
 	c.forgetSteps(r.task.step.job)
 }
--- a/jobs/owner/evacuation.go
+++ b/jobs/owner/evacuation.go
@@ -30,7 +30,7 @@
 	}
 	c.evacuated = named
 	for _, w := range c.workers {
-		c.touchWorker(w)
+		c.markWorkerChanged(w)
 	}
 	for _, i := range c.instances {
 		c.count(i)
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -8,9 +8,9 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// sizeClass is the usable workers of a service that have the same room: what one of them
+// capacityClass is the usable workers of a service that have the same room: what one of them
 // can ever take the others can, too, labels aside.
-type sizeClass struct {
+type capacityClass struct {
 	room   job.Resources
 	byFree []*worker // by free thousandths of a core, then by id
 }
@@ -18,7 +18,7 @@
 // freeIndex is the usable workers of a service in an order in which the best one for a
 // task that ends by itself comes early: a choice looks at a few workers, whatever the
 // size of the service. At 3,000 workers it takes 0.5 µs in place of 34.
-type freeIndex struct{ classes []*sizeClass }
+type freeIndex struct{ classes []*capacityClass }
 
 // compareFree orders workers by free processors as they are in the index, then by id.
 func compareFree(a, b *worker) int {
@@ -28,13 +28,13 @@
 	return byID(a, b)
 }
 
-func (x *freeIndex) classOf(room job.Resources) *sizeClass {
+func (x *freeIndex) classOf(room job.Resources) *capacityClass {
 	for _, k := range x.classes {
 		if k.room == room {
 			return k
 		}
 	}
-	k := &sizeClass{room: room}
+	k := &capacityClass{room: room}
 	x.classes = append(x.classes, k)
 	return k
 }
@@ -55,8 +55,8 @@
 	w.sizeClass.byFree = slices.Insert(w.sizeClass.byFree, at, w)
 }
 
-// unindex takes the worker out of the index that it is in, if any.
-func (w *worker) unindex() {
+// removeFromIndex takes the worker out of the index that it is in, if any.
+func (w *worker) removeFromIndex() {
 	if w.sizeClass == nil {
 		return
 	}
@@ -66,9 +66,9 @@
 	w.sizeClass = nil
 }
 
-// possible reports whether any worker could take the request if it were empty; true if
+// couldFit reports whether any worker could take the request if it were empty; true if
 // none is usable.
-func (x *freeIndex) possible(req *placement.Request) bool {
+func (x *freeIndex) couldFit(req *placement.Request) bool {
 	for _, k := range x.classes {
 		if len(k.byFree) == 0 || !k.room.Fits(req.Need) {
 			continue
@@ -106,7 +106,7 @@
 
 // candidates appends the workers of the class of which one is its best: the fullest with
 // room, and the fullest of those that are not suspect or on the preferred rack.
-func (k *sizeClass) candidates(out []*worker, req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) []*worker {
+func (k *capacityClass) candidates(out []*worker, req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) []*worker {
 	from, _ := slices.BinarySearchFunc(k.byFree, req.Need.CPUMilli, func(w *worker, need int) int {
 		if w.indexedFreeCPUMilli < need {
 			return -1
@@ -120,9 +120,9 @@
 			req.RequiredLabel != "" && !slices.Contains(w.Labels, req.RequiredLabel) {
 			continue
 		}
-		suspect := w.isSuspect(now)
+		suspect := w.hasRecentFailures(now)
 		near := req.PreferredRack == "" || w.Rack == req.PreferredRack
-		if seen := &found[index(suspect)][index(near)]; !*seen {
+		if seen := &found[boolIndex(suspect)][boolIndex(near)]; !*seen {
 			*seen = true
 			out = append(out, w)
 		}
@@ -133,37 +133,39 @@
 	return out
 }
 
-func index(holds bool) int {
+func boolIndex(holds bool) int {
 	if holds {
 		return 1
 	}
 	return 0
 }
 
-// isSuspect reports whether several of the worker's newest tasks failed.
-func (w *worker) isSuspect(now time.Time) bool { return w.recentEnds.failures(now) >= failuresToAvoid }
+// hasRecentFailures reports whether several of the worker's newest tasks failed.
+func (w *worker) hasRecentFailures(now time.Time) bool {
+	return w.recentEnds.failures(now) >= failuresToAvoid
+}
 
 // placementView returns the worker as placement sees it.
 func (w *worker) placementView(now time.Time) placement.Worker {
 	return placement.Worker{
 		Room: w.Capacity, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
-		Fillers: w.fillerRuns, Serving: w.servingRuns, Lasting: w.longRunningRuns, Suspect: w.isSuspect(now),
+		Fillers: w.fillerRuns, Serving: w.servingRuns, Lasting: w.longRunningRuns, Suspect: w.hasRecentFailures(now),
 	}
 }
 
-// touchWorker says that something of the worker may have changed that placement sees.
-func (c *Core) touchWorker(w *worker) {
+// markWorkerChanged says that something of the worker may have changed that placement sees.
+func (c *Core) markWorkerChanged(w *worker) {
 	if !w.indexStale {
 		w.indexStale = true
 		c.touchedWorkers = append(c.touchedWorkers, w)
 	}
 }
 
-// refresh brings the indexes up to date with the workers that were touched, and with
+// updateIndexes brings the indexes up to date with the workers that were touched, and with
 // those that were put aside until now.
-func (c *Core) refresh(now time.Time) {
+func (c *Core) updateIndexes(now time.Time) {
 	for _, w := range c.aside.due(now) {
-		c.touchWorker(w)
+		c.markWorkerChanged(w)
 	}
 	for _, w := range c.touchedWorkers {
 		w.indexStale = false
@@ -180,17 +182,17 @@
 	if usable && w.sizeClass != nil && w.indexedService == w.Service && w.sizeClass.room == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
 		return
 	}
-	w.unindex()
+	w.removeFromIndex()
 	if usable {
 		w.indexedService = w.Service
 		c.pool(w.Service).free.add(w)
 	}
 }
 
-// putAside keeps new tasks from the worker until a time, or for longer if it was to be so
+// avoidWorkerUntil keeps new tasks from the worker until a time, or for longer if it was to be so
 // already.
-func (c *Core) putAside(w *worker, until time.Time) {
+func (c *Core) avoidWorkerUntil(w *worker, until time.Time) {
 	w.avoidUntil = later(w.avoidUntil, until)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	c.aside.add(w.avoidUntil, w)
 }
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -106,7 +106,7 @@
 		return
 	}
 	w.avoidPenalty = min(maxPenalty, max(firstPenalty, 2*w.avoidPenalty))
-	c.putAside(w, now.Add(w.avoidPenalty))
+	c.avoidWorkerUntil(w, now.Add(w.avoidPenalty))
 	c.note(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
 }
 
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -131,7 +131,7 @@
 	if j.service != before {
 		j.queuedForPlacement = false // it leaves the queue of the service before
 	}
-	c.wants(j)
+	c.queueForPlacement(j)
 }
 
 // takeQueue takes the settings of the job's queue.
@@ -195,7 +195,7 @@
 		}
 	}
 	j.remain()
-	c.wants(j)
+	c.queueForPlacement(j)
 }
 
 // complete marks a task as done and unblocks what waits for its step.
@@ -223,7 +223,7 @@
 			}
 		}
 	}
-	c.wants(j)
+	c.queueForPlacement(j)
 }
 
 // finishIfDone moves a job to completed once all its occurrences are done.
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -124,11 +124,11 @@
 	w.Registration = old.Registration
 	w.StartedMs, w.Draining = born, false
 	c.roster.add(w)
-	for _, r := range sortedRuns(old) {
-		old.dropRun(r)
+	for _, r := range runsByNumber(old) {
+		old.removeRun(r)
 		r.carryOver(w, now)
 	}
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	return w
 }
 
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -111,7 +111,7 @@
 	r.heldBy(r.lifeOf(a, 500), 500, nil)
 	for _, id := range []WorkerID{"b", "c", "d"} {
 		r.core.workers[id].avoidUntil = r.now.Add(time.Hour)
-		r.core.touchWorker(r.core.workers[id])
+		r.core.markWorkerChanged(r.core.workers[id])
 	}
 	j := r.submit(1, 1)
 	starts := r.started()
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -15,7 +15,7 @@
 	r.sentAt = now
 	r.sends++
 	c.out.Starts = append(c.out.Starts, Start{
-		Seq:          c.line.order(now),
+		Seq:          c.line.add(now),
 		Target:       c.target(r.worker),
 		Task:         r.task.id(),
 		Run:          r.number,
@@ -29,7 +29,7 @@
 
 // OnStarted takes a worker's answer to a start.
 func (c *Core) OnStarted(o Start, a Answer, now time.Time) {
-	c.line.answered(o.Seq, now)
+	c.line.onOutcome(o.Seq, now)
 	w := c.meant(o.Target)
 	if w == nil {
 		return
@@ -75,11 +75,11 @@
 	switch a.Outcome {
 	case NoRoom:
 		w.consecutiveNoRoom++
-		c.putAside(w, now.Add(roomPauses.after(w.consecutiveNoRoom)))
+		c.avoidWorkerUntil(w, now.Add(roomPauses.after(w.consecutiveNoRoom)))
 	case BadTicket:
 		r.task.step.dropTicket(w, now)
 	case Unhealthy:
-		c.putAside(w, now.Add(unhealthyPause))
+		c.avoidWorkerUntil(w, now.Add(unhealthyPause))
 	case Invalid:
 		r.task.consecutiveRetries++
 		r.task.notBefore = now.Add(invalidPauses.after(r.task.consecutiveRetries))
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -89,7 +89,7 @@
 		return
 	}
 	c.answerTime = time.Duration(answersKept*float64(c.answerTime) + (1-answersKept)*float64(took))
-	c.line.adapt(c.answerTime, now)
+	c.line.adjust(c.answerTime, now)
 	if c.answerTime < slowAnswer {
 		c.slowSince = time.Time{}
 		return
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -55,7 +55,7 @@
 func (r *rig) activeOn(id WorkerID) []ActiveRun {
 	var out []ActiveRun
 	w := r.core.workers[id]
-	for _, run := range sortedRuns(w) {
+	for _, run := range runsByNumber(w) {
 		out = append(out, ActiveRun{Task: run.task.id(), Run: run.number, Percent: min(99, int(r.now.Sub(run.firstSentAt).Milliseconds()/200))})
 	}
 	return out
--- a/jobs/owner/placing.go
+++ b/jobs/owner/placing.go
@@ -9,48 +9,48 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// placing is one placement of a service's waiting tasks.
-type placing struct {
-	core    *Core
-	service string
-	pool    *poolState
-	now     time.Time
-	claims  []claim // in the order in which they get room
-	full    placement.Full
+// schedulingPass is one placement of a service's waiting tasks.
+type schedulingPass struct {
+	core        *Core
+	service     string
+	pool        *poolState
+	now         time.Time
+	entries     []queueEntry // in the order in which they get room
+	unplaceable placement.Full
 
-	placed  int        // claims that are placed
-	view    *roomView  // all usable workers; nil: they were not needed so far
-	counted *stepState // the step of which view has the counts
+	placedEntries int         // claims that are placed
+	view          *workerView // all usable workers; nil: they were not needed so far
+	viewStep      *stepState  // the step of which view has the counts
 }
 
-// placeLasting places long-running tasks, which come first in the order.
-func (p *placing) placeLasting() {
+// placeLongRunning places long-running tasks, which come first in the order.
+func (p *schedulingPass) placeLongRunning() {
 	n := 0
-	for n < len(p.claims) && p.claims[n].band == bandLasting {
+	for n < len(p.entries) && p.entries[n].band == bandLongRunning {
 		n++
 	}
-	for _, cl := range p.claims[:n] {
+	for _, cl := range p.entries[:n] {
 		p.placeJob(cl.job)
 	}
-	p.placed = n
+	p.placedEntries = n
 }
 
-// placeOthers places all that placeLasting left.
-func (p *placing) placeOthers() {
-	for _, cl := range p.claims[p.placed:] {
-		if p.heldBack() {
+// placeRemaining places all that placeLasting left.
+func (p *schedulingPass) placeRemaining() {
+	for _, cl := range p.entries[p.placedEntries:] {
+		if p.startsDeferred() {
 			break
 		}
 		p.placeJob(cl.job)
 	}
-	if p.pool.waiting == 0 && !p.heldBack() {
-		p.placeLateCopies(p.claims)
+	if p.pool.waiting == 0 && !p.startsDeferred() {
+		p.placeLateCopies(p.entries)
 	}
 	p.pool.settle(p.now)
 }
 
 // placeJob places the tasks of a job that can start.
-func (p *placing) placeJob(j *jobState) {
+func (p *schedulingPass) placeJob(j *jobState) {
 	for _, s := range j.steps {
 		if s.ready() {
 			p.placeStep(s)
@@ -58,34 +58,34 @@
 	}
 }
 
-// heldBack reports whether no more starts are ordered until answers have come.
-func (p *placing) heldBack() bool { return p.core.line.held[p.service] }
+// startsDeferred reports whether no more starts are ordered until answers have come.
+func (p *schedulingPass) startsDeferred() bool { return p.core.line.deferred[p.service] }
 
-// holdBack reports whether no further start may be ordered, and takes note of it.
-func (p *placing) holdBack() bool {
+// deferStarts reports whether no further start may be ordered, and takes note of it.
+func (p *schedulingPass) deferStarts() bool {
 	if !p.core.line.isFull() {
 		return false
 	}
-	p.core.line.held[p.service] = true
+	p.core.line.deferred[p.service] = true
 	p.core.changed[p.service] = true
 	return true
 }
 
-// room returns all usable workers, with what runs there of the step.
-func (p *placing) room(s *stepState) *roomView {
+// workersFor returns all usable workers, with what runs there of the step.
+func (p *schedulingPass) workersFor(s *stepState) *workerView {
 	if p.view == nil {
-		p.view = p.core.roomOf(p.service, p.now)
+		p.view = p.core.newWorkerView(p.service, p.now)
 	}
-	if p.counted != s {
-		p.view.countOf(s, p.now)
-		p.counted = s
+	if p.viewStep != s {
+		p.view.countStepTasks(s, p.now)
+		p.viewStep = s
 	}
 	return p.view
 }
 
-// start starts the task on the worker, and takes its room.
-func (p *placing) start(t *task, w *worker, req *placement.Request, number uint64) {
-	p.core.start(t, w, number, p.now)
+// startRun starts the task on the worker, and takes its room.
+func (p *schedulingPass) startRun(t *task, w *worker, req *placement.Request, number uint64) {
+	p.core.startRun(t, w, number, p.now)
 	p.core.reindex(w, p.now)
 	if p.view == nil {
 		return
@@ -93,13 +93,13 @@
 	if i, ok := p.view.indexOf(w); ok {
 		placement.Take(&p.view.views[i], req)
 	}
-	if p.counted != t.step {
-		p.counted = nil
+	if p.viewStep != t.step {
+		p.viewStep = nil
 	}
 }
 
-// requestOf returns what a task of the step needs.
-func requestOf(s *stepState) placement.Request {
+// placementRequest returns what a task of the step needs.
+func placementRequest(s *stepState) placement.Request {
 	return placement.Request{
 		Need:          s.spec.Occupies(),
 		Filler:        s.spec.Filler,
@@ -115,7 +115,7 @@
 
 // placeStep starts the step's waiting tasks one by one, as long as there is room and starts
 // may be ordered. Tasks without room are counted as such also if none may.
-func (p *placing) placeStep(s *stepState) {
+func (p *schedulingPass) placeStep(s *stepState) {
 	if s.spec.Gang {
 		p.placeGang(s)
 		return
@@ -123,42 +123,42 @@
 	if s.spec.Speculative {
 		defer p.placeCopies(s, urgentCopy)
 	}
-	var choice *stepChoice
+	var choice *workerSelector
 	for _, t := range s.tasks {
-		if !t.waits(p.now) || t.awaitsVerdict(p.core, p.now) {
+		if !t.needsPlacement(p.now) || t.awaitsVerdict(p.core, p.now) {
 			continue
 		}
 		if !p.withinLimit(s, 1) {
 			return
 		}
 		if choice == nil {
-			choice = p.choiceFor(s)
+			choice = p.newWorkerSelector(s)
 		}
 		if t.suspicion() != job.Unsuspected {
 			p.placeSuspect(t, choice, t.barredSince(p.now))
-			if p.heldBack() {
+			if p.startsDeferred() {
 				return
 			}
 			continue
 		}
-		if p.full.Covers(&choice.req) && !s.preemptedLately(p.now) {
-			p.noRoom(s, &choice.req)
+		if p.unplaceable.Covers(&choice.req) && !s.preemptedLately(p.now) {
+			p.onNoCapacity(s, &choice.req)
 			return
 		}
-		w := choice.best(t.failedOnWorker)
-		if w == nil && t.awaitsOther(&p.pool.free, &choice.req, p.now) {
+		w := choice.pick(t.hasFailedOn)
+		if w == nil && t.awaitsOtherWorker(&p.pool.free, &choice.req, p.now) {
 			p.pool.wait(s, 1)
 			t.note(CauseElsewhere, s.readySince(), p.now)
 			continue
 		}
 		if w == nil && len(t.failedOn) > 0 {
-			w = choice.best(nobody)
+			w = choice.pick(excludeNone)
 		}
 		if w == nil {
-			p.noRoom(s, &choice.req)
+			p.onNoCapacity(s, &choice.req)
 			return
 		}
-		if p.holdBack() {
+		if p.deferStarts() {
 			return
 		}
 		choice.start(t, w)
@@ -166,28 +166,28 @@
 	}
 }
 
-// noRoom takes note of a step of which no further task finds room.
-func (p *placing) noRoom(s *stepState, req *placement.Request) {
-	possible := p.pool.free.possible(req) || p.pool.supply.couldTake(req.Need)
+// onNoCapacity takes note of a step of which no further task finds room.
+func (p *schedulingPass) onNoCapacity(s *stepState, req *placement.Request) {
+	possible := p.pool.free.couldFit(req) || p.pool.supply.couldTake(req.Need)
 	if possible {
-		p.pool.wait(s, countWaiting(s, p.now))
-		p.full.Add(req)
+		p.pool.wait(s, countUnplaced(s, p.now))
+		p.unplaceable.Add(req)
 		p.preempt(s, req)
 	}
-	p.noteWaiting(s, possible)
+	p.logWaiting(s, possible)
 	s.noteWaits(p.core.waitCause(p.service), p.now)
-	p.ask(s)
+	p.requestAdvice(s)
 }
 
-// ask asks the advisor about workers if the step needs that.
-func (p *placing) ask(s *stepState) {
+// requestAdvice asks the advisor about workers if the step needs that.
+func (p *schedulingPass) requestAdvice(s *stepState) {
 	if s.needsPermits() {
-		p.core.ask(s, p.room(s), p.now)
+		p.core.ask(s, p.workersFor(s), p.now)
 	}
 }
 
-// noteWaiting says once for each job why a task of it was not placed.
-func (p *placing) noteWaiting(s *stepState, possible bool) {
+// logWaiting says once for each job why a task of it was not placed.
+func (p *schedulingPass) logWaiting(s *stepState, possible bool) {
 	j := s.job
 	if j.waitLogged {
 		return
@@ -202,11 +202,11 @@
 		why, s.index, need.CPUMilli, need.MemMB, p.pool.free.size())})
 }
 
-// countWaiting returns how many tasks of the step could start now.
-func countWaiting(s *stepState, now time.Time) int {
+// countUnplaced returns how many tasks of the step could start now.
+func countUnplaced(s *stepState, now time.Time) int {
 	n := 0
 	for _, t := range s.tasks {
-		if t.waits(now) {
+		if t.needsPlacement(now) {
 			n++
 		}
 	}
@@ -214,17 +214,17 @@
 }
 
 // placeGang starts all tasks of a gang under one run number, or none.
-func (p *placing) placeGang(s *stepState) {
+func (p *schedulingPass) placeGang(s *stepState) {
 	for _, t := range s.tasks {
-		if !t.waits(p.now) || t.awaitsVerdict(p.core, p.now) {
+		if !t.needsPlacement(p.now) || t.awaitsVerdict(p.core, p.now) {
 			return
 		}
 	}
 	if !p.withinLimit(s, len(s.tasks)) {
 		return
 	}
-	req := requestOf(s)
-	room := p.room(s)
+	req := placementRequest(s)
+	room := p.workersFor(s)
 	views := room.views
 	if s.suspicion() != job.Unsuspected {
 		views = p.quarantineViews(s, room)
@@ -233,57 +233,57 @@
 	if chosen == nil {
 		p.pool.wait(s, len(s.tasks))
 		s.noteWaits(p.core.waitCause(p.service), p.now)
-		p.ask(s)
+		p.requestAdvice(s)
 		return
 	}
-	if p.holdBack() {
+	if p.deferStarts() {
 		return
 	}
-	number := p.core.nextRun()
+	number := p.core.nextRunNumber()
 	for n, i := range chosen {
-		p.start(s.tasks[n], room.workers[i], &req, number)
+		p.startRun(s.tasks[n], room.workers[i], &req, number)
 	}
 }
 
-// stepChoice chooses workers for the tasks of one step.
-type stepChoice struct {
-	p    *placing
-	step *stepState
-	req  placement.Request
-	mine map[*worker]int // tasks of the step by worker; kept if only so many may be on one
+// workerSelector chooses workers for the tasks of one step.
+type workerSelector struct {
+	p         *schedulingPass
+	step      *stepState
+	req       placement.Request
+	stepTasks map[*worker]int // tasks of the step by worker; kept if only so many may be on one
 }
 
-// choiceFor returns the choice for the step's tasks, of which some may run already.
-func (p *placing) choiceFor(s *stepState) *stepChoice {
-	ch := &stepChoice{p: p, step: s, req: requestOf(s)}
+// newWorkerSelector returns the choice for the step's tasks, of which some may run already.
+func (p *schedulingPass) newWorkerSelector(s *stepState) *workerSelector {
+	ch := &workerSelector{p: p, step: s, req: placementRequest(s)}
 	if ch.req.MaxPerWorker > 0 {
-		ch.mine = map[*worker]int{}
+		ch.stepTasks = map[*worker]int{}
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
-				ch.mine[r.worker]++
+				ch.stepTasks[r.worker]++
 			}
 		}
 	}
 	return ch
 }
 
-// best returns the best worker that is not barred, nil if none has room.
-func (ch *stepChoice) best(barred func(*worker) bool) *worker {
+// pick returns the pick worker that is not barred, nil if none has room.
+func (ch *workerSelector) pick(barred func(*worker) bool) *worker {
 	if ch.req.Lasting || ch.req.Filler || ch.req.Serving {
-		return ch.bestOfAll(barred)
+		return ch.pickByScan(barred)
 	}
 	s, now := ch.step, ch.p.now
 	permits := s.needsPermits()
 	allowed := func(w *worker) bool {
 		return !barred(w) && !w.keptFromOthers(s, now) && (!permits || s.permitted(w, now))
 	}
-	return ch.p.pool.free.choose(&ch.req, allowed, ch.mine, now)
+	return ch.p.pool.free.choose(&ch.req, allowed, ch.stepTasks, now)
 }
 
-// bestOfAll looks at each worker of the service: what is best for tasks that share it
+// pickByScan looks at each worker of the service: what is best for tasks that share it
 // with others over a long time depends on more than its room.
-func (ch *stepChoice) bestOfAll(barred func(*worker) bool) *worker {
-	room := ch.p.room(ch.step)
+func (ch *workerSelector) pickByScan(barred func(*worker) bool) *worker {
+	room := ch.p.workersFor(ch.step)
 	views := room.views
 	if slices.ContainsFunc(room.workers, barred) {
 		views = slices.Clone(views)
@@ -298,11 +298,11 @@
 }
 
 // start starts the task on the worker.
-func (ch *stepChoice) start(t *task, w *worker) {
-	ch.p.start(t, w, &ch.req, ch.p.core.nextRun())
-	if ch.mine != nil {
-		ch.mine[w]++
+func (ch *workerSelector) start(t *task, w *worker) {
+	ch.p.startRun(t, w, &ch.req, ch.p.core.nextRunNumber())
+	if ch.stepTasks != nil {
+		ch.stepTasks[w]++
 	}
 }
 
-func nobody(*worker) bool { return false }
+func excludeNone(*worker) bool { return false }
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -19,10 +19,10 @@
 	maintained int // its instances that are kept for a wave, likewise
 	trend      estimateTrend
 
-	queue  []*jobState // that may have tasks to place
-	claims []claim     // the memory of the last placement's, to be used again
-	free   freeIndex   // workers that may get tasks
-	supply poolSupply  // its instances
+	queue  []*jobState  // that may have tasks to place
+	claims []queueEntry // the memory of the last placement's, to be used again
+	free   freeIndex    // workers that may get tasks
+	supply poolSupply   // its instances
 }
 
 // sizeEvery is how often pools are sized: short against the time of a move.
@@ -41,7 +41,7 @@
 func (p *poolState) wait(s *stepState, n int) {
 	cores := float64(n) * float64(s.spec.Occupies().CPUMilli) / 1000
 	p.waiting += cores
-	if s.job.band >= bandBeyond {
+	if s.job.band >= bandOverShare {
 		p.late += cores
 	}
 }
@@ -127,7 +127,7 @@
 		p := c.pool(s.Name)
 		views[s.Name] = &capacity.Pool{Name: s.Name, Waiting: p.waiting, WaitingLate: p.late, WaitsFor: p.waitsFor(now), Rate: p.arrivals.Cores(p.supply.instances+p.arriving, now) * p.trend.factor()}
 	}
-	c.refresh(now)
+	c.updateIndexes(now)
 	for name, v := range views {
 		c.pool(name).supply.fill(v)
 		for _, i := range c.pool(name).supply.idle {
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -27,23 +27,23 @@
 
 // preempt stops less urgent runs if a task of the step has waited long enough for
 // room. The worker that is cleared is kept for the step.
-func (p *placing) preempt(s *stepState, req *placement.Request) {
+func (p *schedulingPass) preempt(s *stepState, req *placement.Request) {
 	now := p.now
 	if s.waitingSince.IsZero() {
 		s.waitingSince = now
 	}
-	if s.job.band >= bandBeyond || now.Sub(s.waitingSince) < s.preemptPatience() || s.preemptedLately(now) {
+	if s.job.band >= bandOverShare || now.Sub(s.waitingSince) < s.preemptPatience() || s.preemptedLately(now) {
 		return
 	}
 	if now.Sub(s.preemptCheckedAt) < preemptLook || !p.pool.someYieldTo(s) {
 		return
 	}
 	s.preemptCheckedAt = now
-	room := p.room(s)
+	room := p.workersFor(s)
 	runs := make([][]*run, len(room.workers))
 	occupants := make([][]placement.Occupant, len(room.workers))
 	for i, w := range room.workers {
-		for _, r := range sortedRuns(w) {
+		for _, r := range runsByNumber(w) {
 			if r.mayYieldTo(s) {
 				runs[i] = append(runs[i], r)
 				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.Occupies(), Lost: r.lossAt(now)})
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -67,7 +67,7 @@
 	stop := r.out.Stops[0]
 	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
 	r.held(a, without(active, stop.Task), RunEnd{Seq: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
-	r.tick(scheduleEvery)
+	r.tick(minScheduleInterval)
 	starts := r.started()
 	require.Len(t, starts, 1)
 	assert.Equal(t, lasting.ID, starts[0].Task.Job)
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -127,7 +127,7 @@
 }
 
 // quarantines returns the conditions for a worker of a suspect, the best first.
-func (p *placing) quarantines(t *task) []func(*worker) bool {
+func (p *schedulingPass) quarantines(t *task) []func(*worker) bool {
 	j := t.step.job
 	if t.isolationWaitSince.IsZero() {
 		t.isolationWaitSince = p.now
@@ -153,20 +153,20 @@
 
 // barredSince returns the workers on which a suspect that failed a moment ago is not started.
 func (t *task) barredSince(now time.Time) func(*worker) bool {
-	if now.Sub(t.lastFailedAt) > elsewherePatience {
-		return nobody
+	if now.Sub(t.lastFailedAt) > otherWorkerWait {
+		return excludeNone
 	}
-	return t.failedOnWorker
+	return t.hasFailedOn
 }
 
 // placeSuspect starts a suspect on a worker of its own, if there is one.
-func (p *placing) placeSuspect(t *task, choice *stepChoice, barred func(*worker) bool) {
+func (p *schedulingPass) placeSuspect(t *task, choice *workerSelector, barred func(*worker) bool) {
 	for _, fits := range p.quarantines(t) {
-		w := choice.best(func(w *worker) bool { return barred(w) || !fits(w) })
+		w := choice.pick(func(w *worker) bool { return barred(w) || !fits(w) })
 		if w == nil {
 			continue
 		}
-		if !p.holdBack() {
+		if !p.deferStarts() {
 			choice.start(t, w)
 			t.step.waitingSince = time.Time{}
 		}
@@ -180,12 +180,12 @@
 
 // awaitQuarantine takes note that a suspect waits for a worker of its own, and lets one
 // become empty for it.
-func (p *placing) awaitQuarantine(t *task, req *placement.Request) {
+func (p *schedulingPass) awaitQuarantine(t *task, req *placement.Request) {
 	s := t.step
 	p.pool.wait(s, 1)
 	t.note(CauseElsewhere, s.readySince(), p.now)
-	p.ask(s)
-	room := p.room(s)
+	p.requestAdvice(s)
+	room := p.workersFor(s)
 	kept := 0
 	var best *worker
 	for i, w := range room.workers {
@@ -212,7 +212,7 @@
 
 // quarantineViews returns the views of the room with the workers barred on which a gang of
 // suspects may not start.
-func (p *placing) quarantineViews(s *stepState, room *roomView) []placement.Worker {
+func (p *schedulingPass) quarantineViews(s *stepState, room *workerView) []placement.Worker {
 	conditions := p.quarantines(s.tasks[0])
 	allowed := conditions[len(conditions)-1]
 	views := make([]placement.Worker, len(room.views))
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -124,7 +124,7 @@
 	for _, w := range c.unlisted.sorted() {
 		w.registered = false
 		c.unlisted.put(w, false)
-		c.touchWorker(w)
+		c.markWorkerChanged(w)
 		c.note(Decision{Event: "worker-unregistered", Worker: w.Worker})
 	}
 }
@@ -166,7 +166,7 @@
 	w.Registration = r
 	w.registered = true
 	c.roster.add(w)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	c.changed[r.Service] = true
 }
 
@@ -190,6 +190,6 @@
 	delete(c.unlisted, id)
 	delete(c.maintaining, id)
 	c.roster.remove(w)
-	w.unindex()
+	w.removeFromIndex()
 	c.countOfWorker(w)
 }
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -10,17 +10,17 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// roomView is the workers of a service as placement sees them.
-type roomView struct {
+// workerView is the workers of a service as placement sees them.
+type workerView struct {
 	workers []*worker
 	views   []placement.Worker
 }
 
-// roomOf returns the workers of the service that new tasks may go to. It costs the size
+// newWorkerView returns the workers of the service that new tasks may go to. It costs the size
 // of the service: tasks that end by themselves are placed by the index instead.
-func (c *Core) roomOf(service string, now time.Time) *roomView {
+func (c *Core) newWorkerView(service string, now time.Time) *workerView {
 	list := c.roster[service]
-	v := &roomView{workers: make([]*worker, 0, len(list)), views: make([]placement.Worker, 0, len(list))}
+	v := &workerView{workers: make([]*worker, 0, len(list)), views: make([]placement.Worker, 0, len(list))}
 	for _, w := range list {
 		if !c.isUsable(w, now) {
 			continue
@@ -34,11 +34,11 @@
 
 // indexOf returns the place of a worker in the view; ok is false if it is not
 // there.
-func (v *roomView) indexOf(w *worker) (i int, ok bool) { return w.roomViewIndex, w.roomView == v }
+func (v *workerView) indexOf(w *worker) (i int, ok bool) { return w.roomViewIndex, w.roomView == v }
 
-// countOf sets how many tasks of the step run on each worker, and bars those
+// countStepTasks sets how many tasks of the step run on each worker, and bars those
 // that it may not run on.
-func (v *roomView) countOf(s *stepState, now time.Time) {
+func (v *workerView) countStepTasks(s *stepState, now time.Time) {
 	needsPermits := s.needsPermits()
 	for i, w := range v.workers {
 		v.views[i].Mine = 0
@@ -53,21 +53,21 @@
 	}
 }
 
-// elsewherePatience is how long a task that failed waits for room on another
+// otherWorkerWait is how long a task that failed waits for room on another
 // worker than those on which it did: attempts are few, and a bad worker fails all.
 // Most tasks end within it.
-const elsewherePatience = time.Second
+const otherWorkerWait = time.Second
 
-// awaitsOther reports whether the task failed a moment ago, and there are workers
+// awaitsOtherWorker reports whether the task failed a moment ago, and there are workers
 // that could take it and on which it did not. Tickets last for a short time, so
 // that tasks that need one do not wait.
-func (t *task) awaitsOther(free *freeIndex, req *placement.Request, now time.Time) bool {
-	if len(t.failedOn) == 0 || req.Permits || now.Sub(t.lastFailedAt) > elsewherePatience {
+func (t *task) awaitsOtherWorker(free *freeIndex, req *placement.Request, now time.Time) bool {
+	if len(t.failedOn) == 0 || req.Permits || now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return false
 	}
 	for _, k := range free.classes {
 		for _, w := range k.byFree {
-			if !t.failedOnWorker(w) && placement.Possible(&placement.Worker{Room: w.Capacity, Labels: w.Labels}, req) {
+			if !t.hasFailedOn(w) && placement.Possible(&placement.Worker{Room: w.Capacity, Labels: w.Labels}, req) {
 				return true
 			}
 		}
@@ -75,10 +75,10 @@
 	return false
 }
 
-func (t *task) failedOnWorker(w *worker) bool { return slices.Contains(t.failedOn, w.Worker) }
+func (t *task) hasFailedOn(w *worker) bool { return slices.Contains(t.failedOn, w.Worker) }
 
-// sortedRuns returns the runs on the worker in the order of their starts.
-func sortedRuns(w *worker) []*run {
+// runsByNumber returns the runs on the worker in the order of their starts.
+func runsByNumber(w *worker) []*run {
 	out := slices.Collect(maps.Values(w.runs))
 	slices.SortFunc(out, func(a, b *run) int { return cmp.Compare(a.number, b.number) })
 	return out
@@ -93,9 +93,9 @@
 	r.worker.addRun(r)
 }
 
-// dropRun is the inverse of addRun; a run that was dropped before is left alone.
-func (t *task) dropRun(r *run) (dropped bool) {
-	r.worker.dropRun(r)
+// removeRun is the inverse of addRun; a run that was dropped before is left alone.
+func (t *task) removeRun(r *run) (dropped bool) {
+	r.worker.removeRun(r)
 	i := slices.Index(t.runs, r)
 	if i < 0 {
 		return false
@@ -111,24 +111,24 @@
 func (w *worker) addRun(r *run) {
 	id := r.task.id()
 	if old := w.runs[id]; old != nil {
-		w.account(old, -1)
+		w.addUsage(old, -1)
 	}
 	w.runs[id] = r
-	w.account(r, 1)
+	w.addUsage(r, 1)
 }
 
-// dropRun is the inverse of addRun.
-func (w *worker) dropRun(r *run) {
+// removeRun is the inverse of addRun.
+func (w *worker) removeRun(r *run) {
 	id := r.task.id()
 	if w.runs[id] != r {
 		return
 	}
 	delete(w.runs, id)
-	w.account(r, -1)
+	w.addUsage(r, -1)
 }
 
-// account adds n times what the run occupies.
-func (w *worker) account(r *run, n int) {
+// addUsage adds n times what the run occupies.
+func (w *worker) addUsage(r *run, n int) {
 	spec := r.task.step.spec
 	need := spec.Occupies()
 	w.allocated = w.allocated.Add(job.Resources{CPUMilli: n * need.CPUMilli, MemMB: n * need.MemMB, GPU: n * need.GPU})
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -7,36 +7,36 @@
 	"time"
 )
 
-// band orders jobs before all else.
-type band int
+// priorityBand orders jobs before all else.
+type priorityBand int
 
 const (
-	bandLasting band = iota // long-running: they serve users all the time
-	bandInTime              // can still meet their objective
-	bandBeyond              // likewise, and beyond their tenant's share
+	bandLongRunning priorityBand = iota // long-running: they serve users all the time
+	bandOnTime                          // can still meet their objective
+	bandOverShare                       // likewise, and beyond their tenant's share
 	bandLate
 )
 
-// claim is a job with tasks to place, and its place in the order.
-type claim struct {
-	job      *jobState
-	band     band
-	priority int
-	work     float64       // core-seconds that are left
-	slack    time.Duration // until it would be late if all went by the estimates
-	accepted time.Time
+// queueEntry is a job with tasks to place, and its place in the order.
+type queueEntry struct {
+	job           *jobState
+	band          priorityBand
+	priority      int
+	remainingWork float64       // core-seconds that are left
+	slack         time.Duration // until it would be late if all went by the estimates
+	acceptedAt    time.Time
 }
 
-func (c *Core) claimOf(j *jobState, now time.Time) claim {
-	cl := claim{job: j, band: bandInTime, priority: j.queue.Priority, work: j.workLeft, accepted: j.spec.AcceptedAt}
+func (c *Core) queueEntryOf(j *jobState, now time.Time) queueEntry {
+	cl := queueEntry{job: j, band: bandOnTime, priority: j.queue.Priority, remainingWork: j.workLeft, acceptedAt: j.spec.AcceptedAt}
 	cl.slack = j.deadline().Sub(now.Add(j.criticalPathLeft))
 	switch {
 	case j.spec.Steps[0].LongRunning:
-		cl.band = bandLasting
+		cl.band = bandLongRunning
 	case cl.slack < 0:
 		cl.band = bandLate
 	case j.overShare:
-		cl.band = bandBeyond
+		cl.band = bandOverShare
 	}
 	j.band = cl.band
 	return cl
@@ -55,9 +55,9 @@
 )
 
 // compare orders claims; a comes first if it is negative.
-func (a claim) compare(b claim, policy SchedulingPolicy) int {
-	if (a.band == bandLasting) != (b.band == bandLasting) {
-		return boolFirst(a.band == bandLasting)
+func (a queueEntry) compare(b queueEntry, policy SchedulingPolicy) int {
+	if (a.band == bandLongRunning) != (b.band == bandLongRunning) {
+		return boolFirst(a.band == bandLongRunning)
 	}
 	if policy != ScheduleFIFO && policy != ScheduleShortestFirst {
 		if order := cmp.Or(cmp.Compare(a.band, b.band), cmp.Compare(a.priority, b.priority)); order != 0 {
@@ -67,11 +67,11 @@
 	order := 0
 	switch policy {
 	case ScheduleFIFO:
-		order = a.accepted.Compare(b.accepted)
+		order = a.acceptedAt.Compare(b.acceptedAt)
 	case ScheduleLeastSlack:
-		order = cmp.Or(cmp.Compare(a.slack, b.slack), cmp.Compare(a.work, b.work))
+		order = cmp.Or(cmp.Compare(a.slack, b.slack), cmp.Compare(a.remainingWork, b.remainingWork))
 	default:
-		order = cmp.Compare(a.work, b.work)
+		order = cmp.Compare(a.remainingWork, b.remainingWork)
 	}
 	return cmp.Or(order, cmp.Compare(a.job.spec.ID, b.job.spec.ID))
 }
@@ -79,11 +79,11 @@
 // Pauses between two placements of a service in which tasks wait for room: ends
 // that come meanwhile share one.
 const (
-	// scheduleEvery is the least of them, a hundredth of what a small task takes.
-	scheduleEvery = 5 * time.Millisecond
-	// schedulePerJob is added for each job that waits: thirty times what looking at one takes, so
+	// minScheduleInterval is the least of them, a hundredth of what a small task takes.
+	minScheduleInterval = 5 * time.Millisecond
+	// scheduleIntervalPerJob is added for each job that waits: thirty times what looking at one takes, so
 	// that a long queue leaves the processor to all else.
-	schedulePerJob = 60 * time.Microsecond
+	scheduleIntervalPerJob = 60 * time.Microsecond
 )
 
 // schedule places waiting tasks of the services in which something changed.
@@ -91,44 +91,44 @@
 	if c.fenced || len(c.changed) == 0 || c.isLagging(now) {
 		return
 	}
-	c.refresh(now)
-	c.line.letGo(now)
-	var due []*placing
+	c.updateIndexes(now)
+	c.line.expire(now)
+	var due []*schedulingPass
 	for _, service := range slices.Sorted(maps.Keys(c.changed)) { // the same in each play of a test
 		pool := c.pool(service)
-		if pool.placedLately(now) || c.line.held[service] && !c.line.isShort() {
+		if pool.recentlyScheduled(now) || c.line.deferred[service] && !c.line.hasHeadroom() {
 			continue
 		}
 		delete(c.changed, service)
-		delete(c.line.held, service)
-		due = append(due, c.newPlacing(service, pool, now))
+		delete(c.line.deferred, service)
+		due = append(due, c.newSchedulingPass(service, pool, now))
 	}
 	for _, p := range due {
-		p.placeLasting()
+		p.placeLongRunning()
 	}
 	for _, p := range due {
-		p.placeOthers()
+		p.placeRemaining()
 	}
 }
 
-// placedLately reports whether the service had its turn a moment ago, and tasks
+// recentlyScheduled reports whether the service had its turn a moment ago, and tasks
 // were left without room.
-func (p *poolState) placedLately(now time.Time) bool {
-	return p.waiting > 0 && now.Sub(p.placedAt) < scheduleEvery+time.Duration(p.jobs)*schedulePerJob
+func (p *poolState) recentlyScheduled(now time.Time) bool {
+	return p.waiting > 0 && now.Sub(p.placedAt) < minScheduleInterval+time.Duration(p.jobs)*scheduleIntervalPerJob
 }
 
-// newPlacing returns a placement of the service's waiting tasks that has not begun.
-func (c *Core) newPlacing(service string, pool *poolState, now time.Time) *placing {
-	claims := c.claimsOf(service, pool, now)
+// newSchedulingPass returns a placement of the service's waiting tasks that has not begun.
+func (c *Core) newSchedulingPass(service string, pool *poolState, now time.Time) *schedulingPass {
+	claims := c.queueEntries(service, pool, now)
 	pool.waiting, pool.late = 0, 0
 	pool.placedAt = now
 	pool.jobs = len(claims)
-	slices.SortFunc(claims, func(a, b claim) int { return a.compare(b, c.opt.JobOrder) })
-	return &placing{core: c, service: service, pool: pool, now: now, claims: claims}
+	slices.SortFunc(claims, func(a, b queueEntry) int { return a.compare(b, c.opt.JobOrder) })
+	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: claims}
 }
 
-// wants puts the job among those of its service that may have tasks to place.
-func (c *Core) wants(j *jobState) {
+// queueForPlacement puts the job among those of its service that may have tasks to place.
+func (c *Core) queueForPlacement(j *jobState) {
 	c.changed[j.service] = true
 	if !j.queuedForPlacement {
 		j.queuedForPlacement = true
@@ -137,24 +137,24 @@
 	}
 }
 
-// claimsOf returns the jobs of the service with tasks to place, and takes those out of
+// queueEntries returns the jobs of the service with tasks to place, and takes those out of
 // its queue that have none any more. Inherited jobs wait until it is known what an
 // earlier owner started; they are not even looked at: with many of them, and workers that
 // answer one by one, looking would use up a new owner's processor for longer than leases last.
-func (c *Core) claimsOf(service string, pool *poolState, now time.Time) []claim {
+func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
 	takenOver := c.certain(service, now)
 	lapsed := takenOver || now.Sub(c.startedAt) > c.leaseBound()
 	kept := pool.queue[:0]
 	claims := pool.claims[:0]
 	for _, j := range pool.queue {
 		if !j.inherited || takenOver || lapsed && j.lasts() {
-			if j.state.Final() || j.service != service || !mayWait(j) {
-				j.leaveQueue(service)
+			if j.state.Final() || j.service != service || !mayNeedPlacement(j) {
+				j.clearQueued(service)
 				continue
 			}
 			c.counts.Considered++
-			if waits(j, now) {
-				claims = append(claims, c.claimOf(j, now))
+			if jobNeedsPlacement(j, now) {
+				claims = append(claims, c.queueEntryOf(j, now))
 			}
 		}
 		kept = append(kept, j)
@@ -164,15 +164,15 @@
 	return claims
 }
 
-// leaveQueue says that the job is in no queue, unless it went over to another service's.
-func (j *jobState) leaveQueue(service string) {
+// clearQueued says that the job is in no queue, unless it went over to another service's.
+func (j *jobState) clearQueued(service string) {
 	if j.service == service {
 		j.queuedForPlacement = false
 	}
 }
 
-// mayWait reports whether the job has a task to place now or, if it has copies, later.
-func mayWait(j *jobState) bool {
+// mayNeedPlacement reports whether the job has a task to place now or, if it has copies, later.
+func mayNeedPlacement(j *jobState) bool {
 	for _, s := range j.steps {
 		if s.ready() && (s.withoutRun > 0 || s.spec.Speculative) {
 			return true
@@ -181,8 +181,8 @@
 	return false
 }
 
-// waits reports whether the job has a task to place.
-func waits(j *jobState, now time.Time) bool {
+// jobNeedsPlacement reports whether the job has a task to place.
+func jobNeedsPlacement(j *jobState, now time.Time) bool {
 	for _, s := range j.steps {
 		if !s.ready() {
 			continue
@@ -197,20 +197,20 @@
 	return false
 }
 
-func (t *task) waits(now time.Time) bool {
+func (t *task) needsPlacement(now time.Time) bool {
 	return !t.done && len(t.runs) == 0 && !now.Before(t.notBefore) && !t.isGivenUp()
 }
 
-func (c *Core) nextRun() uint64 {
+func (c *Core) nextRunNumber() uint64 {
 	c.lastRun++
 	return c.lastRun
 }
 
-func (c *Core) start(t *task, w *worker, number uint64, now time.Time) {
+func (c *Core) startRun(t *task, w *worker, number uint64, now time.Time) {
 	r := &run{task: t, number: number, worker: w, phase: starting, throttlePercent: 100, firstSentAt: now}
 	c.addRun(r)
 	c.beginTrial(r, now)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	c.pool(t.step.job.service).began(t.step.job)
 	c.counts.Starts++
 	c.sendStart(r, now)
@@ -231,13 +231,13 @@
 	c.pace(now)
 	c.maintain(now)
 	c.size(now)
-	c.recheck()
+	c.markWaitingServices()
 	c.schedule(now)
 }
 
-// recheck looks again at services whose waiting tasks may go on because time
+// markWaitingServices looks again at services whose waiting tasks may go on because time
 // has passed.
-func (c *Core) recheck() {
+func (c *Core) markWaitingServices() {
 	for service, p := range c.pools {
 		if len(p.queue) > 0 {
 			c.changed[service] = true
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -152,9 +152,9 @@
 	steps              []*stepState // in the order occurrence, step
 	nextOccurrence     int          // first occurrence that has not begun
 	state              job.State
-	queuedForPlacement bool // it is among the jobs of its service that may have tasks to place
-	countedPending     bool // it is among the pending jobs of its queue
-	band               band // at the last placement
+	queuedForPlacement bool         // it is among the jobs of its service that may have tasks to place
+	countedPending     bool         // it is among the pending jobs of its queue
+	band               priorityBand // at the last placement
 
 	overShare        bool // its tenant had sent its share already
 	started          bool // a worker has said that a task of it started
@@ -224,12 +224,12 @@
 	avoidUntil          time.Time             // no new tasks until then
 	recentEnds          endWindow             // recent ends, to find bad workers
 	nextThrottleAt      time.Time
-	roomView            *roomView  // newest view of its service that it is in
-	roomViewIndex       int        // its place there
-	sizeClass           *sizeClass // its place in the index of usable workers; nil: it is not there
-	indexedService      string     // the service of that index
-	indexedFreeCPUMilli int        // thousandths of a core that were free then
-	indexStale          bool       // it has to be indexed anew
+	roomView            *workerView    // newest view of its service that it is in
+	roomViewIndex       int            // its place there
+	sizeClass           *capacityClass // its place in the index of usable workers; nil: it is not there
+	indexedService      string         // the service of that index
+	indexedFreeCPUMilli int            // thousandths of a core that were free then
+	indexStale          bool           // it has to be indexed anew
 	avoidPenalty        time.Duration
 	consecutiveNoRoom   int // starts on end that it refused for want of room
 	reservedAt          time.Time
@@ -345,7 +345,7 @@
 	events   []Decision
 	counts   Counts
 
-	line line
+	line startWindow
 }
 
 // Counts are totals since the start of the term.
@@ -433,7 +433,7 @@
 		settled:     map[string]bool{},
 		awaited:     map[string]awaited{},
 		awaitedOf:   map[string]InstanceID{},
-		line:        newLine(opt.MaxPendingStarts),
+		line:        newStartWindow(opt.MaxPendingStarts),
 		leaveTo:     map[InstanceID]time.Time{},
 		startedAt:   now,
 		electedAt:   now,
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -18,7 +18,7 @@
 	r := &run{task: t, number: a.Run, worker: w, phase: running, sentAt: now, confirmedAt: now, progressAt: now, percent: a.Percent, throttlePercent: 100}
 	other := t.activeRun()
 	c.addRun(r)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	c.watchStall(r)
 	c.pool(j.service).began(j)
 	c.noteBegun(r, now)
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -43,7 +43,7 @@
 
 // dropRun is its inverse. Work that waited for the tenant's limit may go on.
 func (c *Core) dropRun(r *run) {
-	if !r.task.dropRun(r) {
+	if !r.task.removeRun(r) {
 		return
 	}
 	for _, service := range c.quotas.Remove(r.task.step.job.spec.Tenant, r.task.step.spec.Need) {
@@ -96,7 +96,7 @@
 
 // withinLimit reports whether n tasks more of the step may start, and takes note if not. What
 // its tenant may not run asks for no instances, and pushes nothing aside.
-func (p *placing) withinLimit(s *stepState, n int) bool {
+func (p *schedulingPass) withinLimit(s *stepState, n int) bool {
 	spec := s.job.spec
 	if p.core.mayStart(spec, s.spec, n, p.now) {
 		return true
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -375,7 +375,7 @@
 		delete(ws.down, o.Instance)
 		if w != nil {
 			c.unreserve(w)
-			c.putAside(w, now.Add(orderRetry))
+			c.avoidWorkerUntil(w, now.Add(orderRetry))
 		}
 	}
 	c.note(Decision{Event: "maintenance-answer", Reason: string(o.Instance) + " " + outcome.String()})
@@ -386,7 +386,7 @@
 	w.reserved = why
 	w.reservedAt = now
 	c.maintaining.put(w, why == reservedMaintenance && !w.ended)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 }
 
 // unreserve lets a worker have new tasks again.
@@ -394,5 +394,5 @@
 	w.reserved = ""
 	w.endOrdered = false
 	c.maintaining.put(w, false)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 }
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -128,7 +128,7 @@
 func (c *Core) heardOrder(w *worker, a Answer, now time.Time) {
 	c.tallyCall(w, a)
 	if a.Outcome == Unanswered && !a.ConnFailed {
-		c.touchWorker(w)
+		c.markWorkerChanged(w)
 		return
 	}
 	c.heard(w, a, now)
@@ -158,7 +158,7 @@
 
 // heard takes note of an answer, or that there is none.
 func (c *Core) heard(w *worker, a Answer, now time.Time) {
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	if w.ended {
 		return // an answer that was on its way
 	}
@@ -181,7 +181,7 @@
 func (c *Core) unheard(w *worker, sent time.Time) {
 	if w.lastAnswerAt.Before(sent) {
 		w.orderUnanswered = true
-		c.touchWorker(w)
+		c.markWorkerChanged(w)
 	}
 }
 
@@ -371,10 +371,10 @@
 	c.over.put(w, true)
 	c.maintaining.put(w, false)
 	c.silent.put(w, false)
-	c.touchWorker(w)
+	c.markWorkerChanged(w)
 	c.note(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
 	c.lookInto(w, now)
-	for _, r := range sortedRuns(w) {
+	for _, r := range runsByNumber(w) {
 		c.lose(r, proof, now)
 	}
 	for service := range c.pools {
@@ -395,10 +395,10 @@
 		id := w.Worker
 		if len(w.runs) > 0 && c.leasesOver(w, now) && !c.isStarved(now) {
 			c.note(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
-			for _, r := range sortedRuns(w) {
+			for _, r := range runsByNumber(w) {
 				c.noteCrash(r, now) // what became of the worker may be known later
 			}
-			for _, r := range sortedRuns(w) {
+			for _, r := range runsByNumber(w) {
 				c.lose(r, "its lease is over", now)
 			}
 		}
