--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -82,7 +82,7 @@
 		"owner_starts": float64(s.Starts), "owner_starts_refused": float64(s.Refused), "owner_tasks_done": float64(s.Done),
 		"owner_tasks_failed": float64(s.Failed), "owner_tasks_stopped": float64(s.Stopped), "owner_tasks_lapsed": float64(s.Lapsed),
 		"owner_tasks_lost": float64(s.Lost), "owner_commits": float64(s.Commits),
-		"owner_lasting_tasks_lapsed": float64(s.LastingLapsed), "owner_jobs_considered": float64(s.Considered),
+		"owner_lasting_tasks_lapsed": float64(s.LongRunningLapsed), "owner_jobs_considered": float64(s.JobsConsidered),
 		"owner_worker_crashes": float64(s.Crashes), "owner_trials": float64(s.Trials), "owner_tasks_given_up": float64(s.GivenUp),
 	} {
 		m.scope.Gauge(name).Update(v)
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -14,7 +14,7 @@
 
 // commit starts the next transaction if one is due.
 func (t *termRun) commit(now time.Time) {
-	if t.committing || now.Sub(t.lastCommit) < commitEvery && t.core.Dirty() < commitBacklog && !t.core.IsWriteUrgent() {
+	if t.committing || now.Sub(t.lastCommit) < commitEvery && t.core.DirtyJobs() < commitBacklog && !t.core.IsWriteUrgent() {
 		return
 	}
 	puts := lastOfEachKey(t.extra)
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -180,7 +180,7 @@
 		case <-tick.C:
 			now := t.n.clock.Now()
 			t.noteSuspension()
-			t.core.Delayed(now.Sub(lastTick)-tickEvery, now)
+			t.core.ReportTimerDelay(now.Sub(lastTick)-tickEvery, now)
 			lastTick = now
 			t.core.SetStoreLease(t.n.mayDoDuty(), now)
 			t.core.Tick(now)
@@ -206,7 +206,7 @@
 				continue
 			}
 		}
-		t.dispatch(t.core.Take())
+		t.dispatch(t.core.TakeEffects())
 		t.commit(t.n.clock.Now())
 	}
 }
@@ -235,7 +235,7 @@
 	t.suspended += d
 	t.n.log.Warn("suspended", zap.Duration("for", d))
 	t.core.SetStoreLease(t.n.mayDoDuty(), now)
-	t.core.Suspended(d, now)
+	t.core.ReportSuspension(d, now)
 }
 
 // reportEvery is how often the owner's figures are handed to the metrics.
--- a/jobs/owner/account_test.go
+++ b/jobs/owner/account_test.go
@@ -88,7 +88,7 @@
 	for n := range 40 {
 		j := simpleJob(n, 1)
 		r.core.Submit(j, r.now)
-		r.core.touch(r.core.jobs[j.ID])
+		r.core.markDirty(r.core.jobs[j.ID])
 	}
 	last := simpleJob(39, 1).ID
 	r.core.Cancel(last, r.now)
@@ -105,14 +105,14 @@
 	for n := range jobs {
 		j := simpleJob(n, 1)
 		r.core.Submit(j, r.now)
-		r.core.touch(r.core.jobs[j.ID])
+		r.core.markDirty(r.core.jobs[j.ID])
 	}
 	seen := map[job.ID]bool{}
 	for range jobs / room {
 		records := r.core.Uncommitted(room)
 		for _, rec := range records {
 			seen[rec.Job.ID] = true
-			r.core.touch(r.core.jobs[rec.Job.ID]) // more of it ends while it is written
+			r.core.markDirty(r.core.jobs[rec.Job.ID]) // more of it ends while it is written
 		}
 		r.core.Committed(records, r.now)
 	}
--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -102,7 +102,7 @@
 		s.permits = &permits{tickets: map[WorkerID]ticket{}, refused: map[WorkerID]bool{}}
 	}
 	p := s.permits
-	if p.asking || now.Before(p.retryAt) || c.questions >= openQuestions {
+	if p.asking || now.Before(p.retryAt) || c.adviceInFlight >= openQuestions {
 		return
 	}
 	var list []*worker
@@ -121,14 +121,14 @@
 	}
 	p.asking = true
 	p.askedAt = now
-	c.questions++
-	c.out.Questions = append(c.out.Questions, q)
+	c.adviceInFlight++
+	c.effects.Questions = append(c.effects.Questions, q)
 }
 
 // OnAdvice takes the advisor's answer. Tickets count from the question on, as
 // it is not known when they were written.
 func (c *Core) OnAdvice(q AdviceQuery, a Advice, now time.Time) {
-	c.questions--
+	c.adviceInFlight--
 	j := c.jobs[q.Step.Job]
 	if j == nil {
 		return
@@ -139,7 +139,7 @@
 	}
 	p := s.permits
 	p.asking = false
-	c.changed[j.service] = true
+	c.changedServices[j.service] = true
 	c.pool(j.service).placedAt = time.Time{} // tickets last for a short time: place at once
 	if a.Err != nil {
 		p.retryAt = now.Add(askAgain)
@@ -170,6 +170,6 @@
 	}
 	delete(p.tickets, w.Worker)
 	if p.refusals++; p.refusals > ticketsRefused {
-		p.retryAt = later(p.retryAt, now.Add(ticketPauses.after(p.refusals-ticketsRefused)))
+		p.retryAt = laterOf(p.retryAt, now.Add(ticketPauses.after(p.refusals-ticketsRefused)))
 	}
 }
--- a/jobs/owner/begun.go
+++ b/jobs/owner/begun.go
@@ -7,12 +7,12 @@
 // while the workers of a new owner are slow to answer those of many jobs are on their
 // way for seconds, all of which still wait.
 
-// noteBegun takes note that the worker has the run, if that is the first sign that its
+// noteStarted takes note that the worker has the run, if that is the first sign that its
 // job has begun.
-func (c *Core) noteBegun(r *run, now time.Time) {
+func (c *Core) noteStarted(r *run, now time.Time) {
 	s := r.task.step
 	j := s.job
-	if j.started || s.spec.Gang && !s.together(r.number) {
+	if j.started || s.spec.Gang && !s.gangRunsTogether(r.number) {
 		return
 	}
 	j.started = true
@@ -21,9 +21,9 @@
 		Reason: "accepted " + now.Sub(j.spec.AcceptedAt).Round(time.Millisecond).String() + " ago"})
 }
 
-// together reports whether workers have all members of a gang in the given run: their
+// gangRunsTogether reports whether workers have all members of a gang in the given run: their
 // tasks start only then.
-func (s *stepState) together(number uint64) bool {
+func (s *stepState) gangRunsTogether(number uint64) bool {
 	for _, t := range s.tasks {
 		r := t.activeRun()
 		if r == nil || r.number != number || r.phase != running {
@@ -33,8 +33,8 @@
 	return true
 }
 
-// showsBegun reports whether an end of this kind shows that a task of the step had
+// endProvesStart reports whether an end of this kind shows that a task of the step had
 // started. A member of a gang may have waited for the others until then.
-func (s *stepState) showsBegun(k EndKind) bool {
+func (s *stepState) endProvesStart(k EndKind) bool {
 	return !s.spec.Gang || k == EndDone || k == EndFailed || k == EndPeerEnded
 }
--- a/jobs/owner/budget.go
+++ b/jobs/owner/budget.go
@@ -9,7 +9,7 @@
 
 // known reports whether what runs on the worker is known well enough to count on.
 func (w *worker) known(now time.Time) bool {
-	return !w.silent() && now.Sub(w.answeredHoldSentAt) <= viewAge
+	return !w.isSilent() && now.Sub(w.answeredHoldSentAt) <= viewAge
 }
 
 // lastingOn counts the long-running tasks on a worker by their step.
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -2,42 +2,42 @@
 
 import "time"
 
-// contact says when a worker that does not answer was lost.
-type contact struct {
+// contactLoss says when a worker that does not answer was lost.
+type contactLoss struct {
 	lostAt  time.Time // first call that went unanswered; zero: it answers
 	heardAt time.Time // newest answer before that
 	broken  bool      // the connection ended: the worker was there until lostAt
 }
 
-// loseContact takes note of a call without an answer; first is true if the worker had
+// markContactLost takes note of a call without an answer; first is true if the worker had
 // answered until then.
-func (w *worker) loseContact(a Answer, now time.Time) (first bool) {
+func (w *worker) markContactLost(a Answer, now time.Time) (first bool) {
 	if !w.contactLoss.lostAt.IsZero() {
 		return false
 	}
-	w.contactLoss = contact{lostAt: now, heardAt: w.lastAnswerAt, broken: a.ConnFailed}
+	w.contactLoss = contactLoss{lostAt: now, heardAt: w.lastAnswerAt, broken: a.ConnFailed}
 	return true
 }
 
 // aliveUntil returns the latest time at which the worker was there for certain.
-func (k *contact) aliveUntil() time.Time {
+func (k *contactLoss) aliveUntil() time.Time {
 	if k.broken {
 		return k.lostAt
 	}
 	return k.heardAt
 }
 
-// lose frees a run that ended with its worker, or with its lease. proof is how that is known.
-func (c *Core) lose(r *run, proof string, now time.Time) {
+// loseRun frees a run that ended with its worker, or with its lease. proof is how that is known.
+func (c *Core) loseRun(r *run, proof string, now time.Time) {
 	c.counts.Lost++
 	id := r.task.id()
 	c.note(Decision{Event: "run-lost", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number,
-		Reason: proof + "; " + r.lifeSeen()})
+		Reason: proof + "; " + r.workerSeenAfterStart()})
 	c.release(r, CauseLost, now)
 }
 
-// lifeSeen says for how long the worker of a lost run was seen to be there after the start.
-func (r *run) lifeSeen() string {
+// workerSeenAfterStart says for how long the worker of a lost run was seen to be there after the start.
+func (r *run) workerSeenAfterStart() string {
 	if r.firstSentAt.IsZero() {
 		return "started by an earlier owner"
 	}
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -35,7 +35,7 @@
 		return noCopy // it may crash the worker of the copy, too
 	}
 	r := t.runs[0]
-	if r.phase == stopping || r.worker.silent() {
+	if r.phase == stopping || r.worker.isSilent() {
 		return urgentCopy
 	}
 	late := time.Duration(copyAfter*float64(spec.Estimate)) + copySlack
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -63,7 +63,7 @@
 }
 
 func (r *rig) take() {
-	e := r.core.Take()
+	e := r.core.TakeEffects()
 	r.out.Starts = append(r.out.Starts, e.Starts...)
 	r.out.Stops = append(r.out.Stops, e.Stops...)
 	r.out.Holds = append(r.out.Holds, e.Holds...)
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -46,7 +46,7 @@
 // moment ago may be the cause: that is recorded before the worker's fate is known, so that
 // the next owner knows of it.
 func (c *Core) loseContact(w *worker, a Answer, now time.Time) {
-	if !w.loseContact(a, now) || c.isStarved(now) {
+	if !w.markContactLost(a, now) || c.isStarved(now) {
 		return
 	}
 	for _, r := range runsByNumber(w) {
@@ -63,20 +63,20 @@
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsByOrder() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.life().String(), Early: r.isEarly(), Exact: r.worker.contactLoss.broken, Alone: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), Early: r.isEarly(), Exact: r.worker.contactLoss.broken, Alone: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
 		c.addCrash(t, k)
-		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.lifeSeen()})
+		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.workerSeenAfterStart()})
 	}
-	c.touchCrash(t.step.job)
+	c.markCrashDirty(t.step.job)
 }
 
 // addCrash adds a crash that is open.
 func (c *Core) addCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
-	l := parseLife(k.Worker)
+	l := parseIncarnation(k.Worker)
 	c.openCrashes[l] = append(c.openCrashes[l], t)
 }
 
@@ -99,52 +99,52 @@
 // lookInto decides later whether a task may have ended a life.
 func (c *Core) lookInto(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
-		w.contactLoss = contact{lostAt: now, heardAt: w.lastAnswerAt}
+		w.contactLoss = contactLoss{lostAt: now, heardAt: w.lastAnswerAt}
 	}
 	for _, r := range runsByNumber(w) {
 		c.noteCrash(r, now)
 	}
-	w.crashSuspects = slices.Clone(c.openCrashes[w.life()])
-	c.lostLately = append(c.lostLately, w)
-	if len(c.openCrashes[w.life()]) > 0 {
-		c.verdicts.add(now.Add(verdictAfter), w)
+	w.crashSuspects = slices.Clone(c.openCrashes[w.incarnation()])
+	c.recentlyEnded = append(c.recentlyEnded, w)
+	if len(c.openCrashes[w.incarnation()]) > 0 {
+		c.crashDecisionsDue.add(now.Add(verdictAfter), w)
 	}
 }
 
 // decideCrashes decides on the lives that ended a moment ago.
 func (c *Core) decideCrashes(now time.Time) {
-	for _, w := range c.verdicts.due(now) {
+	for _, w := range c.crashDecisionsDue.due(now) {
 		c.decideCrash(w, now)
 	}
 	c.decideOnUnknown(now)
-	c.lostLately = slices.DeleteFunc(c.lostLately, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostKept })
+	c.recentlyEnded = slices.DeleteFunc(c.recentlyEnded, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostKept })
 }
 
 // decideCrash decides on a life that ended. Silence of the others of its rack is waited out:
 // on a way that is cut for seconds each crash of a task would be put down to the rack.
 func (c *Core) decideCrash(w *worker, now time.Time) {
 	if w.endsByOrder() {
-		c.clearCrashes(w.life(), "it ended as planned")
+		c.clearCrashes(w.incarnation(), "it ended as planned")
 		return
 	}
 	with := c.lostWith(w)
 	switch {
 	case with == perhapsTogether && now.Sub(w.contactLoss.lostAt) < verdictPatience:
-		c.verdicts.add(now.Add(verdictAfter), w)
+		c.crashDecisionsDue.add(now.Add(verdictAfter), w)
 	case with == lostAlone:
-		c.confirmCrashes(w.life(), now)
+		c.confirmCrashes(w.incarnation(), now)
 	default:
-		c.clearCrashes(w.life(), "its rack or zone failed")
+		c.clearCrashes(w.incarnation(), "its rack or zone failed")
 	}
 }
 
 // decideOnUnknown decides on workers to which an earlier owner lost contact, and which have
 // not answered this one: if the instance list does not show such a life it is over.
 func (c *Core) decideOnUnknown(now time.Time) {
-	if len(c.openCrashes) == 0 || now.Sub(c.startedAt) < unknownPatience || c.instAt.IsZero() || c.toldAt.IsZero() {
+	if len(c.openCrashes) == 0 || now.Sub(c.startedAt) < unknownPatience || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
 	}
-	for _, l := range slices.SortedFunc(maps.Keys(c.openCrashes), compareLives) {
+	for _, l := range slices.SortedFunc(maps.Keys(c.openCrashes), compareIncarnations) {
 		if !c.isLookedInto(l) && c.isOverUnseen(l) {
 			c.confirmCrashes(l, now)
 		}
@@ -152,9 +152,9 @@
 }
 
 // isOverUnseen reports whether a life that has not answered this owner is over.
-func (c *Core) isOverUnseen(l life) bool {
+func (c *Core) isOverUnseen(l incarnation) bool {
 	w := c.workers[l.worker]
-	if w != nil && w.relation(l.born) != sameLife {
+	if w != nil && w.relationTo(l.startedMs) != sameIncarnation {
 		return true // another one has followed
 	}
 	return (w == nil || !w.heldByUs && !w.ended) && !c.isLife(l.worker)
@@ -162,14 +162,14 @@
 
 // isLife reports whether the instance list shows the worker as present.
 func (c *Core) isLife(id WorkerID) bool {
-	i := c.instances[c.lives[id]]
+	i := c.instances[c.instanceOfWorker[id]]
 	return i != nil && i.Worker == id
 }
 
 // isLookedInto reports whether a decision on the life is due by itself.
-func (c *Core) isLookedInto(l life) bool {
-	for _, e := range c.verdicts.entries {
-		if e.what.life() == l {
+func (c *Core) isLookedInto(l incarnation) bool {
+	for _, e := range c.crashDecisionsDue.entries {
+		if e.what.incarnation() == l {
 			return true
 		}
 	}
@@ -177,11 +177,11 @@
 }
 
 // confirmCrashes counts the crash of a worker under the tasks that ran there.
-func (c *Core) confirmCrashes(l life, now time.Time) {
+func (c *Core) confirmCrashes(l incarnation, now time.Time) {
 	tasks := c.openCrashes[l]
 	delete(c.openCrashes, l)
 	c.counts.Crashes++
-	if i := c.instances[c.lives[l.worker]]; i != nil {
+	if i := c.instances[c.instanceOfWorker[l.worker]]; i != nil {
 		i.crashedAt, i.suspects = now, tasks
 	}
 	for _, t := range tasks {
@@ -189,7 +189,7 @@
 	}
 }
 
-func (c *Core) confirmCrash(t *task, l life, now time.Time) {
+func (c *Core) confirmCrash(t *task, l incarnation, now time.Time) {
 	j := t.step.job
 	if t.done || j.state.Final() {
 		return
@@ -200,7 +200,7 @@
 			c.note(Decision{Event: "task-crashed-with-worker", Job: j.spec.ID, Task: t.id().String(), Worker: l.worker, Run: k.Run, Reason: crashReason(t.crashes, k)})
 		}
 	}
-	c.touch(j)
+	c.markDirty(j)
 	c.queueForPlacement(j)
 	c.giveUpIfProven(t, now)
 }
@@ -269,7 +269,7 @@
 }
 
 // clearCrashes takes back what was held against tasks because contact to a worker was lost.
-func (c *Core) clearCrashes(l life, why string) {
+func (c *Core) clearCrashes(l incarnation, why string) {
 	for _, t := range c.openCrashes[l] {
 		before := len(t.crashes)
 		t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Worker == l.String() })
@@ -284,7 +284,7 @@
 // clearSurvivors takes back what was held against the tasks of a worker that answers, but
 // for those that have just started.
 func (c *Core) clearSurvivors(w *worker, now time.Time) {
-	l := w.life()
+	l := w.incarnation()
 	tasks := c.openCrashes[l]
 	if len(tasks) == 0 {
 		return
@@ -311,7 +311,7 @@
 	t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Run == run && k.Open() })
 }
 
-func (t *task) isOpenOn(l life) bool {
+func (t *task) isOpenOn(l incarnation) bool {
 	for _, k := range t.crashes {
 		if k.Worker == l.String() {
 			return true
@@ -327,7 +327,7 @@
 		return false
 	}
 	for _, k := range t.crashes {
-		if k.Open() && c.isFateOpen(parseLife(k.Worker), now) {
+		if k.Open() && c.isFateOpen(parseIncarnation(k.Worker), now) {
 			return true
 		}
 	}
@@ -338,12 +338,12 @@
 const proofNeeds = 2
 
 // isFateOpen reports whether it will be known soon what became of the worker.
-func (c *Core) isFateOpen(l life, now time.Time) bool {
+func (c *Core) isFateOpen(l incarnation, now time.Time) bool {
 	if w := c.present(l); w != nil {
 		return now.Sub(w.contactLoss.lostAt) < verdictPatience
 	}
-	for _, w := range c.lostLately {
-		if w.life() == l {
+	for _, w := range c.recentlyEnded {
+		if w.incarnation() == l {
 			return now.Sub(w.contactLoss.lostAt) < verdictPatience
 		}
 	}
@@ -360,6 +360,6 @@
 	t.consecutiveRetries, t.stalls = 0, 0
 	if len(t.crashes) > 0 {
 		t.crashes = nil
-		c.touch(t.step.job)
+		c.markDirty(t.step.job)
 	}
 }
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -58,7 +58,7 @@
 	}
 	t := s.tasks[e.Task.Index]
 	r := t.findRun(e.Run, w)
-	j.started = j.started || s.showsBegun(e.Kind)
+	j.started = j.started || s.endProvesStart(e.Kind)
 	c.tally(j)
 	if r != nil {
 		c.release(r, e.Kind.cause(), now)
@@ -84,18 +84,18 @@
 	default:
 		c.counts.Lapsed++
 		if s.spec.LongRunning {
-			c.counts.LastingLapsed++
+			c.counts.LongRunningLapsed++
 		}
 		c.keepCheckpoint(t, e.Checkpoint)
 		c.note(Decision{Event: "task-" + e.Kind.String(), Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
 	}
-	c.changed[j.service] = true
+	c.changedServices[j.service] = true
 }
 
 func (c *Core) onDone(t *task, by *run, now time.Time) {
 	s := t.step
 	if s.spec.LongRunning {
-		c.changed[s.job.service] = true
+		c.changedServices[s.job.service] = true
 		return
 	}
 	members := []*task{t}
@@ -112,7 +112,7 @@
 			c.stop(r, "the task is done", now)
 		}
 	}
-	c.touch(s.job)
+	c.markDirty(s.job)
 	c.finishIfDone(s.job, now)
 }
 
@@ -146,7 +146,7 @@
 		s.failures = s.failures.With(e.Run)
 		attempts = len(s.failures)
 	}
-	c.touch(j)
+	c.markDirty(j)
 	if j.queue.MaxAttempts > 0 && attempts >= j.queue.MaxAttempts {
 		c.finish(j, job.Failed, now)
 	}
@@ -162,7 +162,7 @@
 			m.checkpoint = checkpoint
 		}
 	}
-	c.touch(t.step.job)
+	c.markDirty(t.step.job)
 }
 
 // cause returns what the time of a run that ended so counts as, if it did not do
@@ -190,7 +190,7 @@
 		r.task.forgetCrash(r.number) // its worker is there
 	}
 	c.markWorkerChanged(r.worker)
-	c.changed[r.worker.Service] = true
+	c.changedServices[r.worker.Service] = true
 	c.queueForPlacement(r.task.step.job)
-	c.forgetSteps(r.task.step.job)
+	c.dropSteps(r.task.step.job)
 }
--- a/jobs/owner/evacuation.go
+++ b/jobs/owner/evacuation.go
@@ -15,20 +15,20 @@
 	for _, z := range zones {
 		named[z] = true
 	}
-	if maps.Equal(named, c.evacuated) {
+	if maps.Equal(named, c.evacuatedZones) {
 		return
 	}
 	for _, z := range slices.Sorted(maps.Keys(named)) {
-		if !c.evacuated[z] {
+		if !c.evacuatedZones[z] {
 			c.note(Decision{Event: "zone-evacuated", Reason: z})
 		}
 	}
-	for _, z := range slices.Sorted(maps.Keys(c.evacuated)) {
+	for _, z := range slices.Sorted(maps.Keys(c.evacuatedZones)) {
 		if !named[z] {
 			c.note(Decision{Event: "zone-restored", Reason: z})
 		}
 	}
-	c.evacuated = named
+	c.evacuatedZones = named
 	for _, w := range c.workers {
 		c.markWorkerChanged(w)
 	}
@@ -36,11 +36,11 @@
 		c.count(i)
 	}
 	for service := range c.pools {
-		c.changed[service] = true
+		c.changedServices[service] = true
 	}
 }
 
 // isUsable reports whether new tasks may be placed on the worker.
 func (c *Core) isUsable(w *worker, now time.Time) bool {
-	return w.isReady(now) && !c.evacuated[w.Zone]
+	return w.isReady(now) && !c.evacuatedZones[w.Zone]
 }
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -157,27 +157,27 @@
 func (c *Core) markWorkerChanged(w *worker) {
 	if !w.indexStale {
 		w.indexStale = true
-		c.touchedWorkers = append(c.touchedWorkers, w)
+		c.staleIndexWorkers = append(c.staleIndexWorkers, w)
 	}
 }
 
 // updateIndexes brings the indexes up to date with the workers that were touched, and with
 // those that were put aside until now.
 func (c *Core) updateIndexes(now time.Time) {
-	for _, w := range c.aside.due(now) {
+	for _, w := range c.avoidedDue.due(now) {
 		c.markWorkerChanged(w)
 	}
-	for _, w := range c.touchedWorkers {
+	for _, w := range c.staleIndexWorkers {
 		w.indexStale = false
 		c.reindex(w, now)
 		c.countOfWorker(w)
 	}
-	clear(c.touchedWorkers)
-	c.touchedWorkers = c.touchedWorkers[:0]
+	clear(c.staleIndexWorkers)
+	c.staleIndexWorkers = c.staleIndexWorkers[:0]
 }
 
 func (c *Core) reindex(w *worker, now time.Time) {
-	c.sharing.put(w, w.fillerRuns > 0 && w.servingRuns > 0 && !w.ended)
+	c.colocatedWorkers.put(w, w.fillerRuns > 0 && w.servingRuns > 0 && !w.ended)
 	usable := c.workers[w.Worker] == w && c.isUsable(w, now)
 	if usable && w.sizeClass != nil && w.indexedService == w.Service && w.sizeClass.room == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
 		return
@@ -192,7 +192,7 @@
 // avoidWorkerUntil keeps new tasks from the worker until a time, or for longer if it was to be so
 // already.
 func (c *Core) avoidWorkerUntil(w *worker, until time.Time) {
-	w.avoidUntil = later(w.avoidUntil, until)
+	w.avoidUntil = laterOf(w.avoidUntil, until)
 	c.markWorkerChanged(w)
-	c.aside.add(w.avoidUntil, w)
+	c.avoidedDue.add(w.avoidUntil, w)
 }
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -93,7 +93,7 @@
 		return
 	}
 	all, aside := 0, 0
-	for _, o := range c.roster[w.Service] {
+	for _, o := range c.workersByService[w.Service] {
 		if o.ended || !o.registered {
 			continue
 		}
@@ -145,7 +145,7 @@
 		return // it is watched anew if it falls back
 	}
 	r.stallWatched = true
-	c.stallsDue.add(later(r.progressAt.Add(r.stallLimit()), now.Add(stallLook)), r)
+	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallLimit()), now.Add(stallLook)), r)
 }
 
 // stallLimit is how long the run may be without progress.
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -4,7 +4,7 @@
 
 // OnInstances takes the newest instance list.
 func (c *Core) OnInstances(list []Instance, now time.Time) {
-	c.instAt = now
+	c.instanceListAt = now
 	for _, i := range list {
 		c.onInstance(i, now)
 	}
@@ -40,11 +40,11 @@
 	}
 	switch i.State {
 	case InstanceDown:
-		if !c.mayMeanFormerLife(i.Worker, now) {
+		if !c.mayShowPastIncarnation(i.Worker, now) {
 			c.lifeOverOf(i.Worker, "the instance list shows it down", now)
 		}
 	case InstanceInMaintenance, InstanceMoving:
-		if !c.mayMeanFormerLife(i.Worker, now) {
+		if !c.mayShowPastIncarnation(i.Worker, now) {
 			c.markOrdered(i.Worker)
 			c.lifeOverOf(i.Worker, "the instance list shows it away", now)
 		}
@@ -56,7 +56,7 @@
 	c.discount(old) // under the id and the pool that it had
 	old.Instance = i
 	if i.Worker != "" {
-		c.lives[i.Worker] = i.ID
+		c.instanceOfWorker[i.Worker] = i.ID
 	}
 	c.count(old)
 	c.observe(i)
@@ -107,13 +107,13 @@
 
 // orderedByOther reports whether an earlier owner may have ordered the instance away.
 func (c *Core) orderedByOther(id InstanceID, now time.Time) bool {
-	until, ordered := c.leaveTo[id]
+	until, ordered := c.orderHoldoff[id]
 	return ordered && now.Before(until.Add(orderShows))
 }
 
 func (c *Core) lifeOverOf(id WorkerID, proof string, now time.Time) {
 	if w := c.workers[id]; w != nil {
-		c.lifeOver(w, proof, now)
+		c.endIncarnation(w, proof, now)
 	}
 }
 
@@ -121,15 +121,15 @@
 // held; duties are done only while it is.
 func (c *Core) SetStoreLease(held bool, now time.Time) {
 	if held {
-		c.dutyLost = time.Time{}
-	} else if c.dutyLost.IsZero() {
-		c.dutyLost = now
+		c.storeLeaseLostAt = time.Time{}
+	} else if c.storeLeaseLostAt.IsZero() {
+		c.storeLeaseLostAt = now
 	}
 }
 
 // mayDoDuty reports whether orders for instances may be sent.
 func (c *Core) mayDoDuty(now time.Time) bool {
-	return c.dutyLost.IsZero() && !c.fenced && now.Sub(c.instAt) <= instanceListAge
+	return c.storeLeaseLostAt.IsZero() && !c.fenced && now.Sub(c.instanceListAt) <= instanceListAge
 }
 
 // handedOver reports whether it is known what the orders of the owner before did: they
@@ -148,7 +148,7 @@
 	if c.opt.PriorOrdersUnknown && now.Sub(c.electedAt) < c.opt.DutyHandover+DutyMargin {
 		return false
 	}
-	return !now.Before(c.leaveTo[id])
+	return !now.Before(c.orderHoldoff[id])
 }
 
 // listed reports whether the instance list shows the worker as a life. The store keeps the
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -46,8 +46,8 @@
 		j.state = p.State
 		j.endedAt = now
 		j.storedVersion = j.version
-		delete(c.open, j.spec.ID)
-		delete(c.dirty, j.spec.ID)
+		delete(c.openJobs, j.spec.ID)
+		delete(c.dirtyJobs, j.spec.ID)
 	}
 	c.tally(j)
 }
@@ -92,8 +92,8 @@
 	c.takeShare(j)
 	c.countArrival(j, now, now)
 	c.resolveStrangers(j, now)
-	if _, cancelled := c.early[spec.ID]; cancelled {
-		delete(c.early, spec.ID)
+	if _, cancelled := c.earlyCancels[spec.ID]; cancelled {
+		delete(c.earlyCancels, spec.ID)
 		c.Cancel(spec.ID, now)
 	}
 }
@@ -101,7 +101,7 @@
 func (c *Core) add(spec *job.Job, now time.Time) *jobState {
 	j := &jobState{spec: spec, service: spec.Service, state: job.Queued, knownAt: now}
 	c.jobs[spec.ID] = j
-	c.open[spec.ID] = j
+	c.openJobs[spec.ID] = j
 	c.requeue(j)
 	j.criticalPath, j.work = chainAndWork(spec)
 	c.tally(j)
@@ -165,14 +165,14 @@
 		c.begin(j, j.nextOccurrence)
 	}
 	if j.nextOccurrence < j.spec.Occurrences() {
-		c.timed.add(j.spec.Due(j.nextOccurrence), j)
+		c.occurrencesDue.add(j.spec.Due(j.nextOccurrence), j)
 	}
 }
 
 // beginTimed begins the occurrences of all jobs whose time has come.
 func (c *Core) beginTimed(now time.Time) {
-	for _, j := range c.timed.due(now) {
-		if c.open[j.spec.ID] == j && !j.state.Final() {
+	for _, j := range c.occurrencesDue.due(now) {
+		if c.openJobs[j.spec.ID] == j && !j.state.Final() {
 			c.beginDue(j, now)
 		}
 	}
@@ -243,7 +243,7 @@
 	j.state = state
 	j.endedAt = now
 	c.tally(j)
-	c.touch(j)
+	c.markDirty(j)
 	c.toWrite.add(j) // among those that ended
 	c.note(Decision{Event: "job-" + string(state), Job: j.spec.ID})
 	c.noteIfLate(j, now)
@@ -261,7 +261,7 @@
 func (c *Core) Cancel(id job.ID, now time.Time) {
 	j := c.jobs[id]
 	if j == nil {
-		c.early[id] = now
+		c.earlyCancels[id] = now
 		return
 	}
 	if !j.state.Final() {
@@ -273,9 +273,9 @@
 const earlyKept = time.Minute
 
 func (c *Core) expireEarly(now time.Time) {
-	for id, at := range c.early {
+	for id, at := range c.earlyCancels {
 		if now.Sub(at) > earlyKept {
-			delete(c.early, id)
+			delete(c.earlyCancels, id)
 		}
 	}
 }
@@ -308,16 +308,16 @@
 }
 
 // Pending counts the jobs of a queue of which no task is known to have started.
-func (c *Core) Pending(queue string) int { return c.pending[queue] }
+func (c *Core) Pending(queue string) int { return c.pendingPerQueue[queue] }
 
 // tally counts the job among the pending ones, or no longer, after a change of its state.
 func (c *Core) tally(j *jobState) {
 	pending := !j.started && !j.state.Final()
 	switch {
 	case pending && !j.countedPending:
-		c.pending[j.spec.Queue]++
+		c.pendingPerQueue[j.spec.Queue]++
 	case !pending && j.countedPending:
-		c.pending[j.spec.Queue]--
+		c.pendingPerQueue[j.spec.Queue]--
 	}
 	j.countedPending = pending
 }
@@ -326,7 +326,7 @@
 func (c *Core) Configure(catalog *job.Catalog) {
 	c.catalog = catalog
 	c.setTenants(catalog.Tenants)
-	for _, j := range c.open {
+	for _, j := range c.openJobs {
 		c.requeue(j)
 	}
 	c.registerNamed()
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -17,82 +17,82 @@
 // which is later: the time of day of a worker may go back between two lives. What does not
 // say when it was born says nothing of which life it is of.
 
-// life is one life of a worker.
-type life struct {
-	worker WorkerID
-	born   int64 // 0: not known
+// incarnation is one incarnation of a worker.
+type incarnation struct {
+	worker    WorkerID
+	startedMs int64 // 0: not known
 }
 
 // String returns the life as records name it.
-func (l life) String() string {
-	if l.born == 0 {
+func (l incarnation) String() string {
+	if l.startedMs == 0 {
 		return string(l.worker)
 	}
-	return string(l.worker) + "@" + strconv.FormatInt(l.born, 10)
+	return string(l.worker) + "@" + strconv.FormatInt(l.startedMs, 10)
 }
 
-// compareLives orders lives by their workers' ids.
-func compareLives(a, b life) int {
-	return cmp.Or(cmp.Compare(a.worker, b.worker), cmp.Compare(a.born, b.born))
+// compareIncarnations orders lives by their workers' ids.
+func compareIncarnations(a, b incarnation) int {
+	return cmp.Or(cmp.Compare(a.worker, b.worker), cmp.Compare(a.startedMs, b.startedMs))
 }
 
-// parseLife is the inverse of String.
-func parseLife(s string) life {
+// parseIncarnation is the inverse of String.
+func parseIncarnation(s string) incarnation {
 	at := strings.LastIndexByte(s, '@')
 	if at < 0 {
-		return life{worker: WorkerID(s)}
+		return incarnation{worker: WorkerID(s)}
 	}
 	born, err := strconv.ParseInt(s[at+1:], 10, 64)
 	if err != nil {
-		return life{worker: WorkerID(s)}
+		return incarnation{worker: WorkerID(s)}
 	}
-	return life{WorkerID(s[:at]), born}
+	return incarnation{WorkerID(s[:at]), born}
 }
 
-func (w *worker) life() life { return life{w.Worker, w.StartedMs} }
+func (w *worker) incarnation() incarnation { return incarnation{w.Worker, w.StartedMs} }
 
-// lifeOn returns the life that the instance list shows on an instance, as far as is known.
-func (c *Core) lifeOn(i *Instance) life {
+// incarnationOn returns the life that the instance list shows on an instance, as far as is known.
+func (c *Core) incarnationOn(i *Instance) incarnation {
 	if w := c.workers[i.Worker]; w != nil {
-		return w.life()
+		return w.incarnation()
 	}
-	return life{worker: i.Worker}
+	return incarnation{worker: i.Worker}
 }
 
 // present returns the worker if that life is its present one, nil if not.
-func (c *Core) present(l life) *worker {
-	if w := c.workers[l.worker]; w != nil && w.relation(l.born) == sameLife {
+func (c *Core) present(l incarnation) *worker {
+	if w := c.workers[l.worker]; w != nil && w.relationTo(l.startedMs) == sameIncarnation {
 		return w
 	}
 	return nil
 }
 
-// meant returns the worker that an order was sent to, nil if that life of it is over: what
+// targetedWorker returns the worker that an order was sent to, nil if that life of it is over: what
 // became of the order says nothing of the present one.
-func (c *Core) meant(t Target) *worker { return c.present(life{t.Worker, t.StartedMs}) }
+func (c *Core) targetedWorker(t Target) *worker { return c.present(incarnation{t.Worker, t.StartedMs}) }
 
-// relation is how a life that is spoken of relates to the one that is known.
-type relation int
+// incarnationRelation is how a life that is spoken of relates to the one that is known.
+type incarnationRelation int
 
 const (
-	sameLife   relation = iota
-	formerLife          // it was known to be over before
-	nextLife
+	sameIncarnation incarnationRelation = iota
+	pastIncarnation                     // it was known to be over before
+	nextIncarnation
 )
 
-func (w *worker) relation(born int64) relation {
+func (w *worker) relationTo(born int64) incarnationRelation {
 	switch {
 	case born == w.StartedMs || born == 0 || w.StartedMs == 0:
-		return sameLife
+		return sameIncarnation
 	case slices.Contains(w.pastStartsMs, born):
-		return formerLife
+		return pastIncarnation
 	}
-	return nextLife
+	return nextIncarnation
 }
 
-// formerKept is how many former lives of a worker are remembered. What is late by more than
+// maxPastStarts is how many former lives of a worker are remembered. What is late by more than
 // some of them would have to be late by more than any answer is waited for.
-const formerKept = 8
+const maxPastStarts = 8
 
 // newWorker adds a worker of which nothing is known yet.
 func (c *Core) newWorker(id WorkerID, born int64, now time.Time) *worker {
@@ -108,32 +108,32 @@
 	return w
 }
 
-// beginLife ends the known life of a worker and begins another under the same id. What was
+// startIncarnation ends the known life of a worker and begins another under the same id. What was
 // started on the life before ended with it, unless the order reached the new one: its first
 // list tells, so that nothing starts elsewhere until then.
-func (c *Core) beginLife(old *worker, born int64, proof string, now time.Time) *worker {
+func (c *Core) startIncarnation(old *worker, born int64, proof string, now time.Time) *worker {
 	c.note(Decision{Event: "worker-reborn", Worker: old.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(old.runs))})
 	if !old.ended {
 		old.ended = true
 		c.lookInto(old, now)
 	}
-	c.forget(old.Worker)
+	c.forgetWorker(old.Worker)
 	w := c.newWorker(old.Worker, born, now)
 	w.pastStartsMs = append(slices.Clone(old.pastStartsMs), old.StartedMs)
-	w.pastStartsMs = w.pastStartsMs[max(0, len(w.pastStartsMs)-formerKept):]
+	w.pastStartsMs = w.pastStartsMs[max(0, len(w.pastStartsMs)-maxPastStarts):]
 	w.Registration = old.Registration
 	w.StartedMs, w.Draining = born, false
-	c.roster.add(w)
+	c.workersByService.add(w)
 	for _, r := range runsByNumber(old) {
 		old.removeRun(r)
-		r.carryOver(w, now)
+		r.moveToIncarnation(w, now)
 	}
 	c.markWorkerChanged(w)
 	return w
 }
 
-// carryOver lets the next life of the run's worker tell what became of it.
-func (r *run) carryOver(w *worker, now time.Time) {
+// moveToIncarnation lets the next life of the run's worker tell what became of it.
+func (r *run) moveToIncarnation(w *worker, now time.Time) {
 	r.worker = w
 	r.fromPastIncarnation = true
 	w.addRun(r)
@@ -142,9 +142,9 @@
 	}
 }
 
-// leasesOver reports whether nothing that the worker was told to start can run any more, if it
+// leasesExpired reports whether nothing that the worker was told to start can run any more, if it
 // does not answer. Of a life that never has, no more is known than how long any lease can be.
-func (c *Core) leasesOver(w *worker, now time.Time) bool {
+func (c *Core) leasesExpired(w *worker, now time.Time) bool {
 	if w.lease.known || len(w.pastStartsMs) == 0 {
 		return w.lease.over(now)
 	}
@@ -152,22 +152,22 @@
 	return now.Sub(w.firstSeenAt) > longest
 }
 
-// acknowledgement returns the number up to which the worker may forget ends. While it does not
+// ackThrough returns the number up to which the worker may forget ends. While it does not
 // answer another life of it may have begun, which would forget its own.
-func (w *worker) acknowledgement() uint64 {
+func (w *worker) ackThrough() uint64 {
 	if w.StartedMs != 0 && (!w.silentSince.IsZero() || !w.contactLoss.lostAt.IsZero()) {
 		return 0
 	}
 	return w.lastAckedEnd
 }
 
-// newLifeUnlisted is for how long after a life began the instance list may still say what
+// pastIncarnationListed is for how long after a life began the instance list may still say what
 // became of the one before.
-const newLifeUnlisted = 3 * time.Second
+const pastIncarnationListed = 3 * time.Second
 
-// mayMeanFormerLife reports whether the instance list may speak of an earlier life of the
+// mayShowPastIncarnation reports whether the instance list may speak of an earlier life of the
 // worker, under the same id.
-func (c *Core) mayMeanFormerLife(id WorkerID, now time.Time) bool {
+func (c *Core) mayShowPastIncarnation(id WorkerID, now time.Time) bool {
 	w := c.workers[id]
-	return w != nil && len(w.pastStartsMs) > 0 && now.Sub(w.firstSeenAt) < newLifeUnlisted
+	return w != nil && len(w.pastStartsMs) > 0 && now.Sub(w.firstSeenAt) < pastIncarnationListed
 }
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -166,7 +166,7 @@
 
 // TestNamesOfLives: records name a life so that it is found again.
 func TestNamesOfLives(t *testing.T) {
-	for _, l := range []life{{"w", 0}, {"w", 1791938426002}, {"a@b", 0}, {"a@b", 7}} {
-		assert.Equal(t, l, parseLife(l.String()))
+	for _, l := range []incarnation{{"w", 0}, {"w", 1791938426002}, {"a@b", 0}, {"a@b", 7}} {
+		assert.Equal(t, l, parseIncarnation(l.String()))
 	}
 }
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -9,7 +9,7 @@
 // moveState is an instance on its way to another pool.
 type moveState struct {
 	to       string
-	life     life // before the move
+	life     incarnation // before the move
 	at       time.Time
 	accepted bool
 }
@@ -23,7 +23,7 @@
 		i := c.instances[id]
 		switch {
 		case i == nil:
-		case m.accepted && i.Pool == m.to && i.State == InstanceUp && c.lifeOn(&i.Instance) != m.life && c.joined(&i.Instance):
+		case m.accepted && i.Pool == m.to && i.State == InstanceUp && c.incarnationOn(&i.Instance) != m.life && c.joined(&i.Instance):
 		case m.accepted && now.Sub(m.at) > moveTimeout:
 		default:
 			continue
@@ -58,15 +58,15 @@
 	if c.misfits[misfit{id, m.To}] {
 		return
 	}
-	ms := &moveState{to: m.To, at: now, life: c.lifeOn(&c.instances[id].Instance)}
+	ms := &moveState{to: m.To, at: now, life: c.incarnationOn(&c.instances[id].Instance)}
 	c.moves[id] = ms
 	c.count(c.instances[id])
 	if w := c.present(ms.life); w != nil {
 		c.reserve(w, reservedMove, now)
 	}
-	c.giveBack-- // each order takes a turn at the platform
+	c.returnableInstances-- // each order takes a turn at the platform
 	c.note(Decision{Event: "move-ordered", Worker: ms.life.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
-	c.out.InstanceOrders = append(c.out.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
+	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
 }
 
 // misfit is an instance that a pool does not take.
@@ -86,7 +86,7 @@
 		m.accepted = true
 		return
 	case DutyUnanswered:
-		c.out.InstanceOrders = append(c.out.InstanceOrders, o) // it may have been done
+		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o) // it may have been done
 		return
 	case DutyFenced:
 		c.fenced = true
@@ -112,7 +112,7 @@
 	if c.opt.MaxMovesPerSec <= 0 {
 		return manyMoves
 	}
-	c.giveBack = min(c.giveBack+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.gaveBackAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
-	c.gaveBackAt = now
-	return max(0, int(c.giveBack))
+	c.returnableInstances = min(c.returnableInstances+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.lastReturnAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
+	c.lastReturnAt = now
+	return max(0, int(c.returnableInstances))
 }
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -14,7 +14,7 @@
 func (c *Core) sendStart(r *run, now time.Time) {
 	r.sentAt = now
 	r.sends++
-	c.out.Starts = append(c.out.Starts, Start{
+	c.effects.Starts = append(c.effects.Starts, Start{
 		Seq:          c.line.add(now),
 		Target:       c.target(r.worker),
 		Task:         r.task.id(),
@@ -23,20 +23,20 @@
 		LeaseUntilMs: c.renewal(r.worker, now),
 		Checkpoint:   r.task.checkpoint,
 		Ticket:       r.task.step.ticketFor(r.worker),
-		Timeout:      c.calls.Timeout(OrderTimeout),
+		Timeout:      c.callOutcomes.Timeout(OrderTimeout),
 	})
 }
 
 // OnStarted takes a worker's answer to a start.
 func (c *Core) OnStarted(o Start, a Answer, now time.Time) {
 	c.line.onOutcome(o.Seq, now)
-	w := c.meant(o.Target)
+	w := c.targetedWorker(o.Target)
 	if w == nil {
 		return
 	}
-	c.heardOrder(w, a, now)
-	if a.Outcome == Unanswered && !c.calls.Lossy() {
-		c.judgeAnswer(OrderTimeout, now) // it takes longer, or never comes
+	c.onOrderAnswer(w, a, now)
+	if a.Outcome == Unanswered && !c.callOutcomes.Lossy() {
+		c.trackAnswerLatency(OrderTimeout, now) // it takes longer, or never comes
 	}
 	r := w.runs[o.Task]
 	if r == nil || r.number != o.Run {
@@ -52,13 +52,13 @@
 			r.progressAt = now
 			c.watchStall(r)
 		}
-		c.noteBegun(r, now)
+		c.noteStarted(r, now)
 		return
 	case Fenced:
-		c.fence(w)
+		c.markFenced(w)
 		return
 	case OtherBoot:
-		c.lifeOver(w, "another life answers at its address", now)
+		c.endIncarnation(w, "another life answers at its address", now)
 		return
 	case Unanswered:
 		c.startUnanswered(r, a, now)
@@ -124,13 +124,13 @@
 		return
 	}
 	r.mayStartLate = true
-	c.unheard(r.worker, r.sentAt)
+	c.noteOrderUnanswered(r.worker, r.sentAt)
 	id := r.task.id()
 	c.note(Decision{Event: "start-unanswered", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number, Reason: reasonOf(a)})
 	switch {
 	case r.task.done:
 		c.stop(r, "the task is done", now)
-	case r.sends < c.calls.Attempts(startTries):
+	case r.sends < c.callOutcomes.Attempts(startTries):
 		c.sendStart(r, now)
 	default:
 		// The worker may have begun it, and a stop would end a task at work. Its next
@@ -160,22 +160,22 @@
 func (c *Core) sendStop(r *run, now time.Time) {
 	r.sentAt = now
 	c.stopsDue.add(now.Add(c.stopPause()), r)
-	c.out.Stops = append(c.out.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.calls.Timeout(OrderTimeout)})
+	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.callOutcomes.Timeout(OrderTimeout)})
 }
 
 // OnStopped takes a worker's answer to a stop.
 func (c *Core) OnStopped(o Stop, a Answer, now time.Time) {
-	w := c.meant(o.Target)
+	w := c.targetedWorker(o.Target)
 	if w == nil {
 		return
 	}
-	c.heardOrder(w, a, now)
+	c.onOrderAnswer(w, a, now)
 	switch a.Outcome {
 	case Fenced:
-		c.fence(w)
+		c.markFenced(w)
 		return
 	case OtherBoot:
-		c.lifeOver(w, "another life answers at its address", now)
+		c.endIncarnation(w, "another life answers at its address", now)
 		return
 	}
 	r := w.runs[o.Task]
@@ -183,7 +183,7 @@
 		return
 	}
 	if a.Outcome == Unanswered {
-		c.unheard(w, r.sentAt)
+		c.noteOrderUnanswered(w, r.sentAt)
 	}
 	if a.Outcome == Taken || a.Outcome == RunTooOld {
 		r.confirmedAt = now
@@ -211,13 +211,13 @@
 
 // stopPause is longer than the shell waits for an answer, so that one stop at
 // a time is under way.
-func (c *Core) stopPause() time.Duration { return c.calls.Timeout(OrderTimeout) + stopRetry }
+func (c *Core) stopPause() time.Duration { return c.callOutcomes.Timeout(OrderTimeout) + stopRetry }
 
 // OrderTimeout is how long the shell waits for the answer to a start or stop:
 // some hundred round trips, and short against the time of a small task.
 const OrderTimeout = 400 * time.Millisecond
 
-func later(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -27,22 +27,22 @@
 	overloadedFor = 20 * time.Second
 )
 
-// Delayed tells by how much the owner's timer was late.
-func (c *Core) Delayed(d time.Duration, now time.Time) {
+// ReportTimerDelay tells by how much the owner's timer was late.
+func (c *Core) ReportTimerDelay(d time.Duration, now time.Time) {
 	if d >= starvedAt {
-		c.starved("owner-delayed", d.Round(time.Millisecond).String(), now)
+		c.markStarved("owner-delayed", d.Round(time.Millisecond).String(), now)
 	}
 }
 
-// Suspended tells that the owner's instance was suspended for d, which the time of its events
+// ReportSuspension tells that the owner's instance was suspended for d, which the time of its events
 // does not count: what was heard is as much older, and whoever seems silent may have answered.
-func (c *Core) Suspended(d time.Duration, now time.Time) {
-	c.starved("owner-suspended", d.Round(time.Millisecond).String(), now)
-	if !c.instAt.IsZero() {
-		c.instAt = c.instAt.Add(-d)
+func (c *Core) ReportSuspension(d time.Duration, now time.Time) {
+	c.markStarved("owner-suspended", d.Round(time.Millisecond).String(), now)
+	if !c.instanceListAt.IsZero() {
+		c.instanceListAt = c.instanceListAt.Add(-d)
 	}
-	if !c.toldAt.IsZero() {
-		c.toldAt = c.toldAt.Add(-d)
+	if !c.registrationsAt.IsZero() {
+		c.registrationsAt = c.registrationsAt.Add(-d)
 	}
 	for _, w := range c.workers {
 		w.answeredHoldSentAt = w.answeredHoldSentAt.Add(-d)
@@ -50,12 +50,12 @@
 	}
 }
 
-// judgeSilence tells whether silence is the workers' or the owner's own doing: if most of them
+// detectOverload tells whether silence is the workers' or the owner's own doing: if most of them
 // seem silent at once, it is the owner, whose timer need not be late for that. It may
 // hold on to what runs only while no other daemon can be the owner, and not for ever:
 // what ran on workers that are cut off has to start elsewhere.
-func (c *Core) judgeSilence(now time.Time) {
-	if len(c.silent) <= maxSilent {
+func (c *Core) detectOverload(now time.Time) {
+	if len(c.silentWorkers) <= maxSilent {
 		c.mostSilentSince = time.Time{}
 		return
 	}
@@ -76,36 +76,36 @@
 	if c.mostSilentSince.IsZero() {
 		c.mostSilentSince = now
 	}
-	if now.Sub(c.mostSilentSince) <= overloadedFor && c.dutyLost.IsZero() {
-		c.starved("owner-overloaded", fmt.Sprintf("%d of %d workers seem silent", silent, all), now)
+	if now.Sub(c.mostSilentSince) <= overloadedFor && c.storeLeaseLostAt.IsZero() {
+		c.markStarved("owner-overloaded", fmt.Sprintf("%d of %d workers seem silent", silent, all), now)
 	}
 }
 
-// judgeAnswer tells by how long answers take whether the owner's link is full. Workers
+// trackAnswerLatency tells by how long answers take whether the owner's link is full. Workers
 // that seem silent meanwhile may have answered; it holds on to what runs there as long as
 // judgeSilence does.
-func (c *Core) judgeAnswer(took time.Duration, now time.Time) {
+func (c *Core) trackAnswerLatency(took time.Duration, now time.Time) {
 	if took == 0 {
 		return
 	}
-	c.answerTime = time.Duration(answersKept*float64(c.answerTime) + (1-answersKept)*float64(took))
-	c.line.adjust(c.answerTime, now)
-	if c.answerTime < slowAnswer {
-		c.slowSince = time.Time{}
+	c.meanAnswerLatency = time.Duration(answersKept*float64(c.meanAnswerLatency) + (1-answersKept)*float64(took))
+	c.line.adjust(c.meanAnswerLatency, now)
+	if c.meanAnswerLatency < slowAnswer {
+		c.slowAnswersSince = time.Time{}
 		return
 	}
-	if c.slowSince.IsZero() {
-		c.slowSince = now
+	if c.slowAnswersSince.IsZero() {
+		c.slowAnswersSince = now
 	}
-	if now.Sub(c.slowSince) <= overloadedFor && c.dutyLost.IsZero() {
-		c.starved("owner-link-full", "answers take "+c.answerTime.Round(time.Millisecond).String(), now)
+	if now.Sub(c.slowAnswersSince) <= overloadedFor && c.storeLeaseLostAt.IsZero() {
+		c.markStarved("owner-link-full", "answers take "+c.meanAnswerLatency.Round(time.Millisecond).String(), now)
 	}
 }
 
-// starved takes note that the owner is short of processor time. The leases of workers
+// markStarved takes note that the owner is short of processor time. The leases of workers
 // that seem silent are renewed all the same for a while: their answers may wait to be
 // read, and a lease that is left to end stops their tasks.
-func (c *Core) starved(event, why string, now time.Time) {
+func (c *Core) markStarved(event, why string, now time.Time) {
 	if !c.isStarved(now) {
 		c.starvedSince = now
 		c.note(Decision{Event: event, Reason: why})
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -180,12 +180,12 @@
 	r := newRig(t, 2, Loaded{Job: lasting}, Loaded{Job: other})
 	r.worker("unheard")
 	r.held(r.worker("a"), nil)
-	for r.now.Sub(r.core.startedAt) <= r.core.leaseBound() {
+	for r.now.Sub(r.core.startedAt) <= r.core.maxLeaseDuration() {
 		require.Empty(t, r.started(), "after %s", r.now.Sub(r.core.startedAt))
-		r.core.Delayed(time.Second, r.now)
+		r.core.ReportTimerDelay(time.Second, r.now)
 		r.keep(100*time.Millisecond, nil, "unheard")
 	}
-	r.core.Delayed(time.Second, r.now)
+	r.core.ReportTimerDelay(time.Second, r.now)
 	r.tick(100 * time.Millisecond)
 	starts := r.started()
 	require.Len(t, starts, 1)
--- a/jobs/owner/pace.go
+++ b/jobs/owner/pace.go
@@ -21,7 +21,7 @@
 // pace throttles fillers by the worst tail of the serving tasks beside them:
 // additive increase, multiplicative decrease.
 func (c *Core) pace(now time.Time) {
-	for _, w := range c.sharing.sorted() {
+	for _, w := range c.colocatedWorkers.sorted() {
 		if w.ended || !w.silentSince.IsZero() || now.Before(w.nextThrottleAt) {
 			continue
 		}
@@ -71,7 +71,7 @@
 		return
 	}
 	r.throttlePercent = percent
-	c.out.Throttles = append(c.out.Throttles, Throttle{
+	c.effects.Throttles = append(c.effects.Throttles, Throttle{
 		Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Percent: percent,
 	})
 }
@@ -79,13 +79,13 @@
 // OnThrottled takes a worker's answer to a throttle. After one without an
 // answer the run is throttled anew.
 func (c *Core) OnThrottled(o Throttle, a Answer, now time.Time) {
-	w := c.meant(o.Target)
+	w := c.targetedWorker(o.Target)
 	if w == nil {
 		return
 	}
-	c.heardOrder(w, a, now)
+	c.onOrderAnswer(w, a, now)
 	if a.Outcome == Fenced {
-		c.fence(w)
+		c.markFenced(w)
 		return
 	}
 	if r := w.runs[o.Task]; r != nil && r.number == o.Run && (a.Outcome == Unanswered || a.Outcome == NotSent) {
--- a/jobs/owner/placing.go
+++ b/jobs/owner/placing.go
@@ -67,7 +67,7 @@
 		return false
 	}
 	p.core.line.deferred[p.service] = true
-	p.core.changed[p.service] = true
+	p.core.changedServices[p.service] = true
 	return true
 }
 
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -87,10 +87,10 @@
 
 // size moves instances between pools by demand.
 func (c *Core) size(now time.Time) {
-	if !c.mayDoDuty(now) || now.Before(c.nextSize) {
+	if !c.mayDoDuty(now) || now.Before(c.nextSizingAt) {
 		return
 	}
-	c.nextSize = now.Add(sizeEvery)
+	c.nextSizingAt = now.Add(sizeEvery)
 	c.settleMoves(now)
 	pools, spare := c.poolViews(now)
 	c.noteSupply(pools)
@@ -105,7 +105,7 @@
 		s := c.pool(p.Name)
 		s.arriving, s.maintained = max(0, p.Arriving), 0
 	}
-	for _, w := range c.maintaining {
+	for _, w := range c.maintenanceWorkers {
 		c.pool(w.Service).maintained++
 	}
 }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -75,8 +75,8 @@
 	w.isolatedFor = nil
 	w.trialRuns = append(w.trialRuns, r)
 	c.note(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
-	c.addCrash(t, job.Crash{Run: r.number, Worker: w.life().String(), Early: true, Exact: true, Alone: true})
-	c.touchCrash(t.step.job)
+	c.addCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), Early: true, Exact: true, Alone: true})
+	c.markCrashDirty(t.step.job)
 }
 
 // isQuarantinedFrom reports whether the worker is kept for a suspect of another job, or runs
@@ -122,7 +122,7 @@
 // isSound reports whether the worker's instance has not crashed of late, but for a task that
 // was given up.
 func (c *Core) isSound(w *worker, now time.Time) bool {
-	i := c.instances[c.lives[w.Worker]]
+	i := c.instances[c.instanceOfWorker[w.Worker]]
 	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > unsoundFor || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
 }
 
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -7,31 +7,31 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// touch says that something of the job has to be kept.
-func (c *Core) touch(j *jobState) {
+// markDirty says that something of the job has to be kept.
+func (c *Core) markDirty(j *jobState) {
 	j.version++
-	if c.dirty[j.spec.ID] == nil {
-		c.dirty[j.spec.ID] = j
+	if c.dirtyJobs[j.spec.ID] == nil {
+		c.dirtyJobs[j.spec.ID] = j
 		c.enqueue(j)
 	}
 }
 
-// touchCrash says that a crash of the job has to be kept, before all else: until then a loss
+// markCrashDirty says that a crash of the job has to be kept, before all else: until then a loss
 // of this owner would hide it from the next one.
-func (c *Core) touchCrash(j *jobState) {
-	c.touch(j)
+func (c *Core) markCrashDirty(j *jobState) {
+	c.markDirty(j)
 	j.crashUnstored = true
-	c.crashesNew[j.spec.ID] = j
+	c.unstoredCrashes[j.spec.ID] = j
 	c.toWrite.add(j)
 }
 
 // IsWriteUrgent reports whether something has to be written that the next owner must know of.
-func (c *Core) IsWriteUrgent() bool { return len(c.crashesNew) > 0 }
+func (c *Core) IsWriteUrgent() bool { return len(c.unstoredCrashes) > 0 }
 
 // enqueue puts the job last among those that have to be written.
 func (c *Core) enqueue(j *jobState) {
-	c.lastTurn++
-	j.writeSeq = c.lastTurn
+	c.lastWriteSeq++
+	j.writeSeq = c.lastWriteSeq
 	c.toWrite.add(j)
 }
 
@@ -40,7 +40,7 @@
 // once they are written; beyond that each has its turn.
 func (c *Core) Uncommitted(n int) []Record {
 	var out []Record
-	for j := range c.toWrite.all(c.dirty) {
+	for j := range c.toWrite.all(c.dirtyJobs) {
 		r := Record{Job: j.spec, Progress: j.progress(), Stored: j.storedVersion > 0, version: j.version}
 		if n -= r.TxnEntries(); n < 0 {
 			break
@@ -50,16 +50,16 @@
 	return out
 }
 
-// boolFirst orders what holds before what does not.
-func boolFirst(holds bool) int {
+// trueFirst orders what holds before what does not.
+func trueFirst(holds bool) int {
 	if holds {
 		return -1
 	}
 	return 1
 }
 
-// Dirty returns how many jobs have to be written.
-func (c *Core) Dirty() int { return len(c.dirty) }
+// DirtyJobs returns how many jobs have to be written.
+func (c *Core) DirtyJobs() int { return len(c.dirtyJobs) }
 
 // Committed says that records are in the store.
 func (c *Core) Committed(records []Record, now time.Time) {
@@ -74,27 +74,27 @@
 			c.enqueue(j)
 			continue
 		}
-		delete(c.dirty, r.Job.ID)
-		delete(c.crashesNew, r.Job.ID)
+		delete(c.dirtyJobs, r.Job.ID)
+		delete(c.unstoredCrashes, r.Job.ID)
 		j.crashUnstored = false
 		if j.state.Final() {
-			delete(c.open, r.Job.ID)
+			delete(c.openJobs, r.Job.ID)
 			c.note(Decision{Event: "job-recorded", Job: r.Job.ID, Reason: string(j.state)})
 		}
 	}
 	for _, r := range records {
 		if j := c.jobs[r.Job.ID]; j != nil {
 			c.acknowledge(j, now)
-			c.forgetSteps(j)
+			c.dropSteps(j)
 		}
 	}
 }
 
-// forgetSteps frees what was known of the tasks of a job that is over, once its end is
+// dropSteps frees what was known of the tasks of a job that is over, once its end is
 // recorded and nothing of it runs. Its state is asked for long after: of 5,400 jobs in half
 // a minute all but the open ones are kept for that alone.
-func (c *Core) forgetSteps(j *jobState) {
-	if j.stepsDropped || !j.state.Final() || j.storedVersion < j.version || c.occupied(j) {
+func (c *Core) dropSteps(j *jobState) {
+	if j.stepsDropped || !j.state.Final() || j.storedVersion < j.version || c.hasRuns(j) {
 		return
 	}
 	j.stepsDropped = true
@@ -168,7 +168,7 @@
 		if !j.state.Final() || j.storedVersion < j.version || now.Sub(j.endedAt) < 2*c.opt.StatusRetention {
 			continue
 		}
-		if c.occupied(j) {
+		if c.hasRuns(j) {
 			continue
 		}
 		delete(c.jobs, id)
@@ -177,7 +177,7 @@
 	return out
 }
 
-func (c *Core) occupied(j *jobState) bool {
+func (c *Core) hasRuns(j *jobState) bool {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			if len(t.runs) > 0 {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -18,9 +18,9 @@
 			gone = append(gone, id)
 		}
 	}
-	for id := range c.unnamed {
+	for id := range c.unknownServiceWorkers {
 		if !present[id] {
-			delete(c.unnamed, id)
+			delete(c.unknownServiceWorkers, id)
 		}
 	}
 	c.RegisterChanges(list, gone, true, now)
@@ -29,31 +29,31 @@
 // RegisterChanges takes what has changed among the registrations, if anything. current says
 // that what is known of the others is so, too: no more has changed.
 func (c *Core) RegisterChanges(changed []Registration, gone []WorkerID, current bool, now time.Time) {
-	if !c.toldAt.IsZero() && now.Sub(c.toldAt) > outage {
-		c.settleAt = now.Add(settleTime)
-		c.note(Decision{Event: "registrations-back", Reason: now.Sub(c.toldAt).String()})
+	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > outage {
+		c.unregisterFrom = now.Add(settleTime)
+		c.note(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
 	}
-	c.toldAt = now
+	c.registrationsAt = now
 	c.noteLag(current, now)
 	for _, r := range changed {
 		if c.isNamed(r.Service) {
-			delete(c.unnamed, r.Worker)
+			delete(c.unknownServiceWorkers, r.Worker)
 			c.registerOne(r, now)
 		} else {
 			c.setAside(r, now)
 		}
 	}
 	for _, id := range gone {
-		delete(c.unnamed, id)
+		delete(c.unknownServiceWorkers, id)
 		if w := c.workers[id]; w != nil {
-			c.missing(w, now)
+			c.markUnlisted(w, now)
 		}
 	}
-	if !now.Before(c.settleAt) {
+	if !now.Before(c.unregisterFrom) {
 		c.unregisterMissing()
 	}
 	for service := range c.pools {
-		c.changed[service] = true
+		c.changedServices[service] = true
 	}
 }
 
@@ -66,21 +66,21 @@
 func (c *Core) noteLag(current bool, now time.Time) {
 	switch {
 	case current && c.isLagging(now):
-		c.note(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.lagsSince).String()})
-		c.lagsSince = time.Time{}
+		c.note(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.registrationsLagSince).String()})
+		c.registrationsLagSince = time.Time{}
 		for service := range c.pools {
-			c.changed[service] = true
+			c.changedServices[service] = true
 		}
 	case current:
-		c.lagsSince = time.Time{}
-	case c.lagsSince.IsZero():
-		c.lagsSince = now
+		c.registrationsLagSince = time.Time{}
+	case c.registrationsLagSince.IsZero():
+		c.registrationsLagSince = now
 	}
 }
 
 // isLagging reports whether what is known of the registrations is too old for a start.
 func (c *Core) isLagging(now time.Time) bool {
-	return !c.lagsSince.IsZero() && now.Sub(c.lagsSince) > lagBound
+	return !c.registrationsLagSince.IsZero() && now.Sub(c.registrationsLagSince) > lagBound
 }
 
 // isNamed reports whether the configuration names the service.
@@ -91,39 +91,39 @@
 // setAside keeps the registration of a worker of a service that no configuration names: it is
 // no worker to use, until one does.
 func (c *Core) setAside(r Registration, now time.Time) {
-	if _, known := c.unnamed[r.Worker]; !known {
+	if _, known := c.unknownServiceWorkers[r.Worker]; !known {
 		c.note(Decision{Event: "worker-of-unknown-service", Worker: r.Worker, Reason: r.Service})
 	}
-	c.unnamed[r.Worker] = r
+	c.unknownServiceWorkers[r.Worker] = r
 	if w := c.workers[r.Worker]; w != nil {
-		c.missing(w, now)
+		c.markUnlisted(w, now)
 	}
 }
 
 // registerNamed takes the workers of services that a configuration has come to name.
 func (c *Core) registerNamed() {
-	for id, r := range c.unnamed {
+	for id, r := range c.unknownServiceWorkers {
 		if c.isNamed(r.Service) {
-			delete(c.unnamed, id)
-			c.registerOne(r, c.toldAt)
+			delete(c.unknownServiceWorkers, id)
+			c.registerOne(r, c.registrationsAt)
 		}
 	}
 }
 
-// missing takes note that the worker is not among the registrations.
-func (c *Core) missing(w *worker, now time.Time) {
+// markUnlisted takes note that the worker is not among the registrations.
+func (c *Core) markUnlisted(w *worker, now time.Time) {
 	if w.unlistedSince.IsZero() {
 		w.unlistedSince = now
 	}
-	c.unlisted.put(w, w.registered)
+	c.unlistedWorkers.put(w, w.registered)
 }
 
 // unregisterMissing counts workers that are missing as not registered: the store is not
 // about to have them back.
 func (c *Core) unregisterMissing() {
-	for _, w := range c.unlisted.sorted() {
+	for _, w := range c.unlistedWorkers.sorted() {
 		w.registered = false
-		c.unlisted.put(w, false)
+		c.unlistedWorkers.put(w, false)
 		c.markWorkerChanged(w)
 		c.note(Decision{Event: "worker-unregistered", Worker: w.Worker})
 	}
@@ -135,39 +135,39 @@
 		w = c.newWorker(r.Worker, r.StartedMs, now)
 		c.note(Decision{Event: "worker-new", Worker: r.Worker, Reason: r.Service})
 	}
-	switch w.relation(r.StartedMs) {
-	case formerLife:
+	switch w.relationTo(r.StartedMs) {
+	case pastIncarnation:
 		return // written before its present life registered
-	case nextLife:
-		w = c.beginLife(w, r.StartedMs, "it has registered anew", now)
+	case nextIncarnation:
+		w = c.startIncarnation(w, r.StartedMs, "it has registered anew", now)
 	}
 	if r.StartedMs == 0 {
 		r.StartedMs = w.StartedMs // which it does not say
 	}
-	if w.StartedMs != r.StartedMs && len(c.openCrashes[w.life()]) > 0 {
-		c.clearCrashes(w.life(), "it has only now said which life it is")
+	if w.StartedMs != r.StartedMs && len(c.openCrashes[w.incarnation()]) > 0 {
+		c.clearCrashes(w.incarnation(), "it has only now said which life it is")
 	}
 	if r.Draining && !w.Draining {
 		c.note(Decision{Event: "worker-draining", Worker: r.Worker})
 	}
 	known := w.registered && w.sameAs(&r)
 	w.unlistedSince = time.Time{}
-	c.unlisted.put(w, false)
+	c.unlistedWorkers.put(w, false)
 	if known {
 		return
 	}
 	if w.Service != "" { // not of a worker that is new
-		c.roster.remove(w)
-		c.changed[w.Service] = true
+		c.workersByService.remove(w)
+		c.changedServices[w.Service] = true
 		if w.Capacity != r.Capacity {
 			c.note(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Capacity, r.Capacity, w.allocated)})
 		}
 	}
 	w.Registration = r
 	w.registered = true
-	c.roster.add(w)
+	c.workersByService.add(w)
 	c.markWorkerChanged(w)
-	c.changed[r.Service] = true
+	c.changedServices[r.Service] = true
 }
 
 // sameAs reports whether the registration says the same.
@@ -176,20 +176,20 @@
 		r.Capacity == o.Capacity && r.Draining == o.Draining && r.StartedMs == o.StartedMs && slices.Equal(r.Labels, o.Labels)
 }
 
-// forget removes a worker of which nothing is left to know.
-func (c *Core) forget(id WorkerID) {
+// forgetWorker removes a worker of which nothing is left to know.
+func (c *Core) forgetWorker(id WorkerID) {
 	w := c.workers[id]
-	if !w.ended && len(c.openCrashes[w.life()]) > 0 {
-		c.clearCrashes(w.life(), "nobody can tell what became of it")
+	if !w.ended && len(c.openCrashes[w.incarnation()]) > 0 {
+		c.clearCrashes(w.incarnation(), "nobody can tell what became of it")
 	}
 	delete(c.workers, id)
-	delete(c.silent, id)
-	delete(c.over, id)
-	delete(c.puzzling, id)
-	delete(c.sharing, id)
-	delete(c.unlisted, id)
-	delete(c.maintaining, id)
-	c.roster.remove(w)
+	delete(c.silentWorkers, id)
+	delete(c.endedWorkers, id)
+	delete(c.workersWithUnknownJobs, id)
+	delete(c.colocatedWorkers, id)
+	delete(c.unlistedWorkers, id)
+	delete(c.maintenanceWorkers, id)
+	c.workersByService.remove(w)
 	w.removeFromIndex()
 	c.countOfWorker(w)
 }
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -19,7 +19,7 @@
 // newWorkerView returns the workers of the service that new tasks may go to. It costs the size
 // of the service: tasks that end by themselves are placed by the index instead.
 func (c *Core) newWorkerView(service string, now time.Time) *workerView {
-	list := c.roster[service]
+	list := c.workersByService[service]
 	v := &workerView{workers: make([]*worker, 0, len(list)), views: make([]placement.Worker, 0, len(list))}
 	for _, w := range list {
 		if !c.isUsable(w, now) {
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -57,7 +57,7 @@
 // compare orders claims; a comes first if it is negative.
 func (a queueEntry) compare(b queueEntry, policy SchedulingPolicy) int {
 	if (a.band == bandLongRunning) != (b.band == bandLongRunning) {
-		return boolFirst(a.band == bandLongRunning)
+		return trueFirst(a.band == bandLongRunning)
 	}
 	if policy != ScheduleFIFO && policy != ScheduleShortestFirst {
 		if order := cmp.Or(cmp.Compare(a.band, b.band), cmp.Compare(a.priority, b.priority)); order != 0 {
@@ -88,18 +88,18 @@
 
 // schedule places waiting tasks of the services in which something changed.
 func (c *Core) schedule(now time.Time) {
-	if c.fenced || len(c.changed) == 0 || c.isLagging(now) {
+	if c.fenced || len(c.changedServices) == 0 || c.isLagging(now) {
 		return
 	}
 	c.updateIndexes(now)
 	c.line.expire(now)
 	var due []*schedulingPass
-	for _, service := range slices.Sorted(maps.Keys(c.changed)) { // the same in each play of a test
+	for _, service := range slices.Sorted(maps.Keys(c.changedServices)) { // the same in each play of a test
 		pool := c.pool(service)
 		if pool.recentlyScheduled(now) || c.line.deferred[service] && !c.line.hasHeadroom() {
 			continue
 		}
-		delete(c.changed, service)
+		delete(c.changedServices, service)
 		delete(c.line.deferred, service)
 		due = append(due, c.newSchedulingPass(service, pool, now))
 	}
@@ -129,7 +129,7 @@
 
 // queueForPlacement puts the job among those of its service that may have tasks to place.
 func (c *Core) queueForPlacement(j *jobState) {
-	c.changed[j.service] = true
+	c.changedServices[j.service] = true
 	if !j.queuedForPlacement {
 		j.queuedForPlacement = true
 		p := c.pool(j.service)
@@ -142,8 +142,8 @@
 // earlier owner started; they are not even looked at: with many of them, and workers that
 // answer one by one, looking would use up a new owner's processor for longer than leases last.
 func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
-	takenOver := c.certain(service, now)
-	lapsed := takenOver || now.Sub(c.startedAt) > c.leaseBound()
+	takenOver := c.earlierRunsKnown(service, now)
+	lapsed := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
 	kept := pool.queue[:0]
 	claims := pool.claims[:0]
 	for _, j := range pool.queue {
@@ -152,7 +152,7 @@
 				j.clearQueued(service)
 				continue
 			}
-			c.counts.Considered++
+			c.counts.JobsConsidered++
 			if jobNeedsPlacement(j, now) {
 				claims = append(claims, c.queueEntryOf(j, now))
 			}
@@ -219,7 +219,7 @@
 // Tick does what is due by now: it ends leases, sends holds and retries,
 // begins occurrences, and places tasks.
 func (c *Core) Tick(now time.Time) {
-	c.judgeSilence(now)
+	c.detectOverload(now)
 	c.expireLeases(now)
 	c.decideCrashes(now)
 	c.expireStrangers(now)
@@ -240,7 +240,7 @@
 func (c *Core) markWaitingServices() {
 	for service, p := range c.pools {
 		if len(p.queue) > 0 {
-			c.changed[service] = true
+			c.changedServices[service] = true
 		}
 	}
 }
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -78,7 +78,7 @@
 		r.tick(time.Second)
 		r.out.Holds = nil
 		if delayed {
-			r.core.Delayed(time.Second, r.now)
+			r.core.ReportTimerDelay(time.Second, r.now)
 		}
 		r.unheard(a)
 		r.tick(holdRetry)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -204,12 +204,12 @@
 	holdSentAt          time.Time
 	answeredHoldSentAt  time.Time // when the newest hold that was answered was sent
 	nextHoldAt          time.Time
-	silentSince         time.Time // no hold was answered since; zero: answered
-	lastAnswerAt        time.Time // newest answer to any order
-	orderUnanswered     bool      // an order sent after heardAt went unanswered
-	crashSuspects       []*task   // of its end, once its life is over
-	lossReported        bool      // a call went unanswered, and none was answered since
-	contactLoss         contact   // with it, since it was lost
+	silentSince         time.Time   // no hold was answered since; zero: answered
+	lastAnswerAt        time.Time   // newest answer to any order
+	orderUnanswered     bool        // an order sent after heardAt went unanswered
+	crashSuspects       []*task     // of its end, once its life is over
+	lossReported        bool        // a call went unanswered, and none was answered since
+	contactLoss         contactLoss // with it, since it was lost
 	runs                map[job.TaskID]*run
 	allocated           job.Resources             // by runs
 	fillerRuns          int                       // of runs
@@ -267,83 +267,83 @@
 // isReady reports whether nothing of the worker itself keeps new tasks from it.
 func (w *worker) isReady(now time.Time) bool {
 	return w.heldByUs && w.registered && !w.ended && !w.Draining && w.lease.known &&
-		w.reserved == "" && !w.silent() && !now.Before(w.avoidUntil)
+		w.reserved == "" && !w.isSilent() && !now.Before(w.avoidUntil)
 }
 
 // Core is the state of the owner of all jobs.
 type Core struct {
-	opt         Options
-	token       uint64
-	lastRun     uint64
-	catalog     *job.Catalog
-	jobs        map[job.ID]*jobState
-	open        map[job.ID]*jobState // not final, or not written as final
-	workers     workerSet
-	unnamed     map[WorkerID]Registration // of services that no configuration names
-	roster      roster
-	silent      workerSet        // that did not answer their newest hold
-	over        workerSet        // the lives of which have ended
-	openCrashes map[life][]*task // tasks with a run on a worker the fate of which is open
-	puzzling    workerSet        // with runs or ends of jobs that are not known yet
-	sharing     workerSet        // with fillers beside serving tasks
-	unlisted    workerSet        // that are missing among the registrations, and still count as registered
-	maintaining workerSet        // that are kept for a wave
-	instances   map[InstanceID]*instanceState
-	lives       map[WorkerID]InstanceID
-	waves       map[int]*waveState
-	pools       map[string]*poolState
-	moves       map[InstanceID]*moveState
-	misfits     map[misfit]bool
-	evacuated   map[string]bool // zones that get no new tasks
-	nextSize    time.Time
-	giveBack    float64 // instances that may be given back at present
-	gaveBackAt  time.Time
-	nextWave    time.Time // when the waves are looked at next
-	questions   int       // to the advisor, without an answer so far
-	dirty       map[job.ID]*jobState
-	crashesNew  map[job.ID]*jobState // of these, with a crash that is not written
-	toWrite     writeQueue           // the jobs of dirty, in the order in which they are written
-	lastTurn    uint64               // newest place in it
-	pending     map[string]int       // jobs of each queue of which no task is known to have started
-	changed     map[string]bool      // services with something to place
-	out         Effects
-	shares      *quota.Shares
-	quotas      *quota.Ledger         // what each tenant has running
-	inherited   presumed              // what may run of it without being known
-	settled     map[string]bool       // services of which every earlier run is known
-	awaited     map[string]awaited    // what others wait for, as the log says
-	awaitedOf   map[string]InstanceID // an instance of each service that had not answered when last looked for
-	startedAt   time.Time
-	electedAt   time.Time
-	leaveTo     map[InstanceID]time.Time // until when an instance is left to an earlier owner's order
-	toldAt      time.Time                // newest word of the registrations
-	lagsSince   time.Time                // since when more has changed among them than is known; zero: it has not
-	settleAt    time.Time                // missing registrations count as gone from then on
-	instAt      time.Time                // newest instance list
-	fenced      bool
-
-	holdsDue   dueQueue[*worker]
-	stopsDue   dueQueue[*run]      // stops that may have to be sent again
-	stallsDue  dueQueue[*run]      // runs that may stand still
-	timed      dueQueue[*jobState] // jobs with occurrences to come
-	lostLately []*worker           // lives that ended a moment ago
-	verdicts   dueQueue[*worker]   // lives that have ended without an order, to be looked into
-	aside      dueQueue[*worker]   // workers that get no new tasks until then
-
-	touchedWorkers []*worker // that have to be indexed anew
-
-	calls        calls.Outcomes
-	starvedSince time.Time     // when the newest time began in which timeouts say nothing
-	starvedUntil time.Time     // and its end
-	answerTime   time.Duration // mean of the newest answers
-	slowSince    time.Time     // since when it is too long; zero: it is not
+	opt                    Options
+	fencingToken           uint64
+	lastRun                uint64
+	catalog                *job.Catalog
+	jobs                   map[job.ID]*jobState
+	openJobs               map[job.ID]*jobState // not final, or not written as final
+	workers                workerSet
+	unknownServiceWorkers  map[WorkerID]Registration // of services that no configuration names
+	workersByService       roster
+	silentWorkers          workerSet               // that did not answer their newest hold
+	endedWorkers           workerSet               // the lives of which have ended
+	openCrashes            map[incarnation][]*task // tasks with a run on a worker the fate of which is open
+	workersWithUnknownJobs workerSet               // with runs or ends of jobs that are not known yet
+	colocatedWorkers       workerSet               // with fillers beside serving tasks
+	unlistedWorkers        workerSet               // that are missing among the registrations, and still count as registered
+	maintenanceWorkers     workerSet               // that are kept for a wave
+	instances              map[InstanceID]*instanceState
+	instanceOfWorker       map[WorkerID]InstanceID
+	waves                  map[int]*waveState
+	pools                  map[string]*poolState
+	moves                  map[InstanceID]*moveState
+	misfits                map[misfit]bool
+	evacuatedZones         map[string]bool // zones that get no new tasks
+	nextSizingAt           time.Time
+	returnableInstances    float64 // instances that may be given back at present
+	lastReturnAt           time.Time
+	nextWaveCheckAt        time.Time // when the waves are looked at next
+	adviceInFlight         int       // to the advisor, without an answer so far
+	dirtyJobs              map[job.ID]*jobState
+	unstoredCrashes        map[job.ID]*jobState // of these, with a crash that is not written
+	toWrite                writeQueue           // the jobs of dirty, in the order in which they are written
+	lastWriteSeq           uint64               // newest place in it
+	pendingPerQueue        map[string]int       // jobs of each queue of which no task is known to have started
+	changedServices        map[string]bool      // services with something to place
+	effects                Effects
+	shares                 *quota.Shares
+	quotas                 *quota.Ledger         // what each tenant has running
+	presumedUsage          presumed              // what may run of it without being known
+	takeoverDone           map[string]bool       // services of which every earlier run is known
+	loggedAwaited          map[string]awaited    // what others wait for, as the log says
+	lastUnconfirmed        map[string]InstanceID // an instance of each service that had not answered when last looked for
+	startedAt              time.Time
+	electedAt              time.Time
+	orderHoldoff           map[InstanceID]time.Time // until when an instance is left to an earlier owner's order
+	registrationsAt        time.Time                // newest word of the registrations
+	registrationsLagSince  time.Time                // since when more has changed among them than is known; zero: it has not
+	unregisterFrom         time.Time                // missing registrations count as gone from then on
+	instanceListAt         time.Time                // newest instance list
+	fenced                 bool
+
+	holdsDue          dueQueue[*worker]
+	stopsDue          dueQueue[*run]      // stops that may have to be sent again
+	stallsDue         dueQueue[*run]      // runs that may stand still
+	occurrencesDue    dueQueue[*jobState] // jobs with occurrences to come
+	recentlyEnded     []*worker           // lives that ended a moment ago
+	crashDecisionsDue dueQueue[*worker]   // lives that have ended without an order, to be looked into
+	avoidedDue        dueQueue[*worker]   // workers that get no new tasks until then
+
+	staleIndexWorkers []*worker // that have to be indexed anew
+
+	callOutcomes      calls.Outcomes
+	starvedSince      time.Time     // when the newest time began in which timeouts say nothing
+	starvedUntil      time.Time     // and its end
+	meanAnswerLatency time.Duration // mean of the newest answers
+	slowAnswersSince  time.Time     // since when it is too long; zero: it is not
 
 	mostSilentSince time.Time // since when most workers seem silent; zero: they do not
 
-	dutyLost time.Time            // zero: the store's lease is held
-	early    map[job.ID]time.Time // cancellations of jobs that are not known yet
-	events   []Decision
-	counts   Counts
+	storeLeaseLostAt time.Time            // zero: the store's lease is held
+	earlyCancels     map[job.ID]time.Time // cancellations of jobs that are not known yet
+	decisions        []Decision
+	counts           Counts
 
 	line startWindow
 }
@@ -351,11 +351,11 @@
 // Counts are totals since the start of the term.
 type Counts struct {
 	Starts, Refused, Failed, Lapsed, Lost, Stopped, Done, Commits int64
-	LastingLapsed                                                 int64 // of those that lapsed, long-running tasks
+	LongRunningLapsed                                             int64 // of those that lapsed, long-running tasks
 	Crashes                                                       int64 // workers that crashed, as far as tasks may have done it
 	Trials                                                        int64 // runs of suspects with nothing beside them
 	GivenUp                                                       int64 // tasks that crash their workers
-	Considered                                                    int64 // jobs that were looked at for placement
+	JobsConsidered                                                int64 // jobs that were looked at for placement
 }
 
 // Decision is a line for the log: what was decided about a job, a worker or an
@@ -370,26 +370,26 @@
 	Account *Account // of a job that was late
 }
 
-func (c *Core) note(d Decision) { c.events = append(c.events, d) }
+func (c *Core) note(d Decision) { c.decisions = append(c.decisions, d) }
 
 // TakeDecisions returns the decisions since the last call.
 func (c *Core) TakeDecisions() []Decision {
-	out := c.events
-	c.events = nil
+	out := c.decisions
+	c.decisions = nil
 	return out
 }
 
-// Take returns the effects since the last call.
-func (c *Core) Take() Effects {
-	out := c.out
-	c.out = Effects{}
+// TakeEffects returns the effects since the last call.
+func (c *Core) TakeEffects() Effects {
+	out := c.effects
+	c.effects = Effects{}
 	return out
 }
 
 // TakeHolds returns the holds alone since the last call, and leaves the other effects.
 func (c *Core) TakeHolds() []Hold {
-	out := c.out.Holds
-	c.out.Holds = nil
+	out := c.effects.Holds
+	c.effects.Holds = nil
 	return out
 }
 
@@ -401,51 +401,51 @@
 // store at that time.
 func New(opt Options, catalog *job.Catalog, loaded []Loaded, now time.Time) *Core {
 	c := &Core{
-		opt:         opt,
-		token:       opt.Term,
-		lastRun:     opt.Term * runsPerTerm,
-		catalog:     catalog,
-		jobs:        map[job.ID]*jobState{},
-		open:        map[job.ID]*jobState{},
-		workers:     workerSet{},
-		unnamed:     map[WorkerID]Registration{},
-		roster:      roster{},
-		silent:      workerSet{},
-		over:        workerSet{},
-		openCrashes: map[life][]*task{},
-		puzzling:    workerSet{},
-		sharing:     workerSet{},
-		unlisted:    workerSet{},
-		maintaining: workerSet{},
-		pending:     map[string]int{},
-		instances:   map[InstanceID]*instanceState{},
-		lives:       map[WorkerID]InstanceID{},
-		waves:       map[int]*waveState{},
-		pools:       map[string]*poolState{},
-		moves:       map[InstanceID]*moveState{},
-		misfits:     map[misfit]bool{},
-		dirty:       map[job.ID]*jobState{},
-		crashesNew:  map[job.ID]*jobState{},
-		changed:     map[string]bool{},
-		early:       map[job.ID]time.Time{},
-		shares:      quota.NewShares(),
-		quotas:      quota.New(),
-		settled:     map[string]bool{},
-		awaited:     map[string]awaited{},
-		awaitedOf:   map[string]InstanceID{},
-		line:        newStartWindow(opt.MaxPendingStarts),
-		leaveTo:     map[InstanceID]time.Time{},
-		startedAt:   now,
-		electedAt:   now,
-		settleAt:    now,
+		opt:                    opt,
+		fencingToken:           opt.Term,
+		lastRun:                opt.Term * runsPerTerm,
+		catalog:                catalog,
+		jobs:                   map[job.ID]*jobState{},
+		openJobs:               map[job.ID]*jobState{},
+		workers:                workerSet{},
+		unknownServiceWorkers:  map[WorkerID]Registration{},
+		workersByService:       roster{},
+		silentWorkers:          workerSet{},
+		endedWorkers:           workerSet{},
+		openCrashes:            map[incarnation][]*task{},
+		workersWithUnknownJobs: workerSet{},
+		colocatedWorkers:       workerSet{},
+		unlistedWorkers:        workerSet{},
+		maintenanceWorkers:     workerSet{},
+		pendingPerQueue:        map[string]int{},
+		instances:              map[InstanceID]*instanceState{},
+		instanceOfWorker:       map[WorkerID]InstanceID{},
+		waves:                  map[int]*waveState{},
+		pools:                  map[string]*poolState{},
+		moves:                  map[InstanceID]*moveState{},
+		misfits:                map[misfit]bool{},
+		dirtyJobs:              map[job.ID]*jobState{},
+		unstoredCrashes:        map[job.ID]*jobState{},
+		changedServices:        map[string]bool{},
+		earlyCancels:           map[job.ID]time.Time{},
+		shares:                 quota.NewShares(),
+		quotas:                 quota.New(),
+		takeoverDone:           map[string]bool{},
+		loggedAwaited:          map[string]awaited{},
+		lastUnconfirmed:        map[string]InstanceID{},
+		line:                   newStartWindow(opt.MaxPendingStarts),
+		orderHoldoff:           map[InstanceID]time.Time{},
+		startedAt:              now,
+		electedAt:              now,
+		unregisterFrom:         now,
 	}
-	c.calls.Policy = opt.CallPolicy
+	c.callOutcomes.Policy = opt.CallPolicy
 	if !opt.ElectedAt.IsZero() {
 		c.electedAt = opt.ElectedAt
 	}
 	for _, o := range opt.PriorOrders {
 		wait := min(opt.DutyHandover+DutyMargin, opt.DutyHandover+orderFlight-o.Age)
-		c.leaveTo[o.Instance] = c.electedAt.Add(wait)
+		c.orderHoldoff[o.Instance] = c.electedAt.Add(wait)
 	}
 	if catalog != nil {
 		c.setTenants(catalog.Tenants)
--- a/jobs/owner/stats.go
+++ b/jobs/owner/stats.go
@@ -28,7 +28,7 @@
 
 // Stats returns the figures at now.
 func (c *Core) Stats(now time.Time) Stats {
-	s := Stats{Counts: c.counts, OpenJobs: len(c.open), Unrecorded: len(c.dirty), Moving: len(c.moves)}
+	s := Stats{Counts: c.counts, OpenJobs: len(c.openJobs), Unrecorded: len(c.dirtyJobs), Moving: len(c.moves)}
 	for _, w := range c.workers {
 		if w.ended {
 			continue
@@ -40,7 +40,7 @@
 		if c.isUsable(w, now) {
 			s.Usable++
 		}
-		if w.silent() {
+		if w.isSilent() {
 			s.Silent++
 		}
 	}
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -137,7 +137,7 @@
 
 // countOfWorker does what count does for the instance that the worker is the life of.
 func (c *Core) countOfWorker(w *worker) {
-	if i := c.instances[c.lives[w.Worker]]; i != nil && i.Worker == w.Worker {
+	if i := c.instances[c.instanceOfWorker[w.Worker]]; i != nil && i.Worker == w.Worker {
 		c.count(i)
 	}
 }
@@ -147,7 +147,7 @@
 		return contribution{}
 	}
 	w := i.life
-	closed := c.evacuated[i.Zone]
+	closed := c.evacuatedZones[i.Zone]
 	if w == nil {
 		return contribution{pool: i.Pool, idle: i.Worker == "", closed: closed}
 	}
@@ -185,6 +185,6 @@
 		w.idleSince = now
 	}
 	out.IdleFor = now.Sub(w.idleSince)
-	out.Movable = w.heldByUs && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.silent() && c.mayOrder(i.ID, now)
+	out.Movable = w.heldByUs && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrder(i.ID, now)
 	return out
 }
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -21,7 +21,7 @@
 	c.markWorkerChanged(w)
 	c.watchStall(r)
 	c.pool(j.service).began(j)
-	c.noteBegun(r, now)
+	c.noteStarted(r, now)
 	switch {
 	case j.state.Final() || t.done:
 		c.stop(r, "its task is over", now)
@@ -35,12 +35,12 @@
 // stopUnexpected stops a run that must not go on, and of which nothing more is known.
 func (c *Core) stopUnexpected(w *worker, a ActiveRun, why string) {
 	c.note(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: why})
-	c.out.Stops = append(c.out.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
+	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
 }
 
 // resolveStrangers handles what workers said of a job before it was known.
 func (c *Core) resolveStrangers(j *jobState, now time.Time) {
-	for _, w := range c.puzzling.sorted() {
+	for _, w := range c.workersWithUnknownJobs.sorted() {
 		for n, we := range w.unknownEnds {
 			if we.end.Task.Job != j.spec.ID {
 				continue
@@ -54,14 +54,14 @@
 			}
 		}
 		c.advanceAck(w, now)
-		c.puzzling.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
+		c.workersWithUnknownJobs.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
 	}
 }
 
 // expireStrangers gives up on jobs that stay unknown: their runs are stopped
 // and their ends forgotten.
 func (c *Core) expireStrangers(now time.Time) {
-	for _, w := range c.puzzling.sorted() {
+	for _, w := range c.workersWithUnknownJobs.sorted() {
 		for n, we := range w.unknownEnds {
 			if now.Sub(we.since) > strangerWait {
 				delete(w.unknownEnds, n)
@@ -73,31 +73,31 @@
 			if now.Sub(s.since) > strangerWait {
 				w.unknownRuns[id] = unknownRun{s.run, now}
 				c.note(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: s.run})
-				c.out.Stops = append(c.out.Stops, Stop{Target: c.target(w), Task: id, Run: s.run, Timeout: OrderTimeout})
+				c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: id, Run: s.run, Timeout: OrderTimeout})
 			}
 		}
 	}
 }
 
-// leaseBound is how long after its term any lease that an owner gave can last.
-func (c *Core) leaseBound() time.Duration {
+// maxLeaseDuration is how long after its term any lease that an owner gave can last.
+func (c *Core) maxLeaseDuration() time.Duration {
 	return time.Duration(float64(c.opt.TaskLease)/(1-workerClockSlow)) + leaseSlack
 }
 
-// certain reports whether every run that an earlier owner may have started for
+// earlierRunsKnown reports whether every run that an earlier owner may have started for
 // the service is known: each instance up in its pool answered our token, or
 // all its leases have run out. An owner that is short of processor time waits for the
 // instances: what was done there may be in answers that it has not read.
-func (c *Core) certain(service string, now time.Time) bool {
-	if c.opt.Term == 1 || c.settled[service] {
+func (c *Core) earlierRunsKnown(service string, now time.Time) bool {
+	if c.opt.Term == 1 || c.takeoverDone[service] {
 		return true
 	}
 	unheard := c.unheardOf(service)
-	if unheard != "" && (now.Sub(c.startedAt) <= c.leaseBound() || c.isStarved(now)) {
+	if unheard != "" && (now.Sub(c.startedAt) <= c.maxLeaseDuration() || c.isStarved(now)) {
 		c.noteAwaited(service, unheard, now)
 		return false
 	}
-	c.settled[service] = true
+	c.takeoverDone[service] = true
 	c.noteTakeover(service, now)
 	why := "every worker has answered"
 	if unheard != "" {
@@ -109,7 +109,7 @@
 
 // noteTakeover accounts for the time that inherited jobs of the service have waited.
 func (c *Core) noteTakeover(service string, now time.Time) {
-	for _, j := range c.open {
+	for _, j := range c.openJobs {
 		if j.inherited && j.service == service && !j.state.Final() {
 			j.noteWaits(CauseTakeover, now)
 		}
@@ -126,11 +126,11 @@
 }
 
 func (c *Core) noteAwaited(service, whom string, now time.Time) {
-	said := c.awaited[service]
+	said := c.loggedAwaited[service]
 	if said.whom == whom || now.Sub(said.at) < awaitedEvery {
 		return
 	}
-	c.awaited[service] = awaited{whom, now}
+	c.loggedAwaited[service] = awaited{whom, now}
 	c.note(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + whom})
 }
 
@@ -138,10 +138,10 @@
 // answered our token yet, "" if there is none. Registrations of lives that the
 // instance list does not show are left over: these lives are over.
 func (c *Core) unheardOf(service string) string {
-	if c.instAt.IsZero() {
+	if c.instanceListAt.IsZero() {
 		return "the instance list"
 	}
-	if known := c.awaitedOf[service]; known != "" && c.isUnheard(service, c.instances[known]) {
+	if known := c.lastUnconfirmed[service]; known != "" && c.isUnheard(service, c.instances[known]) {
 		return "instance " + string(known)
 	}
 	first := InstanceID("")
@@ -150,7 +150,7 @@
 			first = i.ID
 		}
 	}
-	c.awaitedOf[service] = first
+	c.lastUnconfirmed[service] = first
 	if first == "" {
 		return ""
 	}
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -148,12 +148,12 @@
 		if now.After(end) {
 			break
 		}
-		before := f.core.counts.Considered
+		before := f.core.counts.JobsConsidered
 		e.do(now, !e.deadline.IsZero() && now.After(e.deadline))
 		f.core.React(now)
-		cost := time.Duration(f.core.counts.Considered-before) * costOfLook
+		cost := time.Duration(f.core.counts.JobsConsidered-before) * costOfLook
 		f.free = now.Add(cost)
-		f.send(f.core.Take())
+		f.send(f.core.TakeEffects())
 		f.core.TakeDecisions()
 	}
 	for _, w := range f.workers {
@@ -250,7 +250,7 @@
 		f.core.OnHeld(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(now)}}, now)
 		f.core.React(now)
 	}
-	looks := f.core.counts.Considered / busyJobs
+	looks := f.core.counts.JobsConsidered / busyJobs
 	assert.LessOrEqual(t, looks, int64(now.Sub(f.begin)/shellTick), "looks at the whole queue, one a tick at most")
 }
 
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -47,7 +47,7 @@
 		return
 	}
 	for _, service := range c.quotas.Remove(r.task.step.job.spec.Tenant, r.task.step.spec.Need) {
-		c.changed[service] = true
+		c.changedServices[service] = true
 	}
 }
 
@@ -65,16 +65,16 @@
 	if c.allCertain(now) {
 		return job.Resources{}
 	}
-	if c.inherited.of == nil || now.Sub(c.inherited.at) >= presumedFor {
-		c.inherited = presumed{c.sumInherited(), now}
+	if c.presumedUsage.of == nil || now.Sub(c.presumedUsage.at) >= presumedFor {
+		c.presumedUsage = presumed{c.sumInherited(), now}
 	}
-	return c.inherited.of[tenant]
+	return c.presumedUsage.of[tenant]
 }
 
 // allCertain reports whether all that an earlier owner started is known, for every service.
 func (c *Core) allCertain(now time.Time) bool {
 	for _, s := range c.catalog.Services {
-		if !s.Spare && !c.certain(s.Name, now) {
+		if !s.Spare && !c.earlierRunsKnown(s.Name, now) {
 			return false
 		}
 	}
@@ -83,7 +83,7 @@
 
 func (c *Core) sumInherited() map[string]job.Resources {
 	out := map[string]job.Resources{}
-	for _, j := range c.open {
+	for _, j := range c.openJobs {
 		if !j.inherited || !c.quotas.Limited(j.spec.Tenant) {
 			continue
 		}
--- a/jobs/owner/together.go
+++ b/jobs/owner/together.go
@@ -45,7 +45,7 @@
 			count(o)
 		}
 	}
-	for _, o := range c.lostLately {
+	for _, o := range c.recentlyEnded {
 		count(o)
 	}
 	return max(rack.judge(), zone.judge())
@@ -63,12 +63,12 @@
 	if w.ended {
 		return w.crashSuspects
 	}
-	return c.openCrashes[w.life()]
+	return c.openCrashes[w.incarnation()]
 }
 
 // overlaps reports whether both losses may have happened at the same moment: each between the
 // last sign of life and the first call without an answer.
-func (k *contact) overlaps(o *contact) bool {
+func (k *contactLoss) overlaps(o *contactLoss) bool {
 	if k.lostAt.IsZero() || o.lostAt.IsZero() {
 		return false
 	}
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -20,9 +20,9 @@
 
 // downSince is an instance under maintenance.
 type downSince struct {
-	at   time.Time // when this owner ordered it; zero: another one did, perhaps for another wave
-	life life      // before its maintenance; without a worker for a spare instance
-	seen bool      // the instance list has shown it under maintenance
+	at   time.Time   // when this owner ordered it; zero: another one did, perhaps for another wave
+	life incarnation // before its maintenance; without a worker for a spare instance
+	seen bool        // the instance list has shown it under maintenance
 
 	accepted time.Time // when the platform accepted the order; zero: not yet
 }
@@ -103,11 +103,11 @@
 
 // maintain advances the waves.
 func (c *Core) maintain(now time.Time) {
-	if now.Before(c.nextWave) {
+	if now.Before(c.nextWaveCheckAt) {
 		return
 	}
 	open := 0 // instances of waves that go on
-	defer func() { c.nextWave = now.Add(min(waveMostPause, time.Duration(open)*wavePerInstance)) }()
+	defer func() { c.nextWaveCheckAt = now.Add(min(waveMostPause, time.Duration(open)*wavePerInstance)) }()
 	for _, ws := range c.sortedWaves() {
 		if ws.completed {
 			continue
@@ -115,12 +115,12 @@
 		open += len(ws.Instances)
 		if !ws.announced {
 			ws.announced = true
-			c.out.WaveStatuses = append(c.out.WaveStatuses, WaveStatus{Wave: ws.Wave})
+			c.effects.WaveStatuses = append(c.effects.WaveStatuses, WaveStatus{Wave: ws.Wave})
 		}
 		if c.waveDone(ws) {
 			ws.completed = true
 			c.note(Decision{Event: "wave-completed", Reason: now.Sub(ws.since).String()})
-			c.out.WaveStatuses = append(c.out.WaveStatuses, WaveStatus{Wave: ws.Wave, Done: true})
+			c.effects.WaveStatuses = append(c.effects.WaveStatuses, WaveStatus{Wave: ws.Wave, Done: true})
 			continue
 		}
 		c.forecast(ws, now)
@@ -169,7 +169,7 @@
 // waveDone reports whether every instance of the wave that still is there has
 // begun its maintenance.
 func (c *Core) waveDone(ws *waveState) bool {
-	if c.instAt.IsZero() {
+	if c.instanceListAt.IsZero() {
 		return false
 	}
 	for _, id := range ws.Instances {
@@ -204,7 +204,7 @@
 		alive := w != nil && !w.ended && w.answeredHoldSentAt.After(d.accepted)
 		if w == nil && d.life.worker == "" {
 			i := c.instances[id]
-			alive = i != nil && i.State == InstanceUp && c.instAt.Sub(d.accepted) > doneBefore
+			alive = i != nil && i.State == InstanceUp && c.instanceListAt.Sub(d.accepted) > doneBefore
 		}
 		if !alive {
 			continue
@@ -302,7 +302,7 @@
 // runsKnown reports whether what runs on the worker is known: it has answered this
 // owner, or every lease of an earlier one has ended.
 func (c *Core) runsKnown(w *worker, now time.Time) bool {
-	return w.heldByUs || now.Sub(c.startedAt) > c.leaseBound()
+	return w.heldByUs || now.Sub(c.startedAt) > c.maxLeaseDuration()
 }
 
 // load returns the core-seconds that are left of what runs on the worker.
@@ -334,13 +334,13 @@
 }
 
 func (c *Core) orderMaintenance(ws *waveState, cand candidate, now time.Time) {
-	d := downSince{at: now, life: c.lifeOn(&c.instances[cand.id].Instance)}
+	d := downSince{at: now, life: c.incarnationOn(&c.instances[cand.id].Instance)}
 	ws.down[cand.id] = d
 	if cand.w != nil {
 		cand.w.endOrdered = true
 	}
 	c.note(Decision{Event: "maintenance-ordered", Worker: d.life.worker, Reason: string(cand.id)})
-	c.out.InstanceOrders = append(c.out.InstanceOrders, InstanceOrder{Instance: cand.id, Wave: ws.Wave})
+	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: cand.id, Wave: ws.Wave})
 }
 
 // OnInstanceOrder takes the platform's answer to an order for an instance.
@@ -364,11 +364,11 @@
 			d.accepted = now
 			ws.down[o.Instance] = d
 		}
-		c.out.WaveStatuses = append(c.out.WaveStatuses, WaveStatus{Wave: o.Wave, Done: ws.completed})
+		c.effects.WaveStatuses = append(c.effects.WaveStatuses, WaveStatus{Wave: o.Wave, Done: ws.completed})
 	case DutyUnanswered:
 		// It may have begun: it stays among those that are down and is asked for
 		// again until the platform answers.
-		c.out.InstanceOrders = append(c.out.InstanceOrders, o)
+		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o)
 	case DutyFenced:
 		c.fenced = true
 	default:
@@ -385,7 +385,7 @@
 func (c *Core) reserve(w *worker, why reservation, now time.Time) {
 	w.reserved = why
 	w.reservedAt = now
-	c.maintaining.put(w, why == reservedMaintenance && !w.ended)
+	c.maintenanceWorkers.put(w, why == reservedMaintenance && !w.ended)
 	c.markWorkerChanged(w)
 }
 
@@ -393,6 +393,6 @@
 func (c *Core) unreserve(w *worker) {
 	w.reserved = ""
 	w.endOrdered = false
-	c.maintaining.put(w, false)
+	c.maintenanceWorkers.put(w, false)
 	c.markWorkerChanged(w)
 }
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -34,7 +34,7 @@
 
 // target returns the address of an order to w.
 func (c *Core) target(w *worker) Target {
-	return Target{Worker: w.Worker, Addr: w.Addr, Token: c.token, StartedMs: w.StartedMs}
+	return Target{Worker: w.Worker, Addr: w.Addr, Token: c.fencingToken, StartedMs: w.StartedMs}
 }
 
 // holdAt says when the worker is to be held next.
@@ -53,12 +53,12 @@
 		}
 		w.holdInFlight = true
 		w.holdSentAt = now
-		c.out.Holds = append(c.out.Holds, Hold{
+		c.effects.Holds = append(c.effects.Holds, Hold{
 			Target:       c.target(w),
 			LeaseUntilMs: c.renewal(w, now),
-			AckThrough:   w.acknowledgement(),
+			AckThrough:   w.ackThrough(),
 			Wait:         c.holdWait(w),
-			Timeout:      c.calls.Timeout(holdTimeout),
+			Timeout:      c.callOutcomes.Timeout(holdTimeout),
 		})
 	}
 }
@@ -79,7 +79,7 @@
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
-	case c.calls.Lossy():
+	case c.callOutcomes.Lossy():
 		return min(c.opt.HoldWait, max(lossyHoldWait, c.holdPace()))
 	}
 	return c.opt.HoldWait
@@ -112,32 +112,32 @@
 // renewal returns the end of the lease for an order to w. A silent worker's
 // lease is not renewed: it has to end for its tasks to start elsewhere.
 func (c *Core) renewal(w *worker, now time.Time) int64 {
-	if w.silent() && !c.isStarved(now) {
+	if w.isSilent() && !c.isStarved(now) {
 		return w.lease.granted
 	}
 	return w.lease.grant(c.opt.TaskLease, now)
 }
 
-// silent reports whether the newest order to w, or its newest hold, went
+// isSilent reports whether the newest order to w, or its newest hold, went
 // unanswered, and nothing was heard of it since.
-func (w *worker) silent() bool { return !w.silentSince.IsZero() || w.orderUnanswered }
+func (w *worker) isSilent() bool { return !w.silentSince.IsZero() || w.orderUnanswered }
 
-// heardOrder takes note of the answer to an order, or that there is none. An order that is
+// onOrderAnswer takes note of the answer to an order, or that there is none. An order that is
 // lost on its way says nothing of the worker: the hold that is under way tells whether it is
 // there. Where a fifth of the orders are lost, each would else count as a possible crash.
-func (c *Core) heardOrder(w *worker, a Answer, now time.Time) {
+func (c *Core) onOrderAnswer(w *worker, a Answer, now time.Time) {
 	c.tallyCall(w, a)
 	if a.Outcome == Unanswered && !a.ConnFailed {
 		c.markWorkerChanged(w)
 		return
 	}
-	c.heard(w, a, now)
+	c.onAnswer(w, a, now)
 }
 
 // isDoubtful reports whether a hold may have no answer because it alone was lost: the next one
 // tells. Else what had just started on the worker would be a suspect of its crash.
 func (c *Core) isDoubtful(w *worker, a Answer) bool {
-	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.calls.Lossy()
+	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.callOutcomes.Lossy()
 }
 
 // tallyCall takes note of whether a call was answered, for how long to wait for others.
@@ -145,19 +145,19 @@
 	switch {
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
-		c.calls.Answered()
+		c.callOutcomes.Answered()
 		w.lossReported = false
 	case a.ConnFailed:
 	case w.lossReported:
-		c.calls.LostAgain()
+		c.callOutcomes.LostAgain()
 	default:
-		c.calls.Lost()
+		c.callOutcomes.Lost()
 		w.lossReported = true
 	}
 }
 
-// heard takes note of an answer, or that there is none.
-func (c *Core) heard(w *worker, a Answer, now time.Time) {
+// onAnswer takes note of an answer, or that there is none.
+func (c *Core) onAnswer(w *worker, a Answer, now time.Time) {
 	c.markWorkerChanged(w)
 	if w.ended {
 		return // an answer that was on its way
@@ -172,13 +172,13 @@
 	w.lease.heard(a.ClockMs, now)
 	w.lastAnswerAt = now
 	w.orderUnanswered = false
-	w.contactLoss = contact{}
+	w.contactLoss = contactLoss{}
 	c.clearSurvivors(w, now)
-	c.judgeAnswer(a.Latency, now)
+	c.trackAnswerLatency(a.Latency, now)
 }
 
-// unheard takes note of an order, sent at sent, that went unanswered.
-func (c *Core) unheard(w *worker, sent time.Time) {
+// noteOrderUnanswered takes note of an order, sent at sent, that went unanswered.
+func (c *Core) noteOrderUnanswered(w *worker, sent time.Time) {
 	if w.lastAnswerAt.Before(sent) {
 		w.orderUnanswered = true
 		c.markWorkerChanged(w)
@@ -187,19 +187,19 @@
 
 // OnHeld takes a worker's answer to a hold of the life that is meant.
 func (c *Core) OnHeld(of Target, h HoldAnswer, now time.Time) {
-	w := c.meant(of)
+	w := c.targetedWorker(of)
 	if w == nil {
 		return
 	}
 	w.holdInFlight = false
 	if h.Outcome == Taken {
-		switch w.relation(h.StartedMs) {
-		case formerLife:
+		switch w.relationTo(h.StartedMs) {
+		case pastIncarnation:
 			c.holdAt(w, now.Add(holdRetry))
 			return
-		case nextLife:
+		case nextIncarnation:
 			sent := w.holdSentAt
-			w = c.beginLife(w, h.StartedMs, "its list is of another life", now)
+			w = c.startIncarnation(w, h.StartedMs, "its list is of another life", now)
 			w.holdSentAt = sent
 		}
 	}
@@ -208,15 +208,15 @@
 	}
 	c.tallyCall(w, h.Answer)
 	if !c.isDoubtful(w, h.Answer) {
-		c.heard(w, h.Answer, now)
+		c.onAnswer(w, h.Answer, now)
 	}
 	switch h.Outcome {
 	case Taken:
 	case Fenced:
-		c.fence(w)
+		c.markFenced(w)
 		return
 	case OtherBoot:
-		c.lifeOver(w, "another life answers at its address", now)
+		c.endIncarnation(w, "another life answers at its address", now)
 		return
 	case NotSent:
 		c.holdAt(w, now.Add(holdRetry)) // which says nothing of the worker
@@ -224,7 +224,7 @@
 	default:
 		if w.silentSince.IsZero() {
 			w.silentSince = now
-			c.silent.put(w, true)
+			c.silentWorkers.put(w, true)
 			c.note(Decision{Event: "worker-silent", Worker: w.Worker, Reason: reasonOf(h.Answer)})
 		}
 		c.holdAt(w, now.Add(c.retryPause(w, now)))
@@ -233,7 +233,7 @@
 	if !w.silentSince.IsZero() {
 		c.note(Decision{Event: "worker-answers", Worker: w.Worker, Reason: now.Sub(w.silentSince).String()})
 		w.silentSince = time.Time{}
-		c.silent.put(w, false)
+		c.silentWorkers.put(w, false)
 	}
 	first := !w.heldByUs
 	w.heldByUs = true
@@ -245,7 +245,7 @@
 		}
 	}
 	c.onActive(w, h.Active, now)
-	c.puzzling.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
+	c.workersWithUnknownJobs.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
 	w.nextHoldAt = now
 	c.advanceAck(w, now)
 	if len(w.unacked) > 0 {
@@ -255,15 +255,15 @@
 	if first {
 		c.note(Decision{Event: "worker-held", Worker: w.Worker, Reason: w.Service})
 	}
-	c.changed[w.Service] = true
+	c.changedServices[w.Service] = true
 }
 
 // retryPause returns how long after a hold without an answer the next one is sent.
 func (c *Core) retryPause(w *worker, now time.Time) time.Duration {
-	if c.calls.Lossy() && w.silentSince.Equal(now) {
+	if c.callOutcomes.Lossy() && w.silentSince.Equal(now) {
 		return 0 // this one alone may be lost
 	}
-	if !c.instAt.IsZero() && !c.listed(w) {
+	if !c.instanceListAt.IsZero() && !c.listed(w) {
 		return unlistedRetry
 	}
 	return holdRetry
@@ -276,7 +276,7 @@
 	return a.Outcome.String()
 }
 
-func (c *Core) fence(w *worker) {
+func (c *Core) markFenced(w *worker) {
 	if c.fenced {
 		return
 	}
@@ -350,7 +350,7 @@
 		r.progressAt = now
 	}
 	c.watchStall(r)
-	c.noteBegun(r, now)
+	c.noteStarted(r, now)
 	if a.Percent != r.percent {
 		r.percent = a.Percent
 		r.progressAt = now
@@ -362,23 +362,23 @@
 	}
 }
 
-// lifeOver handles the certain end of a worker's life: nothing runs there.
-func (c *Core) lifeOver(w *worker, proof string, now time.Time) {
+// endIncarnation handles the certain end of a worker's life: nothing runs there.
+func (c *Core) endIncarnation(w *worker, proof string, now time.Time) {
 	if w.ended {
 		return
 	}
 	w.ended = true
-	c.over.put(w, true)
-	c.maintaining.put(w, false)
-	c.silent.put(w, false)
+	c.endedWorkers.put(w, true)
+	c.maintenanceWorkers.put(w, false)
+	c.silentWorkers.put(w, false)
 	c.markWorkerChanged(w)
 	c.note(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
 	c.lookInto(w, now)
 	for _, r := range runsByNumber(w) {
-		c.lose(r, proof, now)
+		c.loseRun(r, proof, now)
 	}
 	for service := range c.pools {
-		c.changed[service] = true // what waited for news of it may go on
+		c.changedServices[service] = true // what waited for news of it may go on
 	}
 }
 
@@ -386,24 +386,24 @@
 // every lease that they were given. An owner that is short of processor time frees
 // none: what was done there may be in answers that it has not read.
 func (c *Core) expireLeases(now time.Time) {
-	for id, w := range c.over {
+	for id, w := range c.endedWorkers {
 		if !w.registered && !w.holdInFlight {
-			c.forget(id)
+			c.forgetWorker(id)
 		}
 	}
-	for _, w := range c.silent.sorted() {
+	for _, w := range c.silentWorkers.sorted() {
 		id := w.Worker
-		if len(w.runs) > 0 && c.leasesOver(w, now) && !c.isStarved(now) {
+		if len(w.runs) > 0 && c.leasesExpired(w, now) && !c.isStarved(now) {
 			c.note(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
 			for _, r := range runsByNumber(w) {
 				c.noteCrash(r, now) // what became of the worker may be known later
 			}
 			for _, r := range runsByNumber(w) {
-				c.lose(r, "its lease is over", now)
+				c.loseRun(r, "its lease is over", now)
 			}
 		}
 		if !w.registered && len(w.runs) == 0 && !w.holdInFlight && now.Sub(w.silentSince) > c.opt.TaskLease*2 {
-			c.forget(id) // it is known anew if it registers again
+			c.forgetWorker(id) // it is known anew if it registers again
 		}
 	}
 }
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -191,7 +191,7 @@
 		return
 	}
 	s.meter.measure(Reaction, func() { s.core.React(s.engine.now) })
-	e := s.core.Take()
+	e := s.core.TakeEffects()
 	if s.scenario.Ordered != nil {
 		s.scenario.Ordered(s.engine.now, e)
 	}
