--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -21,7 +21,7 @@
 		now = now.Add(10 * time.Second)
 		c.Tick(now)
 	}
-	c.Uncommitted(10)
+	c.PendingRecords(10)
 }
 
 // mostTasks bounds what the fuzzing makes an owner begin.
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		list, _ := t.decodeRegistrations(ledger.EventsOf(items))
-		t.do(func(c *owner.Core, now time.Time) { c.Register(list, now) })
+		t.do(func(c *owner.Core, now time.Time) { c.SetRegistrations(list, now) })
 		t.watchRegistrations(prefix, revision)
 	}
 }
@@ -64,7 +64,7 @@
 		changed, gone := t.decodeRegistrations(ch.Events)
 		current := ch.Revision >= known && !returns.mayBeCut(len(ch.Events))
 		t.do(func(c *owner.Core, now time.Time) {
-			c.RegisterChanges(changed, gone, current, now)
+			c.UpdateRegistrations(changed, gone, current, now)
 			t.expecting.Store(c.Expecting())
 		})
 		switch {
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -14,7 +14,7 @@
 
 // commit starts the next transaction if one is due.
 func (t *termRun) commit(now time.Time) {
-	if t.committing || now.Sub(t.lastCommit) < commitEvery && t.core.DirtyJobs() < commitBacklog && !t.core.IsWriteUrgent() {
+	if t.committing || now.Sub(t.lastCommit) < commitEvery && t.core.DirtyJobs() < commitBacklog && !t.core.HasUrgentRecords() {
 		return
 	}
 	puts := lastOfEachKey(t.extra)
@@ -22,13 +22,13 @@
 	if len(puts) > ledger.MaxEntries {
 		puts = puts[:ledger.MaxEntries]
 	}
-	records := t.core.Uncommitted(ledger.MaxEntries - len(puts))
+	records := t.core.PendingRecords(ledger.MaxEntries - len(puts))
 	if len(records)+len(puts)+t.orders.waiting() == 0 {
 		if now.Sub(t.lastExpire) < expireEvery {
 			return
 		}
 		t.lastExpire = now
-		for _, id := range t.core.Expired(ledger.MaxEntries/3, now) {
+		for _, id := range t.core.RemoveExpired(ledger.MaxEntries/3, now) {
 			deletes = append(deletes, ledger.JobKeys(id)...)
 		}
 		if len(deletes) == 0 {
@@ -81,7 +81,7 @@
 			return
 		}
 		t.extra = t.extra[taken:]
-		c.Committed(records, now)
+		c.OnCommitted(records, now)
 		if t.isLeaving() {
 			t.refuse(c, orders, now)
 			return
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -42,10 +42,10 @@
 		go t.order(t.holds, o.Wait+o.Timeout, func(ctx context.Context) event {
 			h := t.n.platform.Workers.Hold(ctx, o)
 			t.n.metrics.order("hold", h.Outcome)
-			return func(c *owner.Core, now time.Time) { c.OnHeld(o.Target, h, now) }
+			return func(c *owner.Core, now time.Time) { c.OnHoldAnswer(o.Target, h, now) }
 		})
 	}
-	for _, q := range e.Questions {
+	for _, q := range e.AdviceQueries {
 		go t.call(owner.AdviceTimeout, func(ctx context.Context) event {
 			a := t.advise(ctx, q)
 			return func(c *owner.Core, now time.Time) { c.OnAdvice(q, a, now) }
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -309,7 +309,7 @@
 func (t *termRun) lastWrites() (puts []ledger.Put, deletes []string) {
 	puts = lastOfEachKey(t.extra)
 	puts = puts[:min(len(puts), ledger.MaxEntries)]
-	for _, r := range t.core.Uncommitted(ledger.MaxEntries - len(puts)) {
+	for _, r := range t.core.PendingRecords(ledger.MaxEntries - len(puts)) {
 		p, d := ledger.RecordWrites(r)
 		puts = append(puts, p...)
 		deletes = append(deletes, d...)
--- a/jobs/owner/account_test.go
+++ b/jobs/owner/account_test.go
@@ -92,7 +92,7 @@
 	}
 	last := simpleJob(39, 1).ID
 	r.core.Cancel(last, r.now)
-	records := r.core.Uncommitted(3)
+	records := r.core.PendingRecords(3)
 	require.Len(t, records, 3)
 	assert.Equal(t, last, records[0].Job.ID)
 }
@@ -109,12 +109,12 @@
 	}
 	seen := map[job.ID]bool{}
 	for range jobs / room {
-		records := r.core.Uncommitted(room)
+		records := r.core.PendingRecords(room)
 		for _, rec := range records {
 			seen[rec.Job.ID] = true
 			r.core.markDirty(r.core.jobs[rec.Job.ID]) // more of it ends while it is written
 		}
-		r.core.Committed(records, r.now)
+		r.core.OnCommitted(records, r.now)
 	}
 	assert.Len(t, seen, jobs)
 }
--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -122,7 +122,7 @@
 	p.asking = true
 	p.askedAt = now
 	c.adviceInFlight++
-	c.effects.Questions = append(c.effects.Questions, q)
+	c.effects.AdviceQueries = append(c.effects.AdviceQueries, q)
 }
 
 // OnAdvice takes the advisor's answer. Tickets count from the question on, as
--- a/jobs/owner/checkpoint_test.go
+++ b/jobs/owner/checkpoint_test.go
@@ -29,7 +29,7 @@
 	require.Len(t, second, 1)
 	assert.Equal(t, "half", second[0].Checkpoint)
 
-	records := r.core.Uncommitted(10)
+	records := r.core.PendingRecords(10)
 	require.Len(t, records, 1)
 	next := newRig(t, 2, Loaded{Job: j, Progress: &records[0].Progress})
 	b := next.worker("b")
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -46,7 +46,7 @@
 }
 
 func (r *rig) list() {
-	r.core.Register(r.regs, r.now)
+	r.core.SetRegistrations(r.regs, r.now)
 	r.core.OnInstances(r.inst, r.now)
 	r.tick(0)
 }
@@ -69,7 +69,7 @@
 	r.out.Holds = append(r.out.Holds, e.Holds...)
 	r.out.InstanceOrders = append(r.out.InstanceOrders, e.InstanceOrders...)
 	r.out.WaveStatuses = append(r.out.WaveStatuses, e.WaveStatuses...)
-	r.out.Questions = append(r.out.Questions, e.Questions...)
+	r.out.AdviceQueries = append(r.out.AdviceQueries, e.AdviceQueries...)
 	r.out.Throttles = append(r.out.Throttles, e.Throttles...)
 }
 
@@ -79,14 +79,14 @@
 
 // held answers the hold that is under way.
 func (r *rig) held(id WorkerID, active []ActiveRun, ends ...RunEnd) {
-	r.core.OnHeld(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clock()}, Active: active, Ends: ends}, r.now)
+	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clock()}, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
 
 // unheard lets the hold that is under way go unanswered.
 func (r *rig) unheard(id WorkerID) {
-	r.core.OnHeld(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("lost")}}, r.now)
+	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("lost")}}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
@@ -243,7 +243,7 @@
 	assert.Zero(t, r.out.Holds[len(r.out.Holds)-1].AckThrough)
 	state, _ := r.core.State(j.ID)
 	assert.Equal(t, job.Running, state, "not completed before it is recorded")
-	r.core.Committed(r.core.Uncommitted(10), r.now)
+	r.core.OnCommitted(r.core.PendingRecords(10), r.now)
 	state, _ = r.core.State(j.ID)
 	assert.Equal(t, job.Completed, state)
 	r.held(a, nil)
@@ -271,7 +271,7 @@
 	r.held(a, nil, RunEnd{Seq: 1, Task: s.Task, Run: s.Run, Kind: EndFailed})
 	r.tick(time.Second)
 	assert.Empty(t, r.out.Starts)
-	r.core.Committed(r.core.Uncommitted(10), r.now)
+	r.core.OnCommitted(r.core.PendingRecords(10), r.now)
 	state, _ := r.core.State(j.ID)
 	assert.Equal(t, job.Failed, state)
 }
@@ -374,8 +374,8 @@
 	r.held(a, nil)
 	r.held(b, nil)
 	j := r.submit(1, 2)
-	require.Len(t, r.out.Questions, 1)
-	q := r.out.Questions[0]
+	require.Len(t, r.out.AdviceQueries, 1)
+	q := r.out.AdviceQueries[0]
 	assert.Equal(t, string(j.ID)+".0.0", q.Step.String())
 	assert.ElementsMatch(t, []WorkerID{a, b}, q.Workers)
 	assert.Empty(t, r.out.Starts, "nothing starts without a ticket")
@@ -391,8 +391,8 @@
 	r.tick(4 * time.Second)
 	r.held(b, nil, RunEnd{Seq: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndFailed})
 	r.tick(100 * time.Millisecond)
-	require.Len(t, r.out.Questions, 2, "the ticket has run out")
-	assert.Equal(t, []WorkerID{b}, r.out.Questions[1].Workers, "a may not run it, which does not change")
+	require.Len(t, r.out.AdviceQueries, 2, "the ticket has run out")
+	assert.Equal(t, []WorkerID{b}, r.out.AdviceQueries[1].Workers, "a may not run it, which does not change")
 }
 
 func TestCopyOfASpeculativeTask(t *testing.T) {
@@ -511,7 +511,7 @@
 		RunEnd{Seq: 1, Task: done.Task, Run: done.Run, Kind: EndDone},
 		RunEnd{Seq: 2, Task: done.Task, Run: done.Run + 100, Kind: EndFailed},
 		RunEnd{Seq: 3, Task: done.Task, Run: done.Run + 101, Kind: EndFailed})
-	r.core.Committed(r.core.Uncommitted(10), r.now)
+	r.core.OnCommitted(r.core.PendingRecords(10), r.now)
 	state, _ := r.core.State(j.ID)
 	assert.Equal(t, job.Running, state, "the task is done, whatever its copies come to")
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -39,7 +39,7 @@
 // isEarly reports whether the run's worker was lost as soon as the run began, as far as is
 // known.
 func (r *run) isEarly() bool {
-	return !r.firstSentAt.IsZero() && (r.phase == starting || r.seenFor() <= crashSoon)
+	return !r.firstSentAt.IsZero() && (r.phase == starting || r.aliveAfterStart() <= crashSoon)
 }
 
 // loseContact takes note of a call to the worker without an answer. What was started there a
@@ -63,7 +63,7 @@
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsByOrder() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), Early: r.isEarly(), Exact: r.worker.contactLoss.broken, Alone: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), Early: r.isEarly(), Exact: r.worker.contactLoss.connFailed, Alone: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
@@ -99,7 +99,7 @@
 // lookInto decides later whether a task may have ended a life.
 func (c *Core) lookInto(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
-		w.contactLoss = contactLoss{lostAt: now, heardAt: w.lastAnswerAt}
+		w.contactLoss = contactLoss{lostAt: now, lastAnswerAt: w.lastAnswerAt}
 	}
 	for _, r := range runsByNumber(w) {
 		c.noteCrash(r, now)
@@ -339,7 +339,7 @@
 
 // isFateOpen reports whether it will be known soon what became of the worker.
 func (c *Core) isFateOpen(l incarnation, now time.Time) bool {
-	if w := c.present(l); w != nil {
+	if w := c.currentWorker(l); w != nil {
 		return now.Sub(w.contactLoss.lostAt) < verdictPatience
 	}
 	for _, w := range c.recentlyEnded {
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -14,7 +14,7 @@
 
 // loseContact breaks the connections to a worker.
 func (r *rig) loseContact(id WorkerID) {
-	r.core.OnHeld(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("refused"), ConnFailed: true}}, r.now)
+	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("refused"), ConnFailed: true}}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
@@ -226,8 +226,8 @@
 	j := r.submit(1, 1)
 	first := r.started()
 	r.loseContact(first[0].Worker)
-	require.True(t, r.core.IsWriteUrgent())
-	records := r.core.Uncommitted(10)
+	require.True(t, r.core.HasUrgentRecords())
+	records := r.core.PendingRecords(10)
 	require.Len(t, records, 1)
 	next := newRig(t, 2, Loaded{Job: j, Progress: &records[0].Progress})
 	next.workers("x0", "x1", "x2")
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -11,7 +11,7 @@
 	n := 0
 	for _, u := range w.unacked {
 		if u.job != nil && u.job.storedVersion < u.version {
-			u.job.awaitedBy(w)
+			u.job.addAckWaiter(w)
 			break
 		}
 		if _, waits := w.unknownEnds[u.seq]; waits {
@@ -25,12 +25,12 @@
 	}
 	w.unacked = w.unacked[n:]
 	if len(w.unacked) == 0 && w.nextHoldAt.After(now) {
-		c.holdAt(w, now)
+		c.scheduleHold(w, now)
 	}
 }
 
-// awaitedBy lets the worker's ends be acknowledged once the job is recorded.
-func (j *jobState) awaitedBy(w *worker) {
+// addAckWaiter lets the worker's ends be acknowledged once the job is recorded.
+func (j *jobState) addAckWaiter(w *worker) {
 	if n := len(j.ackWaiters); n == 0 || j.ackWaiters[n-1] != w {
 		j.ackWaiters = append(j.ackWaiters, w)
 	}
@@ -61,7 +61,7 @@
 	j.started = j.started || s.endProvesStart(e.Kind)
 	c.tally(j)
 	if r != nil {
-		c.release(r, e.Kind.cause(), now)
+		c.releaseRun(r, e.Kind.cause(), now)
 	}
 	if j.state.Final() {
 		return
@@ -74,25 +74,25 @@
 	switch e.Kind {
 	case EndDone:
 		c.counts.Done++
-		c.onDone(t, r, now)
+		c.onTaskDone(t, r, now)
 	case EndFailed:
 		c.counts.Failed++
-		c.onFailed(w, t, e, now)
+		c.onTaskFailed(w, t, e, now)
 	case EndStopped:
 		c.counts.Stopped++
-		c.keepCheckpoint(t, e.Checkpoint)
+		c.saveCheckpoint(t, e.Checkpoint)
 	default:
 		c.counts.Lapsed++
 		if s.spec.LongRunning {
 			c.counts.LongRunningLapsed++
 		}
-		c.keepCheckpoint(t, e.Checkpoint)
+		c.saveCheckpoint(t, e.Checkpoint)
 		c.note(Decision{Event: "task-" + e.Kind.String(), Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
 	}
 	c.changedServices[j.service] = true
 }
 
-func (c *Core) onDone(t *task, by *run, now time.Time) {
+func (c *Core) onTaskDone(t *task, by *run, now time.Time) {
 	s := t.step
 	if s.spec.LongRunning {
 		c.changedServices[s.job.service] = true
@@ -120,10 +120,10 @@
 // on one bad worker.
 const failureBackoff = 20 * time.Millisecond
 
-func (c *Core) onFailed(w *worker, t *task, e RunEnd, now time.Time) {
+func (c *Core) onTaskFailed(w *worker, t *task, e RunEnd, now time.Time) {
 	s := t.step
 	j := s.job
-	c.keepCheckpoint(t, e.Checkpoint)
+	c.saveCheckpoint(t, e.Checkpoint)
 	c.note(Decision{Event: "task-failed", Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
 	c.judge(w, now)
 	if t.done {
@@ -152,7 +152,7 @@
 	}
 }
 
-func (c *Core) keepCheckpoint(t *task, checkpoint string) {
+func (c *Core) saveCheckpoint(t *task, checkpoint string) {
 	if checkpoint == "" || checkpoint == t.checkpoint || t.done {
 		return
 	}
@@ -179,9 +179,9 @@
 	return CauseLost
 }
 
-// release frees the room of a run that is over. Its time counts as c, unless it did
+// releaseRun frees the room of a run that is over. Its time counts as c, unless it did
 // the task.
-func (c *Core) release(r *run, cause Cause, now time.Time) {
+func (c *Core) releaseRun(r *run, cause Cause, now time.Time) {
 	if cause != CauseWork {
 		r.ended(cause, now)
 	}
--- a/jobs/owner/forget_test.go
+++ b/jobs/owner/forget_test.go
@@ -17,7 +17,7 @@
 	starts := r.started()
 	require.Len(t, starts, 1)
 	r.held(w, nil, RunEnd{Seq: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
-	r.core.Committed(r.core.Uncommitted(10), r.now)
+	r.core.OnCommitted(r.core.PendingRecords(10), r.now)
 	return j, starts[0]
 }
 
@@ -60,7 +60,7 @@
 	starts := r.started()
 	require.Len(t, starts, 8)
 	r.core.Cancel(j.ID, r.now)
-	r.core.Committed(r.core.Uncommitted(10), r.now)
+	r.core.OnCommitted(r.core.PendingRecords(10), r.now)
 	require.NotNil(t, r.core.jobs[j.ID].steps)
 	r.submit(2, 1)
 	assert.Empty(t, r.out.Starts, "its room is taken")
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -91,7 +91,7 @@
 	c.note(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
 	c.takeShare(j)
 	c.countArrival(j, now, now)
-	c.resolveStrangers(j, now)
+	c.resolveUnknownJob(j, now)
 	if _, cancelled := c.earlyCancels[spec.ID]; cancelled {
 		delete(c.earlyCancels, spec.ID)
 		c.Cancel(spec.ID, now)
@@ -329,5 +329,5 @@
 	for _, j := range c.openJobs {
 		c.requeue(j)
 	}
-	c.registerNamed()
+	c.registerNewlyConfigured()
 }
--- a/jobs/owner/lease.go
+++ b/jobs/owner/lease.go
@@ -4,29 +4,29 @@
 
 // Bounds of a worker's clock and of leases on it.
 const (
-	// workerClockSlow is by how much a worker's clock may be slow, with room:
+	// maxClockSlowdown is by how much a worker's clock may be slow, with room:
 	// the platform's page says 2%.
-	workerClockSlow = 0.02
-	// leaseSlack is added to the computed end of a lease: stopping what runs
+	maxClockSlowdown = 0.02
+	// leaseMargin is added to the computed end of a lease: stopping what runs
 	// takes the worker a moment.
-	leaseSlack = 150 * time.Millisecond
+	leaseMargin = 150 * time.Millisecond
 )
 
 // workerLease tells what is known of a worker's clock, and until when the
 // orders that were sent let its tasks run.
 type workerLease struct {
-	known   bool
-	clock   int64     // of the worker in ms, when it wrote its newest answer
-	at      time.Time // when that answer was received
-	granted int64     // latest end of lease sent in any order, on the worker's clock
+	known          bool
+	clockMs        int64     // of the worker in ms, when it wrote its newest answer
+	clockReadAt    time.Time // when that answer was received
+	grantedUntilMs int64     // latest end of lease sent in any order, on the worker's clock
 }
 
-// heard takes the clock from an answer received at now.
-func (l *workerLease) heard(clock int64, now time.Time) {
-	if clock == 0 || l.known && clock < l.clock {
+// observeClock takes the clock from an answer received at now.
+func (l *workerLease) observeClock(clock int64, now time.Time) {
+	if clock == 0 || l.known && clock < l.clockMs {
 		return
 	}
-	l.known, l.clock, l.at = true, clock, now
+	l.known, l.clockMs, l.clockReadAt = true, clock, now
 }
 
 // grant returns the end of a lease of length d from now, and remembers it. The
@@ -36,17 +36,17 @@
 	if !l.known {
 		return 0
 	}
-	until := l.clock + now.Sub(l.at).Milliseconds() + d.Milliseconds()
-	l.granted = max(l.granted, until)
+	until := l.clockMs + now.Sub(l.clockReadAt).Milliseconds() + d.Milliseconds()
+	l.grantedUntilMs = max(l.grantedUntilMs, until)
 	return until
 }
 
-// over reports whether every lease that was sent has ended for certain.
-func (l *workerLease) over(now time.Time) bool {
+// expired reports whether every lease that was sent has ended for certain.
+func (l *workerLease) expired(now time.Time) bool {
 	if !l.known {
 		return false
 	}
-	left := time.Duration(l.granted-l.clock) * time.Millisecond
-	end := l.at.Add(time.Duration(float64(left) / (1 - workerClockSlow))).Add(leaseSlack)
+	left := time.Duration(l.grantedUntilMs-l.clockMs) * time.Millisecond
+	end := l.clockReadAt.Add(time.Duration(float64(left) / (1 - maxClockSlowdown))).Add(leaseMargin)
 	return now.After(end)
 }
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -59,8 +59,8 @@
 	return incarnation{worker: i.Worker}
 }
 
-// present returns the worker if that life is its present one, nil if not.
-func (c *Core) present(l incarnation) *worker {
+// currentWorker returns the worker if that life is its currentWorker one, nil if not.
+func (c *Core) currentWorker(l incarnation) *worker {
 	if w := c.workers[l.worker]; w != nil && w.relationTo(l.startedMs) == sameIncarnation {
 		return w
 	}
@@ -69,7 +69,9 @@
 
 // targetedWorker returns the worker that an order was sent to, nil if that life of it is over: what
 // became of the order says nothing of the present one.
-func (c *Core) targetedWorker(t Target) *worker { return c.present(incarnation{t.Worker, t.StartedMs}) }
+func (c *Core) targetedWorker(t Target) *worker {
+	return c.currentWorker(incarnation{t.Worker, t.StartedMs})
+}
 
 // incarnationRelation is how a life that is spoken of relates to the one that is known.
 type incarnationRelation int
@@ -146,9 +148,9 @@
 // does not answer. Of a life that never has, no more is known than how long any lease can be.
 func (c *Core) leasesExpired(w *worker, now time.Time) bool {
 	if w.lease.known || len(w.pastStartsMs) == 0 {
-		return w.lease.over(now)
+		return w.lease.expired(now)
 	}
-	longest := time.Duration(float64(max(c.opt.MaxWorkerLease, c.opt.TaskLease))/(1-workerClockSlow)) + leaseSlack
+	longest := time.Duration(float64(max(c.opt.MaxWorkerLease, c.opt.TaskLease))/(1-maxClockSlowdown)) + leaseMargin
 	return now.Sub(w.firstSeenAt) > longest
 }
 
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -23,7 +23,7 @@
 
 // heldBy answers a hold of one life with the list of another.
 func (r *rig) heldBy(of Target, born int64, active []ActiveRun, ends ...RunEnd) {
-	r.core.OnHeld(of, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clock()}, StartedMs: born, Active: active, Ends: ends}, r.now)
+	r.core.OnHoldAnswer(of, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clock()}, StartedMs: born, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
 	r.take()
 }
@@ -70,7 +70,7 @@
 	running := []ActiveRun{{Task: starts[0].Task, Run: starts[0].Run, Percent: 10}}
 	r.heldBy(second, 700, running)
 
-	clock := r.core.workers[a].lease.clock
+	clock := r.core.workers[a].lease.clockMs
 	r.heldBy(first, 500, nil, RunEnd{Seq: 3, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
 	r.heldBy(second, 500, nil)
 	r.core.OnStarted(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Taken, ClockMs: 9 * rigClock}, r.now)
@@ -78,7 +78,7 @@
 	r.tick(time.Second)
 	w := r.core.workers[a]
 	assert.Equal(t, int64(700), w.StartedMs)
-	assert.Equal(t, clock, w.lease.clock)
+	assert.Equal(t, clock, w.lease.clockMs)
 	assert.Len(t, w.runs, 1)
 	assert.Empty(t, r.out.Starts)
 }
@@ -153,7 +153,7 @@
 	r.held(b, nil)
 	wait := func(d time.Duration) {
 		for range d / (100 * time.Millisecond) {
-			r.core.OnHeld(second, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, r.now)
+			r.core.OnHoldAnswer(second, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, r.now)
 			r.held(b, nil)
 			r.tick(100 * time.Millisecond)
 		}
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -35,7 +35,7 @@
 // endMove forgets a move that is over, or was not begun.
 func (c *Core) endMove(id InstanceID, m *moveState) {
 	delete(c.moves, id)
-	if w := c.present(m.life); w != nil && !w.ended {
+	if w := c.currentWorker(m.life); w != nil && !w.ended {
 		c.unreserve(w)
 	}
 	if i := c.instances[id]; i != nil {
@@ -61,7 +61,7 @@
 	ms := &moveState{to: m.To, at: now, life: c.incarnationOn(&c.instances[id].Instance)}
 	c.moves[id] = ms
 	c.count(c.instances[id])
-	if w := c.present(ms.life); w != nil {
+	if w := c.currentWorker(ms.life); w != nil {
 		c.reserve(w, reservedMove, now)
 	}
 	c.returnableInstances-- // each order takes a turn at the platform
--- a/jobs/owner/narrow_test.go
+++ b/jobs/owner/narrow_test.go
@@ -109,10 +109,10 @@
 		}
 	}
 	r.out = Effects{}
-	r.tick(holdRetry + 50*time.Millisecond)
+	r.tick(holdRetryPause + 50*time.Millisecond)
 	renewed := map[WorkerID]bool{}
 	for _, h := range r.out.Holds {
-		renewed[h.Worker] = h.LeaseUntilMs > r.clock()+(rigLease-holdRetry).Milliseconds()
+		renewed[h.Worker] = h.LeaseUntilMs > r.clock()+(rigLease-holdRetryPause).Milliseconds()
 	}
 	for _, w := range all[:silent] {
 		assert.True(t, renewed[w], "the lease of %s is renewed", w)
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -4,11 +4,11 @@
 
 // Retries of orders.
 const (
-	// startTries is how often a start is sent before the worker's list is waited for:
+	// maxStartSends is how often a start is sent before the worker's list is waited for:
 	// an unanswered order takes the shell's timeout each.
-	startTries = 2
-	// stopRetry is the pause before an unanswered stop is sent again.
-	stopRetry = 100 * time.Millisecond
+	maxStartSends = 2
+	// stopRetryPause is the pause before an unanswered stop is sent again.
+	stopRetryPause = 100 * time.Millisecond
 )
 
 func (c *Core) sendStart(r *run, now time.Time) {
@@ -20,7 +20,7 @@
 		Task:         r.task.id(),
 		Run:          r.number,
 		Payload:      r.task.step.job.spec.Payload,
-		LeaseUntilMs: c.renewal(r.worker, now),
+		LeaseUntilMs: c.leaseEndFor(r.worker, now),
 		Checkpoint:   r.task.checkpoint,
 		Ticket:       r.task.step.ticketFor(r.worker),
 		Timeout:      c.callOutcomes.Timeout(OrderTimeout),
@@ -40,12 +40,12 @@
 	}
 	r := w.runs[o.Task]
 	if r == nil || r.number != o.Run {
-		c.afterLateAnswer(w, o, a, now)
+		c.logLateAnswer(w, o, a, now)
 		return
 	}
 	switch a.Outcome {
 	case Taken:
-		r.taken()
+		r.resetRefusals()
 		if r.phase == starting {
 			r.phase = running
 			r.confirmedAt = now
@@ -61,14 +61,14 @@
 		c.endIncarnation(w, "another life answers at its address", now)
 		return
 	case Unanswered:
-		c.startUnanswered(r, a, now)
+		c.onStartUnanswered(r, a, now)
 		return
 	case NotSent:
-		c.startNotSent(r, now)
+		c.onStartNotSent(r, now)
 		return
 	}
 	c.counts.Refused++
-	c.note(Decision{Event: "start-refused", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run, Reason: reasonOf(a)})
+	c.note(Decision{Event: "start-refused", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run, Reason: describeAnswer(a)})
 	if r.phase != starting {
 		return
 	}
@@ -88,49 +88,49 @@
 		c.stop(r, "an earlier order for it may still arrive", now)
 		return
 	}
-	c.release(r, CauseLost, now)
+	c.releaseRun(r, CauseLost, now)
 }
 
-// taken ends the pauses of what this worker or the step was refused before.
-func (r *run) taken() {
+// resetRefusals ends the pauses of what this worker or the step was refused before.
+func (r *run) resetRefusals() {
 	r.worker.consecutiveNoRoom = 0
 	if p := r.task.step.permits; p != nil {
 		p.refusals = 0
 	}
 }
 
-// afterLateAnswer handles the answer to a start whose run was freed meanwhile.
-func (c *Core) afterLateAnswer(w *worker, o Start, a Answer, now time.Time) {
+// logLateAnswer handles the answer to a start whose run was freed meanwhile.
+func (c *Core) logLateAnswer(w *worker, o Start, a Answer, now time.Time) {
 	if a.Outcome == Taken {
 		// Listed by the next hold, which decides.
 		c.note(Decision{Event: "late-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
 	}
 }
 
-// startNotSent handles a start that waited for too long in the line of calls: its task is
+// onStartNotSent handles a start that waited for too long in the line of calls: its task is
 // placed anew by what is known now, unless an earlier order for it may have arrived.
-func (c *Core) startNotSent(r *run, now time.Time) {
+func (c *Core) onStartNotSent(r *run, now time.Time) {
 	switch {
 	case r.phase != starting:
 	case r.mayStartLate:
 		r.startAbandonedAt = now
 	default:
-		c.release(r, CauseLost, now)
+		c.releaseRun(r, CauseLost, now)
 	}
 }
 
-func (c *Core) startUnanswered(r *run, a Answer, now time.Time) {
+func (c *Core) onStartUnanswered(r *run, a Answer, now time.Time) {
 	if r.phase != starting {
 		return
 	}
 	r.mayStartLate = true
 	c.noteOrderUnanswered(r.worker, r.sentAt)
 	id := r.task.id()
-	c.note(Decision{Event: "start-unanswered", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number, Reason: reasonOf(a)})
+	c.note(Decision{Event: "start-unanswered", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number, Reason: describeAnswer(a)})
 	switch {
 	case r.task.done:
 		c.stop(r, "the task is done", now)
-	case r.sends < c.callOutcomes.Attempts(startTries):
+	case r.sends < c.callOutcomes.Attempts(maxStartSends):
 		c.sendStart(r, now)
 	default:
 		// The worker may have begun it, and a stop would end a task at work. Its next
@@ -139,9 +139,9 @@
 	}
 }
 
-// neverBegan reports whether a list that the worker was asked for at asked, and that
+// provenNotStarted reports whether a list that the worker was asked for at asked, and that
 // does not show the run, tells that no order to start it has arrived so far.
-func (r *run) neverBegan(asked time.Time) bool {
+func (r *run) provenNotStarted(asked time.Time) bool {
 	return r.phase == starting && !r.startAbandonedAt.IsZero() && !asked.Before(r.startAbandonedAt)
 }
 
@@ -159,7 +159,7 @@
 
 func (c *Core) sendStop(r *run, now time.Time) {
 	r.sentAt = now
-	c.stopsDue.add(now.Add(c.stopPause()), r)
+	c.stopsDue.add(now.Add(c.stopRetryInterval()), r)
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.callOutcomes.Timeout(OrderTimeout)})
 }
 
@@ -192,7 +192,7 @@
 	r.sentAt = now
 	r.confirmedAt = time.Time{}
 	r.sends++
-	c.stopsDue.add(now.Add(c.stopPause()), r)
+	c.stopsDue.add(now.Add(c.stopRetryInterval()), r)
 }
 
 // resendStops sends unanswered stops again.
@@ -201,7 +201,7 @@
 		if r.phase != stopping || !r.confirmedAt.IsZero() || r.worker.ended || r.worker.runs[r.task.id()] != r {
 			continue
 		}
-		if again := r.sentAt.Add(c.stopPause()); now.Before(again) {
+		if again := r.sentAt.Add(c.stopRetryInterval()); now.Before(again) {
 			c.stopsDue.add(again, r) // it was sent since
 			continue
 		}
@@ -209,9 +209,11 @@
 	}
 }
 
-// stopPause is longer than the shell waits for an answer, so that one stop at
+// stopRetryInterval is longer than the shell waits for an answer, so that one stop at
 // a time is under way.
-func (c *Core) stopPause() time.Duration { return c.callOutcomes.Timeout(OrderTimeout) + stopRetry }
+func (c *Core) stopRetryInterval() time.Duration {
+	return c.callOutcomes.Timeout(OrderTimeout) + stopRetryPause
+}
 
 // OrderTimeout is how long the shell waits for the answer to a start or stop:
 // some hundred round trips, and short against the time of a small task.
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -7,29 +7,29 @@
 
 // Figures of an owner that is short of processor time.
 const (
-	// starvedAt is the delay of the owner's own timer from which on its timeouts
+	// starvedDelay is the delay of the owner's own timer from which on its timeouts
 	// say nothing about workers: a third of what it waits for a hold.
-	starvedAt = 300 * time.Millisecond
-	// starvedFor is how long that is remembered: a hold, and its answer.
-	starvedFor = 1500 * time.Millisecond
+	starvedDelay = 300 * time.Millisecond
+	// starvedMemory is how long that is remembered: a hold, and its answer.
+	starvedMemory = 1500 * time.Millisecond
 	// maxSilentShare of the workers do not fall silent at once: cuts and crashes strike
 	// a quarter of them at most, while an owner that cannot keep up hears 3 to 40 of
 	// 100. maxSilent of them may, being a small rack.
 	maxSilentShare = 0.5
 	maxSilent      = 4
-	// slowAnswer is the mean time of answers from which on the owner's own way to the
+	// slowAnswerLatency is the mean time of answers from which on the owner's own way to the
 	// workers is full: orders take 4 ms, and are given up after OrderTimeout. answersKept
 	// is the share that each answer leaves of the mean: the last twenty or so count.
-	slowAnswer  = 150 * time.Millisecond
-	answersKept = 0.95
-	// overloadedFor is how long most workers may stay silent before they count as cut off
+	slowAnswerLatency = 150 * time.Millisecond
+	latencySmoothing  = 0.95
+	// maxOverload is how long most workers may stay silent before they count as cut off
 	// after all: four leases, in which an owner that can be relieved has been.
-	overloadedFor = 20 * time.Second
+	maxOverload = 20 * time.Second
 )
 
 // ReportTimerDelay tells by how much the owner's timer was late.
 func (c *Core) ReportTimerDelay(d time.Duration, now time.Time) {
-	if d >= starvedAt {
+	if d >= starvedDelay {
 		c.markStarved("owner-delayed", d.Round(time.Millisecond).String(), now)
 	}
 }
@@ -46,7 +46,7 @@
 	}
 	for _, w := range c.workers {
 		w.answeredHoldSentAt = w.answeredHoldSentAt.Add(-d)
-		w.lease.at = w.lease.at.Add(-d)
+		w.lease.clockReadAt = w.lease.clockReadAt.Add(-d)
 	}
 }
 
@@ -76,7 +76,7 @@
 	if c.mostSilentSince.IsZero() {
 		c.mostSilentSince = now
 	}
-	if now.Sub(c.mostSilentSince) <= overloadedFor && c.storeLeaseLostAt.IsZero() {
+	if now.Sub(c.mostSilentSince) <= maxOverload && c.storeLeaseLostAt.IsZero() {
 		c.markStarved("owner-overloaded", fmt.Sprintf("%d of %d workers seem silent", silent, all), now)
 	}
 }
@@ -88,16 +88,16 @@
 	if took == 0 {
 		return
 	}
-	c.meanAnswerLatency = time.Duration(answersKept*float64(c.meanAnswerLatency) + (1-answersKept)*float64(took))
+	c.meanAnswerLatency = time.Duration(latencySmoothing*float64(c.meanAnswerLatency) + (1-latencySmoothing)*float64(took))
 	c.line.adjust(c.meanAnswerLatency, now)
-	if c.meanAnswerLatency < slowAnswer {
+	if c.meanAnswerLatency < slowAnswerLatency {
 		c.slowAnswersSince = time.Time{}
 		return
 	}
 	if c.slowAnswersSince.IsZero() {
 		c.slowAnswersSince = now
 	}
-	if now.Sub(c.slowAnswersSince) <= overloadedFor && c.storeLeaseLostAt.IsZero() {
+	if now.Sub(c.slowAnswersSince) <= maxOverload && c.storeLeaseLostAt.IsZero() {
 		c.markStarved("owner-link-full", "answers take "+c.meanAnswerLatency.Round(time.Millisecond).String(), now)
 	}
 }
@@ -110,7 +110,7 @@
 		c.starvedSince = now
 		c.note(Decision{Event: event, Reason: why})
 	}
-	c.starvedUntil = now.Add(starvedFor)
+	c.starvedUntil = now.Add(starvedMemory)
 }
 
 func (c *Core) isStarved(now time.Time) bool { return now.Before(c.starvedUntil) }
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -12,7 +12,7 @@
 	j.version++
 	if c.dirtyJobs[j.spec.ID] == nil {
 		c.dirtyJobs[j.spec.ID] = j
-		c.enqueue(j)
+		c.enqueueWrite(j)
 	}
 }
 
@@ -25,20 +25,20 @@
 	c.toWrite.add(j)
 }
 
-// IsWriteUrgent reports whether something has to be written that the next owner must know of.
-func (c *Core) IsWriteUrgent() bool { return len(c.unstoredCrashes) > 0 }
+// HasUrgentRecords reports whether something has to be written that the next owner must know of.
+func (c *Core) HasUrgentRecords() bool { return len(c.unstoredCrashes) > 0 }
 
-// enqueue puts the job last among those that have to be written.
-func (c *Core) enqueue(j *jobState) {
+// enqueueWrite puts the job last among those that have to be written.
+func (c *Core) enqueueWrite(j *jobState) {
 	c.lastWriteSeq++
 	j.writeSeq = c.lastWriteSeq
 	c.toWrite.add(j)
 }
 
-// Uncommitted returns records that have to be written and that take at most n entries
+// PendingRecords returns records that have to be written and that take at most n entries
 // of a transaction. Those of jobs that ended come first, as their callers are told only
 // once they are written; beyond that each has its turn.
-func (c *Core) Uncommitted(n int) []Record {
+func (c *Core) PendingRecords(n int) []Record {
 	var out []Record
 	for j := range c.toWrite.all(c.dirtyJobs) {
 		r := Record{Job: j.spec, Progress: j.progress(), Stored: j.storedVersion > 0, version: j.version}
@@ -61,8 +61,8 @@
 // DirtyJobs returns how many jobs have to be written.
 func (c *Core) DirtyJobs() int { return len(c.dirtyJobs) }
 
-// Committed says that records are in the store.
-func (c *Core) Committed(records []Record, now time.Time) {
+// OnCommitted says that records are in the store.
+func (c *Core) OnCommitted(records []Record, now time.Time) {
 	c.counts.Commits++
 	for _, r := range records {
 		j := c.jobs[r.Job.ID]
@@ -71,7 +71,7 @@
 		}
 		j.storedVersion = max(j.storedVersion, r.version)
 		if j.storedVersion < j.version {
-			c.enqueue(j)
+			c.enqueueWrite(j)
 			continue
 		}
 		delete(c.dirtyJobs, r.Job.ID)
@@ -84,7 +84,7 @@
 	}
 	for _, r := range records {
 		if j := c.jobs[r.Job.ID]; j != nil {
-			c.acknowledge(j, now)
+			c.ackRecordedEnds(j, now)
 			c.dropSteps(j)
 		}
 	}
@@ -102,8 +102,8 @@
 	j.spec = &job.Job{ID: j.spec.ID, Queue: j.spec.Queue, Service: j.spec.Service}
 }
 
-// acknowledge lets workers forget the ends that waited for a record of the job.
-func (c *Core) acknowledge(j *jobState, now time.Time) {
+// ackRecordedEnds lets workers forget the ends that waited for a record of the job.
+func (c *Core) ackRecordedEnds(j *jobState, now time.Time) {
 	waited := j.ackWaiters
 	j.ackWaiters = nil
 	for _, w := range waited {
@@ -130,15 +130,15 @@
 				known = true
 			}
 			if len(t.failures) > 0 {
-				sp.Failed = put(sp.Failed, t.index, t.failures)
+				sp.Failed = setEntry(sp.Failed, t.index, t.failures)
 				known = true
 			}
 			if len(t.crashes) > 0 {
-				sp.Crashed = put(sp.Crashed, t.index, slices.Clone(t.crashes))
+				sp.Crashed = setEntry(sp.Crashed, t.index, slices.Clone(t.crashes))
 				known = true
 			}
 			if t.checkpoint != "" {
-				sp.Checkpoint = put(sp.Checkpoint, t.index, t.checkpoint)
+				sp.Checkpoint = setEntry(sp.Checkpoint, t.index, t.checkpoint)
 				known = true
 			}
 		}
@@ -149,7 +149,7 @@
 	return p
 }
 
-func put[V any](m map[int]V, k int, v V) map[int]V {
+func setEntry[V any](m map[int]V, k int, v V) map[int]V {
 	if m == nil {
 		m = map[int]V{}
 	}
@@ -157,9 +157,9 @@
 	return m
 }
 
-// Expired removes jobs that ended long ago from the core and returns their
+// RemoveExpired removes jobs that ended long ago from the core and returns their
 // ids, at most n, for removal from the store.
-func (c *Core) Expired(n int, now time.Time) []job.ID {
+func (c *Core) RemoveExpired(n int, now time.Time) []job.ID {
 	var out []job.ID
 	for id, j := range c.jobs {
 		if len(out) == n {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Register takes the whole list of registrations.
-func (c *Core) Register(list []Registration, now time.Time) {
+// SetRegistrations takes the whole list of registrations.
+func (c *Core) SetRegistrations(list []Registration, now time.Time) {
 	present := make(map[WorkerID]bool, len(list))
 	for _, r := range list {
 		present[r.Worker] = true
@@ -23,24 +23,24 @@
 			delete(c.unknownServiceWorkers, id)
 		}
 	}
-	c.RegisterChanges(list, gone, true, now)
+	c.UpdateRegistrations(list, gone, true, now)
 }
 
-// RegisterChanges takes what has changed among the registrations, if anything. current says
+// UpdateRegistrations takes what has changed among the registrations, if anything. current says
 // that what is known of the others is so, too: no more has changed.
-func (c *Core) RegisterChanges(changed []Registration, gone []WorkerID, current bool, now time.Time) {
-	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > outage {
-		c.unregisterFrom = now.Add(settleTime)
+func (c *Core) UpdateRegistrations(changed []Registration, gone []WorkerID, current bool, now time.Time) {
+	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > storeOutageGap {
+		c.unregisterFrom = now.Add(reregisterTime)
 		c.note(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
 	}
 	c.registrationsAt = now
-	c.noteLag(current, now)
+	c.trackRegistrationLag(current, now)
 	for _, r := range changed {
-		if c.isNamed(r.Service) {
+		if c.isConfigured(r.Service) {
 			delete(c.unknownServiceWorkers, r.Worker)
-			c.registerOne(r, now)
+			c.register(r, now)
 		} else {
-			c.setAside(r, now)
+			c.keepUnknownService(r, now)
 		}
 	}
 	for _, id := range gone {
@@ -50,22 +50,22 @@
 		}
 	}
 	if !now.Before(c.unregisterFrom) {
-		c.unregisterMissing()
+		c.unregisterUnlisted()
 	}
 	for service := range c.pools {
 		c.changedServices[service] = true
 	}
 }
 
-// lagBound is how old the view of the registrations may be, while the store tells of changes, for
+// maxRegistrationLag is how old the view of the registrations may be, while the store tells of changes, for
 // tasks to be started by it: half of the shortest time after which none may start on a worker that
 // has said that it leaves.
-const lagBound = time.Second
+const maxRegistrationLag = time.Second
 
-// noteLag takes note of since when more has changed among the registrations than is known.
-func (c *Core) noteLag(current bool, now time.Time) {
+// trackRegistrationLag takes note of since when more has changed among the registrations than is known.
+func (c *Core) trackRegistrationLag(current bool, now time.Time) {
 	switch {
-	case current && c.isLagging(now):
+	case current && c.areRegistrationsStale(now):
 		c.note(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.registrationsLagSince).String()})
 		c.registrationsLagSince = time.Time{}
 		for service := range c.pools {
@@ -78,19 +78,19 @@
 	}
 }
 
-// isLagging reports whether what is known of the registrations is too old for a start.
-func (c *Core) isLagging(now time.Time) bool {
-	return !c.registrationsLagSince.IsZero() && now.Sub(c.registrationsLagSince) > lagBound
+// areRegistrationsStale reports whether what is known of the registrations is too old for a start.
+func (c *Core) areRegistrationsStale(now time.Time) bool {
+	return !c.registrationsLagSince.IsZero() && now.Sub(c.registrationsLagSince) > maxRegistrationLag
 }
 
-// isNamed reports whether the configuration names the service.
-func (c *Core) isNamed(service string) bool {
+// isConfigured reports whether the configuration names the service.
+func (c *Core) isConfigured(service string) bool {
 	return c.catalog == nil || len(c.catalog.Services) == 0 || c.catalog.Service(service) != nil
 }
 
-// setAside keeps the registration of a worker of a service that no configuration names: it is
+// keepUnknownService keeps the registration of a worker of a service that no configuration names: it is
 // no worker to use, until one does.
-func (c *Core) setAside(r Registration, now time.Time) {
+func (c *Core) keepUnknownService(r Registration, now time.Time) {
 	if _, known := c.unknownServiceWorkers[r.Worker]; !known {
 		c.note(Decision{Event: "worker-of-unknown-service", Worker: r.Worker, Reason: r.Service})
 	}
@@ -100,12 +100,12 @@
 	}
 }
 
-// registerNamed takes the workers of services that a configuration has come to name.
-func (c *Core) registerNamed() {
+// registerNewlyConfigured takes the workers of services that a configuration has come to name.
+func (c *Core) registerNewlyConfigured() {
 	for id, r := range c.unknownServiceWorkers {
-		if c.isNamed(r.Service) {
+		if c.isConfigured(r.Service) {
 			delete(c.unknownServiceWorkers, id)
-			c.registerOne(r, c.registrationsAt)
+			c.register(r, c.registrationsAt)
 		}
 	}
 }
@@ -118,9 +118,9 @@
 	c.unlistedWorkers.put(w, w.registered)
 }
 
-// unregisterMissing counts workers that are missing as not registered: the store is not
+// unregisterUnlisted counts workers that are missing as not registered: the store is not
 // about to have them back.
-func (c *Core) unregisterMissing() {
+func (c *Core) unregisterUnlisted() {
 	for _, w := range c.unlistedWorkers.sorted() {
 		w.registered = false
 		c.unlistedWorkers.put(w, false)
@@ -129,7 +129,7 @@
 	}
 }
 
-func (c *Core) registerOne(r Registration, now time.Time) {
+func (c *Core) register(r Registration, now time.Time) {
 	w := c.workers[r.Worker]
 	if w == nil {
 		w = c.newWorker(r.Worker, r.StartedMs, now)
@@ -150,7 +150,7 @@
 	if r.Draining && !w.Draining {
 		c.note(Decision{Event: "worker-draining", Worker: r.Worker})
 	}
-	known := w.registered && w.sameAs(&r)
+	known := w.registered && w.equal(&r)
 	w.unlistedSince = time.Time{}
 	c.unlistedWorkers.put(w, false)
 	if known {
@@ -170,8 +170,8 @@
 	c.changedServices[r.Service] = true
 }
 
-// sameAs reports whether the registration says the same.
-func (r *Registration) sameAs(o *Registration) bool {
+// equal reports whether the registration says the same.
+func (r *Registration) equal(o *Registration) bool {
 	return r.Worker == o.Worker && r.Service == o.Service && r.Addr == o.Addr && r.Zone == o.Zone && r.Rack == o.Rack &&
 		r.Capacity == o.Capacity && r.Draining == o.Draining && r.StartedMs == o.StartedMs && slices.Equal(r.Labels, o.Labels)
 }
--- a/jobs/owner/registrations_test.go
+++ b/jobs/owner/registrations_test.go
@@ -14,14 +14,14 @@
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
 	back := r.regs[0]
-	r.now = r.now.Add(outage + time.Second)
-	r.core.RegisterChanges(nil, []WorkerID{a, b}, true, r.now)
+	r.now = r.now.Add(storeOutageGap + time.Second)
+	r.core.UpdateRegistrations(nil, []WorkerID{a, b}, true, r.now)
 	assert.True(t, r.core.workers[a].registered)
 	r.now = r.now.Add(time.Second)
-	r.core.RegisterChanges([]Registration{back}, nil, true, r.now)
+	r.core.UpdateRegistrations([]Registration{back}, nil, true, r.now)
 	for range 2 { // looks that show no change
-		r.now = r.now.Add(settleTime / 2)
-		r.core.RegisterChanges(nil, nil, true, r.now)
+		r.now = r.now.Add(reregisterTime / 2)
+		r.core.UpdateRegistrations(nil, nil, true, r.now)
 	}
 	assert.True(t, r.core.workers[a].registered, "it is back")
 	assert.False(t, r.core.workers[b].registered, "it is not, and no further change says so")
@@ -34,7 +34,7 @@
 	a, b := r.worker("a"), r.worker("b")
 	r.held(a, nil)
 	r.held(b, nil)
-	r.core.RegisterChanges(nil, []WorkerID{a}, true, r.now)
+	r.core.UpdateRegistrations(nil, []WorkerID{a}, true, r.now)
 	r.submit(1, 6)
 	for _, s := range r.started() {
 		assert.Equal(t, b, s.Worker)
--- a/jobs/owner/repeat_test.go
+++ b/jobs/owner/repeat_test.go
@@ -99,8 +99,8 @@
 		n := 0
 		for range 600 {
 			r.keep(100*time.Millisecond, nil)
-			questions := r.out.Questions
-			r.out.Questions = nil
+			questions := r.out.AdviceQueries
+			r.out.AdviceQueries = nil
 			for _, q := range questions {
 				a := Advice{}
 				for _, w := range q.Workers {
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -88,7 +88,7 @@
 
 // schedule places waiting tasks of the services in which something changed.
 func (c *Core) schedule(now time.Time) {
-	if c.fenced || len(c.changedServices) == 0 || c.isLagging(now) {
+	if c.fenced || len(c.changedServices) == 0 || c.areRegistrationsStale(now) {
 		return
 	}
 	c.updateIndexes(now)
@@ -222,11 +222,11 @@
 	c.detectOverload(now)
 	c.expireLeases(now)
 	c.decideCrashes(now)
-	c.expireStrangers(now)
+	c.expireUnknownJobs(now)
 	c.expireEarly(now)
 	c.resendStops(now)
 	c.endStalls(now)
-	c.holdDue(now)
+	c.sendDueHolds(now)
 	c.beginTimed(now)
 	c.pace(now)
 	c.maintain(now)
@@ -247,6 +247,6 @@
 
 // React sends what an event made possible, without waiting for the next tick.
 func (c *Core) React(now time.Time) {
-	c.holdDue(now)
+	c.sendDueHolds(now)
 	c.schedule(now)
 }
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -81,7 +81,7 @@
 			r.core.ReportTimerDelay(time.Second, r.now)
 		}
 		r.unheard(a)
-		r.tick(holdRetry)
+		r.tick(holdRetryPause)
 		require.Len(t, r.out.Holds, 1)
 		renewed := r.out.Holds[0].LeaseUntilMs > r.clock()+(rigLease-500*time.Millisecond).Milliseconds()
 		assert.Equal(t, delayed, renewed)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -280,7 +280,7 @@
 	openJobs               map[job.ID]*jobState // not final, or not written as final
 	workers                workerSet
 	unknownServiceWorkers  map[WorkerID]Registration // of services that no configuration names
-	workersByService       roster
+	workersByService       serviceWorkers
 	silentWorkers          workerSet               // that did not answer their newest hold
 	endedWorkers           workerSet               // the lives of which have ended
 	openCrashes            map[incarnation][]*task // tasks with a run on a worker the fate of which is open
@@ -308,11 +308,11 @@
 	changedServices        map[string]bool      // services with something to place
 	effects                Effects
 	shares                 *quota.Shares
-	quotas                 *quota.Ledger         // what each tenant has running
-	presumedUsage          presumed              // what may run of it without being known
-	takeoverDone           map[string]bool       // services of which every earlier run is known
-	loggedAwaited          map[string]awaited    // what others wait for, as the log says
-	lastUnconfirmed        map[string]InstanceID // an instance of each service that had not answered when last looked for
+	quotas                 *quota.Ledger           // what each tenant has running
+	presumedUsage          presumed                // what may run of it without being known
+	takeoverDone           map[string]bool         // services of which every earlier run is known
+	loggedAwaited          map[string]takeoverWait // what others wait for, as the log says
+	lastUnconfirmed        map[string]InstanceID   // an instance of each service that had not answered when last looked for
 	startedAt              time.Time
 	electedAt              time.Time
 	orderHoldoff           map[InstanceID]time.Time // until when an instance is left to an earlier owner's order
@@ -409,7 +409,7 @@
 		openJobs:               map[job.ID]*jobState{},
 		workers:                workerSet{},
 		unknownServiceWorkers:  map[WorkerID]Registration{},
-		workersByService:       roster{},
+		workersByService:       serviceWorkers{},
 		silentWorkers:          workerSet{},
 		endedWorkers:           workerSet{},
 		openCrashes:            map[incarnation][]*task{},
@@ -431,7 +431,7 @@
 		shares:                 quota.NewShares(),
 		quotas:                 quota.New(),
 		takeoverDone:           map[string]bool{},
-		loggedAwaited:          map[string]awaited{},
+		loggedAwaited:          map[string]takeoverWait{},
 		lastUnconfirmed:        map[string]InstanceID{},
 		line:                   newStartWindow(opt.MaxPendingStarts),
 		orderHoldoff:           map[InstanceID]time.Time{},
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// adopt takes over a run that an earlier owner started, or stops it.
-func (c *Core) adopt(w *worker, j *jobState, a ActiveRun, now time.Time) {
+// adoptRun takes over a run that an earlier owner started, or stops it.
+func (c *Core) adoptRun(w *worker, j *jobState, a ActiveRun, now time.Time) {
 	delete(w.unknownRuns, a.Task)
 	c.begin(j, a.Task.Occurrence)
 	s := j.step(a.Task.Occurrence, a.Task.Step)
@@ -11,7 +11,7 @@
 		return
 	}
 	if a.Run > c.opt.Term*runsPerTerm {
-		c.stopUnexpected(w, a, "it was given up for certain")
+		c.stopUnexpectedRun(w, a, "it was given up for certain")
 		return
 	}
 	t := s.tasks[a.Task.Index]
@@ -32,14 +32,14 @@
 	}
 }
 
-// stopUnexpected stops a run that must not go on, and of which nothing more is known.
-func (c *Core) stopUnexpected(w *worker, a ActiveRun, why string) {
+// stopUnexpectedRun stops a run that must not go on, and of which nothing more is known.
+func (c *Core) stopUnexpectedRun(w *worker, a ActiveRun, why string) {
 	c.note(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: why})
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
 }
 
-// resolveStrangers handles what workers said of a job before it was known.
-func (c *Core) resolveStrangers(j *jobState, now time.Time) {
+// resolveUnknownJob handles what workers said of a job before it was known.
+func (c *Core) resolveUnknownJob(j *jobState, now time.Time) {
 	for _, w := range c.workersWithUnknownJobs.sorted() {
 		for n, we := range w.unknownEnds {
 			if we.end.Task.Job != j.spec.ID {
@@ -58,19 +58,19 @@
 	}
 }
 
-// expireStrangers gives up on jobs that stay unknown: their runs are stopped
+// expireUnknownJobs gives up on jobs that stay unknown: their runs are stopped
 // and their ends forgotten.
-func (c *Core) expireStrangers(now time.Time) {
+func (c *Core) expireUnknownJobs(now time.Time) {
 	for _, w := range c.workersWithUnknownJobs.sorted() {
 		for n, we := range w.unknownEnds {
-			if now.Sub(we.since) > strangerWait {
+			if now.Sub(we.since) > unknownJobGrace {
 				delete(w.unknownEnds, n)
 				c.note(Decision{Event: "end-of-unknown-job", Task: we.end.Task.String(), Worker: w.Worker})
 				c.advanceAck(w, now)
 			}
 		}
 		for id, s := range w.unknownRuns {
-			if now.Sub(s.since) > strangerWait {
+			if now.Sub(s.since) > unknownJobGrace {
 				w.unknownRuns[id] = unknownRun{s.run, now}
 				c.note(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: s.run})
 				c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: id, Run: s.run, Timeout: OrderTimeout})
@@ -81,7 +81,7 @@
 
 // maxLeaseDuration is how long after its term any lease that an owner gave can last.
 func (c *Core) maxLeaseDuration() time.Duration {
-	return time.Duration(float64(c.opt.TaskLease)/(1-workerClockSlow)) + leaseSlack
+	return time.Duration(float64(c.opt.TaskLease)/(1-maxClockSlowdown)) + leaseMargin
 }
 
 // earlierRunsKnown reports whether every run that an earlier owner may have started for
@@ -92,13 +92,13 @@
 	if c.opt.Term == 1 || c.takeoverDone[service] {
 		return true
 	}
-	unheard := c.unheardOf(service)
+	unheard := c.unconfirmedInstance(service)
 	if unheard != "" && (now.Sub(c.startedAt) <= c.maxLeaseDuration() || c.isStarved(now)) {
-		c.noteAwaited(service, unheard, now)
+		c.logTakeoverWait(service, unheard, now)
 		return false
 	}
 	c.takeoverDone[service] = true
-	c.noteTakeover(service, now)
+	c.accountTakeoverWait(service, now)
 	why := "every worker has answered"
 	if unheard != "" {
 		why = "all leases have ended"
@@ -107,8 +107,8 @@
 	return true
 }
 
-// noteTakeover accounts for the time that inherited jobs of the service have waited.
-func (c *Core) noteTakeover(service string, now time.Time) {
+// accountTakeoverWait accounts for the time that inherited jobs of the service have waited.
+func (c *Core) accountTakeoverWait(service string, now time.Time) {
 	for _, j := range c.openJobs {
 		if j.inherited && j.service == service && !j.state.Final() {
 			j.noteWaits(CauseTakeover, now)
@@ -116,37 +116,37 @@
 	}
 }
 
-// awaitedEvery is the least time between two lines on what a service waits for.
-const awaitedEvery = 500 * time.Millisecond
+// takeoverWaitLogInterval is the least time between two lines on what a service waits for.
+const takeoverWaitLogInterval = 500 * time.Millisecond
 
-// awaited is what the log says that a service's inherited tasks wait for.
-type awaited struct {
-	whom string
-	at   time.Time
+// takeoverWait is what the log says that a service's inherited tasks wait for.
+type takeoverWait struct {
+	waitsFor string
+	loggedAt time.Time
 }
 
-func (c *Core) noteAwaited(service, whom string, now time.Time) {
+func (c *Core) logTakeoverWait(service, whom string, now time.Time) {
 	said := c.loggedAwaited[service]
-	if said.whom == whom || now.Sub(said.at) < awaitedEvery {
+	if said.waitsFor == whom || now.Sub(said.loggedAt) < takeoverWaitLogInterval {
 		return
 	}
-	c.loggedAwaited[service] = awaited{whom, now}
+	c.loggedAwaited[service] = takeoverWait{whom, now}
 	c.note(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + whom})
 }
 
-// unheardOf names an instance of the service that may run tasks and has not
+// unconfirmedInstance names an instance of the service that may run tasks and has not
 // answered our token yet, "" if there is none. Registrations of lives that the
 // instance list does not show are left over: these lives are over.
-func (c *Core) unheardOf(service string) string {
+func (c *Core) unconfirmedInstance(service string) string {
 	if c.instanceListAt.IsZero() {
 		return "the instance list"
 	}
-	if known := c.lastUnconfirmed[service]; known != "" && c.isUnheard(service, c.instances[known]) {
+	if known := c.lastUnconfirmed[service]; known != "" && c.isUnconfirmed(service, c.instances[known]) {
 		return "instance " + string(known)
 	}
 	first := InstanceID("")
 	for _, i := range c.instances {
-		if c.isUnheard(service, i) && (first == "" || i.ID < first) {
+		if c.isUnconfirmed(service, i) && (first == "" || i.ID < first) {
 			first = i.ID
 		}
 	}
@@ -157,9 +157,9 @@
 	return "instance " + string(first)
 }
 
-// isUnheard reports whether the instance may run tasks of the service and has not
+// isUnconfirmed reports whether the instance may run tasks of the service and has not
 // answered our token yet.
-func (c *Core) isUnheard(service string, i *instanceState) bool {
+func (c *Core) isUnconfirmed(service string, i *instanceState) bool {
 	if i == nil || i.Pool != service || i.State != InstanceUp || i.Worker == "" {
 		return false
 	}
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -128,7 +128,7 @@
 		regs = append(regs, Registration{Worker: busyID(n), Service: "s", Addr: string(busyID(n)), Capacity: job.Resources{CPUMilli: 32000, MemMB: 128000}})
 		inst = append(inst, Instance{ID: InstanceID("i-" + busyID(n)), Pool: "s", State: InstanceUp, Worker: busyID(n)})
 	}
-	f.core.Register(regs, now)
+	f.core.SetRegistrations(regs, now)
 	f.core.OnInstances(inst, now)
 }
 
@@ -203,10 +203,10 @@
 	answered := at.Add(h.Wait)
 	f.pending = append(f.pending, busyEvent{at: answered.Add(roundTrip), deadline: deadline, do: func(now time.Time, late bool) {
 		if late {
-			f.core.OnHeld(h.Target, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, now)
+			f.core.OnHoldAnswer(h.Target, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, now)
 			return
 		}
-		f.core.OnHeld(h.Target, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(answered)}, Active: w.runs, Ends: w.ends}, now)
+		f.core.OnHoldAnswer(h.Target, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(answered)}, Active: w.runs, Ends: w.ends}, now)
 	}})
 	f.lapse(w, at)
 	until := f.begin.Add(time.Duration(h.LeaseUntilMs-rigClock) * time.Millisecond)
@@ -247,7 +247,7 @@
 	now := f.begin
 	for n := range busyWorkers - 1 { // one does not answer
 		now = now.Add(time.Millisecond)
-		f.core.OnHeld(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(now)}}, now)
+		f.core.OnHoldAnswer(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clock(now)}}, now)
 		f.core.React(now)
 	}
 	looks := f.core.counts.JobsConsidered / busyJobs
--- a/jobs/owner/together.go
+++ b/jobs/owner/together.go
@@ -73,7 +73,7 @@
 		return false
 	}
 	const accuracy = crashSoon // of what is known of the moment at which a connection ended
-	return !k.aliveUntil().After(o.lostAt.Add(accuracy)) && !o.aliveUntil().After(k.lostAt.Add(accuracy))
+	return !k.lastAliveAt().After(o.lostAt.Add(accuracy)) && !o.lastAliveAt().After(k.lostAt.Add(accuracy))
 }
 
 // lossCount counts the workers of a rack or zone.
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -178,10 +178,10 @@
 	EndGangIncomplete // the other members of its gang did not come
 )
 
-var endNames = [...]string{"done", "failed", "stopped", "lapsed", "peer-ended", "gang-incomplete"}
+var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "peer-ended", "gang-incomplete"}
 
 // String returns the kind's name in logs and metrics.
-func (k EndKind) String() string { return endNames[k] }
+func (k EndKind) String() string { return endKindNames[k] }
 
 // RunEnd is a run that a worker lists as ended.
 type RunEnd struct {
@@ -280,5 +280,5 @@
 	Holds          []Hold
 	InstanceOrders []InstanceOrder
 	WaveStatuses   []WaveStatus
-	Questions      []AdviceQuery
+	AdviceQueries  []AdviceQuery
 }
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -17,7 +17,7 @@
 
 // unansweredTwice lets both orders to start a task go unanswered.
 func (r *rig) unansweredTwice(s Start) {
-	for range startTries {
+	for range maxStartSends {
 		r.tick(OrderTimeout)
 		r.core.OnStarted(s, Answer{Outcome: Unanswered}, r.now)
 		r.core.React(r.now)
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -200,7 +200,7 @@
 		if d.accepted.IsZero() || d.seen {
 			continue
 		}
-		w := c.present(d.life)
+		w := c.currentWorker(d.life)
 		alive := w != nil && !w.ended && w.answeredHoldSentAt.After(d.accepted)
 		if w == nil && d.life.worker == "" {
 			i := c.instances[id]
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -10,24 +10,24 @@
 
 // Times of the watch over workers.
 const (
-	// outage is a gap between lists of registrations that counts as an outage of
+	// storeOutageGap is a gap between lists of registrations that counts as an storeOutageGap of
 	// the store: three missed reads of 400 ms.
-	outage = 1500 * time.Millisecond
-	// settleTime is how long after an outage missing registrations may come
+	storeOutageGap = 1500 * time.Millisecond
+	// reregisterTime is how long after an outage missing registrations may come
 	// back: the platform's page says about 2 s.
-	settleTime = 2200 * time.Millisecond
-	// holdRetry is the pause after a hold without an answer.
-	holdRetry = 150 * time.Millisecond
-	// unlistedRetry is the same for a worker that the instance list does not show: most
+	reregisterTime = 2200 * time.Millisecond
+	// holdRetryPause is the pause after a hold without an answer.
+	holdRetryPause = 150 * time.Millisecond
+	// unlistedHoldRetryPause is the same for a worker that the instance list does not show: most
 	// are lives that are over, whose registrations last for some seconds; asked as often
 	// as the others they would take most of a new owner's calls.
-	unlistedRetry = 700 * time.Millisecond
-	// ackWait is how long the next hold waits for the ends of the last one to be
+	unlistedHoldRetryPause = 700 * time.Millisecond
+	// ackRetryPause is how long the next hold waits for the ends of the last one to be
 	// recorded, before it looks again without acknowledging them.
-	ackWait = 300 * time.Millisecond
-	// strangerWait is how long a run of an unknown job is left alone. A job is
+	ackRetryPause = 300 * time.Millisecond
+	// unknownJobGrace is how long a run of an unknown job is left alone. A job is
 	// known within the delay of the store's watch, a second in its worst hour.
-	strangerWait = 4 * time.Second
+	unknownJobGrace = 4 * time.Second
 	// unhealthyPause is how long a worker that refuses work gets none.
 	unhealthyPause = 500 * time.Millisecond
 )
@@ -37,14 +37,14 @@
 	return Target{Worker: w.Worker, Addr: w.Addr, Token: c.fencingToken, StartedMs: w.StartedMs}
 }
 
-// holdAt says when the worker is to be held next.
-func (c *Core) holdAt(w *worker, at time.Time) {
+// scheduleHold says when the worker is to be held next.
+func (c *Core) scheduleHold(w *worker, at time.Time) {
 	w.nextHoldAt = at
 	c.holdsDue.add(at, w)
 }
 
-// holdDue sends the holds whose time has come.
-func (c *Core) holdDue(now time.Time) {
+// sendDueHolds sends the holds whose time has come.
+func (c *Core) sendDueHolds(now time.Time) {
 	due := c.holdsDue.due(now)
 	slices.SortFunc(due, byID)
 	for _, w := range due {
@@ -55,7 +55,7 @@
 		w.holdSentAt = now
 		c.effects.Holds = append(c.effects.Holds, Hold{
 			Target:       c.target(w),
-			LeaseUntilMs: c.renewal(w, now),
+			LeaseUntilMs: c.leaseEndFor(w, now),
 			AckThrough:   w.ackThrough(),
 			Wait:         c.holdWait(w),
 			Timeout:      c.callOutcomes.Timeout(holdTimeout),
@@ -75,19 +75,19 @@
 // holdWait returns how long the worker is to wait for an end before it answers.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
-	case !w.heldByUs || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.inDoubt():
+	case !w.heldByUs || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnconfirmedStart():
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
 	case c.callOutcomes.Lossy():
-		return min(c.opt.HoldWait, max(lossyHoldWait, c.holdPace()))
+		return min(c.opt.HoldWait, max(lossyHoldWait, c.minHoldWait()))
 	}
 	return c.opt.HoldWait
 }
 
-// holdPace returns how long each worker with tasks has to wait for the daemon to bear the
+// minHoldWait returns how long each worker with tasks has to wait for the daemon to bear the
 // holds of all of them.
-func (c *Core) holdPace() time.Duration {
+func (c *Core) minHoldWait() time.Duration {
 	if c.opt.MaxHoldsPerSec <= 0 {
 		return 0
 	}
@@ -98,9 +98,9 @@
 	return time.Duration(float64(atWork) / c.opt.MaxHoldsPerSec * float64(time.Second))
 }
 
-// inDoubt reports whether the worker's list has to tell if a start without an answer
+// hasUnconfirmedStart reports whether the worker's list has to tell if a start without an answer
 // began: the task stands still until it does.
-func (w *worker) inDoubt() bool {
+func (w *worker) hasUnconfirmedStart() bool {
 	for _, r := range w.runs {
 		if r.phase == starting && !r.startAbandonedAt.IsZero() {
 			return true
@@ -109,11 +109,11 @@
 	return false
 }
 
-// renewal returns the end of the lease for an order to w. A silent worker's
+// leaseEndFor returns the end of the lease for an order to w. A silent worker's
 // lease is not renewed: it has to end for its tasks to start elsewhere.
-func (c *Core) renewal(w *worker, now time.Time) int64 {
+func (c *Core) leaseEndFor(w *worker, now time.Time) int64 {
 	if w.isSilent() && !c.isStarved(now) {
-		return w.lease.granted
+		return w.lease.grantedUntilMs
 	}
 	return w.lease.grant(c.opt.TaskLease, now)
 }
@@ -126,7 +126,7 @@
 // lost on its way says nothing of the worker: the hold that is under way tells whether it is
 // there. Where a fifth of the orders are lost, each would else count as a possible crash.
 func (c *Core) onOrderAnswer(w *worker, a Answer, now time.Time) {
-	c.tallyCall(w, a)
+	c.countCallOutcome(w, a)
 	if a.Outcome == Unanswered && !a.ConnFailed {
 		c.markWorkerChanged(w)
 		return
@@ -134,14 +134,14 @@
 	c.onAnswer(w, a, now)
 }
 
-// isDoubtful reports whether a hold may have no answer because it alone was lost: the next one
+// mayBeLostHold reports whether a hold may have no answer because it alone was lost: the next one
 // tells. Else what had just started on the worker would be a suspect of its crash.
-func (c *Core) isDoubtful(w *worker, a Answer) bool {
+func (c *Core) mayBeLostHold(w *worker, a Answer) bool {
 	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.callOutcomes.Lossy()
 }
 
-// tallyCall takes note of whether a call was answered, for how long to wait for others.
-func (c *Core) tallyCall(w *worker, a Answer) {
+// countCallOutcome takes note of whether a call was answered, for how long to wait for others.
+func (c *Core) countCallOutcome(w *worker, a Answer) {
 	switch {
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
@@ -169,7 +169,7 @@
 	if a.Outcome == NotSent || a.Outcome == OtherBoot {
 		return // which says nothing of this life's answers
 	}
-	w.lease.heard(a.ClockMs, now)
+	w.lease.observeClock(a.ClockMs, now)
 	w.lastAnswerAt = now
 	w.orderUnanswered = false
 	w.contactLoss = contactLoss{}
@@ -185,8 +185,8 @@
 	}
 }
 
-// OnHeld takes a worker's answer to a hold of the life that is meant.
-func (c *Core) OnHeld(of Target, h HoldAnswer, now time.Time) {
+// OnHoldAnswer takes a worker's answer to a hold of the life that is meant.
+func (c *Core) OnHoldAnswer(of Target, h HoldAnswer, now time.Time) {
 	w := c.targetedWorker(of)
 	if w == nil {
 		return
@@ -195,7 +195,7 @@
 	if h.Outcome == Taken {
 		switch w.relationTo(h.StartedMs) {
 		case pastIncarnation:
-			c.holdAt(w, now.Add(holdRetry))
+			c.scheduleHold(w, now.Add(holdRetryPause))
 			return
 		case nextIncarnation:
 			sent := w.holdSentAt
@@ -206,8 +206,8 @@
 	if w.ended {
 		return // sent before the end of its life, and nothing of it runs any more
 	}
-	c.tallyCall(w, h.Answer)
-	if !c.isDoubtful(w, h.Answer) {
+	c.countCallOutcome(w, h.Answer)
+	if !c.mayBeLostHold(w, h.Answer) {
 		c.onAnswer(w, h.Answer, now)
 	}
 	switch h.Outcome {
@@ -219,15 +219,15 @@
 		c.endIncarnation(w, "another life answers at its address", now)
 		return
 	case NotSent:
-		c.holdAt(w, now.Add(holdRetry)) // which says nothing of the worker
+		c.scheduleHold(w, now.Add(holdRetryPause)) // which says nothing of the worker
 		return
 	default:
 		if w.silentSince.IsZero() {
 			w.silentSince = now
 			c.silentWorkers.put(w, true)
-			c.note(Decision{Event: "worker-silent", Worker: w.Worker, Reason: reasonOf(h.Answer)})
+			c.note(Decision{Event: "worker-silent", Worker: w.Worker, Reason: describeAnswer(h.Answer)})
 		}
-		c.holdAt(w, now.Add(c.retryPause(w, now)))
+		c.scheduleHold(w, now.Add(c.retryPause(w, now)))
 		return
 	}
 	if !w.silentSince.IsZero() {
@@ -244,14 +244,14 @@
 			c.onEnd(w, e, now)
 		}
 	}
-	c.onActive(w, h.Active, now)
+	c.reconcileRuns(w, h.Active, now)
 	c.workersWithUnknownJobs.put(w, len(w.unknownRuns)+len(w.unknownEnds) > 0)
 	w.nextHoldAt = now
 	c.advanceAck(w, now)
 	if len(w.unacked) > 0 {
-		w.nextHoldAt = now.Add(ackWait)
+		w.nextHoldAt = now.Add(ackRetryPause)
 	}
-	c.holdAt(w, w.nextHoldAt)
+	c.scheduleHold(w, w.nextHoldAt)
 	if first {
 		c.note(Decision{Event: "worker-held", Worker: w.Worker, Reason: w.Service})
 	}
@@ -264,12 +264,12 @@
 		return 0 // this one alone may be lost
 	}
 	if !c.instanceListAt.IsZero() && !c.listed(w) {
-		return unlistedRetry
+		return unlistedHoldRetryPause
 	}
-	return holdRetry
+	return holdRetryPause
 }
 
-func reasonOf(a Answer) string {
+func describeAnswer(a Answer) string {
 	if a.Err != nil {
 		return a.Outcome.String() + ": " + a.Err.Error()
 	}
@@ -284,18 +284,18 @@
 	c.note(Decision{Event: "fenced", Worker: w.Worker, Reason: "a higher fencing token was seen there"})
 }
 
-// onActive compares what a worker runs with what it should run.
-func (c *Core) onActive(w *worker, active []ActiveRun, now time.Time) {
+// reconcileRuns compares what a worker runs with what it should run.
+func (c *Core) reconcileRuns(w *worker, active []ActiveRun, now time.Time) {
 	listed := map[job.TaskID]bool{}
 	for _, a := range active {
 		listed[a.Task] = true
-		c.onActiveRun(w, a, now)
+		c.reconcileRun(w, a, now)
 	}
 	for id, r := range w.runs {
 		if listed[id] {
 			continue
 		}
-		if r.neverBegan(w.holdSentAt) {
+		if r.provenNotStarted(w.holdSentAt) {
 			r.neverStarted = true
 			r.task.forgetCrash(r.number)
 			c.stop(r, "its start was not answered, and it does not run", now)
@@ -305,7 +305,7 @@
 		if !confirmed {
 			continue
 		}
-		c.release(r, CauseLost, now) // its end was listed before, or it never began
+		c.releaseRun(r, CauseLost, now) // its end was listed before, or it never began
 		if r.phase == running {
 			c.counts.Lost++
 			c.note(Decision{Event: "run-vanished", Job: id.Job, Task: id.String(), Worker: w.Worker, Run: r.number})
@@ -318,7 +318,7 @@
 	}
 }
 
-func (c *Core) onActiveRun(w *worker, a ActiveRun, now time.Time) {
+func (c *Core) reconcileRun(w *worker, a ActiveRun, now time.Time) {
 	r := w.runs[a.Task]
 	if r != nil && r.number == a.Run {
 		c.onProgress(r, a, now)
@@ -332,10 +332,10 @@
 		return
 	}
 	if j.stepsDropped {
-		c.stopUnexpected(w, a, "its job is over")
+		c.stopUnexpectedRun(w, a, "its job is over")
 		return
 	}
-	c.adopt(w, j, a, now)
+	c.adoptRun(w, j, a, now)
 }
 
 func (c *Core) onProgress(r *run, a ActiveRun, now time.Time) {
--- a/jobs/owner/workerset.go
+++ b/jobs/owner/workerset.go
@@ -29,21 +29,21 @@
 
 func byID(a, b *worker) int { return cmp.Compare(a.Worker, b.Worker) }
 
-// roster keeps the workers of each service in the order of their ids.
-type roster map[string][]*worker
+// serviceWorkers keeps the workers of each service in the order of their ids.
+type serviceWorkers map[string][]*worker
 
-func (r roster) find(w *worker) (at int, found bool) {
+func (r serviceWorkers) find(w *worker) (at int, found bool) {
 	return slices.BinarySearchFunc(r[w.Service], w, byID)
 }
 
-func (r roster) add(w *worker) {
+func (r serviceWorkers) add(w *worker) {
 	if at, found := r.find(w); !found {
 		r[w.Service] = slices.Insert(r[w.Service], at, w)
 	}
 }
 
 // remove is the inverse of add; it has to come before a change of the worker's service.
-func (r roster) remove(w *worker) {
+func (r serviceWorkers) remove(w *worker) {
 	if at, found := r.find(w); found {
 		r[w.Service] = slices.Delete(r[w.Service], at, at+1)
 	}
--- a/jobs/owner/writequeue.go
+++ b/jobs/owner/writequeue.go
@@ -13,7 +13,7 @@
 // that ended, as their callers are told only once they are written; beyond that each has its
 // turn. Jobs are not taken out when they are written: whoever goes over the queue drops what
 // no longer has the turn that it had.
-type writeQueue [writeClasses][]writeTurn
+type writeQueue [writeClasses][]writeEntry
 
 // writeClass orders jobs that have to be written before their turns do.
 type writeClass int
@@ -35,18 +35,18 @@
 	return writeOpen
 }
 
-type writeTurn struct {
-	job  *jobState
-	turn uint64
+type writeEntry struct {
+	job *jobState
+	seq uint64
 }
 
 // add gives the job the place that its turn and its state ask for. Turns rise, so that
 // this is the last one, but for jobs that end.
 func (q *writeQueue) add(j *jobState) {
 	list := &q[j.writeClass()]
-	at, found := slices.BinarySearchFunc(*list, j.writeSeq, func(e writeTurn, turn uint64) int { return cmp.Compare(e.turn, turn) })
+	at, found := slices.BinarySearchFunc(*list, j.writeSeq, func(e writeEntry, turn uint64) int { return cmp.Compare(e.seq, turn) })
 	if !found {
-		*list = slices.Insert(*list, at, writeTurn{j, j.writeSeq})
+		*list = slices.Insert(*list, at, writeEntry{j, j.writeSeq})
 	}
 }
 
@@ -54,9 +54,9 @@
 func (q *writeQueue) all(dirty map[job.ID]*jobState) iter.Seq[*jobState] {
 	return func(yield func(*jobState) bool) {
 		for class := range writeClasses {
-			q[class] = trim(q[class], class, dirty)
+			q[class] = dropStale(q[class], class, dirty)
 			for _, e := range q[class] {
-				if e.holds(class, dirty) && !yield(e.job) {
+				if e.isCurrent(class, dirty) && !yield(e.job) {
 					return
 				}
 			}
@@ -64,15 +64,15 @@
 	}
 }
 
-// holds reports whether the job still has this turn.
-func (e writeTurn) holds(class writeClass, dirty map[job.ID]*jobState) bool {
-	return e.job.writeSeq == e.turn && e.job.writeClass() == class && dirty[e.job.spec.ID] == e.job
+// isCurrent reports whether the job still has this turn.
+func (e writeEntry) isCurrent(class writeClass, dirty map[job.ID]*jobState) bool {
+	return e.job.writeSeq == e.seq && e.job.writeClass() == class && dirty[e.job.spec.ID] == e.job
 }
 
-// trim drops entries at the front that do not hold any more.
-func trim(list []writeTurn, class writeClass, dirty map[job.ID]*jobState) []writeTurn {
+// dropStale drops entries at the front that do not hold any more.
+func dropStale(list []writeEntry, class writeClass, dirty map[job.ID]*jobState) []writeEntry {
 	n := 0
-	for n < len(list) && !list[n].holds(class, dirty) {
+	for n < len(list) && !list[n].isCurrent(class, dirty) {
 		n++
 	}
 	clear(list[:n])
--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -185,7 +185,7 @@
 	answer := func(held owner.HoldAnswer) {
 		if !answered {
 			answered = true
-			h.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHeld(o.Target, held, h.s.engine.now) })
+			h.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHoldAnswer(o.Target, held, h.s.engine.now) })
 		}
 	}
 	h.s.engine.after(o.Wait+holdReserve, func() { answer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -165,7 +165,7 @@
 func (s *sim) beginHold(o owner.Hold) {
 	term := s.term
 	tell := func(held owner.HoldAnswer) {
-		s.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHeld(o.Target, held, s.engine.now) })
+		s.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHoldAnswer(o.Target, held, s.engine.now) })
 	}
 	if w := s.workers[o.Worker]; w == nil || w.dead {
 		s.engine.after(o.Wait+owner.OrderTimeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -329,7 +329,7 @@
 		return
 	}
 	var records []owner.Record
-	s.meter.measure(Recorded, func() { records = s.core.Uncommitted(recordsPerCommit) })
+	s.meter.measure(Recorded, func() { records = s.core.PendingRecords(recordsPerCommit) })
 	if len(records) == 0 {
 		return
 	}
@@ -344,7 +344,7 @@
 					s.ended(s.jobs[r.Job.ID], r.Progress.State)
 				}
 			}
-			c.Committed(records, s.engine.now)
+			c.OnCommitted(records, s.engine.now)
 		})
 	})
 }
@@ -359,7 +359,7 @@
 func (s *sim) listWorkers() {
 	if s.core != nil && !s.storeAway() {
 		_, regs := s.lists()
-		s.meter.measure(ListRead, func() { s.core.Register(regs, s.engine.now) })
+		s.meter.measure(ListRead, func() { s.core.SetRegistrations(regs, s.engine.now) })
 	}
 }
 
