--- a/jobs/node/chance.go
+++ b/jobs/node/chance.go
@@ -36,13 +36,13 @@
 	c.rnd.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 }
 
-// leastCores counts for a daemon that says to have less of a processor, or nothing.
-const leastCores = 0.05
+// minCores counts for a daemon that says to have less of a processor, or nothing.
+const minCores = 0.05
 
 // weight is how much a daemon can carry for others. Links are more unequal than
 // processors: on the users' sheets 0.8 of a core comes with 200 Mbit/s, 0.19 with 10.
 func weight(m ledger.Member) float64 {
-	cores := max(leastCores, m.Cores)
+	cores := max(minCores, m.Cores)
 	return cores * cores
 }
 
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -33,10 +33,10 @@
 // if the last call failed, so that a lost answer does not cost the lease.
 func (n *Node) leasePause() time.Duration {
 	since := time.Duration(n.sinceStart() - n.renewed.Load())
-	if n.lease.Load() == 0 || since > renewEvery {
+	if n.lease.Load() == 0 || since > renewInterval {
 		return retryPause
 	}
-	return renewEvery
+	return renewInterval
 }
 
 func (n *Node) grantLease(ctx context.Context) {
@@ -93,7 +93,7 @@
 	for ctx.Err() == nil {
 		n.listMembersOnce(ctx)
 		n.yield()
-		if !sleep.For(ctx, membersEvery) {
+		if !sleep.For(ctx, membersInterval) {
 			return
 		}
 	}
@@ -125,7 +125,7 @@
 // lose by it: no work, or so much, or so little of a processor, that it cannot keep up.
 func (n *Node) yield() {
 	t := n.term.Load()
-	if t == nil || !n.peerStrongerBy(strongerBy) {
+	if t == nil || !n.peerStrongerBy(electionCPUFactor) {
 		return
 	}
 	why := ""
@@ -134,7 +134,7 @@
 		why = "no job is open"
 	case t.overloaded.Load():
 		why = "it cannot keep up"
-	case n.peerStrongerBy(muchStrongerBy):
+	case n.peerStrongerBy(yieldCPUFactor):
 		why = "it has much less of a processor"
 	default:
 		return
@@ -148,7 +148,7 @@
 // yieldIfCut gives the lock to a daemon that the store serves, if this one's own way there is cut.
 func (n *Node) yieldIfCut(t *termRun) {
 	cut := n.store.CutFor()
-	if cut < cutPatience || t.isLeaving() {
+	if cut < disconnectedYieldAfter || t.isLeaving() {
 		return
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", "its way to the store is cut, and others reach it"), zap.Duration("cut-for", cut))
@@ -289,7 +289,7 @@
 		case <-ctx.Done():
 			return
 		case <-n.electNow:
-		case <-time.After(renewEvery):
+		case <-time.After(renewInterval):
 		}
 		n.considerTerm(ctx)
 	}
@@ -368,11 +368,11 @@
 	if l != nil && l.Lease != lease && l.Node != n.set.Node {
 		return
 	}
-	if left := strongerFirst - time.Duration(n.sinceStart()-n.lockGone.Load()); l == nil && left > 0 && n.peerStrongerBy(strongerBy) {
+	if left := weakerElectionDelay - time.Duration(n.sinceStart()-n.lockGone.Load()); l == nil && left > 0 && n.peerStrongerBy(electionCPUFactor) {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
-	if left := uncutFirst - time.Duration(n.sinceStart()-n.lockGone.Load()); l == nil && left > 0 && n.store.CutFor() > 0 {
+	if left := disconnectedElectionDelay - time.Duration(n.sinceStart()-n.lockGone.Load()); l == nil && left > 0 && n.store.CutFor() > 0 {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -240,7 +240,7 @@
 // leaseHeld reports whether the lease in the store is held for certain, with
 // some time left.
 func (n *Node) leaseHeld() bool {
-	return n.lease.Load() != 0 && time.Duration(n.sinceStart()-n.renewed.Load()) < storeLease-dutyReserve
+	return n.lease.Load() != 0 && time.Duration(n.sinceStart()-n.renewed.Load()) < storeLease-leaseSafetyMargin
 }
 
 // mayDoDuty reports whether the lease was renewed so lately that an owner that has
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -14,19 +14,19 @@
 
 // Figures of the watch over the owner's process.
 const (
-	// lockLook is how often the watch looks whether there is another owner: the store's
+	// lockCheckInterval is how often the watch looks whether there is another owner: the store's
 	// watch has told by then.
-	lockLook = 100 * time.Millisecond
-	// witnesses is how many other daemons have to find nobody at the owner's address,
+	lockCheckInterval = 100 * time.Millisecond
+	// requiredConfirmations is how many other daemons have to find nobody at the owner's address,
 	// too, for its process to count as gone; one if no more can be asked. A partition
 	// that refuses connections looks the same to one daemon; others, picked at random,
 	// hardly all stand on the same side of it. Up to mostAsked are asked, as some may
 	// have ended as well.
-	witnesses = 2
-	mostAsked = 5
-	// mostStagger spreads the daemons that find the owner gone at the same moment, so
+	requiredConfirmations = 2
+	maxPeersAsked         = 5
+	// maxRevokeJitter spreads the daemons that find the owner gone at the same moment, so
 	// that most of them see that one has ended its lease. It is some calls to the store.
-	mostStagger = 30 * time.Millisecond
+	maxRevokeJitter = 30 * time.Millisecond
 )
 
 // watchOwnerProcess ends the lease of an owner whose process is gone: the lock goes
@@ -37,7 +37,7 @@
 	for ctx.Err() == nil {
 		l := n.lock.Load()
 		if l == nil || l.Node == n.set.Node || n.stopping.Load() {
-			sleep.For(ctx, lockLook)
+			sleep.For(ctx, lockCheckInterval)
 			continue
 		}
 		n.awaitOwnersEnd(ctx, l)
@@ -50,7 +50,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
-		for n.lock.Load() == l && sleep.For(ctx, lockLook) {
+		for n.lock.Load() == l && sleep.For(ctx, lockCheckInterval) {
 		}
 		cancel()
 	}()
@@ -58,10 +58,10 @@
 		return
 	}
 	if !n.mayReplace(l.Node) || !n.ownerGone(ctx, l) {
-		sleep.For(ctx, lockLook) // its connection was reset, or cannot be opened
+		sleep.For(ctx, lockCheckInterval) // its connection was reset, or cannot be opened
 		return
 	}
-	sleep.For(ctx, n.chance.upTo(mostStagger))
+	sleep.For(ctx, n.chance.upTo(maxRevokeJitter))
 	if n.lock.Load() != l {
 		return
 	}
@@ -86,7 +86,7 @@
 	others := n.othersThan(l.Node)
 	n.chance.shuffle(others)
 	confirmed := 0
-	for _, addr := range others[:min(len(others), mostAsked)] {
+	for _, addr := range others[:min(len(others), maxPeersAsked)] {
 		seen, err := n.peers.CheckPresenceVia(ctx, addr, l.Addr)
 		if err != nil {
 			n.log.Info("witness-not-asked", zap.String("addr", addr), zap.Error(err))
@@ -98,7 +98,7 @@
 		case peer.Absent:
 			confirmed++
 		}
-		if confirmed == witnesses {
+		if confirmed == requiredConfirmations {
 			return true
 		}
 	}
@@ -114,7 +114,7 @@
 		return true
 	}
 	return !slices.ContainsFunc(*list, func(m ledger.Member) bool {
-		return m.Node == node && m.Cores > strongerBy*n.set.Cores
+		return m.Node == node && m.Cores > electionCPUFactor*n.set.Cores
 	})
 }
 
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -20,12 +20,12 @@
 	// the owner that what it knows is current, so that an outage of the store shows
 	// within half a second more.
 	registrationsWait = time.Second
-	// registrationsEvery is the least time between two watches that return with all changes
+	// registrationsInterval is the least time between two watches that return with all changes
 	// there are: a fifth of the time in which a draining worker must be left alone. Each worker's
 	// heartbeat is a change. expectingEvery is the same while instances are on their way to
 	// a pool: a reading costs a thirtieth of a second of an instance.
-	registrationsEvery = 400 * time.Millisecond
-	expectingEvery     = 100 * time.Millisecond
+	registrationsInterval = 400 * time.Millisecond
+	expectingInterval     = 100 * time.Millisecond
 )
 
 // followRegistrations hands the workers' entries to the core, and tells it whenever a look
@@ -71,7 +71,7 @@
 		case current && len(ch.Events) > 0:
 			sleep.For(t.ctx, t.registrationsPause())
 		case !current && len(ch.Events) == 0:
-			sleep.For(t.ctx, expectingEvery) // it does not tell what it knows
+			sleep.For(t.ctx, expectingInterval) // it does not tell what it knows
 		}
 	}
 }
@@ -80,13 +80,13 @@
 // return, and does not say that it did.
 type returnSizes struct{ most int }
 
-// leastCut is the fewest changes that a store may bound a return to.
-const leastCut = 64
+// minTruncatedChanges is the fewest changes that a store may bound a return to.
+const minTruncatedChanges = 64
 
 // mayBeCut reports whether a return of so many changes is about as large as any before.
 func (r *returnSizes) mayBeCut(changes int) bool {
 	r.most = max(r.most, changes)
-	return changes >= leastCut && 4*changes >= 3*r.most
+	return changes >= minTruncatedChanges && 4*changes >= 3*r.most
 }
 
 // decodeRegistrations returns what events leave of each worker's entry. One that cannot be
@@ -131,14 +131,14 @@
 
 func (t *termRun) registrationsPause() time.Duration {
 	if t.expecting.Load() {
-		return expectingEvery
+		return expectingInterval
 	}
-	return registrationsEvery
+	return registrationsInterval
 }
 
 // watchFor waits so long for changes after a revision.
 func (n *Node) watchFor(ctx context.Context, prefix string, after int64, wait time.Duration) (ledger.Changes, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+watchReserve)
+	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
 	defer cancel()
 	return n.store.Watch(ctx, prefix, after, wait)
 }
--- a/jobs/node/relays.go
+++ b/jobs/node/relays.go
@@ -39,7 +39,7 @@
 // RelayFailed implements ledger.Relays.
 func (n *Node) RelayFailed(s ledger.Store) {
 	n.lastRelay.Store(nil)
-	n.badRelays.Store(peer.RelayAddr(s), n.clock.Now().Add(relayPause))
+	n.badRelays.Store(peer.RelayAddr(s), n.clock.Now().Add(failedRelayPause))
 }
 
 func (n *Node) relayBad(addr string) bool {
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -77,73 +77,73 @@
 const (
 	// storeLease is the time to live of this daemon's keys: an owner that is
 	// gone is noticed so late. Renewals cost a tenth of a call.
-	storeLease = 2 * time.Second
-	renewEvery = 500 * time.Millisecond
-	// dutyReserve is left of the lease when the last order for an instance may
+	storeLease    = 2 * time.Second
+	renewInterval = 500 * time.Millisecond
+	// leaseSafetyMargin is left of the lease when the last order for an instance may
 	// be sent.
-	dutyReserve = 700 * time.Millisecond
+	leaseSafetyMargin = 700 * time.Millisecond
 	// storeTimeout bounds calls that can be repeated: the store answers in 4 ms,
 	// and in 300 ms in its slow hours.
 	storeTimeout = 900 * time.Millisecond
 	// renewTimeout bounds one renewal of the lease, so that a third one is
 	// answered before the lease ends. The store takes 300 ms in its slow hours.
 	renewTimeout = 600 * time.Millisecond
-	// relayPause is how long a peer is not asked to call the store after its way
+	// failedRelayPause is how long a peer is not asked to call the store after its way
 	// failed: some disruptions cut off several daemons for seconds.
-	relayPause = 2 * time.Second
+	failedRelayPause = 2 * time.Second
 	// watchWait is how long a watch waits for changes. A daemon that hangs on a
 	// connection which a partition has cut must hear of a new configuration within
 	// 3 s: watchWait, watchReserve and retryPause are less.
 	watchWait = 2 * time.Second
-	// watchReserve is added for the answer.
-	watchReserve = 700 * time.Millisecond
+	// watchTimeoutMargin is added for the answer.
+	watchTimeoutMargin = 700 * time.Millisecond
 	// retryPause follows a failed call.
 	retryPause = 100 * time.Millisecond
-	// strongerBy is by how much more of a processor another daemon has to have to
+	// electionCPUFactor is by how much more of a processor another daemon has to have to
 	// go before this one in an election, and strongerFirst how long it is left to
 	// it: a stronger one tries within some milliseconds.
-	strongerBy    = 1.25
-	strongerFirst = 250 * time.Millisecond
-	// muchStrongerBy is by how much more another daemon has to have for an owner with work
+	electionCPUFactor   = 1.25
+	weakerElectionDelay = 250 * time.Millisecond
+	// yieldCPUFactor is by how much more another daemon has to have for an owner with work
 	// to yield to it at once: so weak an owner falls behind a queue for as long as it lasts, and
 	// the change takes 0.3 s.
-	muchStrongerBy = 3
-	// overloadedAfter is how long an owner is short of processor time before it gives
+	yieldCPUFactor = 3
+	// cpuStarvedAfter is how long an owner is short of processor time before it gives
 	// way to a stronger daemon: longer than a takeover keeps it busy, which a change would cost
 	// once more.
-	overloadedAfter = 3 * time.Second
-	// cutPatience is how long an owner goes on by way of its peers while its own way to the store
+	cpuStarvedAfter = 3 * time.Second
+	// disconnectedYieldAfter is how long an owner goes on by way of its peers while its own way to the store
 	// is cut. A change of owner takes 0.3 s; by way of peers, some of which may be cut off as well,
 	// records and orders for instances are late by up to a second each time.
-	cutPatience = 700 * time.Millisecond
-	// uncutFirst is how long a daemon whose own way is cut leaves an election to the others.
-	uncutFirst = 1500 * time.Millisecond
-	// membersEvery is how often the list of live daemons is read, stale.
-	membersEvery = 2 * time.Second
-	// instancesEvery is how often the owner reads the instance list, and
+	disconnectedYieldAfter = 700 * time.Millisecond
+	// disconnectedElectionDelay is how long a daemon whose own way is cut leaves an election to the others.
+	disconnectedElectionDelay = 1500 * time.Millisecond
+	// membersInterval is how often the list of live daemons is read, stale.
+	membersInterval = 2 * time.Second
+	// instancesInterval is how often the owner reads the instance list, and
 	// instancesLeast the least time between two readings: a tenth of the time
 	// that a move takes.
-	instancesEvery = 700 * time.Millisecond
-	instancesLeast = 150 * time.Millisecond
+	instancesInterval    = 700 * time.Millisecond
+	minInstancesInterval = 150 * time.Millisecond
 	// instancesLinkShare is how much of the daemon's link readings of the list may take:
 	// at 2 Mbit/s one of 132 instances takes 80 ms. bytesPerInstance is an
 	// entry's length in the list.
 	instancesLinkShare = 0.1
 	bytesPerInstance   = 155
-	// instancesMost keeps the list young enough for orders for instances.
-	instancesMost = 2 * time.Second
-	// tickEvery is the resolution of the owner's timers.
-	tickEvery = 25 * time.Millisecond
-	// commitEvery is the least time between two transactions of the owner. It
+	// maxInstancesInterval keeps the list young enough for orders for instances.
+	maxInstancesInterval = 2 * time.Second
+	// tickInterval is the resolution of the owner's timers.
+	tickInterval = 25 * time.Millisecond
+	// commitInterval is the least time between two transactions of the owner. It
 	// trades the store's price of a call against when a job is shown as completed.
-	commitEvery = 40 * time.Millisecond
+	commitInterval = 40 * time.Millisecond
 	// commitBacklog is how many jobs may wait to be written before transactions follow
 	// each other without a pause: two transactions' worth. At 300 jobs a second callers
 	// would hear of an end, and workers forget it, later and later.
 	commitBacklog = 2 * ledger.MaxEntries
-	// jobsEvery is the least time between two readings of new submissions by the
+	// jobsInterval is the least time between two readings of new submissions by the
 	// owner. Daemons tell it of them at once; the store is the second way.
-	jobsEvery = 200 * time.Millisecond
+	jobsInterval = 200 * time.Millisecond
 	// taskLease is how long workers' tasks live without renewal. It outlasts a
 	// change of owner (the store's lease, an election and the reading of all
 	// jobs) and ends soon enough for a task that is cut off to be started anew.
@@ -159,18 +159,18 @@
 	peerTimeout = 500 * time.Millisecond
 	// instanceOrderTimeout bounds an order for an instance.
 	instanceOrderTimeout = time.Second
-	// expireEvery is how often ended jobs are removed from the store.
-	expireEvery = 5 * time.Second
+	// expireInterval is how often ended jobs are removed from the store.
+	expireInterval = 5 * time.Second
 	// handOverTimeout bounds the release of an owner's lock when it stops: two tries.
 	// If both fail the lease is ended, and the lock with it.
 	handOverTimeout = 2 * storeTimeout
-	// releaseProbe bounds a try to release the lock while the store is away: the owner
+	// releaseProbeTimeout bounds a try to release the lock while the store is away: the owner
 	// goes on with its work meanwhile.
-	releaseProbe = 50 * time.Millisecond
-	// lastCommitWait is how long the release waits for a transaction that is under
+	releaseProbeTimeout = 50 * time.Millisecond
+	// releaseCommitWait is how long the release waits for a transaction that is under
 	// way. The store answers in 4 ms; in its slow hours the release need not wait.
-	lastCommitWait = 100 * time.Millisecond
-	// balancerNotice is how long the balancer takes to leave out a daemon that
+	releaseCommitWait = 100 * time.Millisecond
+	// balancerReactionTime is how long the balancer takes to leave out a daemon that
 	// is not ready: two questions, one a second, and the way.
-	balancerNotice = 2500 * time.Millisecond
+	balancerReactionTime = 2500 * time.Millisecond
 )
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -28,8 +28,8 @@
 		{0, true, true},
 		{owner.DutyLeaseAge - 10*time.Millisecond, true, true},
 		{owner.DutyLeaseAge + 10*time.Millisecond, true, false},
-		{storeLease - dutyReserve - 10*time.Millisecond, true, false},
-		{storeLease - dutyReserve + 10*time.Millisecond, false, false},
+		{storeLease - leaseSafetyMargin - 10*time.Millisecond, true, false},
+		{storeLease - leaseSafetyMargin + 10*time.Millisecond, false, false},
 		{storeLease, false, false},
 		{time.Minute, false, false},
 	} {
@@ -81,9 +81,9 @@
 		r.noteSuspension()
 		require.Empty(t, r.core.TakeDecisions())
 		n.clock.(*steadyClock).suspended = 3 * time.Second
-		time.Sleep(suspensionLook)
+		time.Sleep(suspensionCheckInterval)
 		r.noteSuspension()
-		time.Sleep(suspensionLook)
+		time.Sleep(suspensionCheckInterval)
 		r.noteSuspension()
 		told := r.core.TakeDecisions()
 		require.Len(t, told, 1)
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -14,7 +14,7 @@
 
 // commit starts the next transaction if one is due.
 func (t *termRun) commit(now time.Time) {
-	if t.committing || now.Sub(t.lastCommit) < commitEvery && t.core.DirtyJobs() < commitBacklog && !t.core.HasUrgentRecords() {
+	if t.committing || now.Sub(t.lastCommit) < commitInterval && t.core.DirtyJobs() < commitBacklog && !t.core.HasUrgentRecords() {
 		return
 	}
 	puts := lastOfEachKey(t.extra)
@@ -24,7 +24,7 @@
 	}
 	records := t.core.PendingRecords(ledger.MaxEntries - len(puts))
 	if len(records)+len(puts)+t.orders.waiting() == 0 {
-		if now.Sub(t.lastExpire) < expireEvery {
+		if now.Sub(t.lastExpire) < expireInterval {
 			return
 		}
 		t.lastExpire = now
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -18,9 +18,9 @@
 // event is something that happened, applied to the core on its goroutine.
 type event func(c *owner.Core, now time.Time)
 
-// eventQueue is how many events may wait for the core's goroutine. Those who
+// eventQueueLen is how many events may wait for the core's goroutine. Those who
 // bring them wait beyond.
-const eventQueue = 1024
+const eventQueueLen = 1024
 
 // termRun is this daemon's time as the owner. One goroutine owns the core; all
 // else talks to it by events.
@@ -72,7 +72,7 @@
 		}
 		return
 	}
-	t := &termRun{n: n, term: term, lease: lease, began: began, suspended: n.clock.Suspended(), events: make(chan event, eventQueue), leaving: make(chan struct{}), left: make(chan struct{}), relist: make(chan struct{}, 1), stops: stopSet{}}
+	t := &termRun{n: n, term: term, lease: lease, began: began, suspended: n.clock.Suspended(), events: make(chan event, eventQueueLen), leaving: make(chan struct{}), left: make(chan struct{}), relist: make(chan struct{}, 1), stops: stopSet{}}
 	t.starts = newFanout(startsPerCore, n.set.Cores, slotTime)
 	t.holds = newFanout(holdsPerCore, n.set.Cores, holdSlotTime)
 	t.others = newFanout(othersPerCore, n.set.Cores, slotTime)
@@ -164,7 +164,7 @@
 
 // loop runs the core until the term ends.
 func (t *termRun) loop() {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	leaving := t.leaving
 	lastTick := t.n.clock.Now()
@@ -180,7 +180,7 @@
 		case <-tick.C:
 			now := t.n.clock.Now()
 			t.noteSuspension()
-			t.core.ReportTimerDelay(now.Sub(lastTick)-tickEvery, now)
+			t.core.ReportTimerDelay(now.Sub(lastTick)-tickInterval, now)
 			lastTick = now
 			t.core.SetStoreLease(t.n.mayDoDuty(), now)
 			t.core.Tick(now)
@@ -211,25 +211,25 @@
 	}
 }
 
-// suspendedLeast is the shortest suspension that is told: what differs less lies in the
+// minSuspension is the shortest suspension that is told: what differs less lies in the
 // accuracy of the clocks, and no lease is as short.
-const suspendedLeast = 50 * time.Millisecond
+const minSuspension = 50 * time.Millisecond
 
-// suspensionLook is the least time between two looks, each of which costs a system call: an
+// suspensionCheckInterval is the least time between two looks, each of which costs a system call: an
 // event in between is at most so much older than it seems, and what is ordered by a lease
 // looks for itself.
-const suspensionLook = 5 * time.Millisecond
+const suspensionCheckInterval = 5 * time.Millisecond
 
 // noteSuspension tells the core if the instance was suspended since it was last looked at:
 // what it knows is older than the steady clock says. It comes before all that is decided by it.
 func (t *termRun) noteSuspension() {
 	now := t.n.clock.Now()
-	if now.Sub(t.lookedAt) < suspensionLook {
+	if now.Sub(t.lookedAt) < suspensionCheckInterval {
 		return
 	}
 	t.lookedAt = now
 	d := t.n.clock.Suspended() - t.suspended
-	if d < suspendedLeast {
+	if d < minSuspension {
 		return
 	}
 	t.suspended += d
@@ -238,18 +238,18 @@
 	t.core.ReportSuspension(d, now)
 }
 
-// reportEvery is how often the owner's figures are handed to the metrics.
-const reportEvery = time.Second
+// statsInterval is how often the owner's figures are handed to the metrics.
+const statsInterval = time.Second
 
 func (t *termRun) report(now time.Time) {
-	if now.Sub(t.lastReport) < reportEvery {
+	if now.Sub(t.lastReport) < statsInterval {
 		return
 	}
 	t.lastReport = now
 	stats := t.core.Stats(now)
 	t.idle.Store(stats.OpenJobs == 0 && stats.Unrecorded == 0)
 	t.behind.Store(t.core.IsBacklogged(now))
-	t.overloaded.Store(t.core.StarvedFor(now) > overloadedAfter)
+	t.overloaded.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
 	t.n.metrics.owner(stats)
 }
 
@@ -257,7 +257,7 @@
 // a time of its own: more come meanwhile, and a lease whose end is reckoned from a time
 // before its worker's answer counts as over too soon.
 func (t *termRun) drain() {
-	for range eventQueue {
+	for range eventQueueLen {
 		select {
 		case e := <-t.events:
 			e(t.core, t.n.clock.Now())
@@ -285,13 +285,13 @@
 		t.leftAt = now
 	}
 	away := t.n.store.Away()
-	if t.committing && now.Sub(t.leftAt) < lastCommitWait || now.Sub(t.triedAt) < retryPause {
+	if t.committing && now.Sub(t.leftAt) < releaseCommitWait || now.Sub(t.triedAt) < retryPause {
 		return false
 	}
 	t.triedAt = now
 	timeout := storeTimeout
 	if away {
-		timeout = releaseProbe
+		timeout = releaseProbeTimeout
 	}
 	puts, deletes := t.lastWrites()
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
--- a/jobs/node/termrun_test.go
+++ b/jobs/node/termrun_test.go
@@ -20,7 +20,7 @@
 // of each answer with the times at which it was received and which it was given.
 func TestAnEventIsNotOlderThanItself(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		run := &termRun{n: &Node{clock: &steadyClock{}}, events: make(chan event, eventQueue), ctx: t.Context()}
+		run := &termRun{n: &Node{clock: &steadyClock{}}, events: make(chan event, eventQueueLen), ctx: t.Context()}
 		given := make(chan time.Time, 1)
 		var came time.Time
 		slow := func(*owner.Core, time.Time) { time.Sleep(time.Second) } // waits for the processor
--- a/jobs/node/termsources.go
+++ b/jobs/node/termsources.go
@@ -37,7 +37,7 @@
 			}
 		})
 	}
-	jobs := follower{prefix: ledger.PrefixJobs, every: jobsEvery, apply: apply}
+	jobs := follower{prefix: ledger.PrefixJobs, every: jobsInterval, apply: apply}
 	t.n.followFrom(t.ctx, jobs, revision)
 	t.n.follow(t.ctx, jobs)
 }
@@ -61,7 +61,7 @@
 		select {
 		case <-t.ctx.Done():
 		case <-t.relist:
-		case <-time.After(max(0, instancesEvery-pause)):
+		case <-time.After(max(0, instancesInterval-pause)):
 		}
 	}
 }
@@ -70,11 +70,11 @@
 // instances, so that the list takes no more than its share of this daemon's link.
 func (t *termRun) instancesPause(instances int) time.Duration {
 	if t.n.set.LinkMbps <= 0 {
-		return instancesLeast
+		return minInstancesInterval
 	}
 	megabits := float64(instances*bytesPerInstance) * 8 / 1e6
 	pause := time.Duration(megabits / (t.n.set.LinkMbps * instancesLinkShare) * float64(time.Second))
-	return min(instancesMost, max(instancesLeast, pause))
+	return min(maxInstancesInterval, max(minInstancesInterval, pause))
 }
 
 // wantInstances asks for a reading of the instance list that begins after now.
