--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -68,7 +68,7 @@
 	c := r.core
 	c.opt.MaxMovesPerSec = 10
 	assert.Equal(t, 5, c.mayGiveBack(r.now), "half of a second's")
-	c.returnableInstances -= 12 // ordered at once for tasks that wait
+	c.returnBudget -= 12 // ordered at once for tasks that wait
 	assert.Zero(t, c.mayGiveBack(r.now))
 	r.now = r.now.Add(time.Second)
 	assert.Zero(t, c.mayGiveBack(r.now))
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -49,21 +49,21 @@
 }
 
 func (x *freeIndex) add(w *worker) {
-	w.sizeClass = x.classOf(w.Capacity)
+	w.capacityClass = x.classOf(w.Capacity)
 	w.indexedFreeCPUMilli = w.free().CPUMilli
-	at, _ := slices.BinarySearchFunc(w.sizeClass.byFree, w, compareFree)
-	w.sizeClass.byFree = slices.Insert(w.sizeClass.byFree, at, w)
+	at, _ := slices.BinarySearchFunc(w.capacityClass.byFree, w, compareFree)
+	w.capacityClass.byFree = slices.Insert(w.capacityClass.byFree, at, w)
 }
 
 // removeFromIndex takes the worker out of the index that it is in, if any.
 func (w *worker) removeFromIndex() {
-	if w.sizeClass == nil {
+	if w.capacityClass == nil {
 		return
 	}
-	if at, found := slices.BinarySearchFunc(w.sizeClass.byFree, w, compareFree); found {
-		w.sizeClass.byFree = slices.Delete(w.sizeClass.byFree, at, at+1)
+	if at, found := slices.BinarySearchFunc(w.capacityClass.byFree, w, compareFree); found {
+		w.capacityClass.byFree = slices.Delete(w.capacityClass.byFree, at, at+1)
 	}
-	w.sizeClass = nil
+	w.capacityClass = nil
 }
 
 // couldFit reports whether any worker could take the request if it were empty; true if
@@ -179,7 +179,7 @@
 func (c *Core) reindex(w *worker, now time.Time) {
 	c.colocatedWorkers.put(w, w.fillerRuns > 0 && w.servingRuns > 0 && !w.ended)
 	usable := c.workers[w.Worker] == w && c.isUsable(w, now)
-	if usable && w.sizeClass != nil && w.indexedService == w.Service && w.sizeClass.room == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
+	if usable && w.capacityClass != nil && w.indexedService == w.Service && w.capacityClass.room == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
 		return
 	}
 	w.removeFromIndex()
--- a/jobs/owner/line.go
+++ b/jobs/owner/line.go
@@ -127,25 +127,25 @@
 }
 
 // IsBacklogged reports whether work waits for its orders to be sent.
-func (c *Core) IsBacklogged(now time.Time) bool { return c.line.isBacklogged(now) }
+func (c *Core) IsBacklogged(now time.Time) bool { return c.startWindow.isBacklogged(now) }
 
 // ExpectedLateness returns by how much a job that was accepted now would be late, because starts that
 // go before its own wait to be sent; 0 if it would not be, or does not run now.
 func (c *Core) ExpectedLateness(spec *job.Job, now time.Time) time.Duration {
-	if !c.line.isBacklogged(now) || spec.Repeat > 0 || spec.Steps[0].LongRunning {
+	if !c.startWindow.isBacklogged(now) || spec.Repeat > 0 || spec.Steps[0].LongRunning {
 		return 0
 	}
 	fresh := *spec
 	fresh.AcceptedAt = now
 	j := &jobState{spec: &fresh}
 	j.takeQueue(c.catalog)
-	if !c.line.deferred[j.service] {
+	if !c.startWindow.deferred[j.service] {
 		return 0
 	}
 	j.criticalPath, j.workLeft = chainAndWork(spec)
 	j.criticalPathLeft = j.criticalPath
-	ahead := len(c.line.outstanding) + countTasksAhead(c.pool(j.service).claims, c.queueEntryOf(j, now), c.opt.JobOrder)
-	wait := time.Duration(float64(ahead) / c.line.outcomeRate * float64(time.Second))
+	ahead := len(c.startWindow.outstanding) + countTasksAhead(c.pool(j.service).claims, c.queueEntryOf(j, now), c.opt.JobOrder)
+	wait := time.Duration(float64(ahead) / c.startWindow.outcomeRate * float64(time.Second))
 	return max(0, wait-j.deadline().Sub(now.Add(j.criticalPath)))
 }
 
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -55,7 +55,7 @@
 
 func (c *Core) orderMove(m capacity.Move, now time.Time) {
 	id := InstanceID(m.Instance)
-	if c.misfits[misfit{id, m.To}] {
+	if c.rejectedMoves[misfit{id, m.To}] {
 		return
 	}
 	ms := &moveState{to: m.To, at: now, life: c.incarnationOn(&c.instances[id].Instance)}
@@ -64,7 +64,7 @@
 	if w := c.currentWorker(ms.life); w != nil {
 		c.reserve(w, reservedMove, now)
 	}
-	c.returnableInstances-- // each order takes a turn at the platform
+	c.returnBudget-- // each order takes a turn at the platform
 	c.note(Decision{Event: "move-ordered", Worker: ms.life.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
 	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
 }
@@ -92,7 +92,7 @@
 		c.fenced = true
 		return
 	case DutyInvalid:
-		c.misfits[misfit{o.Instance, o.Pool}] = true
+		c.rejectedMoves[misfit{o.Instance, o.Pool}] = true
 	}
 	c.endMove(o.Instance, m)
 }
@@ -112,7 +112,7 @@
 	if c.opt.MaxMovesPerSec <= 0 {
 		return manyMoves
 	}
-	c.returnableInstances = min(c.returnableInstances+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.lastReturnAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
+	c.returnBudget = min(c.returnBudget+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.lastReturnAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
 	c.lastReturnAt = now
-	return max(0, int(c.returnableInstances))
+	return max(0, int(c.returnBudget))
 }
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -15,7 +15,7 @@
 	r.sentAt = now
 	r.sends++
 	c.effects.Starts = append(c.effects.Starts, Start{
-		Seq:          c.line.add(now),
+		Seq:          c.startWindow.add(now),
 		Target:       c.target(r.worker),
 		Task:         r.task.id(),
 		Run:          r.number,
@@ -29,7 +29,7 @@
 
 // OnStarted takes a worker's answer to a start.
 func (c *Core) OnStarted(o Start, a Answer, now time.Time) {
-	c.line.onOutcome(o.Seq, now)
+	c.startWindow.onOutcome(o.Seq, now)
 	w := c.targetedWorker(o.Target)
 	if w == nil {
 		return
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -89,7 +89,7 @@
 		return
 	}
 	c.meanAnswerLatency = time.Duration(latencySmoothing*float64(c.meanAnswerLatency) + (1-latencySmoothing)*float64(took))
-	c.line.adjust(c.meanAnswerLatency, now)
+	c.startWindow.adjust(c.meanAnswerLatency, now)
 	if c.meanAnswerLatency < slowAnswerLatency {
 		c.slowAnswersSince = time.Time{}
 		return
--- a/jobs/owner/placing.go
+++ b/jobs/owner/placing.go
@@ -59,14 +59,14 @@
 }
 
 // startsDeferred reports whether no more starts are ordered until answers have come.
-func (p *schedulingPass) startsDeferred() bool { return p.core.line.deferred[p.service] }
+func (p *schedulingPass) startsDeferred() bool { return p.core.startWindow.deferred[p.service] }
 
 // deferStarts reports whether no further start may be ordered, and takes note of it.
 func (p *schedulingPass) deferStarts() bool {
-	if !p.core.line.isFull() {
+	if !p.core.startWindow.isFull() {
 		return false
 	}
-	p.core.line.deferred[p.service] = true
+	p.core.startWindow.deferred[p.service] = true
 	p.core.changedServices[p.service] = true
 	return true
 }
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -25,7 +25,7 @@
 		if !c.isUsable(w, now) {
 			continue
 		}
-		w.roomView, w.roomViewIndex = v, len(v.workers)
+		w.workerView, w.workerViewIndex = v, len(v.workers)
 		v.workers = append(v.workers, w)
 		v.views = append(v.views, w.placementView(now))
 	}
@@ -34,7 +34,7 @@
 
 // indexOf returns the place of a worker in the view; ok is false if it is not
 // there.
-func (v *workerView) indexOf(w *worker) (i int, ok bool) { return w.roomViewIndex, w.roomView == v }
+func (v *workerView) indexOf(w *worker) (i int, ok bool) { return w.workerViewIndex, w.workerView == v }
 
 // countStepTasks sets how many tasks of the step run on each worker, and bars those
 // that it may not run on.
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -92,15 +92,15 @@
 		return
 	}
 	c.updateIndexes(now)
-	c.line.expire(now)
+	c.startWindow.expire(now)
 	var due []*schedulingPass
 	for _, service := range slices.Sorted(maps.Keys(c.changedServices)) { // the same in each play of a test
 		pool := c.pool(service)
-		if pool.recentlyScheduled(now) || c.line.deferred[service] && !c.line.hasHeadroom() {
+		if pool.recentlyScheduled(now) || c.startWindow.deferred[service] && !c.startWindow.hasHeadroom() {
 			continue
 		}
 		delete(c.changedServices, service)
-		delete(c.line.deferred, service)
+		delete(c.startWindow.deferred, service)
 		due = append(due, c.newSchedulingPass(service, pool, now))
 	}
 	for _, p := range due {
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -224,9 +224,9 @@
 	avoidUntil          time.Time             // no new tasks until then
 	recentEnds          endWindow             // recent ends, to find bad workers
 	nextThrottleAt      time.Time
-	roomView            *workerView    // newest view of its service that it is in
-	roomViewIndex       int            // its place there
-	sizeClass           *capacityClass // its place in the index of usable workers; nil: it is not there
+	workerView          *workerView    // newest view of its service that it is in
+	workerViewIndex     int            // its place there
+	capacityClass       *capacityClass // its place in the index of usable workers; nil: it is not there
 	indexedService      string         // the service of that index
 	indexedFreeCPUMilli int            // thousandths of a core that were free then
 	indexStale          bool           // it has to be indexed anew
@@ -293,10 +293,10 @@
 	waves                  map[int]*waveState
 	pools                  map[string]*poolState
 	moves                  map[InstanceID]*moveState
-	misfits                map[misfit]bool
+	rejectedMoves          map[misfit]bool
 	evacuatedZones         map[string]bool // zones that get no new tasks
 	nextSizingAt           time.Time
-	returnableInstances    float64 // instances that may be given back at present
+	returnBudget           float64 // instances that may be given back at present
 	lastReturnAt           time.Time
 	nextWaveCheckAt        time.Time // when the waves are looked at next
 	adviceInFlight         int       // to the advisor, without an answer so far
@@ -311,7 +311,7 @@
 	quotas                 *quota.Ledger           // what each tenant has running
 	presumedUsage          presumed                // what may run of it without being known
 	takeoverDone           map[string]bool         // services of which every earlier run is known
-	loggedAwaited          map[string]takeoverWait // what others wait for, as the log says
+	loggedTakeoverWaits    map[string]takeoverWait // what others wait for, as the log says
 	lastUnconfirmed        map[string]InstanceID   // an instance of each service that had not answered when last looked for
 	startedAt              time.Time
 	electedAt              time.Time
@@ -345,7 +345,7 @@
 	decisions        []Decision
 	counts           Counts
 
-	line startWindow
+	startWindow startWindow
 }
 
 // Counts are totals since the start of the term.
@@ -423,7 +423,7 @@
 		waves:                  map[int]*waveState{},
 		pools:                  map[string]*poolState{},
 		moves:                  map[InstanceID]*moveState{},
-		misfits:                map[misfit]bool{},
+		rejectedMoves:          map[misfit]bool{},
 		dirtyJobs:              map[job.ID]*jobState{},
 		unstoredCrashes:        map[job.ID]*jobState{},
 		changedServices:        map[string]bool{},
@@ -431,9 +431,9 @@
 		shares:                 quota.NewShares(),
 		quotas:                 quota.New(),
 		takeoverDone:           map[string]bool{},
-		loggedAwaited:          map[string]takeoverWait{},
+		loggedTakeoverWaits:    map[string]takeoverWait{},
 		lastUnconfirmed:        map[string]InstanceID{},
-		line:                   newStartWindow(opt.MaxPendingStarts),
+		startWindow:            newStartWindow(opt.MaxPendingStarts),
 		orderHoldoff:           map[InstanceID]time.Time{},
 		startedAt:              now,
 		electedAt:              now,
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -126,11 +126,11 @@
 }
 
 func (c *Core) logTakeoverWait(service, whom string, now time.Time) {
-	said := c.loggedAwaited[service]
+	said := c.loggedTakeoverWaits[service]
 	if said.waitsFor == whom || now.Sub(said.loggedAt) < takeoverWaitLogInterval {
 		return
 	}
-	c.loggedAwaited[service] = takeoverWait{whom, now}
+	c.loggedTakeoverWaits[service] = takeoverWait{whom, now}
 	c.note(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + whom})
 }
 
--- a/jobs/owner/window_test.go
+++ b/jobs/owner/window_test.go
@@ -24,7 +24,7 @@
 func TestUrgentWorkDoesNotWaitInLine(t *testing.T) {
 	const window, workers, rounds = 16, 40, 3
 	r := newRig(t, 1)
-	r.core.line = newStartWindow(window)
+	r.core.startWindow = newStartWindow(window)
 	for i := range workers {
 		r.held(r.worker(fmt.Sprintf("w%02d", i)), nil)
 	}
@@ -51,7 +51,7 @@
 func TestAllWorkIsStarted(t *testing.T) {
 	const window, jobs, width = 4, 12, 8
 	r := newRig(t, 1)
-	r.core.line = newStartWindow(window)
+	r.core.startWindow = newStartWindow(window)
 	var all []WorkerID
 	for i := range 20 {
 		w := r.worker(fmt.Sprintf("w%02d", i))
@@ -104,8 +104,8 @@
 	r.held(a, nil)
 	r.submit(1, 8) // fills it
 	require.Len(t, r.started(), 8)
-	r.core.line = newStartWindow(1)
-	r.core.line.add(r.now)
+	r.core.startWindow = newStartWindow(1)
+	r.core.startWindow.add(r.now)
 	lasting := simpleJob(2, 3)
 	lasting.Steps[0].LongRunning = true
 	r.core.Submit(lasting, r.now)
@@ -118,7 +118,7 @@
 func TestDeadWorkersDoNotHoldUpTheLine(t *testing.T) {
 	const window = 4
 	r := newRig(t, 1)
-	r.core.line = newStartWindow(window)
+	r.core.startWindow = newStartWindow(window)
 	for i := range 10 {
 		r.held(r.worker(fmt.Sprintf("w%02d", i)), nil)
 	}
@@ -134,7 +134,7 @@
 func TestTheOwnerKnowsWhatWouldBeLate(t *testing.T) {
 	const window, jobs, width, estimate = 4, 20, 8, time.Second
 	r := newRig(t, 1)
-	r.core.line = newStartWindow(window)
+	r.core.startWindow = newStartWindow(window)
 	for i := range 40 {
 		r.held(r.worker(fmt.Sprintf("w%02d", i)), nil)
 	}
