--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -48,34 +48,34 @@
 
 // Figures of advice.
 const (
-	// advisedWorkers is how many workers one question names: the advisor's time
+	// maxWorkersPerQuery is how many workers one question names: the advisor's time
 	// grows with each.
-	advisedWorkers = 30
-	// openQuestions is how many may be under way: the advisor takes one at a time
+	maxWorkersPerQuery = 30
+	// maxOpenQueries is how many may be under way: the advisor takes one at a time
 	// and refuses beyond 32.
-	openQuestions = 8
+	maxOpenQueries = 8
 	// ticketMargin of a ticket's validity is left for the start to arrive.
 	ticketMargin = 250 * time.Millisecond
-	// askAgain is the pause after a question without an answer.
-	askAgain = 300 * time.Millisecond
+	// adviceRetryDelay is the pause after a question without an answer.
+	adviceRetryDelay = 300 * time.Millisecond
 	// AdviceTimeout bounds a question: some queued ones, each of a second at most.
 	AdviceTimeout = 5 * time.Second
 )
 
 // permits is what is known of the workers that may run a step.
 type permits struct {
-	tickets map[WorkerID]ticket
-	refused map[WorkerID]bool // may not run it, which does not change
-	asking  bool
-	askedAt time.Time
-	retryAt time.Time
+	tickets   map[WorkerID]ticket
+	denied    map[WorkerID]bool // may not run it, which does not change
+	queryOpen bool
+	askedAt   time.Time
+	retryAt   time.Time
 
-	refusals int // tickets that workers refused on end
+	rejectedTickets int // tickets that workers refused on end
 }
 
 type ticket struct {
-	text  string
-	until time.Time
+	text       string
+	validUntil time.Time
 }
 
 func (s *stepState) id() StepID { return StepID{s.job.spec.ID, s.occurrence, s.index} }
@@ -83,9 +83,9 @@
 // needsPermits reports whether the step may only run where the advisor says.
 func (s *stepState) needsPermits() bool { return s.job.queue.Advice != nil }
 
-// permitted reports whether the step has a valid ticket for the worker.
-func (s *stepState) permitted(w *worker, now time.Time) bool {
-	return s.permits != nil && now.Add(ticketMargin).Before(s.permits.tickets[w.Worker].until)
+// hasValidTicket reports whether the step has a valid ticket for the worker.
+func (s *stepState) hasValidTicket(w *worker, now time.Time) bool {
+	return s.permits != nil && now.Add(ticketMargin).Before(s.permits.tickets[w.Worker].validUntil)
 }
 
 // ticketFor returns the ticket of a start, "" if it needs none.
@@ -96,18 +96,18 @@
 	return s.permits.tickets[w.Worker].text
 }
 
-// ask asks the advisor about usable workers, those with the most room first.
-func (c *Core) ask(s *stepState, room *workerView, now time.Time) {
+// queryAdvisor asks the advisor about usable workers, those with the most room first.
+func (c *Core) queryAdvisor(s *stepState, room *workerView, now time.Time) {
 	if s.permits == nil {
-		s.permits = &permits{tickets: map[WorkerID]ticket{}, refused: map[WorkerID]bool{}}
+		s.permits = &permits{tickets: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
 	}
 	p := s.permits
-	if p.asking || now.Before(p.retryAt) || c.adviceInFlight >= openQuestions {
+	if p.queryOpen || now.Before(p.retryAt) || c.adviceInFlight >= maxOpenQueries {
 		return
 	}
 	var list []*worker
 	for _, w := range room.workers {
-		if !p.refused[w.Worker] && !s.permitted(w, now) {
+		if !p.denied[w.Worker] && !s.hasValidTicket(w, now) {
 			list = append(list, w)
 		}
 	}
@@ -116,10 +116,10 @@
 	}
 	sort.SliceStable(list, func(a, b int) bool { return list[a].free().CPUMilli > list[b].free().CPUMilli })
 	q := AdviceQuery{Step: s.id()}
-	for _, w := range list[:min(len(list), advisedWorkers)] {
+	for _, w := range list[:min(len(list), maxWorkersPerQuery)] {
 		q.Workers = append(q.Workers, w.Worker)
 	}
-	p.asking = true
+	p.queryOpen = true
 	p.askedAt = now
 	c.adviceInFlight++
 	c.effects.AdviceQueries = append(c.effects.AdviceQueries, q)
@@ -138,11 +138,11 @@
 		return
 	}
 	p := s.permits
-	p.asking = false
+	p.queryOpen = false
 	c.changedServices[j.service] = true
 	c.pool(j.service).placedAt = time.Time{} // tickets last for a short time: place at once
 	if a.Err != nil {
-		p.retryAt = now.Add(askAgain)
+		p.retryAt = now.Add(adviceRetryDelay)
 		c.note(Decision{Event: "advice-failed", Job: j.spec.ID, Reason: a.Err.Error()})
 		return
 	}
@@ -157,7 +157,7 @@
 	}
 	for _, w := range q.Workers {
 		if !good[w] {
-			p.refused[w] = true
+			p.denied[w] = true
 		}
 	}
 }
@@ -169,7 +169,7 @@
 		return
 	}
 	delete(p.tickets, w.Worker)
-	if p.refusals++; p.refusals > ticketsRefused {
-		p.retryAt = laterOf(p.retryAt, now.Add(ticketPauses.after(p.refusals-ticketsRefused)))
+	if p.rejectedTickets++; p.rejectedTickets > ticketRejectionsBeforeBackoff {
+		p.retryAt = laterOf(p.retryAt, now.Add(ticketBackoff.delay(p.rejectedTickets-ticketRejectionsBeforeBackoff)))
 	}
 }
--- a/jobs/owner/budget.go
+++ b/jobs/owner/budget.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// viewAge is how old a worker's list of runs may be for a decision that ends
+// maxRunListAge is how old a worker's list of runs may be for a decision that ends
 // tasks: the hold that brought it was sent two holds ago at most. An owner that was
 // frozen, or that is short of processor time, knows less than it seems.
-const viewAge = 2500 * time.Millisecond
+const maxRunListAge = 2500 * time.Millisecond
 
-// known reports whether what runs on the worker is known well enough to count on.
-func (w *worker) known(now time.Time) bool {
-	return !w.isSilent() && now.Sub(w.answeredHoldSentAt) <= viewAge
+// hasFreshRunList reports whether what runs on the worker is hasFreshRunList well enough to count on.
+func (w *worker) hasFreshRunList(now time.Time) bool {
+	return !w.isSilent() && now.Sub(w.answeredHoldSentAt) <= maxRunListAge
 }
 
-// lastingOn counts the long-running tasks on a worker by their step.
-func lastingOn(w *worker) map[*stepState]int {
+// longRunningOn counts the long-running tasks on a worker by their step.
+func longRunningOn(w *worker) map[*stepState]int {
 	here := map[*stepState]int{}
 	for _, r := range w.runs {
 		if s := r.task.step; s.spec.LongRunning && !s.job.state.Final() {
@@ -23,45 +23,45 @@
 	return here
 }
 
-// awayBeside counts the tasks of a step that are away beside those on w. A task
+// unavailableElsewhere counts the tasks of a step that are away beside those on w. A task
 // on a worker that was ordered away is.
-func awayBeside(s *stepState, w *worker, now time.Time) int {
+func unavailableElsewhere(s *stepState, w *worker, now time.Time) int {
 	away := 0
 	for _, t := range s.tasks {
-		if !t.on(w) && !t.isServing(now) {
+		if !t.runsOn(w) && !t.isServing(now) {
 			away++
 		}
 	}
 	return away
 }
 
-// mayTake reports whether the budgets of the long-running tasks on the worker
+// canTakeDown reports whether the budgets of the long-running tasks on the worker
 // allow to take it away now: of each step at most MayMiss tasks are away.
-func mayTake(w *worker, now time.Time) bool {
-	for s, n := range lastingOn(w) {
-		if awayBeside(s, w, now)+n > s.spec.MayMiss {
+func canTakeDown(w *worker, now time.Time) bool {
+	for s, n := range longRunningOn(w) {
+		if unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
 			return false
 		}
 	}
 	return true
 }
 
-// mayThin reports whether tasks can be moved away from the worker one by one,
+// canThinOut reports whether tasks can be moved away from the worker one by one,
 // because it has more of a step than may be away at once.
-func mayThin(w *worker, now time.Time) bool {
-	for s, n := range lastingOn(w) {
-		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && awayBeside(s, w, now)+n > s.spec.MayMiss {
+func canThinOut(w *worker, now time.Time) bool {
+	for s, n := range longRunningOn(w) {
+		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
 			return false
 		}
 	}
 	return true
 }
 
-// thin stops one task of each step of which a reserved worker has more than
+// thinOut stops one task of each step of which a reserved worker has more than
 // may be away at once; it comes back on another worker.
-func (c *Core) thin(w *worker, now time.Time) {
-	for s, n := range lastingOn(w) {
-		if n <= s.spec.MayMiss || awayBeside(s, w, now) > 0 || stoppingOn(s, w) {
+func (c *Core) thinOut(w *worker, now time.Time) {
+	for s, n := range longRunningOn(w) {
+		if n <= s.spec.MayMiss || unavailableElsewhere(s, w, now) > 0 || hasRunNotServing(s, w) {
 			continue
 		}
 		for _, r := range w.runs {
@@ -73,7 +73,7 @@
 	}
 }
 
-func stoppingOn(s *stepState, w *worker) bool {
+func hasRunNotServing(s *stepState, w *worker) bool {
 	for _, r := range w.runs {
 		if r.task.step == s && (r.phase != running || r.percent < 100) {
 			return true
@@ -82,8 +82,8 @@
 	return false
 }
 
-// on reports whether the task runs on w.
-func (t *task) on(w *worker) bool {
+// runsOn reports whether the task runs runsOn w.
+func (t *task) runsOn(w *worker) bool {
 	for _, r := range t.runs {
 		if r.worker == w {
 			return true
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -8,12 +8,12 @@
 
 // Figures of copies of speculative tasks.
 const (
-	// copyAfter is how many times its estimate a task may take, and copySlack how
+	// copyDelayFactor is how many times its estimate a task may take, and copySlack how
 	// much more, before a copy is started: estimates are off by half and more.
-	copyAfter = 1.8
-	copySlack = 400 * time.Millisecond
-	// maxCopies of one task run at the same time.
-	maxCopies = 2
+	copyDelayFactor = 1.8
+	copyExtraDelay  = 400 * time.Millisecond
+	// maxSpeculativeRuns of one task run at the same time.
+	maxSpeculativeRuns = 2
 )
 
 // copyNeed says how much a task needs a second run.
@@ -25,20 +25,20 @@
 	urgentCopy          // its worker is silent, or the run is to end
 )
 
-// wantsCopy reports whether a copy of a speculative task may be sooner.
-func (t *task) wantsCopy(now time.Time) copyNeed {
+// copyNeed reports whether a copy of a speculative task may be sooner.
+func (t *task) copyNeed(now time.Time) copyNeed {
 	spec := t.step.spec
-	if !spec.Speculative || t.done || spec.LongRunning || len(t.runs) == 0 || len(t.runs) >= maxCopies {
+	if !spec.Speculative || t.done || spec.LongRunning || len(t.runs) == 0 || len(t.runs) >= maxSpeculativeRuns {
 		return noCopy
 	}
-	if len(t.crashes) >= proofNeeds {
+	if len(t.crashes) >= minCrashesForProof {
 		return noCopy // it may crash the worker of the copy, too
 	}
 	r := t.runs[0]
 	if r.phase == stopping || r.worker.isSilent() {
 		return urgentCopy
 	}
-	late := time.Duration(copyAfter*float64(spec.Estimate)) + copySlack
+	late := time.Duration(copyDelayFactor*float64(spec.Estimate)) + copyExtraDelay
 	if r.phase == running && now.Sub(r.confirmedAt) > late && t.suspicion() == job.Unsuspected {
 		return lateCopy
 	}
@@ -62,10 +62,10 @@
 func (p *schedulingPass) placeCopies(s *stepState, need copyNeed) {
 	var choice *workerSelector
 	for _, t := range s.tasks {
-		if t.wantsCopy(p.now) != need {
+		if t.copyNeed(p.now) != need {
 			continue
 		}
-		if p.deferStarts() || !p.core.mayStart(s.job.spec, s.spec, 1, p.now) {
+		if p.deferStarts() || !p.core.quotaAllows(s.job.spec, s.spec, 1, p.now) {
 			return
 		}
 		if choice == nil {
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -429,7 +429,7 @@
 	}{
 		{1.2, 100, 50}, {1.2, 50, 25}, {1.2, 10, 0}, {0.8, 40, 40}, {0.5, 40, 60}, {0.5, 90, 100}, {0.5, 100, 100}, {1.2, unknownThrottle, 50},
 	} {
-		assert.Equal(t, c.want, paceFor(c.worst, c.current), "tail %.1f times the target at %d%%", c.worst, c.current)
+		assert.Equal(t, c.want, nextThrottle(c.worst, c.current), "tail %.1f times the target at %d%%", c.worst, c.current)
 	}
 }
 
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -17,64 +17,64 @@
 
 // Figures of crashes.
 const (
-	// crashSoon is how long after a run was confirmed a crash counts as early. A crash at
+	// earlyCrashTime is how long after a run was confirmed a crash counts as early. A crash at
 	// the start shows within milliseconds; the answer may wait for the owner's processor.
-	crashSoon = 150 * time.Millisecond
-	// verdictAfter is how long after the end of a life it is decided whether a task may have
+	earlyCrashTime = 150 * time.Millisecond
+	// lossDecisionDelay is how long after the end of a life it is decided whether a task may have
 	// been the cause: other workers of a rack that failed are seen to be lost by then.
-	verdictAfter = 400 * time.Millisecond
-	// verdictPatience bounds how long a task waits for it before it starts once more: the
+	lossDecisionDelay = 400 * time.Millisecond
+	// maxLossDecisionTime bounds how long a task waits for it before it starts once more: the
 	// fate of a worker is known within about three seconds, or it is cut off.
-	verdictPatience = 6 * time.Second
-	// unknownPatience is how long a new owner waits for the lists to show a worker that an
+	maxLossDecisionTime = 6 * time.Second
+	// unseenWorkerWait is how long a new owner waits for the lists to show a worker that an
 	// earlier one lost contact to.
-	unknownPatience = 2500 * time.Millisecond
-	// lostKept is how long the end of a life is remembered for these decisions: the longest
+	unseenWorkerWait = 2500 * time.Millisecond
+	// lostWorkerRetention is how long the end of a life is remembered for these decisions: the longest
 	// wait for one, and some seconds.
-	lostKept = verdictPatience + 2*time.Second
-	// lastingProof is how long a long-running task has to be at work to be cleared.
-	lastingProof = 10 * time.Second
+	lostWorkerRetention = maxLossDecisionTime + 2*time.Second
+	// longRunningClearTime is how long a long-running task has to be at work to be cleared.
+	longRunningClearTime = 10 * time.Second
 )
 
-// isEarly reports whether the run's worker was lost as soon as the run began, as far as is
+// isEarlyLoss reports whether the run's worker was lost as soon as the run began, as far as is
 // known.
-func (r *run) isEarly() bool {
-	return !r.firstSentAt.IsZero() && (r.phase == starting || r.aliveAfterStart() <= crashSoon)
+func (r *run) isEarlyLoss() bool {
+	return !r.firstSentAt.IsZero() && (r.phase == starting || r.aliveAfterStart() <= earlyCrashTime)
 }
 
-// loseContact takes note of a call to the worker without an answer. What was started there a
+// onContactLost takes note of a call to the worker without an answer. What was started there a
 // moment ago may be the cause: that is recorded before the worker's fate is known, so that
 // the next owner knows of it.
-func (c *Core) loseContact(w *worker, a Answer, now time.Time) {
+func (c *Core) onContactLost(w *worker, a Answer, now time.Time) {
 	if !w.markContactLost(a, now) || c.isStarved(now) {
 		return
 	}
 	for _, r := range runsByNumber(w) {
-		if r.isEarly() {
-			c.noteCrash(r, now)
+		if r.isEarlyLoss() {
+			c.recordPossibleCrash(r, now)
 		}
 	}
 }
 
-// noteCrash records that the run may have crashed its worker, or that the worker has crashed
+// recordPossibleCrash records that the run may have crashed its worker, or that the worker has crashed
 // for another reason.
-func (c *Core) noteCrash(r *run, now time.Time) {
+func (c *Core) recordPossibleCrash(r *run, now time.Time) {
 	t := r.task
-	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsByOrder() {
+	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsAsPlanned() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), Early: r.isEarly(), Exact: r.worker.contactLoss.connFailed, Alone: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), Early: r.isEarlyLoss(), Exact: r.worker.contactLoss.connFailed, Alone: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
-		c.addCrash(t, k)
+		c.addUndecidedCrash(t, k)
 		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.workerSeenAfterStart()})
 	}
 	c.markCrashDirty(t.step.job)
 }
 
-// addCrash adds a crash that is open.
-func (c *Core) addCrash(t *task, k job.Crash) {
+// addUndecidedCrash adds a crash that is open.
+func (c *Core) addUndecidedCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
 	l := parseIncarnation(k.Worker)
 	c.openCrashes[l] = append(c.openCrashes[l], t)
@@ -82,94 +82,94 @@
 
 // isOnlyCause reports whether no run of another job explains the loss of the worker as well.
 func (r *run) isOnlyCause() bool {
-	early := r.isEarly()
+	early := r.isEarlyLoss()
 	for _, o := range r.worker.runs {
-		if o.task.step.job != r.task.step.job && (!early || o.isEarly()) {
+		if o.task.step.job != r.task.step.job && (!early || o.isEarlyLoss()) {
 			return false
 		}
 	}
 	return true
 }
 
-// endsByOrder reports whether the worker's life ends as planned: moved, maintained or drained.
-func (w *worker) endsByOrder() bool {
+// endsAsPlanned reports whether the worker's life ends as planned: moved, maintained or drained.
+func (w *worker) endsAsPlanned() bool {
 	return w.endOrdered || w.Draining || w.reserved == reservedMove
 }
 
-// lookInto decides later whether a task may have ended a life.
-func (c *Core) lookInto(w *worker, now time.Time) {
+// investigateLoss decides later whether a task may have ended a life.
+func (c *Core) investigateLoss(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
 		w.contactLoss = contactLoss{lostAt: now, lastAnswerAt: w.lastAnswerAt}
 	}
 	for _, r := range runsByNumber(w) {
-		c.noteCrash(r, now)
+		c.recordPossibleCrash(r, now)
 	}
 	w.crashSuspects = slices.Clone(c.openCrashes[w.incarnation()])
 	c.recentlyEnded = append(c.recentlyEnded, w)
 	if len(c.openCrashes[w.incarnation()]) > 0 {
-		c.crashDecisionsDue.add(now.Add(verdictAfter), w)
+		c.crashDecisionsDue.add(now.Add(lossDecisionDelay), w)
 	}
 }
 
-// decideCrashes decides on the lives that ended a moment ago.
-func (c *Core) decideCrashes(now time.Time) {
-	for _, w := range c.crashDecisionsDue.due(now) {
-		c.decideCrash(w, now)
+// decideLosses decides on the lives that ended a moment ago.
+func (c *Core) decideLosses(now time.Time) {
+	for _, w := range c.crashDecisionsDue.popAllDue(now) {
+		c.decideLoss(w, now)
 	}
-	c.decideOnUnknown(now)
-	c.recentlyEnded = slices.DeleteFunc(c.recentlyEnded, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostKept })
+	c.decideUnseenWorkers(now)
+	c.recentlyEnded = slices.DeleteFunc(c.recentlyEnded, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostWorkerRetention })
 }
 
-// decideCrash decides on a life that ended. Silence of the others of its rack is waited out:
+// decideLoss decides on a life that ended. Silence of the others of its rack is waited out:
 // on a way that is cut for seconds each crash of a task would be put down to the rack.
-func (c *Core) decideCrash(w *worker, now time.Time) {
-	if w.endsByOrder() {
+func (c *Core) decideLoss(w *worker, now time.Time) {
+	if w.endsAsPlanned() {
 		c.clearCrashes(w.incarnation(), "it ended as planned")
 		return
 	}
-	with := c.lostWith(w)
+	with := c.lossCorrelationOf(w)
 	switch {
-	case with == perhapsTogether && now.Sub(w.contactLoss.lostAt) < verdictPatience:
-		c.crashDecisionsDue.add(now.Add(verdictAfter), w)
-	case with == lostAlone:
+	case with == possiblyCorrelated && now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime:
+		c.crashDecisionsDue.add(now.Add(lossDecisionDelay), w)
+	case with == uncorrelated:
 		c.confirmCrashes(w.incarnation(), now)
 	default:
 		c.clearCrashes(w.incarnation(), "its rack or zone failed")
 	}
 }
 
-// decideOnUnknown decides on workers to which an earlier owner lost contact, and which have
+// decideUnseenWorkers decides on workers to which an earlier owner lost contact, and which have
 // not answered this one: if the instance list does not show such a life it is over.
-func (c *Core) decideOnUnknown(now time.Time) {
-	if len(c.openCrashes) == 0 || now.Sub(c.startedAt) < unknownPatience || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
+func (c *Core) decideUnseenWorkers(now time.Time) {
+	if len(c.openCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
 	}
 	for _, l := range slices.SortedFunc(maps.Keys(c.openCrashes), compareIncarnations) {
-		if !c.isLookedInto(l) && c.isOverUnseen(l) {
+		if !c.isUnderInvestigation(l) && c.isUnseenLifeOver(l) {
 			c.confirmCrashes(l, now)
 		}
 	}
 }
 
-// isOverUnseen reports whether a life that has not answered this owner is over.
-func (c *Core) isOverUnseen(l incarnation) bool {
+// isUnseenLifeOver reports whether a life that has not answered this owner is over.
+func (c *Core) isUnseenLifeOver(l incarnation) bool {
 	w := c.workers[l.worker]
 	if w != nil && w.relationTo(l.startedMs) != sameIncarnation {
 		return true // another one has followed
 	}
-	return (w == nil || !w.heldByUs && !w.ended) && !c.isLife(l.worker)
+	return (w == nil || !w.heldByUs && !w.ended) && !c.isOnInstanceList(l.worker)
 }
 
-// isLife reports whether the instance list shows the worker as present.
-func (c *Core) isLife(id WorkerID) bool {
+// isOnInstanceList reports whether the instance list shows the worker as present.
+func (c *Core) isOnInstanceList(id WorkerID) bool {
 	i := c.instances[c.instanceOfWorker[id]]
 	return i != nil && i.Worker == id
 }
 
-// isLookedInto reports whether a decision on the life is due by itself.
-func (c *Core) isLookedInto(l incarnation) bool {
+// isUnderInvestigation reports whether a decision on the life is due by itself.
+func (c *Core) isUnderInvestigation(l incarnation) bool {
 	for _, e := range c.crashDecisionsDue.entries {
-		if e.what.incarnation() == l {
+		if e.value.incarnation() == l {
 			return true
 		}
 	}
@@ -216,7 +216,7 @@
 	if j.state.Final() || !t.isGivenUp() {
 		return
 	}
-	serves := t.step.spec.LongRunning && j.serves(now)
+	serves := t.step.spec.LongRunning && j.isServing(now)
 	outcome := "its job fails"
 	if serves {
 		outcome = "the others of its job go on"
@@ -229,8 +229,8 @@
 	}
 }
 
-// serves reports whether a long-running task of the job is at work.
-func (j *jobState) serves(now time.Time) bool {
+// isServing reports whether a long-running task of the job is at work.
+func (j *jobState) isServing(now time.Time) bool {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			if s.spec.LongRunning && t.isServing(now) {
@@ -249,16 +249,16 @@
 func (c *Core) restoreCrashes(t *task, crashes job.Crashes) {
 	for _, k := range crashes {
 		if k.Open() {
-			c.addCrash(t, k)
+			c.addUndecidedCrash(t, k)
 		} else {
 			t.crashes = append(t.crashes, k)
 		}
 	}
 }
 
-// giveUpProven fails a job if an earlier owner had proof against one of its tasks. Whether
+// failIfCrashProven fails a job if an earlier owner had proof against one of its tasks. Whether
 // long-running ones of it serve is not known yet: they are left to go on.
-func (c *Core) giveUpProven(j *jobState, now time.Time) {
+func (c *Core) failIfCrashProven(j *jobState, now time.Time) {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			if !s.spec.LongRunning {
@@ -281,9 +281,9 @@
 	c.note(Decision{Event: "crash-ruled-out", Worker: l.worker, Reason: why})
 }
 
-// clearSurvivors takes back what was held against the tasks of a worker that answers, but
+// clearCrashesOfAnswering takes back what was held against the tasks of a worker that answers, but
 // for those that have just started.
-func (c *Core) clearSurvivors(w *worker, now time.Time) {
+func (c *Core) clearCrashesOfAnswering(w *worker, now time.Time) {
 	l := w.incarnation()
 	tasks := c.openCrashes[l]
 	if len(tasks) == 0 {
@@ -293,9 +293,9 @@
 	for _, t := range tasks {
 		t.crashes = t.crashes.Without(func(k job.Crash) bool {
 			r := t.findRun(k.Run, w)
-			return k.Worker == l.String() && (r == nil || r.hasSettled(now))
+			return k.Worker == l.String() && (r == nil || r.isStable(now))
 		})
-		if t.isOpenOn(l) {
+		if t.hasUndecidedCrashOn(l) {
 			left = append(left, t)
 		}
 	}
@@ -306,12 +306,12 @@
 	c.openCrashes[l] = left
 }
 
-// forgetCrash takes back what was held against the task for a run.
-func (t *task) forgetCrash(run uint64) {
+// dropUndecidedCrash takes back what was held against the task for a run.
+func (t *task) dropUndecidedCrash(run uint64) {
 	t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Run == run && k.Open() })
 }
 
-func (t *task) isOpenOn(l incarnation) bool {
+func (t *task) hasUndecidedCrashOn(l incarnation) bool {
 	for _, k := range t.crashes {
 		if k.Worker == l.String() {
 			return true
@@ -320,41 +320,41 @@
 	return false
 }
 
-// awaitsVerdict reports whether the task has to wait for the fate of workers: one more start
+// awaitsLossDecision reports whether the task has to wait for the fate of workers: one more start
 // before it is known could be one too many.
-func (t *task) awaitsVerdict(c *Core, now time.Time) bool {
-	if len(t.crashes) < proofNeeds {
+func (t *task) awaitsLossDecision(c *Core, now time.Time) bool {
+	if len(t.crashes) < minCrashesForProof {
 		return false
 	}
 	for _, k := range t.crashes {
-		if k.Open() && c.isFateOpen(parseIncarnation(k.Worker), now) {
+		if k.Open() && c.isLossUndecided(parseIncarnation(k.Worker), now) {
 			return true
 		}
 	}
 	return false
 }
 
-// proofNeeds is how many crashes may convict a task.
-const proofNeeds = 2
+// minCrashesForProof is how many crashes may convict a task.
+const minCrashesForProof = 2
 
-// isFateOpen reports whether it will be known soon what became of the worker.
-func (c *Core) isFateOpen(l incarnation, now time.Time) bool {
+// isLossUndecided reports whether it will be known soon what became of the worker.
+func (c *Core) isLossUndecided(l incarnation, now time.Time) bool {
 	if w := c.currentWorker(l); w != nil {
-		return now.Sub(w.contactLoss.lostAt) < verdictPatience
+		return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
 	}
 	for _, w := range c.recentlyEnded {
 		if w.incarnation() == l {
-			return now.Sub(w.contactLoss.lostAt) < verdictPatience
+			return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
 		}
 	}
-	return now.Sub(c.startedAt) < verdictPatience
+	return now.Sub(c.startedAt) < maxLossDecisionTime
 }
 
-// clearLasting clears a long-running task that has been at work for long enough: what befell
+// clearLongRunning clears a long-running task that has been at work for long enough: what befell
 // it before says nothing of it any more.
-func (c *Core) clearLasting(r *run, now time.Time) {
+func (c *Core) clearLongRunning(r *run, now time.Time) {
 	t := r.task
-	if !t.step.spec.LongRunning || r.percent < 100 || now.Sub(r.confirmedAt) < lastingProof {
+	if !t.step.spec.LongRunning || r.percent < 100 || now.Sub(r.confirmedAt) < longRunningClearTime {
 		return
 	}
 	t.consecutiveRetries, t.stalls = 0, 0
--- a/jobs/owner/due.go
+++ b/jobs/owner/due.go
@@ -5,58 +5,58 @@
 	"time"
 )
 
-// dueQueue says what has to be looked at when. Entries are not taken out early: whoever
+// timerQueue says what has to be looked at when. Entries are not taken out early: whoever
 // takes one looks whether it still applies. Adding one, and taking the next, cost the
 // logarithm of how many there are.
-type dueQueue[T any] struct {
-	entries dueHeap[T]
-	added   uint64
+type timerQueue[T any] struct {
+	entries timerHeap[T]
+	lastSeq uint64
 }
 
-func (q *dueQueue[T]) add(at time.Time, what T) {
-	q.added++
-	heap.Push(&q.entries, dueEntry[T]{at, q.added, what})
+func (q *timerQueue[T]) add(at time.Time, what T) {
+	q.lastSeq++
+	heap.Push(&q.entries, timerEntry[T]{at, q.lastSeq, what})
 }
 
-// next takes the earliest entry that is due by now; ok is false if none is.
-func (q *dueQueue[T]) next(now time.Time) (what T, ok bool) {
+// popDue takes the earliest entry that is due by now; ok is false if none is.
+func (q *timerQueue[T]) popDue(now time.Time) (what T, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].at.After(now) {
 		return what, false
 	}
-	return heap.Pop(&q.entries).(dueEntry[T]).what, true
+	return heap.Pop(&q.entries).(timerEntry[T]).value, true
 }
 
-// due takes all entries that are due by now.
-func (q *dueQueue[T]) due(now time.Time) []T {
+// popAllDue takes all entries that are popAllDue by now.
+func (q *timerQueue[T]) popAllDue(now time.Time) []T {
 	var out []T
-	for what, ok := q.next(now); ok; what, ok = q.next(now) {
+	for what, ok := q.popDue(now); ok; what, ok = q.popDue(now) {
 		out = append(out, what)
 	}
 	return out
 }
 
-type dueEntry[T any] struct {
+type timerEntry[T any] struct {
 	at    time.Time
-	order uint64 // among those of one time
-	what  T
+	seq   uint64 // among those of one time
+	value T
 }
 
-type dueHeap[T any] []dueEntry[T]
+type timerHeap[T any] []timerEntry[T]
 
-func (h dueHeap[T]) Len() int { return len(h) }
-func (h dueHeap[T]) Less(a, b int) bool {
+func (h timerHeap[T]) Len() int { return len(h) }
+func (h timerHeap[T]) Less(a, b int) bool {
 	if h[a].at.Equal(h[b].at) {
-		return h[a].order < h[b].order
+		return h[a].seq < h[b].seq
 	}
 	return h[a].at.Before(h[b].at)
 }
-func (h dueHeap[T]) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
-func (h *dueHeap[T]) Push(e any)   { *h = append(*h, e.(dueEntry[T])) }
-func (h *dueHeap[T]) Pop() any {
+func (h timerHeap[T]) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h *timerHeap[T]) Push(e any)   { *h = append(*h, e.(timerEntry[T])) }
+func (h *timerHeap[T]) Pop() any {
 	old := *h
 	last := len(old) - 1
 	e := old[last]
-	old[last] = dueEntry[T]{} // what it held may be freed
+	old[last] = timerEntry[T]{} // what it held may be freed
 	*h = old[:last]
 	return e
 }
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -125,13 +125,13 @@
 	j := s.job
 	c.saveCheckpoint(t, e.Checkpoint)
 	c.note(Decision{Event: "task-failed", Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
-	c.judge(w, now)
+	c.avoidIfFailing(w, now)
 	if t.done {
 		return // a copy of it was
 	}
 	if s.spec.LongRunning { // it has no limit of attempts
 		t.consecutiveRetries++
-		t.notBefore = now.Add(lastingPauses.after(t.consecutiveRetries))
+		t.notBefore = now.Add(longRunningBackoff.delay(t.consecutiveRetries))
 		return
 	}
 	t.failures = t.failures.With(e.Run)
@@ -185,9 +185,9 @@
 	if cause != CauseWork {
 		r.ended(cause, now)
 	}
-	c.dropRun(r)
+	c.removeRun(r)
 	if r.worker.contactLoss.lostAt.IsZero() && !r.fromPastIncarnation {
-		r.task.forgetCrash(r.number) // its worker is there
+		r.task.dropUndecidedCrash(r.number) // its worker is there
 	}
 	c.markWorkerChanged(r.worker)
 	c.changedServices[r.worker.Service] = true
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -142,7 +142,7 @@
 
 // hasRecentFailures reports whether several of the worker's newest tasks failed.
 func (w *worker) hasRecentFailures(now time.Time) bool {
-	return w.recentEnds.failures(now) >= failuresToAvoid
+	return w.recentEnds.failures(now) >= minFailuresToAvoid
 }
 
 // placementView returns the worker as placement sees it.
@@ -164,7 +164,7 @@
 // updateIndexes brings the indexes up to date with the workers that were touched, and with
 // those that were put aside until now.
 func (c *Core) updateIndexes(now time.Time) {
-	for _, w := range c.avoidedDue.due(now) {
+	for _, w := range c.avoidedDue.popAllDue(now) {
 		c.markWorkerChanged(w)
 	}
 	for _, w := range c.staleIndexWorkers {
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -6,44 +6,44 @@
 // platform names: a worker that fails all it starts, and one whose tasks
 // stand still.
 const (
-	// endsKept is how many recent ends a worker is judged by.
-	endsKept = 8
-	// endsAge is how old these may be.
-	endsAge = 5 * time.Second
-	// failuresToAvoid in that window, and half of its ends at least, put a
+	// endHistoryLen is how many recent ends a worker is judged by.
+	endHistoryLen = 8
+	// endHistoryAge is how old these may be.
+	endHistoryAge = 5 * time.Second
+	// minFailuresToAvoid in that window, and half of its ends at least, put a
 	// worker aside; one failure alone is often the task's own fault.
-	failuresToAvoid = 2
-	// firstPenalty and maxPenalty bound how long; it doubles each time.
-	firstPenalty = time.Second
-	maxPenalty   = 8 * time.Second
-	// stallTime without progress shows that a task stands still: a task of 5 s
+	minFailuresToAvoid = 2
+	// minAvoidTime and maxPenalty bound how long; it doubles each time.
+	minAvoidTime = time.Second
+	maxAvoidTime = 8 * time.Second
+	// stallTimeout without progress shows that a task stands still: a task of 5 s
 	// on a worker eight times slow still moves by 1% in 400 ms, and a worker is
 	// asked once a second.
-	stallTime = 1600 * time.Millisecond
-	// startupStall is stallTime for a long-running task that starts up.
-	startupStall = 3500 * time.Millisecond
-	// stallLook is the pause between two looks at a run that has been without progress
+	stallTimeout = 1600 * time.Millisecond
+	// startupStallTimeout is stallTime for a long-running task that starts up.
+	startupStallTimeout = 3500 * time.Millisecond
+	// stallRecheckInterval is the pause between two looks at a run that has been without progress
 	// for that long, until its worker's list proves it.
-	stallLook = 25 * time.Millisecond
-	// stallsOfWorkers is how often a task may stand still by the fault of its workers: from
+	stallRecheckInterval = 25 * time.Millisecond
+	// maxStallsBlamedOnWorkers is how often a task may stand still by the fault of its workers: from
 	// then on none is put aside for it, and each time it is left alone for twice as long.
-	stallsOfWorkers = 2
-	// stallDoublings bounds that.
-	stallDoublings = 5
-	// avoidedShare of a service's workers may be put aside at most.
-	avoidedShare = 0.34
+	maxStallsBlamedOnWorkers = 2
+	// maxStallDoublings bounds that.
+	maxStallDoublings = 5
+	// maxAvoidedShare of a service's workers may be put aside at most.
+	maxAvoidedShare = 0.34
 )
 
-// endWindow holds the newest ends on a worker.
-type endWindow struct {
-	failed [endsKept]bool
-	at     [endsKept]time.Time
+// endHistory holds the newest ends on a worker.
+type endHistory struct {
+	failed [endHistoryLen]bool
+	at     [endHistoryLen]time.Time
 	next   int
 
 	failedAt time.Time // newest failure
 }
 
-func (e *endWindow) add(kind EndKind, now time.Time) {
+func (e *endHistory) add(kind EndKind, now time.Time) {
 	if kind != EndDone && kind != EndFailed {
 		return
 	}
@@ -52,21 +52,21 @@
 		e.failedAt = now
 	}
 	e.at[e.next] = now
-	e.next = (e.next + 1) % endsKept
+	e.next = (e.next + 1) % endHistoryLen
 }
 
 // failures returns how many of the newest ends were failures.
-func (e *endWindow) failures(now time.Time) int {
-	if now.Sub(e.failedAt) > endsAge {
+func (e *endHistory) failures(now time.Time) int {
+	if now.Sub(e.failedAt) > endHistoryAge {
 		return 0
 	}
 	failed, _ := e.count(now)
 	return failed
 }
 
-func (e *endWindow) count(now time.Time) (failed, all int) {
+func (e *endHistory) count(now time.Time) (failed, all int) {
 	for i, at := range e.at {
-		if at.IsZero() || now.Sub(at) > endsAge {
+		if at.IsZero() || now.Sub(at) > endHistoryAge {
 			continue
 		}
 		all++
@@ -77,18 +77,18 @@
 	return failed, all
 }
 
-// judge puts a worker aside if too much failed on it.
-func (c *Core) judge(w *worker, now time.Time) {
+// avoidIfFailing puts a worker aside if too much failed on it.
+func (c *Core) avoidIfFailing(w *worker, now time.Time) {
 	failed, all := w.recentEnds.count(now)
-	if failed < failuresToAvoid || failed*2 < all {
+	if failed < minFailuresToAvoid || failed*2 < all {
 		return
 	}
-	c.avoid(w, "its tasks fail", now)
+	c.avoidWorker(w, "its tasks fail", now)
 }
 
-// avoid keeps new tasks from a worker for a while, unless too many of its
+// avoidWorker keeps new tasks from a worker for a while, unless too many of its
 // service are put aside already.
-func (c *Core) avoid(w *worker, reason string, now time.Time) {
+func (c *Core) avoidWorker(w *worker, reason string, now time.Time) {
 	if now.Before(w.avoidUntil) {
 		return
 	}
@@ -102,16 +102,16 @@
 			aside++
 		}
 	}
-	if float64(aside+1) > avoidedShare*float64(all) {
+	if float64(aside+1) > maxAvoidedShare*float64(all) {
 		return
 	}
-	w.avoidPenalty = min(maxPenalty, max(firstPenalty, 2*w.avoidPenalty))
+	w.avoidPenalty = min(maxAvoidTime, max(minAvoidTime, 2*w.avoidPenalty))
 	c.avoidWorkerUntil(w, now.Add(w.avoidPenalty))
 	c.note(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
 }
 
-// watchStall lets the run be looked at once it may stand still, if it is one that can.
-func (c *Core) watchStall(r *run) {
+// scheduleStallCheck lets the run be looked at once it may stand still, if it is one that can.
+func (c *Core) scheduleStallCheck(r *run) {
 	if r.stallWatched || r.phase != running || r.task.step.spec.Gang || r.percent >= 100 {
 		return
 	}
@@ -119,45 +119,45 @@
 	c.stallsDue.add(r.progressAt.Add(r.stallLimit()), r)
 }
 
-// endStalls stops tasks that make no progress, to run them elsewhere.
-func (c *Core) endStalls(now time.Time) {
-	for _, r := range c.stallsDue.due(now) {
+// stopStalledRuns stops tasks that make no progress, to run them elsewhere.
+func (c *Core) stopStalledRuns(now time.Time) {
+	for _, r := range c.stallsDue.popAllDue(now) {
 		w := r.worker
 		r.stallWatched = false
 		if w.ended || w.runs[r.task.id()] != r {
 			continue
 		}
-		if !w.silentSince.IsZero() || !stalled(r, now) {
-			c.watchStallLater(r, now)
+		if !w.silentSince.IsZero() || !isStalled(r, now) {
+			c.rescheduleStallCheck(r, now)
 			continue
 		}
-		if r.task.stalls < stallsOfWorkers {
-			c.avoid(w, "a task stands still", now)
+		if r.task.stalls < maxStallsBlamedOnWorkers {
+			c.avoidWorker(w, "a task stands still", now)
 		}
 		r.task.stalls++
 		c.stop(r, "no progress for "+now.Sub(r.progressAt).String(), now)
 	}
 }
 
-// watchStallLater lets a run that does not stand still for certain be looked at again.
-func (c *Core) watchStallLater(r *run, now time.Time) {
+// rescheduleStallCheck lets a run that does not stand still for certain be looked at again.
+func (c *Core) rescheduleStallCheck(r *run, now time.Time) {
 	if r.phase != running || r.percent >= 100 {
 		return // it is watched anew if it falls back
 	}
 	r.stallWatched = true
-	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallLimit()), now.Add(stallLook)), r)
+	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallLimit()), now.Add(stallRecheckInterval)), r)
 }
 
 // stallLimit is how long the run may be without progress.
 func (r *run) stallLimit() time.Duration {
-	limit := stallTime
+	limit := stallTimeout
 	if spec := r.task.step.spec; spec.LongRunning || spec.Filler {
-		limit = startupStall
+		limit = startupStallTimeout
 	}
-	return limit << min(stallDoublings, max(0, r.task.stalls-stallsOfWorkers+1))
+	return limit << min(maxStallDoublings, max(0, r.task.stalls-maxStallsBlamedOnWorkers+1))
 }
 
-func stalled(r *run, now time.Time) bool {
+func isStalled(r *run, now time.Time) bool {
 	spec := r.task.step.spec
 	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttlePercent < 100 {
 		return false
@@ -168,11 +168,11 @@
 	return now.Sub(r.progressAt) > limit && r.worker.answeredHoldSentAt.Sub(r.progressAt) > limit/2
 }
 
-// remain works out anew what is left of the job, after a task was done or an
+// updateRemaining works out anew what is left of the job, after a task was done or an
 // occurrence has begun.
-func (j *jobState) remain() {
+func (j *jobState) updateRemaining() {
 	j.workLeft = j.remainingWork()
-	j.criticalPathLeft = j.remainingChain()
+	j.criticalPathLeft = j.remainingCriticalPath()
 }
 
 // remainingWork returns the core-seconds of a job that are not done, by its
@@ -185,9 +185,9 @@
 	return sum
 }
 
-// remainingChain returns the longest chain of steps that are not done in the
+// remainingCriticalPath returns the longest chain of steps that are not done in the
 // first unfinished occurrence, by the estimates.
-func (j *jobState) remainingChain() time.Duration {
+func (j *jobState) remainingCriticalPath() time.Duration {
 	n := len(j.spec.Steps)
 	var longest time.Duration
 	for first := 0; first < len(j.steps); first += n {
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -154,7 +154,7 @@
 // listed reports whether the instance list shows the worker as a life. The store keeps the
 // registrations of lives that are over for some seconds.
 func (c *Core) listed(w *worker) bool {
-	return c.isLife(w.Worker)
+	return c.isOnInstanceList(w.Worker)
 }
 
 func (c *Core) workerOf(id InstanceID) *worker {
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -14,7 +14,7 @@
 	j.loadedFromStore = true
 	if l.Progress != nil {
 		c.restore(j, l.Progress, now)
-		c.giveUpProven(j, now)
+		c.failIfCrashProven(j, now)
 	}
 	if l.Cancelled {
 		c.Cancel(j.spec.ID, now)
@@ -58,7 +58,7 @@
 	list := slices.Clone(loaded)
 	slices.SortStableFunc(list, func(a, b Loaded) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
 	for _, l := range list {
-		c.takeShare(c.jobs[l.Job.ID])
+		c.chargeShare(c.jobs[l.Job.ID])
 		c.countArrival(c.jobs[l.Job.ID], l.Job.AcceptedAt, now)
 	}
 }
@@ -69,7 +69,7 @@
 	if len(j.spec.Steps) == 0 || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning || at.After(now) {
 		return
 	}
-	if !c.mayStart(j.spec, &j.spec.Steps[0], 1, now) {
+	if !c.quotaAllows(j.spec, &j.spec.Steps[0], 1, now) {
 		return // what its tenant may not run is no demand
 	}
 	c.pool(j.service).arrivals.Add(j.work, at)
@@ -89,7 +89,7 @@
 	// An earlier owner that does not know yet that it is none may have started it.
 	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < handoverTime
 	c.note(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
-	c.takeShare(j)
+	c.chargeShare(j)
 	c.countArrival(j, now, now)
 	c.resolveUnknownJob(j, now)
 	if _, cancelled := c.earlyCancels[spec.ID]; cancelled {
@@ -171,7 +171,7 @@
 
 // beginTimed begins the occurrences of all jobs whose time has come.
 func (c *Core) beginTimed(now time.Time) {
-	for _, j := range c.occurrencesDue.due(now) {
+	for _, j := range c.occurrencesDue.popAllDue(now) {
 		if c.openJobs[j.spec.ID] == j && !j.state.Final() {
 			c.beginDue(j, now)
 		}
@@ -194,7 +194,7 @@
 			j.steps = append(j.steps, s)
 		}
 	}
-	j.remain()
+	j.updateRemaining()
 	c.queueForPlacement(j)
 }
 
@@ -212,7 +212,7 @@
 	if len(t.runs) == 0 {
 		s.withoutRun--
 	}
-	j.remain()
+	j.updateRemaining()
 	if s.remaining > 0 {
 		return
 	}
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -117,7 +117,7 @@
 	c.note(Decision{Event: "worker-reborn", Worker: old.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(old.runs))})
 	if !old.ended {
 		old.ended = true
-		c.lookInto(old, now)
+		c.investigateLoss(old, now)
 	}
 	c.forgetWorker(old.Worker)
 	w := c.newWorker(old.Worker, born, now)
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -48,7 +48,7 @@
 	r.tick(100 * time.Millisecond)
 	assert.Empty(t, r.out.Starts, "the new life has not said yet what runs there")
 	r.heldBy(second, 700, nil)
-	r.tick(verdictPatience)
+	r.tick(maxLossDecisionTime)
 	starts = r.started()
 	require.Len(t, starts, 1, "it ended with the life before")
 	assert.Equal(t, int64(700), starts[0].StartedMs)
@@ -98,7 +98,7 @@
 	assert.Equal(t, int64(300), r.core.workers[a].StartedMs)
 	second := r.lifeOf(a, 300)
 	r.heldBy(second, 300, nil)
-	r.tick(verdictPatience)
+	r.tick(maxLossDecisionTime)
 	assert.Len(t, r.started(), 1)
 }
 
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -50,7 +50,7 @@
 			r.phase = running
 			r.confirmedAt = now
 			r.progressAt = now
-			c.watchStall(r)
+			c.scheduleStallCheck(r)
 		}
 		c.noteStarted(r, now)
 		return
@@ -75,14 +75,14 @@
 	switch a.Outcome {
 	case NoRoom:
 		w.consecutiveNoRoom++
-		c.avoidWorkerUntil(w, now.Add(roomPauses.after(w.consecutiveNoRoom)))
+		c.avoidWorkerUntil(w, now.Add(capacityBackoff.delay(w.consecutiveNoRoom)))
 	case BadTicket:
 		r.task.step.dropTicket(w, now)
 	case Unhealthy:
 		c.avoidWorkerUntil(w, now.Add(unhealthyPause))
 	case Invalid:
 		r.task.consecutiveRetries++
-		r.task.notBefore = now.Add(invalidPauses.after(r.task.consecutiveRetries))
+		r.task.notBefore = now.Add(invalidOrderBackoff.delay(r.task.consecutiveRetries))
 	}
 	if r.mayStartLate {
 		c.stop(r, "an earlier order for it may still arrive", now)
@@ -95,7 +95,7 @@
 func (r *run) resetRefusals() {
 	r.worker.consecutiveNoRoom = 0
 	if p := r.task.step.permits; p != nil {
-		p.refusals = 0
+		p.rejectedTickets = 0
 	}
 }
 
@@ -197,7 +197,7 @@
 
 // resendStops sends unanswered stops again.
 func (c *Core) resendStops(now time.Time) {
-	for _, r := range c.stopsDue.due(now) {
+	for _, r := range c.stopsDue.popAllDue(now) {
 		if r.phase != stopping || !r.confirmedAt.IsZero() || r.worker.ended || r.worker.runs[r.task.id()] != r {
 			continue
 		}
--- a/jobs/owner/pace.go
+++ b/jobs/owner/pace.go
@@ -4,43 +4,43 @@
 
 // Figures of the pacing of fillers beside serving tasks.
 const (
-	// paceEvery is how often a worker's fillers are looked at; the figures that
+	// throttleInterval is how often a worker's fillers are looked at; the figures that
 	// a worker gives cover half a second.
-	paceEvery = 400 * time.Millisecond
-	// slowDownAt and speedUpAt are shares of a serving task's target: above the
+	throttleInterval = 400 * time.Millisecond
+	// slowDownAbove and speedUpAt are shares of a serving task's target: above the
 	// first its neighbours are slowed down to half, below the second they get
 	// some of their speed back.
-	slowDownAt = 0.95
-	speedUpAt  = 0.7
-	// paceStep is how much speed is given back at a time, in percent.
-	paceStep = 20
-	// paceFloor is where halving ends and fillers stand still.
-	paceFloor = 10
+	slowDownAbove = 0.95
+	speedUpBelow  = 0.7
+	// throttleStepPercent is how much speed is given back at a time, in percent.
+	throttleStepPercent = 20
+	// minThrottlePercent is where halving ends and fillers stand still.
+	minThrottlePercent = 10
 )
 
-// pace throttles fillers by the worst tail of the serving tasks beside them:
+// throttleFillers throttles fillers by the worst tail of the serving tasks beside them:
 // additive increase, multiplicative decrease.
-func (c *Core) pace(now time.Time) {
+func (c *Core) throttleFillers(now time.Time) {
 	for _, w := range c.colocatedWorkers.sorted() {
 		if w.ended || !w.silentSince.IsZero() || now.Before(w.nextThrottleAt) {
 			continue
 		}
-		w.nextThrottleAt = now.Add(paceEvery)
-		worst := worstTail(w)
+		w.nextThrottleAt = now.Add(throttleInterval)
+		worst := worstLatencyRatio(w)
 		if worst == 0 {
 			continue
 		}
 		for _, r := range w.runs {
 			if r.task.step.spec.Filler && r.phase == running {
-				c.throttle(r, paceFor(worst, r.throttlePercent))
+				c.setThrottle(r, nextThrottle(worst, r.throttlePercent))
 			}
 		}
 	}
 }
 
-// worstTail returns the highest tail of a serving task on the worker as a share
+// worstLatencyRatio returns the highest tail of a serving task on the worker as a share
 // of its target; 0: there is none.
-func worstTail(w *worker) float64 {
+func worstLatencyRatio(w *worker) float64 {
 	worst := 0.0
 	for _, r := range w.runs {
 		target := r.task.step.spec.LatencyTarget
@@ -52,21 +52,21 @@
 	return worst
 }
 
-// paceFor returns the speed of a filler beside a tail that is worst times its
+// nextThrottle returns the speed of a filler beside a tail that is worst times its
 // target.
-func paceFor(worst float64, current int) int {
+func nextThrottle(worst float64, current int) int {
 	switch {
-	case worst > slowDownAt && current <= paceFloor:
+	case worst > slowDownAbove && current <= minThrottlePercent:
 		return 0
-	case worst > slowDownAt:
+	case worst > slowDownAbove:
 		return current / 2
-	case worst < speedUpAt:
-		return min(100, current+paceStep)
+	case worst < speedUpBelow:
+		return min(100, current+throttleStepPercent)
 	}
 	return current
 }
 
-func (c *Core) throttle(r *run, percent int) {
+func (c *Core) setThrottle(r *run, percent int) {
 	if percent == r.throttlePercent {
 		return
 	}
--- a/jobs/owner/placing.go
+++ b/jobs/owner/placing.go
@@ -125,23 +125,23 @@
 	}
 	var choice *workerSelector
 	for _, t := range s.tasks {
-		if !t.needsPlacement(p.now) || t.awaitsVerdict(p.core, p.now) {
+		if !t.needsPlacement(p.now) || t.awaitsLossDecision(p.core, p.now) {
 			continue
 		}
-		if !p.withinLimit(s, 1) {
+		if !p.withinTenantLimit(s, 1) {
 			return
 		}
 		if choice == nil {
 			choice = p.newWorkerSelector(s)
 		}
 		if t.suspicion() != job.Unsuspected {
-			p.placeSuspect(t, choice, t.barredSince(p.now))
+			p.placeSuspect(t, choice, t.excludedAfterFailure(p.now))
 			if p.startsDeferred() {
 				return
 			}
 			continue
 		}
-		if p.unplaceable.Covers(&choice.req) && !s.preemptedLately(p.now) {
+		if p.unplaceable.Covers(&choice.req) && !s.recentlyPreempted(p.now) {
 			p.onNoCapacity(s, &choice.req)
 			return
 		}
@@ -182,7 +182,7 @@
 // requestAdvice asks the advisor about workers if the step needs that.
 func (p *schedulingPass) requestAdvice(s *stepState) {
 	if s.needsPermits() {
-		p.core.ask(s, p.workersFor(s), p.now)
+		p.core.queryAdvisor(s, p.workersFor(s), p.now)
 	}
 }
 
@@ -216,18 +216,18 @@
 // placeGang starts all tasks of a gang under one run number, or none.
 func (p *schedulingPass) placeGang(s *stepState) {
 	for _, t := range s.tasks {
-		if !t.needsPlacement(p.now) || t.awaitsVerdict(p.core, p.now) {
+		if !t.needsPlacement(p.now) || t.awaitsLossDecision(p.core, p.now) {
 			return
 		}
 	}
-	if !p.withinLimit(s, len(s.tasks)) {
+	if !p.withinTenantLimit(s, len(s.tasks)) {
 		return
 	}
 	req := placementRequest(s)
 	room := p.workersFor(s)
 	views := room.views
 	if s.suspicion() != job.Unsuspected {
-		views = p.quarantineViews(s, room)
+		views = p.isolationViews(s, room)
 	}
 	chosen := placement.ChooseGang(views, req, len(s.tasks), s.spec.SameRack)
 	if chosen == nil {
@@ -275,7 +275,7 @@
 	s, now := ch.step, ch.p.now
 	permits := s.needsPermits()
 	allowed := func(w *worker) bool {
-		return !barred(w) && !w.keptFromOthers(s, now) && (!permits || s.permitted(w, now))
+		return !barred(w) && !w.isReservedForOther(s, now) && (!permits || s.hasValidTicket(w, now))
 	}
 	return ch.p.pool.free.choose(&ch.req, allowed, ch.stepTasks, now)
 }
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -8,21 +8,21 @@
 
 // Figures of preemption.
 const (
-	// preemptAfter is how long a task waits for room before it takes that of less
+	// preemptDelay is how long a task waits for room before it takes that of less
 	// urgent ones: most get theirs sooner, as other tasks end.
-	preemptAfter = 300 * time.Millisecond
-	// preemptLastingAfter is the same for long-running tasks, which may take the
+	preemptDelay = 300 * time.Millisecond
+	// preemptDelayLongRunning is the same for long-running tasks, which may take the
 	// room of any task that ends by itself: they have to be back within 3 s.
-	preemptLastingAfter = 700 * time.Millisecond
-	// preemptEvery is the time between two preemptions for a step. The stopped
+	preemptDelayLongRunning = 700 * time.Millisecond
+	// preemptInterval is the time between two preemptions for a step. The stopped
 	// runs have ended by then: a worker takes up to a second to stop one.
-	preemptEvery = 1200 * time.Millisecond
-	// preemptLook is the time between two looks for runs to stop: each goes over all
+	preemptInterval = 1200 * time.Millisecond
+	// preemptSearchInterval is the time between two looks for runs to stop: each goes over all
 	// runs of the service.
-	preemptLook = 200 * time.Millisecond
-	// checkpointLoss is the share of a run's work that is lost if it can resume
+	preemptSearchInterval = 200 * time.Millisecond
+	// checkpointLossShare is the share of a run's work that is lost if it can resume
 	// from a checkpoint.
-	checkpointLoss = 0.2
+	checkpointLossShare = 0.2
 )
 
 // preempt stops less urgent runs if a task of the step has waited long enough for
@@ -32,10 +32,10 @@
 	if s.waitingSince.IsZero() {
 		s.waitingSince = now
 	}
-	if s.job.band >= bandOverShare || now.Sub(s.waitingSince) < s.preemptPatience() || s.preemptedLately(now) {
+	if s.job.band >= bandOverShare || now.Sub(s.waitingSince) < s.preemptionDelay() || s.recentlyPreempted(now) {
 		return
 	}
-	if now.Sub(s.preemptCheckedAt) < preemptLook || !p.pool.someYieldTo(s) {
+	if now.Sub(s.preemptCheckedAt) < preemptSearchInterval || !p.pool.mayHaveVictims(s) {
 		return
 	}
 	s.preemptCheckedAt = now
@@ -44,9 +44,9 @@
 	occupants := make([][]placement.Occupant, len(room.workers))
 	for i, w := range room.workers {
 		for _, r := range runsByNumber(w) {
-			if r.mayYieldTo(s) {
+			if r.preemptibleBy(s) {
 				runs[i] = append(runs[i], r)
-				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.Occupies(), Lost: r.lossAt(now)})
+				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.Occupies(), Lost: r.preemptionCost(now)})
 			}
 		}
 	}
@@ -56,36 +56,36 @@
 	}
 	s.preemptedAt = now
 	w := room.workers[cleared.Worker]
-	w.preemptedFor, w.preemptedUntil = s, now.Add(preemptEvery)
+	w.preemptedFor, w.preemptedUntil = s, now.Add(preemptInterval)
 	for _, i := range cleared.Occupants {
 		p.core.stop(runs[cleared.Worker][i], "preempted by "+string(s.job.spec.ID), now)
 	}
 }
 
-// began takes note of the priority of a job of which a task runs.
-func (p *poolState) began(j *jobState) { p.lowest = max(p.lowest, j.queue.Priority) }
+// noteStarted takes note of the priority of a job of which a task runs.
+func (p *poolState) noteStarted(j *jobState) { p.lowest = max(p.lowest, j.queue.Priority) }
 
-// someYieldTo reports whether runs of lower priority than the step may be there at
+// mayHaveVictims reports whether runs of lower priority than the step may be there at
 // all.
-func (p *poolState) someYieldTo(s *stepState) bool {
+func (p *poolState) mayHaveVictims(s *stepState) bool {
 	return s.spec.LongRunning || p.lowest > s.job.queue.Priority
 }
 
-// preemptedLately reports whether a worker is being cleared for the step.
-func (s *stepState) preemptedLately(now time.Time) bool {
-	return now.Sub(s.preemptedAt) < preemptEvery
+// recentlyPreempted reports whether a worker is being cleared for the step.
+func (s *stepState) recentlyPreempted(now time.Time) bool {
+	return now.Sub(s.preemptedAt) < preemptInterval
 }
 
-func (s *stepState) preemptPatience() time.Duration {
+func (s *stepState) preemptionDelay() time.Duration {
 	if s.spec.LongRunning {
-		return preemptLastingAfter
+		return preemptDelayLongRunning
 	}
-	return preemptAfter
+	return preemptDelay
 }
 
-// mayYieldTo reports whether the run may be stopped for a task of s. Members of
+// preemptibleBy reports whether the run may be stopped for a task of s. Members of
 // gangs may not: the others would end with them.
-func (r *run) mayYieldTo(s *stepState) bool {
+func (r *run) preemptibleBy(s *stepState) bool {
 	own := r.task.step
 	if r.phase != running || own.spec.LongRunning || own.spec.Gang || own.job == s.job {
 		return false
@@ -93,17 +93,17 @@
 	return s.spec.LongRunning || own.job.queue.Priority > s.job.queue.Priority
 }
 
-// lossAt returns the core-seconds of work that are lost if the run is stopped.
-func (r *run) lossAt(now time.Time) float64 {
+// preemptionCost returns the core-seconds of work that are lost if the run is stopped.
+func (r *run) preemptionCost(now time.Time) float64 {
 	spec := r.task.step.spec
 	lost := float64(spec.Occupies().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
 	if spec.Checkpoints {
-		lost *= checkpointLoss
+		lost *= checkpointLossShare
 	}
 	return lost
 }
 
-// keptFromOthers reports whether the worker was cleared for another step, or for a suspect.
-func (w *worker) keptFromOthers(s *stepState, now time.Time) bool {
+// isReservedForOther reports whether the worker was cleared for another step, or for a suspect.
+func (w *worker) isReservedForOther(s *stepState, now time.Time) bool {
 	return w.isQuarantinedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
 }
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -60,9 +60,9 @@
 	lasting.Steps[0].LongRunning = true
 	r.core.Submit(lasting, r.now)
 	r.core.Submit(simpleJob(3, 1), r.now)
-	r.pass(preemptLastingAfter/2, a, active)
+	r.pass(preemptDelayLongRunning/2, a, active)
 	require.Empty(t, r.out.Stops, "most get room sooner by themselves")
-	r.pass(preemptLastingAfter, a, active)
+	r.pass(preemptDelayLongRunning, a, active)
 	require.Len(t, r.out.Stops, 1, "one task is in the way")
 	stop := r.out.Stops[0]
 	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
@@ -79,7 +79,7 @@
 	urgent.Steps[0].Need.CPUMilli = 2000
 	urgent.AcceptedAt = r.now
 	r.core.Submit(urgent, r.now)
-	r.pass(2*preemptAfter, a, active)
+	r.pass(2*preemptDelay, a, active)
 	require.Len(t, r.out.Stops, 2, "two tasks of a core each make room for two cores")
 }
 
@@ -88,6 +88,6 @@
 	equal := simpleJob(2, 1)
 	equal.AcceptedAt = r.now
 	r.core.Submit(equal, r.now)
-	r.pass(5*preemptAfter, a, active)
+	r.pass(5*preemptDelay, a, active)
 	assert.Empty(t, r.out.Stops)
 }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -11,21 +11,21 @@
 // Figures of quarantine: a suspect starts on a worker on which nothing of another job runs,
 // and nothing is started beside it until it has settled.
 const (
-	// settleAfter is how long a run has to be there to count as one that does not crash its
+	// stableAfter is how long a run has to be there to count as one that does not crash its
 	// worker at the start.
-	settleAfter = 2 * crashSoon
-	// isolatePatience is how long a suspect waits for an empty worker before it goes beside
+	stableAfter = 2 * earlyCrashTime
+	// isolationWait is how long a suspect waits for an empty worker before it goes beside
 	// runs that have settled, and isolateLasting the same for a long-running task, which has
 	// to be back within 3 s. Most tasks end within it.
-	isolatePatience = 1500 * time.Millisecond
-	isolateLasting  = 700 * time.Millisecond
-	// keepEmptying is how long a worker gets no other tasks so that it empties for a suspect.
-	keepEmptying = 2 * time.Second
-	// keptShare of a service's workers may be kept so at most, one at least.
-	keptShare = 0.25
-	// unsoundFor is how long an instance that has crashed is the last choice: it may go down
+	isolationWait            = 1500 * time.Millisecond
+	isolationWaitLongRunning = 700 * time.Millisecond
+	// emptyingTime is how long a worker gets no other tasks so that it empties for a suspect.
+	emptyingTime = 2 * time.Second
+	// maxEmptyingShare of a service's workers may be kept so at most, one at least.
+	maxEmptyingShare = 0.25
+	// crashedInstanceAvoidTime is how long an instance that has crashed is the last choice: it may go down
 	// again by itself, and the suspect would be blamed for it.
-	unsoundFor = 20 * time.Second
+	crashedInstanceAvoidTime = 20 * time.Second
 )
 
 // suspicion returns that of the task; the members of a gang share theirs, as they start
@@ -45,26 +45,26 @@
 	return most
 }
 
-// hasSettled reports whether the run is there long enough.
-func (r *run) hasSettled(now time.Time) bool {
-	return r.phase != starting && r.worker.contactLoss.lostAt.IsZero() && (r.firstSentAt.IsZero() || now.Sub(r.confirmedAt) > settleAfter)
+// isStable reports whether the run is there long enough.
+func (r *run) isStable(now time.Time) bool {
+	return r.phase != starting && r.worker.contactLoss.lostAt.IsZero() && (r.firstSentAt.IsZero() || now.Sub(r.confirmedAt) > stableAfter)
 }
 
-// isTrial reports whether nothing may be started beside the run.
-func (r *run) isTrial(now time.Time) bool {
+// needsIsolation reports whether nothing may be started beside the run.
+func (r *run) needsIsolation(now time.Time) bool {
 	switch r.trial {
 	case job.SuspectAtOnce:
-		return !r.hasSettled(now)
+		return !r.isStable(now)
 	case job.SuspectAlways:
-		return !r.task.step.spec.LongRunning || now.Sub(r.firstSentAt) < lastingProof
+		return !r.task.step.spec.LongRunning || now.Sub(r.firstSentAt) < longRunningClearTime
 	}
 	return false
 }
 
-// beginTrial takes note that the run of a suspect starts with nothing beside it. A crash is
+// beginIsolation takes note that the run of a suspect starts with nothing beside it. A crash is
 // recorded as possible before the start is answered: should this owner be lost with the
 // worker, the next one counts it.
-func (c *Core) beginTrial(r *run, now time.Time) {
+func (c *Core) beginIsolation(r *run, now time.Time) {
 	r.trial = r.task.suspicion()
 	if r.trial == job.Unsuspected {
 		return
@@ -75,7 +75,7 @@
 	w.isolatedFor = nil
 	w.trialRuns = append(w.trialRuns, r)
 	c.note(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
-	c.addCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), Early: true, Exact: true, Alone: true})
+	c.addUndecidedCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), Early: true, Exact: true, Alone: true})
 	c.markCrashDirty(t.step.job)
 }
 
@@ -88,7 +88,7 @@
 	kept := w.trialRuns[:0]
 	quarantined := false
 	for _, r := range w.trialRuns {
-		if w.runs[r.task.id()] != r || !r.isTrial(now) {
+		if w.runs[r.task.id()] != r || !r.needsIsolation(now) {
 			continue
 		}
 		kept = append(kept, r)
@@ -98,8 +98,8 @@
 	return quarantined
 }
 
-// isEmptyFor reports whether nothing of another job runs on the worker.
-func (w *worker) isEmptyFor(j *jobState) bool {
+// runsNoOtherJob reports whether nothing of another job runs on the worker.
+func (w *worker) runsNoOtherJob(j *jobState) bool {
 	for _, r := range w.runs {
 		if r.task.step.job != j {
 			return false
@@ -108,51 +108,51 @@
 	return true
 }
 
-// hasSettledFor reports whether all that runs there of other jobs has settled: if the worker
+// otherJobsStable reports whether all that runs there of other jobs has settled: if the worker
 // crashes now it is none of these.
-func (w *worker) hasSettledFor(j *jobState, now time.Time) bool {
+func (w *worker) otherJobsStable(j *jobState, now time.Time) bool {
 	for _, r := range w.runs {
-		if r.task.step.job != j && !r.hasSettled(now) {
+		if r.task.step.job != j && !r.isStable(now) {
 			return false
 		}
 	}
 	return true
 }
 
-// isSound reports whether the worker's instance has not crashed of late, but for a task that
+// isInstanceSound reports whether the worker's instance has not crashed of late, but for a task that
 // was given up.
-func (c *Core) isSound(w *worker, now time.Time) bool {
+func (c *Core) isInstanceSound(w *worker, now time.Time) bool {
 	i := c.instances[c.instanceOfWorker[w.Worker]]
-	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > unsoundFor || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
+	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > crashedInstanceAvoidTime || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
 }
 
-// quarantines returns the conditions for a worker of a suspect, the best first.
-func (p *schedulingPass) quarantines(t *task) []func(*worker) bool {
+// isolationConditions returns the conditions for a worker of a suspect, the best first.
+func (p *schedulingPass) isolationConditions(t *task) []func(*worker) bool {
 	j := t.step.job
 	if t.isolationWaitSince.IsZero() {
 		t.isolationWaitSince = p.now
 	}
-	sound := func(w *worker) bool { return p.core.isSound(w, p.now) }
-	settled := func(w *worker) bool { return w.hasSettledFor(j, p.now) }
-	out := []func(*worker) bool{func(w *worker) bool { return w.isEmptyFor(j) && sound(w) }}
-	if p.now.Sub(t.isolationWaitSince) < t.step.isolatePatience() {
+	sound := func(w *worker) bool { return p.core.isInstanceSound(w, p.now) }
+	settled := func(w *worker) bool { return w.otherJobsStable(j, p.now) }
+	out := []func(*worker) bool{func(w *worker) bool { return w.runsNoOtherJob(j) && sound(w) }}
+	if p.now.Sub(t.isolationWaitSince) < t.step.isolationWait() {
 		return out
 	}
 	return append(out,
 		func(w *worker) bool { return settled(w) && sound(w) },
-		func(w *worker) bool { return w.isEmptyFor(j) },
+		func(w *worker) bool { return w.runsNoOtherJob(j) },
 		settled)
 }
 
-func (s *stepState) isolatePatience() time.Duration {
+func (s *stepState) isolationWait() time.Duration {
 	if s.spec.LongRunning {
-		return isolateLasting
+		return isolationWaitLongRunning
 	}
-	return isolatePatience
+	return isolationWait
 }
 
-// barredSince returns the workers on which a suspect that failed a moment ago is not started.
-func (t *task) barredSince(now time.Time) func(*worker) bool {
+// excludedAfterFailure returns the workers on which a suspect that failed a moment ago is not started.
+func (t *task) excludedAfterFailure(now time.Time) func(*worker) bool {
 	if now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return excludeNone
 	}
@@ -161,7 +161,7 @@
 
 // placeSuspect starts a suspect on a worker of its own, if there is one.
 func (p *schedulingPass) placeSuspect(t *task, choice *workerSelector, barred func(*worker) bool) {
-	for _, fits := range p.quarantines(t) {
+	for _, fits := range p.isolationConditions(t) {
 		w := choice.pick(func(w *worker) bool { return barred(w) || !fits(w) })
 		if w == nil {
 			continue
@@ -172,15 +172,15 @@
 		}
 		return
 	}
-	p.awaitQuarantine(t, &choice.req)
-	if p.now.Sub(t.isolationWaitSince) >= t.step.isolatePatience() {
+	p.awaitIsolation(t, &choice.req)
+	if p.now.Sub(t.isolationWaitSince) >= t.step.isolationWait() {
 		p.preempt(t.step, &choice.req) // there is no room at all
 	}
 }
 
-// awaitQuarantine takes note that a suspect waits for a worker of its own, and lets one
+// awaitIsolation takes note that a suspect waits for a worker of its own, and lets one
 // become empty for it.
-func (p *schedulingPass) awaitQuarantine(t *task, req *placement.Request) {
+func (p *schedulingPass) awaitIsolation(t *task, req *placement.Request) {
 	s := t.step
 	p.pool.wait(s, 1)
 	t.note(CauseElsewhere, s.readySince(), p.now)
@@ -204,16 +204,16 @@
 			best = w
 		}
 	}
-	if best == nil || float64(kept+1) > max(1, keptShare*float64(len(room.workers))) {
+	if best == nil || float64(kept+1) > max(1, maxEmptyingShare*float64(len(room.workers))) {
 		return
 	}
-	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(keepEmptying)
+	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(emptyingTime)
 }
 
-// quarantineViews returns the views of the room with the workers barred on which a gang of
+// isolationViews returns the views of the room with the workers barred on which a gang of
 // suspects may not start.
-func (p *schedulingPass) quarantineViews(s *stepState, room *workerView) []placement.Worker {
-	conditions := p.quarantines(s.tasks[0])
+func (p *schedulingPass) isolationViews(s *stepState, room *workerView) []placement.Worker {
+	conditions := p.isolationConditions(s.tasks[0])
 	allowed := conditions[len(conditions)-1]
 	views := make([]placement.Worker, len(room.views))
 	copy(views, room.views)
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -42,7 +42,7 @@
 	needsPermits := s.needsPermits()
 	for i, w := range v.workers {
 		v.views[i].Mine = 0
-		v.views[i].Barred = needsPermits && !s.permitted(w, now) || w.keptFromOthers(s, now)
+		v.views[i].Barred = needsPermits && !s.hasValidTicket(w, now) || w.isReservedForOther(s, now)
 	}
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -190,7 +190,7 @@
 		if s.withoutRun > 0 {
 			return true
 		}
-		if s.spec.Speculative && slices.ContainsFunc(s.tasks, func(t *task) bool { return t.wantsCopy(now) != noCopy }) {
+		if s.spec.Speculative && slices.ContainsFunc(s.tasks, func(t *task) bool { return t.copyNeed(now) != noCopy }) {
 			return true
 		}
 	}
@@ -209,9 +209,9 @@
 func (c *Core) startRun(t *task, w *worker, number uint64, now time.Time) {
 	r := &run{task: t, number: number, worker: w, phase: starting, throttlePercent: 100, firstSentAt: now}
 	c.addRun(r)
-	c.beginTrial(r, now)
+	c.beginIsolation(r, now)
 	c.markWorkerChanged(w)
-	c.pool(t.step.job.service).began(t.step.job)
+	c.pool(t.step.job.service).noteStarted(t.step.job)
 	c.counts.Starts++
 	c.sendStart(r, now)
 }
@@ -221,14 +221,14 @@
 func (c *Core) Tick(now time.Time) {
 	c.detectOverload(now)
 	c.expireLeases(now)
-	c.decideCrashes(now)
+	c.decideLosses(now)
 	c.expireUnknownJobs(now)
 	c.expireEarly(now)
 	c.resendStops(now)
-	c.endStalls(now)
+	c.stopStalledRuns(now)
 	c.sendDueHolds(now)
 	c.beginTimed(now)
-	c.pace(now)
+	c.throttleFillers(now)
 	c.maintain(now)
 	c.size(now)
 	c.markWaitingServices()
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -21,7 +21,7 @@
 	r.held(a, active)
 	r.tick(900 * time.Millisecond)
 	r.held(a, active) // it was sent 0.9 s ago; the next one is on its way
-	r.tick(stallTime)
+	r.tick(stallTimeout)
 	assert.Empty(t, r.out.Stops)
 	r.held(a, active)
 	r.tick(100 * time.Millisecond)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -115,7 +115,7 @@
 // isServing reports whether a long-running task serves, as far as is known.
 func (t *task) isServing(now time.Time) bool {
 	for _, r := range t.runs {
-		if r.phase == running && r.percent >= 100 && r.worker.known(now) && !r.worker.endOrdered {
+		if r.phase == running && r.percent >= 100 && r.worker.hasFreshRunList(now) && !r.worker.endOrdered {
 			return true
 		}
 	}
@@ -222,7 +222,7 @@
 	unacked             []unackedEnd
 	unknownEnds         map[uint64]unknownEnd // ends of jobs that are not known yet
 	avoidUntil          time.Time             // no new tasks until then
-	recentEnds          endWindow             // recent ends, to find bad workers
+	recentEnds          endHistory            // recent ends, to find bad workers
 	nextThrottleAt      time.Time
 	workerView          *workerView    // newest view of its service that it is in
 	workerViewIndex     int            // its place there
@@ -309,7 +309,7 @@
 	effects                Effects
 	shares                 *quota.Shares
 	quotas                 *quota.Ledger           // what each tenant has running
-	presumedUsage          presumed                // what may run of it without being known
+	presumedUsage          presumedUsage           // what may run of it without being known
 	takeoverDone           map[string]bool         // services of which every earlier run is known
 	loggedTakeoverWaits    map[string]takeoverWait // what others wait for, as the log says
 	lastUnconfirmed        map[string]InstanceID   // an instance of each service that had not answered when last looked for
@@ -322,13 +322,13 @@
 	instanceListAt         time.Time                // newest instance list
 	fenced                 bool
 
-	holdsDue          dueQueue[*worker]
-	stopsDue          dueQueue[*run]      // stops that may have to be sent again
-	stallsDue         dueQueue[*run]      // runs that may stand still
-	occurrencesDue    dueQueue[*jobState] // jobs with occurrences to come
-	recentlyEnded     []*worker           // lives that ended a moment ago
-	crashDecisionsDue dueQueue[*worker]   // lives that have ended without an order, to be looked into
-	avoidedDue        dueQueue[*worker]   // workers that get no new tasks until then
+	holdsDue          timerQueue[*worker]
+	stopsDue          timerQueue[*run]      // stops that may have to be sent again
+	stallsDue         timerQueue[*run]      // runs that may stand still
+	occurrencesDue    timerQueue[*jobState] // jobs with occurrences to come
+	recentlyEnded     []*worker             // lives that ended a moment ago
+	crashDecisionsDue timerQueue[*worker]   // lives that have ended without an order, to be looked into
+	avoidedDue        timerQueue[*worker]   // workers that get no new tasks until then
 
 	staleIndexWorkers []*worker // that have to be indexed anew
 
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -19,8 +19,8 @@
 	other := t.activeRun()
 	c.addRun(r)
 	c.markWorkerChanged(w)
-	c.watchStall(r)
-	c.pool(j.service).began(j)
+	c.scheduleStallCheck(r)
+	c.pool(j.service).noteStarted(j)
 	c.noteStarted(r, now)
 	switch {
 	case j.state.Final() || t.done:
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -17,23 +17,23 @@
 	c.shares.SetWeights(tenants)
 }
 
-// takeShare finds out whether the job lies within its tenant's share. One that does not takes
+// chargeShare finds out whether the job lies within its tenant's share. One that does not takes
 // no room that jobs within theirs could use in time.
-func (c *Core) takeShare(j *jobState) {
+func (c *Core) chargeShare(j *jobState) {
 	if !j.lasts() {
 		j.overShare = !c.shares.Take(j.spec.Tenant, j.spec.AcceptedAt)
 	}
 }
 
-// presumed is what may run of each tenant beside the runs that are known.
-type presumed struct {
-	of map[string]job.Resources
-	at time.Time // when it was summed up
+// presumedUsage is what may run of each tenant beside the runs that are known.
+type presumedUsage struct {
+	byTenant   map[string]job.Resources
+	computedAt time.Time // when it was summed up
 }
 
-// presumedFor is how long a sum serves: each goes over all open jobs. What becomes known
+// presumedUsageTTL is how long a sum serves: each goes over all open jobs. What becomes known
 // meanwhile counts twice, which is on the safe side.
-const presumedFor = 50 * time.Millisecond
+const presumedUsageTTL = 50 * time.Millisecond
 
 // addRun accounts for a run that was ordered, or that a worker lists.
 func (c *Core) addRun(r *run) {
@@ -41,8 +41,8 @@
 	c.quotas.Add(r.task.step.job.spec.Tenant, r.task.step.spec.Need)
 }
 
-// dropRun is its inverse. Work that waited for the tenant's limit may go on.
-func (c *Core) dropRun(r *run) {
+// removeRun is its inverse. Work that waited for the tenant's limit may go on.
+func (c *Core) removeRun(r *run) {
 	if !r.task.removeRun(r) {
 		return
 	}
@@ -51,28 +51,28 @@
 	}
 }
 
-// mayStart reports whether the tenant of a job may start n tasks of a step more.
-func (c *Core) mayStart(spec *job.Job, s *job.Step, n int, now time.Time) bool {
+// quotaAllows reports whether the tenant of a job may start n tasks of a step more.
+func (c *Core) quotaAllows(spec *job.Job, s *job.Step, n int, now time.Time) bool {
 	if !c.quotas.Limited(spec.Tenant) {
 		return true
 	}
-	return c.quotas.Allows(spec.Tenant, s.Need, n, c.perhapsRunning(spec.Tenant, now))
+	return c.quotas.Allows(spec.Tenant, s.Need, n, c.presumedRunning(spec.Tenant, now))
 }
 
-// perhapsRunning returns what an earlier owner may have started for the tenant and is not known
+// presumedRunning returns what an earlier owner may have started for the tenant and is not known
 // yet: of its inherited jobs every task that is not done and has no known run.
-func (c *Core) perhapsRunning(tenant string, now time.Time) job.Resources {
-	if c.allCertain(now) {
+func (c *Core) presumedRunning(tenant string, now time.Time) job.Resources {
+	if c.knowsAllRuns(now) {
 		return job.Resources{}
 	}
-	if c.presumedUsage.of == nil || now.Sub(c.presumedUsage.at) >= presumedFor {
-		c.presumedUsage = presumed{c.sumInherited(), now}
+	if c.presumedUsage.byTenant == nil || now.Sub(c.presumedUsage.computedAt) >= presumedUsageTTL {
+		c.presumedUsage = presumedUsage{c.sumInheritedUsage(), now}
 	}
-	return c.presumedUsage.of[tenant]
+	return c.presumedUsage.byTenant[tenant]
 }
 
-// allCertain reports whether all that an earlier owner started is known, for every service.
-func (c *Core) allCertain(now time.Time) bool {
+// knowsAllRuns reports whether all that an earlier owner started is known, for every service.
+func (c *Core) knowsAllRuns(now time.Time) bool {
 	for _, s := range c.catalog.Services {
 		if !s.Spare && !c.earlierRunsKnown(s.Name, now) {
 			return false
@@ -81,7 +81,7 @@
 	return true
 }
 
-func (c *Core) sumInherited() map[string]job.Resources {
+func (c *Core) sumInheritedUsage() map[string]job.Resources {
 	out := map[string]job.Resources{}
 	for _, j := range c.openJobs {
 		if !j.inherited || !c.quotas.Limited(j.spec.Tenant) {
@@ -94,21 +94,21 @@
 	return out
 }
 
-// withinLimit reports whether n tasks more of the step may start, and takes note if not. What
+// withinTenantLimit reports whether n tasks more of the step may start, and takes note if not. What
 // its tenant may not run asks for no instances, and pushes nothing aside.
-func (p *schedulingPass) withinLimit(s *stepState, n int) bool {
+func (p *schedulingPass) withinTenantLimit(s *stepState, n int) bool {
 	spec := s.job.spec
-	if p.core.mayStart(spec, s.spec, n, p.now) {
+	if p.core.quotaAllows(spec, s.spec, n, p.now) {
 		return true
 	}
 	p.core.quotas.Wait(spec.Tenant, p.service)
 	s.noteWaits(CauseTenantLimit, p.now)
-	p.core.noteLimit(s)
+	p.core.logTenantLimit(s)
 	return false
 }
 
-// noteLimit says once for each job that a task of it waits for its tenant's limit.
-func (c *Core) noteLimit(s *stepState) {
+// logTenantLimit says once for each job that a task of it waits for its tenant's limit.
+func (c *Core) logTenantLimit(s *stepState) {
 	j := s.job
 	if j.waitLogged {
 		return
--- a/jobs/owner/together.go
+++ b/jobs/owner/together.go
@@ -7,26 +7,26 @@
 // Least workers that have to be lost at the same time, beside more than half of those there
 // are.
 const (
-	leastOfRack = 2
-	leastOfZone = 3
+	minRackLosses = 2
+	minZoneLosses = 3
 )
 
-// togetherness says whether a worker was lost with the others of its rack or zone.
-type togetherness int
+// lossCorrelation says whether a worker was lost with the others of its rack or zone.
+type lossCorrelation int
 
 const (
-	lostAlone       togetherness = iota
-	perhapsTogether              // so many others are silent that it depends on whether they come back
-	lostTogether
+	uncorrelated       lossCorrelation = iota
+	possiblyCorrelated                 // so many others are silent that it depends on whether they come back
+	correlated
 )
 
-// lostWith tells whether most workers of the worker's rack or zone were lost with it. Those
+// lossCorrelationOf tells whether most workers of the worker's rack or zone were lost with it. Those
 // that are silent, but not known to have ended, may be behind a way that is cut for a moment:
 // while they decide, nothing is certain.
-func (c *Core) lostWith(w *worker) togetherness {
-	rack, zone := lossCount{least: leastOfRack}, lossCount{least: leastOfZone}
+func (c *Core) lossCorrelationOf(w *worker) lossCorrelation {
+	rack, zone := lossCount{min: minRackLosses}, lossCount{min: minZoneLosses}
 	count := func(o *worker) {
-		if o.endsByOrder() || !o.heldByUs || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareSuspect(o, w) {
+		if o.endsAsPlanned() || !o.heldByUs || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareCrashSuspect(o, w) {
 			return
 		}
 		lost := o.contactLoss.overlaps(&w.contactLoss)
@@ -48,18 +48,18 @@
 	for _, o := range c.recentlyEnded {
 		count(o)
 	}
-	return max(rack.judge(), zone.judge())
+	return max(rack.correlation(), zone.correlation())
 }
 
-// shareSuspect reports whether one task may have crashed both workers: started again at once, it
+// shareCrashSuspect reports whether one task may have crashed both workers: started again at once, it
 // can end a rack worker by worker.
-func (c *Core) shareSuspect(a, b *worker) bool {
-	others := c.suspectsOf(b)
-	return slices.ContainsFunc(c.suspectsOf(a), func(t *task) bool { return slices.Contains(others, t) })
+func (c *Core) shareCrashSuspect(a, b *worker) bool {
+	others := c.crashSuspects(b)
+	return slices.ContainsFunc(c.crashSuspects(a), func(t *task) bool { return slices.Contains(others, t) })
 }
 
-// suspectsOf returns the tasks that may have crashed the worker.
-func (c *Core) suspectsOf(w *worker) []*task {
+// crashSuspects returns the tasks that may have crashed the worker.
+func (c *Core) crashSuspects(w *worker) []*task {
 	if w.ended {
 		return w.crashSuspects
 	}
@@ -72,16 +72,16 @@
 	if k.lostAt.IsZero() || o.lostAt.IsZero() {
 		return false
 	}
-	const accuracy = crashSoon // of what is known of the moment at which a connection ended
+	const accuracy = earlyCrashTime // of what is known of the moment at which a connection ended
 	return !k.lastAliveAt().After(o.lostAt.Add(accuracy)) && !o.lastAliveAt().After(k.lostAt.Add(accuracy))
 }
 
 // lossCount counts the workers of a rack or zone.
 type lossCount struct {
-	least     int
-	all       int
-	lost      int // silent or gone
-	lostKnown int // gone for certain
+	min  int
+	all  int
+	lost int // silent or gone
+	gone int // gone for certain
 }
 
 func (t *lossCount) add(lost, gone bool) {
@@ -90,18 +90,18 @@
 		t.lost++
 	}
 	if lost && gone {
-		t.lostKnown++
+		t.gone++
 	}
 }
 
-func (t *lossCount) judge() togetherness {
+func (t *lossCount) correlation() lossCorrelation {
 	switch {
-	case t.isMost(t.lostKnown):
-		return lostTogether
-	case t.isMost(t.lost):
-		return perhapsTogether
+	case t.isMajority(t.gone):
+		return correlated
+	case t.isMajority(t.lost):
+		return possiblyCorrelated
 	}
-	return lostAlone
+	return uncorrelated
 }
 
-func (t *lossCount) isMost(n int) bool { return n >= t.least && 2*n > t.all }
+func (t *lossCount) isMajority(n int) bool { return n >= t.min && 2*n > t.all }
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -232,7 +232,7 @@
 			c.orderMaintenance(ws, cand, now)
 			continue
 		}
-		c.thin(cand.w, now)
+		c.thinOut(cand.w, now)
 	}
 	free := ws.MaxDown - len(ws.down) - len(c.reservedFor(ws))
 	if free <= 0 {
@@ -249,7 +249,7 @@
 			}
 			continue
 		}
-		if !mayTake(cand.w, now) && !mayThin(cand.w, now) {
+		if !canTakeDown(cand.w, now) && !canThinOut(cand.w, now) {
 			continue // one that was reserved a moment ago has tasks of the same step
 		}
 		c.reserve(cand.w, reservedMaintenance, now)
@@ -288,7 +288,7 @@
 		}
 		cand := candidate{id: id, w: w}
 		if w != nil {
-			if !mayTake(w, now) && !mayThin(w, now) {
+			if !canTakeDown(w, now) && !canThinOut(w, now) {
 				continue
 			}
 			cand.cost = w.load()
@@ -322,7 +322,7 @@
 
 // readyToGo reports whether a reserved worker may be taken away now.
 func (c *Core) readyToGo(w *worker, now time.Time) bool {
-	if !mayTake(w, now) {
+	if !canTakeDown(w, now) {
 		return false
 	}
 	for _, r := range w.runs {
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -45,7 +45,7 @@
 
 // sendDueHolds sends the holds whose time has come.
 func (c *Core) sendDueHolds(now time.Time) {
-	due := c.holdsDue.due(now)
+	due := c.holdsDue.popAllDue(now)
 	slices.SortFunc(due, byID)
 	for _, w := range due {
 		if w.holdInFlight || w.ended || now.Before(w.nextHoldAt) || c.workers[w.Worker] != w {
@@ -163,7 +163,7 @@
 		return // an answer that was on its way
 	}
 	if a.Outcome == Unanswered {
-		c.loseContact(w, a, now)
+		c.onContactLost(w, a, now)
 		return
 	}
 	if a.Outcome == NotSent || a.Outcome == OtherBoot {
@@ -173,7 +173,7 @@
 	w.lastAnswerAt = now
 	w.orderUnanswered = false
 	w.contactLoss = contactLoss{}
-	c.clearSurvivors(w, now)
+	c.clearCrashesOfAnswering(w, now)
 	c.trackAnswerLatency(a.Latency, now)
 }
 
@@ -297,7 +297,7 @@
 		}
 		if r.provenNotStarted(w.holdSentAt) {
 			r.neverStarted = true
-			r.task.forgetCrash(r.number)
+			r.task.dropUndecidedCrash(r.number)
 			c.stop(r, "its start was not answered, and it does not run", now)
 			continue
 		}
@@ -342,21 +342,21 @@
 	r.mayStartLate = false
 	if r.fromPastIncarnation {
 		r.fromPastIncarnation = false
-		r.task.forgetCrash(r.number)
+		r.task.dropUndecidedCrash(r.number)
 	}
 	if r.phase == starting {
 		r.phase = running
 		r.confirmedAt = now
 		r.progressAt = now
 	}
-	c.watchStall(r)
+	c.scheduleStallCheck(r)
 	c.noteStarted(r, now)
 	if a.Percent != r.percent {
 		r.percent = a.Percent
 		r.progressAt = now
 	}
 	r.usage = a.Usage
-	c.clearLasting(r, now)
+	c.clearLongRunning(r, now)
 	if a.Checkpoint != "" && r.task.step.spec.Checkpoints {
 		r.task.checkpoint = a.Checkpoint // kept in the store only when the run ends
 	}
@@ -373,7 +373,7 @@
 	c.silentWorkers.put(w, false)
 	c.markWorkerChanged(w)
 	c.note(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
-	c.lookInto(w, now)
+	c.investigateLoss(w, now)
 	for _, r := range runsByNumber(w) {
 		c.loseRun(r, proof, now)
 	}
@@ -396,7 +396,7 @@
 		if len(w.runs) > 0 && c.leasesExpired(w, now) && !c.isStarved(now) {
 			c.note(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
 			for _, r := range runsByNumber(w) {
-				c.noteCrash(r, now) // what became of the worker may be known later
+				c.recordPossibleCrash(r, now) // what became of the worker may be known later
 			}
 			for _, r := range runsByNumber(w) {
 				c.loseRun(r, "its lease is over", now)
