--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -57,20 +57,20 @@
 
 // Pool is a service's instances and their work.
 type Pool struct {
-	Name      string
-	Instances []Instance // those that are up, but for AtWork
-	AtWork    int        // those that are up and cannot be moved, as something runs on them
-	Closed    []Instance // those on which nothing runs, nor will for now: they are no room
-	Arriving  int        // on their way to it
-	Cores     float64    // of one instance
-	Missing   float64    // cores that its instances lack, as workers have shrunk for a while
-	Busy      float64    // cores in use
-	Waiting   float64    // cores that tasks wait for now
-	// WaitingLate is the part of Waiting of jobs that are late already.
-	WaitingLate float64
-	Lasting     float64       // cores of Busy that long-running tasks use
-	Rate        float64       // core-seconds of work that arrive a second
-	WaitsFor    time.Duration // since when some task has waited without a break
+	Name             string
+	Instances        []Instance // those that are up, but for BusyInstances
+	BusyInstances    int        // those that are up and cannot be moved, as something runs on them
+	EvacuatedIdle    []Instance // those on which nothing runs, nor will for now: they are no room
+	Arriving         int        // on their way to it
+	CoresPerInstance float64    // of one instance
+	MissingCores     float64    // cores that its instances lack, as workers have shrunk for a while
+	BusyCores        float64    // cores in use
+	WaitingCores     float64    // cores that tasks wait for now
+	// LateWaitingCores is the part of Waiting of jobs that are late already.
+	LateWaitingCores float64
+	LongRunningCores float64       // cores of Busy that long-running tasks use
+	ArrivalRate      float64       // core-seconds of work that arrive a second
+	WaitingFor       time.Duration // since when some task has waited without a break
 }
 
 // Move is one instance that changes its pool, and why.
@@ -81,7 +81,7 @@
 }
 
 // Size returns how many instances are up.
-func (p *Pool) Size() int { return len(p.Instances) + p.AtWork }
+func (p *Pool) Size() int { return len(p.Instances) + p.BusyInstances }
 
 // urgency says which work counts.
 type urgency int
@@ -94,26 +94,26 @@
 // waiting returns the cores that tasks wait for, as far as they count.
 func (p *Pool) waiting(u urgency) float64 {
 	if u == allWork {
-		return p.Waiting
+		return p.WaitingCores
 	}
-	return p.Waiting - (1-lateShare)*p.WaitingLate
+	return p.WaitingCores - (1-lateShare)*p.LateWaitingCores
 }
 
 // need is how many instances the pool's work fills: what there is now, or what
 // the rate of arrivals will keep busy, whichever is more.
 func (p *Pool) need(u urgency) int {
-	if p.Cores <= 0 {
+	if p.CoresPerInstance <= 0 {
 		return 0
 	}
-	present := headroom*p.Busy + p.waiting(u)
-	coming := p.Lasting + headroom*p.Rate
-	return int(math.Ceil(max(present, coming)/(p.Cores*fill) + p.Missing/p.Cores))
+	present := headroom*p.BusyCores + p.waiting(u)
+	coming := p.LongRunningCores + headroom*p.ArrivalRate
+	return int(math.Ceil(max(present, coming)/(p.CoresPerInstance*fill) + p.MissingCores/p.CoresPerInstance))
 }
 
 // surplus is how many instances the pool can do without. A pool with tasks that count
 // in full and wait has none to spare.
 func (p *Pool) surplus(u urgency) int {
-	if u == allWork && p.Waiting > 0 || p.Waiting > p.WaitingLate {
+	if u == allWork && p.WaitingCores > 0 || p.WaitingCores > p.LateWaitingCores {
 		return 0
 	}
 	return p.Size() + p.Arriving - max(smallest, p.need(u))
@@ -122,7 +122,7 @@
 // shortage is how many instances the pool lacks.
 func (p *Pool) shortage(u urgency) int {
 	short := max(0, p.need(u)-p.Size()-p.Arriving)
-	if short == 0 && p.WaitsFor > stuckAfter && p.Arriving <= 0 {
+	if short == 0 && p.WaitingFor > stuckAfter && p.Arriving <= 0 {
 		return 1
 	}
 	return short
@@ -174,7 +174,7 @@
 	switch {
 	case !p.threshold:
 		return to.shortage(u)
-	case to.Waiting > 0 && to.Arriving <= 0:
+	case to.WaitingCores > 0 && to.Arriving <= 0:
 		return 1
 	}
 	return 0
@@ -184,7 +184,7 @@
 	switch {
 	case !p.threshold:
 		return from.surplus(u)
-	case from.Waiting > 0:
+	case from.WaitingCores > 0:
 		return 0
 	}
 	return from.Size() + from.Arriving - smallest
@@ -240,7 +240,7 @@
 	if p.spare.Name == "" || p.w.InstanceSecond <= 0 {
 		return
 	}
-	for _, i := range byIdleTime(from.Closed, p.patience()) {
+	for _, i := range byIdleTime(from.EvacuatedIdle, p.patience()) {
 		if p.left > 0 && p.take(from, &p.spare, i, "its zone is evacuated") {
 			from.Arriving++ // it did not count in its pool
 			p.left--
--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 
 // pool has n instances of 10 cores, the first idle ones of which idle for d.
 func pool(name string, n, idle int, d time.Duration) Pool {
-	p := Pool{Name: name, Cores: 10}
+	p := Pool{Name: name, CoresPerInstance: 10}
 	for i := range n {
 		in := Instance{ID: fmt.Sprintf("%s%d", name, i)}
 		if i < idle {
@@ -23,13 +23,13 @@
 
 func spare(n int) Pool {
 	p := pool("spare", n, n, 0)
-	p.Cores = 0
+	p.CoresPerInstance = 0
 	return p
 }
 
 func TestSpareInstancesGoWhereTasksWait(t *testing.T) {
 	a := pool("a", 2, 0, 0)
-	a.Busy, a.Waiting = 20, 15
+	a.BusyCores, a.WaitingCores = 20, 15
 	moves := Plan(Demand, DefaultWeights, []Pool{a, pool("b", 2, 0, 0)}, spare(8), 100)
 	assert.Len(t, moves, 3, "23 cores of work in hand and 15 that wait fill 5 instances")
 	for _, m := range moves {
@@ -42,9 +42,9 @@
 // the work that comes is known sooner than it queues.
 func TestArrivalsBringInstancesBeforeTasksWait(t *testing.T) {
 	a := pool("a", 2, 0, 0)
-	a.Busy, a.Lasting, a.Rate = 8, 5, 31
+	a.BusyCores, a.LongRunningCores, a.ArrivalRate = 8, 5, 31
 	assert.Len(t, Plan(Demand, DefaultWeights, []Pool{a}, spare(8), 100), 3, "5 lasting cores, and 31 a second with headroom, fill 5 instances")
-	a.Rate = 4
+	a.ArrivalRate = 4
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{a}, spare(8), 100))
 }
 
@@ -79,13 +79,13 @@
 
 func TestInstancesOnTheirWayCount(t *testing.T) {
 	a := pool("a", 2, 0, 0)
-	a.Busy, a.Waiting, a.Arriving = 20, 15, 3
+	a.BusyCores, a.WaitingCores, a.Arriving = 20, 15, 3
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{a}, spare(8), 100))
 }
 
 func TestIdleInstancesOfOthersHelp(t *testing.T) {
 	a := pool("a", 1, 0, 0)
-	a.Busy, a.Waiting = 10, 10
+	a.BusyCores, a.WaitingCores = 10, 10
 	b := pool("b", 4, 4, time.Second)
 	moves := Plan(Demand, DefaultWeights, []Pool{b, a}, spare(0), 100)
 	assert.Len(t, moves, 2)
@@ -94,9 +94,9 @@
 
 func TestNothingIsTakenFromAPoolWithAQueue(t *testing.T) {
 	a := pool("a", 1, 0, 0)
-	a.Busy, a.Waiting = 10, 20
+	a.BusyCores, a.WaitingCores = 10, 20
 	b := pool("b", 4, 2, time.Second)
-	b.Busy, b.Waiting = 20, 1
+	b.BusyCores, b.WaitingCores = 20, 1
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{a, b}, spare(0), 100))
 }
 
@@ -118,14 +118,14 @@
 		assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), 0))
 	}
 	short := pool("b", 1, 0, 0)
-	short.Busy, short.Waiting = 10, 30
+	short.BusyCores, short.WaitingCores = 10, 30
 	assert.NotEmpty(t, Plan(Demand, DefaultWeights, []Pool{short}, spare(9), 0), "tasks wait")
 }
 
 // TestWhatIsAboutToBeGivenBackGoesFirst: one move in place of two.
 func TestWhatIsAboutToBeGivenBackGoesFirst(t *testing.T) {
 	short, over, busy := pool("a", 2, 0, 0), pool("b", 9, 9, time.Minute), pool("c", 9, 9, time.Second)
-	short.Busy, short.Waiting = 20, 15
+	short.BusyCores, short.WaitingCores = 20, 15
 	for _, m := range Plan(Demand, DefaultWeights, []Pool{short, busy, over}, spare(8), 0) {
 		assert.Equal(t, "b", m.From)
 		assert.Equal(t, "a", m.To)
@@ -135,19 +135,19 @@
 // TestInstancesOfAnEvacuatedZone are given back, and are no room.
 func TestInstancesOfAnEvacuatedZone(t *testing.T) {
 	a := pool("a", 2, 0, 0)
-	a.Closed = pool("z", 3, 3, time.Minute).Instances
-	a.Busy = 10
+	a.EvacuatedIdle = pool("z", 3, 3, time.Minute).Instances
+	a.BusyCores = 10
 	moves := Plan(Demand, DefaultWeights, []Pool{a}, spare(8), 2)
 	assert.Len(t, moves, 2)
 	for _, m := range moves {
 		assert.Equal(t, "spare", m.To)
 		assert.Contains(t, m.Instance, "z")
 	}
-	a.Waiting = 15
+	a.WaitingCores = 15
 	moves = Plan(Demand, DefaultWeights, []Pool{a}, spare(8), 0)
 	assert.Len(t, moves, 1, "as many as if there were none")
 	b := pool("b", 2, 0, 0)
-	b.Busy, b.Waiting = 20, 15
+	b.BusyCores, b.WaitingCores = 20, 15
 	for _, m := range Plan(Demand, DefaultWeights, []Pool{a, b}, spare(0), 0) {
 		assert.NotContains(t, m.Instance, "z")
 	}
@@ -166,16 +166,16 @@
 // need another worker, as those of a step with one task a worker do.
 func TestStuckTasksGetAnInstance(t *testing.T) {
 	a := pool("a", 3, 0, 0)
-	a.Busy, a.Waiting, a.WaitsFor = 3, 1, time.Second
+	a.BusyCores, a.WaitingCores, a.WaitingFor = 3, 1, time.Second
 	assert.Len(t, Plan(Demand, DefaultWeights, []Pool{a}, spare(2), 100), 1)
-	a.WaitsFor = 100 * time.Millisecond
+	a.WaitingFor = 100 * time.Millisecond
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{a}, spare(2), 100))
 }
 
 // TestBaselines: the policies that measurements compare with.
 func TestBaselines(t *testing.T) {
 	a := pool("a", 2, 0, 0)
-	a.Busy, a.Waiting = 20, 50
+	a.BusyCores, a.WaitingCores = 20, 50
 	assert.Empty(t, Plan(Fixed, DefaultWeights, []Pool{a}, spare(8), 100))
 	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{a}, spare(8), 100), 1, "one at a time")
 	a.Arriving = 1
@@ -187,9 +187,9 @@
 // of late jobs gives what it does not need for a quarter of these.
 func TestRoomIsSharedByWhatCanStillBeInTime(t *testing.T) {
 	late := pool("late", 8, 4, 0)
-	late.Busy, late.Waiting, late.WaitingLate = 30, 40, 40 // needs 8 for all, 5 of them if these count a quarter
+	late.BusyCores, late.WaitingCores, late.LateWaitingCores = 30, 40, 40 // needs 8 for all, 5 of them if these count a quarter
 	short := pool("short", 2, 0, 0)
-	short.Busy, short.Waiting = 18, 20
+	short.BusyCores, short.WaitingCores = 18, 20
 	moves := Plan(Demand, DefaultWeights, []Pool{late, short}, spare(0), 100)
 	assert.Len(t, moves, 3)
 	for _, m := range moves {
@@ -197,11 +197,11 @@
 		assert.Equal(t, "short", m.To)
 	}
 
-	late.WaitingLate = 30 // some of its tasks can be in time
+	late.LateWaitingCores = 30 // some of its tasks can be in time
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{late, short}, spare(0), 100))
 
-	late.WaitingLate = 40
-	short.Waiting, short.WaitingLate = 20, 20 // nobody's can
+	late.LateWaitingCores = 40
+	short.WaitingCores, short.LateWaitingCores = 20, 20 // nobody's can
 	assert.Len(t, Plan(Demand, DefaultWeights, []Pool{late, short}, spare(0), 100), 1, "a quarter of the late work counts on both sides")
 	moves = Plan(Demand, DefaultWeights, []Pool{late, short}, spare(9), 100)
 	assert.Len(t, moves, 4, "but they get what is spare")
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -76,9 +76,9 @@
 // more stay as they were; the newest term is the right one.
 func (m *Metrics) owner(s owner.Stats) {
 	for name, v := range map[string]float64{
-		"owner_open_jobs": float64(s.OpenJobs), "owner_unrecorded_jobs": float64(s.Unrecorded),
-		"owner_workers": float64(s.Workers), "owner_workers_usable": float64(s.Usable), "owner_workers_silent": float64(s.Silent),
-		"owner_tasks": float64(s.Running), "owner_instances_moving": float64(s.Moving), "owner_cores_waiting": s.WaitingCore,
+		"owner_open_jobs": float64(s.OpenJobs), "owner_unrecorded_jobs": float64(s.UnrecordedJobs),
+		"owner_workers": float64(s.Workers), "owner_workers_usable": float64(s.UsableWorkers), "owner_workers_silent": float64(s.SilentWorkers),
+		"owner_tasks": float64(s.RunningTasks), "owner_instances_moving": float64(s.MovingInstances), "owner_cores_waiting": s.WaitingCores,
 		"owner_starts": float64(s.Starts), "owner_starts_refused": float64(s.Refused), "owner_tasks_done": float64(s.Done),
 		"owner_tasks_failed": float64(s.Failed), "owner_tasks_stopped": float64(s.Stopped), "owner_tasks_lapsed": float64(s.Lapsed),
 		"owner_tasks_lost": float64(s.Lost), "owner_commits": float64(s.Commits),
@@ -91,8 +91,8 @@
 		pool := m.scope.Tagged(map[string]string{"pool": p.Name})
 		pool.Gauge("pool_instances").Update(float64(p.Instances))
 		pool.Gauge("pool_instances_arriving").Update(float64(p.Arriving))
-		pool.Gauge("pool_cores_busy").Update(p.Busy)
-		pool.Gauge("pool_cores_waiting").Update(p.Waiting)
-		pool.Gauge("pool_work_rate").Update(p.Rate)
+		pool.Gauge("pool_cores_busy").Update(p.BusyCores)
+		pool.Gauge("pool_cores_waiting").Update(p.WaitingCores)
+		pool.Gauge("pool_work_rate").Update(p.ArrivalRate)
 	}
 }
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -247,7 +247,7 @@
 	}
 	t.lastReport = now
 	stats := t.core.Stats(now)
-	t.idle.Store(stats.OpenJobs == 0 && stats.Unrecorded == 0)
+	t.idle.Store(stats.OpenJobs == 0 && stats.UnrecordedJobs == 0)
 	t.behind.Store(t.core.IsBacklogged(now))
 	t.overloaded.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
 	t.n.metrics.owner(stats)
@@ -347,7 +347,7 @@
 }
 
 // accountFields returns what a late job's time was spent on, in milliseconds.
-func accountFields(a *owner.Account) []zap.Field {
+func accountFields(a *owner.TimeBreakdown) []zap.Field {
 	out := []zap.Field{zap.Int64("total", a.Total.Milliseconds()), zap.Int64("allowed", a.Allowed.Milliseconds())}
 	for c, d := range a.Spent {
 		if d >= time.Millisecond {
--- a/jobs/owner/account_test.go
+++ b/jobs/owner/account_test.go
@@ -11,8 +11,8 @@
 )
 
 // lateLines returns the accounts that the core noted.
-func (r *rig) lateLines() []Account {
-	var out []Account
+func (r *rig) lateLines() []TimeBreakdown {
+	var out []TimeBreakdown
 	for _, d := range r.core.TakeDecisions() {
 		if d.Account != nil {
 			out = append(out, *d.Account)
@@ -55,9 +55,9 @@
 	require.Len(t, late, 1)
 	spent := late[0].Spent
 	assert.InDelta(t, 5.0, spent[CausePoolShort].Seconds(), 0.1)
-	assert.GreaterOrEqual(t, spent[CauseFailed], 500*time.Millisecond)
+	assert.GreaterOrEqual(t, spent[CauseRunFailed], 500*time.Millisecond)
 	assert.InDelta(t, 1.0, spent[CauseWork].Seconds(), 0.01, "the estimate")
-	assert.GreaterOrEqual(t, spent[CauseSlow], 1900*time.Millisecond)
+	assert.GreaterOrEqual(t, spent[CauseSlowTask], 1900*time.Millisecond)
 	var sum time.Duration
 	for _, d := range spent {
 		sum += d
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -33,7 +33,7 @@
 	id := r.task.id()
 	c.note(Decision{Event: "run-lost", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number,
 		Reason: proof + "; " + r.workerSeenAfterStart()})
-	c.releaseRun(r, CauseLost, now)
+	c.releaseRun(r, CauseRunLost, now)
 }
 
 // workerSeenAfterStart says for how long the worker of a lost run was seen to be there after the start.
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -68,7 +68,7 @@
 	}
 	if r != nil && e.Kind == EndDone && !r.confirmedAt.IsZero() && !s.spec.LongRunning {
 		cores := float64(s.spec.Occupies().CPUMilli) / 1000
-		c.pool(j.service).trend.add(cores*now.Sub(r.confirmedAt).Seconds(), cores*s.spec.Estimate.Seconds())
+		c.pool(j.service).estimateRatio.add(cores*now.Sub(r.confirmedAt).Seconds(), cores*s.spec.Estimate.Seconds())
 	}
 	w.recentEnds.add(e.Kind, now)
 	switch e.Kind {
@@ -106,7 +106,7 @@
 		wasDone := m.done
 		c.complete(m)
 		if !wasDone {
-			m.doneBy(by, now)
+			m.addRunTime(by, now)
 		}
 		for _, r := range m.runs {
 			c.stop(r, "the task is done", now)
@@ -172,18 +172,18 @@
 	case EndDone:
 		return CauseWork
 	case EndFailed:
-		return CauseFailed
+		return CauseRunFailed
 	case EndStopped:
-		return CauseStopped
+		return CauseRunStopped
 	}
-	return CauseLost
+	return CauseRunLost
 }
 
 // releaseRun frees the room of a run that is over. Its time counts as c, unless it did
 // the task.
 func (c *Core) releaseRun(r *run, cause Cause, now time.Time) {
 	if cause != CauseWork {
-		r.ended(cause, now)
+		r.addLostTime(cause, now)
 	}
 	c.removeRun(r)
 	if r.worker.contactLoss.lostAt.IsZero() && !r.fromPastIncarnation {
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -52,7 +52,7 @@
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.out.Starts)
 	assert.Empty(t, r.out.InstanceOrders, "a spare instance there is of no use")
-	assert.Equal(t, CauseEvacuated, r.core.waitCause("s"))
+	assert.Equal(t, CauseZoneEvacuated, r.core.waitCause("s"))
 	r.core.Evacuate(nil)
 	r.held("a", nil)
 	r.held("b", nil)
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -148,8 +148,8 @@
 // placementView returns the worker as placement sees it.
 func (w *worker) placementView(now time.Time) placement.Worker {
 	return placement.Worker{
-		Room: w.Capacity, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
-		Fillers: w.fillerRuns, Serving: w.servingRuns, Lasting: w.longRunningRuns, Suspect: w.hasRecentFailures(now),
+		Capacity: w.Capacity, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
+		Fillers: w.fillerRuns, Serving: w.servingRuns, LongRunning: w.longRunningRuns, Unreliable: w.hasRecentFailures(now),
 	}
 }
 
--- a/jobs/owner/freeindex_test.go
+++ b/jobs/owner/freeindex_test.go
@@ -67,7 +67,7 @@
 			barred, mine := map[*worker]bool{}, map[*worker]int{}
 			for i, w := range workers {
 				barred[w], mine[w] = r.IntN(6) == 0, r.IntN(3)
-				views[i].Barred, views[i].Mine = barred[w], mine[w]
+				views[i].Excluded, views[i].SameStep = barred[w], mine[w]
 			}
 			want := (*worker)(nil)
 			if i := placement.Choose(views, req); i >= 0 {
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -9,7 +9,7 @@
 
 // load takes over a job from the store.
 func (c *Core) load(l Loaded, now time.Time) {
-	j := c.add(l.Job, now)
+	j := c.addJob(l.Job, now)
 	j.inherited = true
 	j.loadedFromStore = true
 	if l.Progress != nil {
@@ -72,7 +72,7 @@
 	if !c.quotaAllows(j.spec, &j.spec.Steps[0], 1, now) {
 		return // what its tenant may not run is no demand
 	}
-	c.pool(j.service).arrivals.Add(j.work, at)
+	c.pool(j.service).arrivalRate.Add(j.work, at)
 }
 
 // handoverTime is how long after a change of owner jobs may still reach the
@@ -85,7 +85,7 @@
 	if c.jobs[spec.ID] != nil {
 		return
 	}
-	j := c.add(spec, now)
+	j := c.addJob(spec, now)
 	// An earlier owner that does not know yet that it is none may have started it.
 	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < handoverTime
 	c.note(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
@@ -98,7 +98,7 @@
 	}
 }
 
-func (c *Core) add(spec *job.Job, now time.Time) *jobState {
+func (c *Core) addJob(spec *job.Job, now time.Time) *jobState {
 	j := &jobState{spec: spec, service: spec.Service, state: job.Queued, knownAt: now}
 	c.jobs[spec.ID] = j
 	c.openJobs[spec.ID] = j
@@ -246,7 +246,7 @@
 	c.markDirty(j)
 	c.toWrite.add(j) // among those that ended
 	c.note(Decision{Event: "job-" + string(state), Job: j.spec.ID})
-	c.noteIfLate(j, now)
+	c.noteLateJob(j, now)
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -23,7 +23,7 @@
 		i := c.instances[id]
 		switch {
 		case i == nil:
-		case m.accepted && i.Pool == m.to && i.State == InstanceUp && c.incarnationOn(&i.Instance) != m.life && c.joined(&i.Instance):
+		case m.accepted && i.Pool == m.to && i.State == InstanceUp && c.incarnationOn(&i.Instance) != m.life && c.hasJoinedPool(&i.Instance):
 		case m.accepted && now.Sub(m.at) > moveTimeout:
 		default:
 			continue
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -88,7 +88,7 @@
 		c.stop(r, "an earlier order for it may still arrive", now)
 		return
 	}
-	c.releaseRun(r, CauseLost, now)
+	c.releaseRun(r, CauseRunLost, now)
 }
 
 // resetRefusals ends the pauses of what this worker or the step was refused before.
@@ -115,7 +115,7 @@
 	case r.mayStartLate:
 		r.startAbandonedAt = now
 	default:
-		c.releaseRun(r, CauseLost, now)
+		c.releaseRun(r, CauseRunLost, now)
 	}
 }
 
--- a/jobs/owner/placing.go
+++ b/jobs/owner/placing.go
@@ -16,7 +16,7 @@
 	pool        *poolState
 	now         time.Time
 	entries     []queueEntry // in the order in which they get room
-	unplaceable placement.Full
+	unplaceable placement.RejectedNeeds
 
 	placedEntries int         // claims that are placed
 	view          *workerView // all usable workers; nil: they were not needed so far
@@ -43,10 +43,10 @@
 		}
 		p.placeJob(cl.job)
 	}
-	if p.pool.waiting == 0 && !p.startsDeferred() {
+	if p.pool.waitingCores == 0 && !p.startsDeferred() {
 		p.placeLateCopies(p.entries)
 	}
-	p.pool.settle(p.now)
+	p.pool.updateWaitingSince(p.now)
 }
 
 // placeJob places the tasks of a job that can start.
@@ -91,7 +91,7 @@
 		return
 	}
 	if i, ok := p.view.indexOf(w); ok {
-		placement.Take(&p.view.views[i], req)
+		placement.Assign(&p.view.views[i], req)
 	}
 	if p.viewStep != t.step {
 		p.viewStep = nil
@@ -101,15 +101,15 @@
 // placementRequest returns what a task of the step needs.
 func placementRequest(s *stepState) placement.Request {
 	return placement.Request{
-		Need:          s.spec.Occupies(),
-		Filler:        s.spec.Filler,
-		Serving:       s.spec.LatencyTarget > 0,
-		RequiredLabel: s.spec.RequiredLabel,
-		PreferredRack: s.spec.PreferredRack,
-		MaxPerWorker:  s.spec.MaxPerWorker,
-		Lasting:       s.spec.LongRunning,
-		Spread:        s.spec.MayMiss,
-		Permits:       s.needsPermits(),
+		Need:                  s.spec.Occupies(),
+		Filler:                s.spec.Filler,
+		Serving:               s.spec.LatencyTarget > 0,
+		RequiredLabel:         s.spec.RequiredLabel,
+		PreferredRack:         s.spec.PreferredRack,
+		MaxPerWorker:          s.spec.MaxPerWorker,
+		LongRunning:           s.spec.LongRunning,
+		PreferredMaxPerWorker: s.spec.MayMiss,
+		Restricted:            s.needsPermits(),
 	}
 }
 
@@ -147,8 +147,8 @@
 		}
 		w := choice.pick(t.hasFailedOn)
 		if w == nil && t.awaitsOtherWorker(&p.pool.free, &choice.req, p.now) {
-			p.pool.wait(s, 1)
-			t.note(CauseElsewhere, s.readySince(), p.now)
+			p.pool.addWaiting(s, 1)
+			t.addTime(CauseFailedThereBefore, s.readySince(), p.now)
 			continue
 		}
 		if w == nil && len(t.failedOn) > 0 {
@@ -170,12 +170,12 @@
 func (p *schedulingPass) onNoCapacity(s *stepState, req *placement.Request) {
 	possible := p.pool.free.couldFit(req) || p.pool.supply.couldTake(req.Need)
 	if possible {
-		p.pool.wait(s, countUnplaced(s, p.now))
+		p.pool.addWaiting(s, countUnplaced(s, p.now))
 		p.unplaceable.Add(req)
 		p.preempt(s, req)
 	}
 	p.logWaiting(s, possible)
-	s.noteWaits(p.core.waitCause(p.service), p.now)
+	s.addWaitTime(p.core.waitCause(p.service), p.now)
 	p.requestAdvice(s)
 }
 
@@ -231,8 +231,8 @@
 	}
 	chosen := placement.ChooseGang(views, req, len(s.tasks), s.spec.SameRack)
 	if chosen == nil {
-		p.pool.wait(s, len(s.tasks))
-		s.noteWaits(p.core.waitCause(p.service), p.now)
+		p.pool.addWaiting(s, len(s.tasks))
+		s.addWaitTime(p.core.waitCause(p.service), p.now)
 		p.requestAdvice(s)
 		return
 	}
@@ -269,7 +269,7 @@
 
 // pick returns the pick worker that is not barred, nil if none has room.
 func (ch *workerSelector) pick(barred func(*worker) bool) *worker {
-	if ch.req.Lasting || ch.req.Filler || ch.req.Serving {
+	if ch.req.LongRunning || ch.req.Filler || ch.req.Serving {
 		return ch.pickByScan(barred)
 	}
 	s, now := ch.step, ch.p.now
@@ -288,7 +288,7 @@
 	if slices.ContainsFunc(room.workers, barred) {
 		views = slices.Clone(views)
 		for i, w := range room.workers {
-			views[i].Barred = views[i].Barred || barred(w)
+			views[i].Excluded = views[i].Excluded || barred(w)
 		}
 	}
 	if i := placement.Choose(views, ch.req); i >= 0 {
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -46,7 +46,7 @@
 		for _, r := range runsByNumber(w) {
 			if r.preemptibleBy(s) {
 				runs[i] = append(runs[i], r)
-				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.Occupies(), Lost: r.preemptionCost(now)})
+				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.Occupies(), LostWork: r.preemptionCost(now)})
 			}
 		}
 	}
@@ -63,12 +63,14 @@
 }
 
 // noteStarted takes note of the priority of a job of which a task runs.
-func (p *poolState) noteStarted(j *jobState) { p.lowest = max(p.lowest, j.queue.Priority) }
+func (p *poolState) noteStarted(j *jobState) {
+	p.lowestStartedPriority = max(p.lowestStartedPriority, j.queue.Priority)
+}
 
 // mayHaveVictims reports whether runs of lower priority than the step may be there at
 // all.
 func (p *poolState) mayHaveVictims(s *stepState) bool {
-	return s.spec.LongRunning || p.lowest > s.job.queue.Priority
+	return s.spec.LongRunning || p.lowestStartedPriority > s.job.queue.Priority
 }
 
 // recentlyPreempted reports whether a worker is being cleared for the step.
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -182,8 +182,8 @@
 // become empty for it.
 func (p *schedulingPass) awaitIsolation(t *task, req *placement.Request) {
 	s := t.step
-	p.pool.wait(s, 1)
-	t.note(CauseElsewhere, s.readySince(), p.now)
+	p.pool.addWaiting(s, 1)
+	t.addTime(CauseFailedThereBefore, s.readySince(), p.now)
 	p.requestAdvice(s)
 	room := p.workersFor(s)
 	kept := 0
@@ -196,8 +196,8 @@
 			kept++
 			continue
 		}
-		if w.longRunningRuns > 0 || room.views[i].Barred || // a long-running task does not end for it
-			!placement.Possible(&room.views[i], req) {
+		if w.longRunningRuns > 0 || room.views[i].Excluded || // a long-running task does not end for it
+			!placement.Feasible(&room.views[i], req) {
 			continue
 		}
 		if best == nil || len(w.runs) < len(best.runs) {
@@ -218,7 +218,7 @@
 	views := make([]placement.Worker, len(room.views))
 	copy(views, room.views)
 	for i, w := range room.workers {
-		views[i].Barred = views[i].Barred || !allowed(w)
+		views[i].Excluded = views[i].Excluded || !allowed(w)
 	}
 	return views
 }
--- a/jobs/owner/room.go
+++ b/jobs/owner/room.go
@@ -41,13 +41,13 @@
 func (v *workerView) countStepTasks(s *stepState, now time.Time) {
 	needsPermits := s.needsPermits()
 	for i, w := range v.workers {
-		v.views[i].Mine = 0
-		v.views[i].Barred = needsPermits && !s.hasValidTicket(w, now) || w.isReservedForOther(s, now)
+		v.views[i].SameStep = 0
+		v.views[i].Excluded = needsPermits && !s.hasValidTicket(w, now) || w.isReservedForOther(s, now)
 	}
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
 			if i, ok := v.indexOf(r.worker); ok {
-				v.views[i].Mine++
+				v.views[i].SameStep++
 			}
 		}
 	}
@@ -62,12 +62,12 @@
 // that could take it and on which it did not. Tickets last for a short time, so
 // that tasks that need one do not wait.
 func (t *task) awaitsOtherWorker(free *freeIndex, req *placement.Request, now time.Time) bool {
-	if len(t.failedOn) == 0 || req.Permits || now.Sub(t.lastFailedAt) > otherWorkerWait {
+	if len(t.failedOn) == 0 || req.Restricted || now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return false
 	}
 	for _, k := range free.classes {
 		for _, w := range k.byFree {
-			if !t.hasFailedOn(w) && placement.Possible(&placement.Worker{Room: w.Capacity, Labels: w.Labels}, req) {
+			if !t.hasFailedOn(w) && placement.Feasible(&placement.Worker{Capacity: w.Capacity, Labels: w.Labels}, req) {
 				return true
 			}
 		}
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -114,15 +114,15 @@
 // recentlyScheduled reports whether the service had its turn a moment ago, and tasks
 // were left without room.
 func (p *poolState) recentlyScheduled(now time.Time) bool {
-	return p.waiting > 0 && now.Sub(p.placedAt) < minScheduleInterval+time.Duration(p.jobs)*scheduleIntervalPerJob
+	return p.waitingCores > 0 && now.Sub(p.placedAt) < minScheduleInterval+time.Duration(p.waitingJobs)*scheduleIntervalPerJob
 }
 
 // newSchedulingPass returns a placement of the service's waiting tasks that has not begun.
 func (c *Core) newSchedulingPass(service string, pool *poolState, now time.Time) *schedulingPass {
 	claims := c.queueEntries(service, pool, now)
-	pool.waiting, pool.late = 0, 0
+	pool.waitingCores, pool.lateWaitingCores = 0, 0
 	pool.placedAt = now
-	pool.jobs = len(claims)
+	pool.waitingJobs = len(claims)
 	slices.SortFunc(claims, func(a, b queueEntry) int { return a.compare(b, c.opt.JobOrder) })
 	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: claims}
 }
@@ -230,7 +230,7 @@
 	c.beginTimed(now)
 	c.throttleFillers(now)
 	c.maintain(now)
-	c.size(now)
+	c.resizePools(now)
 	c.markWaitingServices()
 	c.schedule(now)
 }
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -79,14 +79,14 @@
 	crashes            job.Crashes
 	checkpoint         string
 	runs               []*run
-	isolationWaitSince time.Time  // since when it waits for a worker of its own; zero: it does not
-	notBefore          time.Time  // backoff after a failure
-	consecutiveRetries int        // failures or refusals on end, of a task without a limit of them
-	stalls             int        // runs that stood still
-	failedOn           []WorkerID // in this term; the fault may have been the worker's
-	lastFailedAt       time.Time  // newest of these
-	timeSpent          spent      // what its time went to so far
-	accountedUntil     time.Time  // until when that is accounted for
+	isolationWaitSince time.Time   // since when it waits for a worker of its own; zero: it does not
+	notBefore          time.Time   // backoff after a failure
+	consecutiveRetries int         // failures or refusals on end, of a task without a limit of them
+	stalls             int         // runs that stood still
+	failedOn           []WorkerID  // in this term; the fault may have been the worker's
+	lastFailedAt       time.Time   // newest of these
+	timeSpent          timeByCause // what its time went to so far
+	accountedUntil     time.Time   // until when that is accounted for
 }
 
 func (t *task) id() job.TaskID {
@@ -367,7 +367,7 @@
 	Worker  WorkerID
 	Run     uint64
 	Reason  string
-	Account *Account // of a job that was late
+	Account *TimeBreakdown // of a job that was late
 }
 
 func (c *Core) note(d Decision) { c.decisions = append(c.decisions, d) }
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -104,12 +104,12 @@
 
 // fill sets what the plan has to know of the pool as a whole.
 func (s *poolSupply) fill(v *capacity.Pool) {
-	v.AtWork = s.instances - len(s.idle)
-	v.Busy = float64(s.busy) / 1000
-	v.Lasting = float64(s.lasting) / 1000
-	v.Missing = float64(s.missing) / 1000
+	v.BusyInstances = s.instances - len(s.idle)
+	v.BusyCores = float64(s.busy) / 1000
+	v.LongRunningCores = float64(s.lasting) / 1000
+	v.MissingCores = float64(s.missing) / 1000
 	for room := range s.rooms {
-		v.Cores = max(v.Cores, float64(room)/1000)
+		v.CoresPerInstance = max(v.CoresPerInstance, float64(room)/1000)
 	}
 }
 
@@ -178,7 +178,7 @@
 	out := capacity.Instance{ID: string(i.ID)}
 	w := i.life
 	if w == nil {
-		out.Movable = !c.underMaintenance(i.ID) && c.mayOrder(i.ID, now)
+		out.Movable = !c.isUnderMaintenance(i.ID) && c.mayOrder(i.ID, now)
 		return out
 	}
 	if w.idleSince.IsZero() {
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -111,7 +111,7 @@
 func (c *Core) accountTakeoverWait(service string, now time.Time) {
 	for _, j := range c.openJobs {
 		if j.inherited && j.service == service && !j.state.Final() {
-			j.noteWaits(CauseTakeover, now)
+			j.addWaitTime(CauseTakeover, now)
 		}
 	}
 }
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -102,7 +102,7 @@
 		return true
 	}
 	p.core.quotas.Wait(spec.Tenant, p.service)
-	s.noteWaits(CauseTenantLimit, p.now)
+	s.addWaitTime(CauseTenantLimit, p.now)
 	p.core.logTenantLimit(s)
 	return false
 }
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -51,7 +51,7 @@
 	require.Len(t, byJob(starts, two), 2)
 	require.Len(t, byJob(starts, one), 1, "no start is answered yet, all count")
 	assert.Len(t, starts, 3+4, "others run")
-	assert.Zero(t, r.core.pool("s").waiting, "what its tenant may not run asks for no instances")
+	assert.Zero(t, r.core.pool("s").waitingCores, "what its tenant may not run asks for no instances")
 	r.started()
 
 	r.core.Cancel(two.ID, r.now)
--- a/jobs/owner/window_test.go
+++ b/jobs/owner/window_test.go
@@ -110,7 +110,7 @@
 	lasting.Steps[0].LongRunning = true
 	r.core.Submit(lasting, r.now)
 	r.core.React(r.now)
-	assert.InDelta(t, 3, r.core.pool("s").waiting, 0.01, "cores")
+	assert.InDelta(t, 3, r.core.pool("s").waitingCores, 0.01, "cores")
 }
 
 // TestDeadWorkersDoNotHoldUpTheLine: starts that a rack without power does not answer keep
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -305,7 +305,7 @@
 		if !confirmed {
 			continue
 		}
-		c.releaseRun(r, CauseLost, now) // its end was listed before, or it never began
+		c.releaseRun(r, CauseRunLost, now) // its end was listed before, or it never began
 		if r.phase == running {
 			c.counts.Lost++
 			c.note(Decision{Event: "run-vanished", Job: id.Job, Task: id.String(), Worker: w.Worker, Run: r.number})
--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -10,16 +10,16 @@
 
 // Worker is what a choice looks at.
 type Worker struct {
-	Room    job.Resources // of the whole worker
-	Free    job.Resources
-	Rack    string
-	Labels  []string
-	Suspect bool // failed or stalled of late; used only if nothing else fits
-	Mine    int  // tasks of the same step and occurrence on it
-	Fillers int  // tasks on it that use what others leave
-	Serving int  // long-running tasks on it that have a latency target
-	Lasting int  // long-running tasks on it
-	Barred  bool // it may not take the request, for reasons of the caller's
+	Capacity    job.Resources // of the whole worker
+	Free        job.Resources
+	Rack        string
+	Labels      []string
+	Unreliable  bool // failed or stalled of late; used only if nothing else fits
+	SameStep    int  // tasks of the same step and occurrence on it
+	Fillers     int  // tasks on it that use what others leave
+	Serving     int  // long-running tasks on it that have a latency target
+	LongRunning int  // long-running tasks on it
+	Excluded    bool // it may not take the request, for reasons of the caller's
 }
 
 // Request is what a task needs.
@@ -30,11 +30,11 @@
 	RequiredLabel string
 	PreferredRack string
 	MaxPerWorker  int
-	Lasting       bool // a long-running task
-	Permits       bool // only some workers are permitted; the others are barred
-	// Spread is how many tasks of a step a worker should have at most, so that
+	LongRunning   bool // a long-running task
+	Restricted    bool // only some workers are permitted; the others are barred
+	// PreferredMaxPerWorker is how many tasks of a step a worker should have at most, so that
 	// maintenance may take it away; 0: any number.
-	Spread int
+	PreferredMaxPerWorker int
 }
 
 // Weights of a choice. They are in shares of a worker's processors, so that
@@ -56,9 +56,9 @@
 	lastingBonus = 1.0
 )
 
-// Possible reports whether the worker could ever take the request.
-func Possible(w *Worker, r *Request) bool {
-	return w.Room.Fits(r.Need) && hasLabel(w, r)
+// Feasible reports whether the worker could ever take the request.
+func Feasible(w *Worker, r *Request) bool {
+	return w.Capacity.Fits(r.Need) && hasLabel(w, r)
 }
 
 func hasLabel(w *Worker, r *Request) bool {
@@ -67,10 +67,10 @@
 
 // fits reports whether the worker can take the request now.
 func fits(w *Worker, r *Request) bool {
-	if w.Barred || !w.Free.Fits(r.Need) || !hasLabel(w, r) {
+	if w.Excluded || !w.Free.Fits(r.Need) || !hasLabel(w, r) {
 		return false
 	}
-	return r.MaxPerWorker == 0 || w.Mine < r.MaxPerWorker
+	return r.MaxPerWorker == 0 || w.SameStep < r.MaxPerWorker
 }
 
 // score is higher for a better worker. Tasks that end go to the fullest worker
@@ -79,23 +79,23 @@
 // take away at once.
 func score(w *Worker, r *Request) float64 {
 	left := 0.0
-	if w.Room.CPUMilli > 0 {
-		left = float64(w.Free.CPUMilli-r.Need.CPUMilli) / float64(w.Room.CPUMilli)
+	if w.Capacity.CPUMilli > 0 {
+		left = float64(w.Free.CPUMilli-r.Need.CPUMilli) / float64(w.Capacity.CPUMilli)
 	}
 	s := -left
-	if r.Lasting {
+	if r.LongRunning {
 		s = left
-		if w.Lasting > 0 {
+		if w.LongRunning > 0 {
 			s += lastingBonus
 		}
-		if r.Spread > 0 && w.Mine >= r.Spread {
+		if r.PreferredMaxPerWorker > 0 && w.SameStep >= r.PreferredMaxPerWorker {
 			s -= spreadMalus
 		}
 	}
 	if r.PreferredRack != "" && w.Rack == r.PreferredRack {
 		s += rackBonus
 	}
-	if w.Suspect {
+	if w.Unreliable {
 		s -= suspectMalus
 	}
 	if r.Filler {
@@ -107,21 +107,21 @@
 	return s
 }
 
-// Full holds requests that found no room. A request that needs as much as one of
+// RejectedNeeds holds requests that found no room. A request that needs as much as one of
 // them finds none either, as long as no room is freed.
-type Full struct{ needs []job.Resources }
+type RejectedNeeds struct{ needs []job.Resources }
 
 // Add notes a request that found no room. Requests with further conditions are
 // not noted: others may fit where they do not.
-func (f *Full) Add(r *Request) {
-	if r.RequiredLabel != "" || r.MaxPerWorker != 0 || r.Permits || f.Covers(r) {
+func (f *RejectedNeeds) Add(r *Request) {
+	if r.RequiredLabel != "" || r.MaxPerWorker != 0 || r.Restricted || f.Covers(r) {
 		return
 	}
 	f.needs = append(f.needs, r.Need)
 }
 
 // Covers reports whether the request certainly finds no room.
-func (f *Full) Covers(r *Request) bool {
+func (f *RejectedNeeds) Covers(r *Request) bool {
 	return slices.ContainsFunc(f.needs, func(need job.Resources) bool { return r.Need.Fits(need) })
 }
 
@@ -141,18 +141,18 @@
 	return best
 }
 
-// Take accounts for the request on the worker.
-func Take(w *Worker, r *Request) {
+// Assign accounts for the request on the worker.
+func Assign(w *Worker, r *Request) {
 	w.Free = w.Free.Sub(r.Need)
-	w.Mine++
+	w.SameStep++
 	if r.Filler {
 		w.Fillers++
 	}
 	if r.Serving {
 		w.Serving++
 	}
-	if r.Lasting {
-		w.Lasting++
+	if r.LongRunning {
+		w.LongRunning++
 	}
 }
 
@@ -195,7 +195,7 @@
 		if i < 0 {
 			return nil
 		}
-		Take(&workers[i], &r)
+		Assign(&workers[i], &r)
 		out = append(out, i)
 	}
 	return out
--- a/jobs/placement/placement_test.go
+++ b/jobs/placement/placement_test.go
@@ -14,7 +14,7 @@
 func workers(free ...int) []Worker {
 	var out []Worker
 	for _, f := range free {
-		out = append(out, Worker{Room: cores(8), Free: cores(f)})
+		out = append(out, Worker{Capacity: cores(8), Free: cores(f)})
 	}
 	return out
 }
@@ -25,9 +25,9 @@
 	labels := workers(8, 8)
 	labels[1].Labels = []string{"fast"}
 	suspect := workers(2, 8)
-	suspect[0].Suspect = true
+	suspect[0].Unreliable = true
 	full := workers(8, 8)
-	full[0].Mine = 1
+	full[0].SameStep = 1
 	shared := workers(8, 8)
 	shared[0].Serving = 1
 	for _, c := range []struct {
@@ -45,7 +45,7 @@
 		{"a suspect one last", suspect, Request{Need: cores(1)}, 1},
 		{"a suspect one rather than none", suspect[:1], Request{Need: cores(1)}, 0},
 		{"at most so many of a step", full, Request{Need: cores(1), MaxPerWorker: 1}, 1},
-		{"long-running ones spread for maintenance", full, Request{Need: cores(1), Lasting: true, Spread: 1}, 1},
+		{"long-running ones spread for maintenance", full, Request{Need: cores(1), LongRunning: true, PreferredMaxPerWorker: 1}, 1},
 		{"fillers away from serving ones", shared, Request{Filler: true}, 1},
 	} {
 		assert.Equal(t, c.want, Choose(c.workers, c.request), c.name)
@@ -54,8 +54,8 @@
 
 func TestLongRunningTasksOfDifferentStepsShareWorkers(t *testing.T) {
 	w := workers(8, 6)
-	w[1].Lasting = 1
-	assert.Equal(t, 1, Choose(w, Request{Need: cores(1), Lasting: true, Spread: 1}))
+	w[1].LongRunning = 1
+	assert.Equal(t, 1, Choose(w, Request{Need: cores(1), LongRunning: true, PreferredMaxPerWorker: 1}))
 }
 
 func TestChooseGang(t *testing.T) {
@@ -70,13 +70,13 @@
 
 func TestPossible(t *testing.T) {
 	w := workers(0)
-	assert.True(t, Possible(&w[0], &Request{Need: cores(8)}))
-	assert.False(t, Possible(&w[0], &Request{Need: cores(9)}))
+	assert.True(t, Feasible(&w[0], &Request{Need: cores(8)}))
+	assert.False(t, Feasible(&w[0], &Request{Need: cores(9)}))
 }
 
 func TestFullCoversWhatNeedsAsMuch(t *testing.T) {
 	need := func(cpu, mem int) *Request { return &Request{Need: job.Resources{CPUMilli: cpu, MemMB: mem}} }
-	var f Full
+	var f RejectedNeeds
 	assert.False(t, f.Covers(need(1, 1)))
 	f.Add(need(4000, 100))
 	assert.True(t, f.Covers(need(4000, 100)))
--- a/jobs/placement/preempt.go
+++ b/jobs/placement/preempt.go
@@ -8,8 +8,8 @@
 
 // Occupant is a run that may be stopped for a more urgent task.
 type Occupant struct {
-	Need job.Resources
-	Lost float64 // core-seconds of work that are lost with it
+	Need     job.Resources
+	LostWork float64 // core-seconds of work that are lost with it
 }
 
 // Preemption says which occupants to stop so that a request fits.
@@ -55,7 +55,7 @@
 	}
 	victims = dropNeedless(w, occupants, victims, r)
 	for _, i := range victims {
-		lost += occupants[i].Lost
+		lost += occupants[i].LostWork
 	}
 	return victims, lost, true
 }
@@ -75,5 +75,5 @@
 }
 
 func lossPerCore(o Occupant) float64 {
-	return o.Lost / float64(max(1, o.Need.CPUMilli))
+	return o.LostWork / float64(max(1, o.Need.CPUMilli))
 }
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -295,7 +295,7 @@
 				continue
 			}
 			s.result.Causes[cause.String()] += t
-			if cause == owner.CausePoolShort || cause == owner.CauseArriving || cause == owner.CauseMaintained {
+			if cause == owner.CausePoolShort || cause == owner.CauseInstancesArriving || cause == owner.CauseMaintenance {
 				s.result.Waits += t
 			}
 		}
