--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -112,7 +112,7 @@
 	if c.opt.MaxMovesPerSec <= 0 {
 		return manyMoves
 	}
-	c.returnBudget = min(c.returnBudget+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.lastReturnAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
-	c.lastReturnAt = now
+	c.returnBudget = min(c.returnBudget+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.returnRefilledAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
+	c.returnRefilledAt = now
 	return max(0, int(c.returnBudget))
 }
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -9,34 +9,32 @@
 	"github.com/postmount/postmount/jobs/quota"
 )
 
-// Options are the figures that the core works with.
+// Options configures a Core.
 type Options struct {
-	Term           uint64        // number of this ownership; rises with each owner
-	TaskLease      time.Duration // how long a worker's tasks live without renewal
-	MaxWorkerLease time.Duration // that a worker gives, whatever it is told; 0: TaskLease
-	HoldWait       time.Duration // how long a hold waits for an end
-	IdleHoldWait   time.Duration // the same if nothing runs there; 0: as long as HoldWait
-	CallPolicy     calls.Policy  // how long answers are waited for; "": adaptive
-	MaxHoldsPerSec float64       // holds that this daemon's processor bears; 0: any number
-	// DutyHandover is the least time between orders for one instance by two holders.
-	// OrderedBefore are those of other holders, as old at least as they say when this
-	// owner was elected, at ElectedAt; zero: now. Successor says that the owner before
-	// was an earlier life of this daemon.
+	Term           uint64        // term of this ownership; higher for each new owner
+	TaskLease      time.Duration // lease of a worker's tasks, renewed by each hold
+	MaxWorkerLease time.Duration // longest lease that a worker grants, whatever it is told; 0: TaskLease
+	HoldWait       time.Duration // long-poll time of a hold for a worker with tasks
+	IdleHoldWait   time.Duration // the same for a worker without tasks; 0: HoldWait
+	CallPolicy     calls.Policy  // policy for call timeouts; "": adaptive
+	MaxHoldsPerSec float64       // holds that this daemon's processor can handle; 0: no limit
+	// DutyHandover is the minimum time between orders for one instance by two duty holders.
 	DutyHandover time.Duration
-	PriorOrders  []RecentOrder
-	ElectedAt    time.Time
-	// PriorOrdersUnknown says that what other holders ordered cannot be known.
-	PriorOrdersUnknown bool
-	SucceedsSelf       bool
+	// PriorOrders are the recent orders of other holders. Their ages are lower bounds as of
+	// ElectedAt.
+	PriorOrders        []RecentOrder
+	ElectedAt          time.Time     // when this owner was elected; zero: now
+	PriorOrdersUnknown bool          // the orders of other holders could not be determined
+	SucceedsSelf       bool          // the previous owner was this daemon before a restart
 	StatusRetention    time.Duration // how long ended jobs are kept
-	MaxPendingStarts   int           // starts that may be without an answer at the same time; 0: any number
+	MaxPendingStarts   int           // limit of unanswered starts; 0: no limit
 	Weights            capacity.Weights
-	MaxMovesPerSec     float64 // that the platform accepts; 0: any number
+	MaxMovesPerSec     float64 // moves that the platform accepts; 0: no limit
 	PoolPolicy         capacity.Policy
 	JobOrder           SchedulingPolicy
 }
 
-// runsPerTerm is how many runs an owner can start in one term.
+// runsPerTerm is the size of the run number range of one term.
 const runsPerTerm = 1_000_000
 
 // run is one attempt of a task on a worker.
@@ -45,20 +43,20 @@
 	number              uint64
 	worker              *worker
 	phase               phase
-	sentAt              time.Time // last order for it
-	firstSentAt         time.Time // first order for it; zero: an earlier owner started it
+	sentAt              time.Time // last start or stop sent
+	firstSentAt         time.Time // first start sent; zero: an earlier owner started the run
 	sends               int       // orders sent without an answer
-	confirmedAt         time.Time // when the worker confirmed the start, or the stop
+	confirmedAt         time.Time // when the worker confirmed the start or the stop
 	percent             int
-	progressAt          time.Time // when percent last changed
-	stallWatched        bool      // it is looked at again for a standstill
-	usage               int
-	trial               job.Suspicion // it was started with nothing beside it, to see whether it crashes its worker
-	throttlePercent     int           // percent of its speed that was ordered; 100 at the start
-	mayStartLate        bool          // an order for it went unanswered; it may arrive late
-	fromPastIncarnation bool          // ordered while the life before of its worker was known, and not seen on this one
-	neverStarted        bool          // its worker has said that it does not run, and it is kept from beginning
-	startAbandonedAt    time.Time     // no further order to start it is sent since; zero: one may be
+	progressAt          time.Time     // when percent last changed
+	stallWatched        bool          // queued in stallsDue
+	usage               int           // as in ActiveRun
+	trial               job.Suspicion // suspicion under which the run was isolated, to see whether it crashes its worker
+	throttlePercent     int           // ordered percentage of full speed; initially 100
+	mayStartLate        bool          // a start went unanswered and may still arrive
+	fromPastIncarnation bool          // ordered on an earlier incarnation of the worker, not yet seen on this one
+	neverStarted        bool          // the worker does not list it, and a stop keeps it from starting
+	startAbandonedAt    time.Time     // when resending the start ended; zero: it may be sent again
 	stopReason          string
 }
 
@@ -67,10 +65,10 @@
 const (
 	starting phase = iota // ordered, not confirmed
 	running
-	stopping // to be ended, its room is not free yet
+	stopping // to be stopped; still holds its resources
 )
 
-// task is one task of a step of an occurrence.
+// task is one task of a step in one occurrence of a job.
 type task struct {
 	step               *stepState
 	index              int
@@ -79,21 +77,21 @@
 	crashes            job.Crashes
 	checkpoint         string
 	runs               []*run
-	isolationWaitSince time.Time   // since when it waits for a worker of its own; zero: it does not
-	notBefore          time.Time   // backoff after a failure
-	consecutiveRetries int         // failures or refusals on end, of a task without a limit of them
-	stalls             int         // runs that stood still
-	failedOn           []WorkerID  // in this term; the fault may have been the worker's
-	lastFailedAt       time.Time   // newest of these
-	timeSpent          timeByCause // what its time went to so far
-	accountedUntil     time.Time   // until when that is accounted for
+	isolationWaitSince time.Time  // start of the wait for a worker of its own; zero: not waiting
+	notBefore          time.Time  // end of the backoff after a failure
+	consecutiveRetries int        // consecutive failures or refusals that do not use up attempts
+	stalls             int        // runs stopped for lack of progress
+	failedOn           []WorkerID // workers it failed on in this term; the worker may have been at fault
+	lastFailedAt       time.Time
+	timeSpent          timeByCause // time so far by cause
+	accountedUntil     time.Time   // end of the period that timeSpent covers
 }
 
 func (t *task) id() job.TaskID {
 	return job.TaskID{Job: t.step.job.spec.ID, Occurrence: t.step.occurrence, Step: t.step.index, Index: t.index}
 }
 
-// activeRun returns the run that works for the task, nil if there is none.
+// activeRun returns the run that is starting or running, nil if there is none.
 func (t *task) activeRun() *run {
 	for _, r := range t.runs {
 		if r.phase != stopping {
@@ -112,7 +110,7 @@
 	return nil
 }
 
-// isServing reports whether a long-running task serves, as far as is known.
+// isServing reports whether a long-running task is known to serve.
 func (t *task) isServing(now time.Time) bool {
 	for _, r := range t.runs {
 		if r.phase == running && r.percent >= 100 && r.worker.hasFreshRunList(now) && !r.worker.endOrdered {
@@ -122,57 +120,57 @@
 	return false
 }
 
-// stepState is one step of one occurrence.
+// stepState is one step in one occurrence of a job.
 type stepState struct {
 	job              *jobState
 	spec             *job.Step
 	occurrence       int
 	index            int
 	tasks            []*task
-	remaining        int          // tasks that are not done
-	withoutRun       int          // of these, tasks without a run
-	openPredecessors int          // earlier steps that are not done
-	failures         job.Failures // of the whole gang
+	remaining        int          // tasks not done
+	withoutRun       int          // tasks neither done nor with a run
+	openPredecessors int          // steps it depends on that are not done
+	failures         job.Failures // of the gang as a whole
 	permits          *permits     // nil: the advisor was not asked
-	doneAt           time.Time    // when its last task was done; zero: not yet, or in an earlier term
-	lastDone         *task        // the task that was done last
+	doneAt           time.Time    // when its last task was done; zero: not in this term
+	lastDone         *task        // task that was done last
 
-	waitingSince     time.Time // a task of it has found no room since; zero: none waits
-	preemptedAt      time.Time // last time that runs were stopped for it
-	preemptCheckedAt time.Time // last time that such runs were looked for
+	waitingSince     time.Time // since when a task finds no capacity; zero: none waits
+	preemptedAt      time.Time // when runs were last preempted for it
+	preemptCheckedAt time.Time // when preemption was last considered
 }
 
 func (s *stepState) ready() bool { return s.openPredecessors == 0 && s.remaining > 0 }
 
-// jobState is a job and what became of it.
+// jobState is a job and its progress.
 type jobState struct {
 	spec               *job.Job
-	queue              job.Queue // newest known settings of its queue
+	queue              job.Queue // latest known settings of its queue
 	service            string
-	steps              []*stepState // in the order occurrence, step
+	steps              []*stepState // ordered by occurrence, then step
 	nextOccurrence     int          // first occurrence that has not begun
 	state              job.State
-	queuedForPlacement bool         // it is among the jobs of its service that may have tasks to place
-	countedPending     bool         // it is among the pending jobs of its queue
-	band               priorityBand // at the last placement
+	queuedForPlacement bool         // in its pool's placement queue
+	countedPending     bool         // counted in pendingPerQueue
+	band               priorityBand // as of the last placement
 
-	overShare        bool // its tenant had sent its share already
-	started          bool // a worker has said that a task of it started
-	waitLogged       bool // the log says why a task of it was not placed at once
+	overShare        bool // its tenant had used up its share when it was accepted
+	started          bool // a worker confirmed that a task of it started
+	waitLogged       bool // a job-waits line was logged
 	endedAt          time.Time
-	stepsDropped     bool          // its steps are: it is over, recorded, and nothing of it runs
-	inherited        bool          // accepted before this term
-	loadedFromStore  bool          // known from the store when this term began
-	version          uint64        // rises with each change that has to be kept
-	storedVersion    uint64        // newest version in the store
-	crashUnstored    bool          // a crash under a task of it is not in the store
-	writeSeq         uint64        // place among the jobs that have to be written
-	workLeft         float64       // core-seconds that are not done, by the estimates
-	criticalPathLeft time.Duration // longest chain of steps that are not done, likewise
-	criticalPath     time.Duration
-	work             float64   // core-seconds by the estimates, for the order of jobs
-	knownAt          time.Time // when this owner learned of it
-	ackWaiters       []*worker // that wait for a record of it before ends may be forgotten
+	stepsDropped     bool          // steps were freed: the job is over and recorded, and has no runs
+	inherited        bool          // an earlier owner may have started tasks of it
+	loadedFromStore  bool          // loaded when this term began
+	version          uint64        // incremented by each change that has to be stored
+	storedVersion    uint64        // latest version in the store
+	crashUnstored    bool          // a crash of one of its tasks is not in the store yet
+	writeSeq         uint64        // position in the write queue
+	workLeft         float64       // estimated core-seconds not done
+	criticalPathLeft time.Duration // estimated critical path of the steps not done
+	criticalPath     time.Duration // estimated, of one occurrence
+	work             float64       // estimated core-seconds of one occurrence
+	knownAt          time.Time     // when this owner learned of the job
+	ackWaiters       []*worker     // workers with ends to acknowledge once the job is stored
 }
 
 func (j *jobState) step(occurrence, index int) *stepState {
@@ -183,69 +181,69 @@
 	return j.steps[n]
 }
 
-// unackedEnd is an end that the worker may forget once version of job is kept.
+// unackedEnd is a run end that is acknowledged once version of job is stored.
 type unackedEnd struct {
 	seq     uint64
-	job     *jobState
+	job     *jobState // nil: not known yet
 	version uint64
 }
 
-// worker is one life of a worker and what it may be running.
+// worker is one incarnation of a worker and the runs that it may have.
 type worker struct {
 	Registration
 	lease               workerLease
-	heldByUs            bool      // answered a hold with our token
-	registered          bool      // in the newest list of registrations
-	firstSeenAt         time.Time // when it was first heard of
-	pastStartsMs        []int64   // when its lives before were born, the newest last
-	unlistedSince       time.Time // when it was first missing there
-	ended               bool      // this life has ended for certain
-	holdInFlight        bool      // a hold is under way
+	heldByUs            bool      // answered a hold with this owner's fencing token
+	registered          bool      // counts as registered
+	firstSeenAt         time.Time // when this owner first heard of the incarnation
+	pastStartsMs        []int64   // StartedMs of earlier incarnations, oldest first
+	unlistedSince       time.Time // when it was first missing from the registrations; zero: listed
+	ended               bool      // the incarnation has ended for certain
+	holdInFlight        bool
 	holdSentAt          time.Time
-	answeredHoldSentAt  time.Time // when the newest hold that was answered was sent
+	answeredHoldSentAt  time.Time // when the latest answered hold was sent
 	nextHoldAt          time.Time
-	silentSince         time.Time   // no hold was answered since; zero: answered
-	lastAnswerAt        time.Time   // newest answer to any order
-	orderUnanswered     bool        // an order sent after heardAt went unanswered
-	crashSuspects       []*task     // of its end, once its life is over
-	lossReported        bool        // a call went unanswered, and none was answered since
-	contactLoss         contactLoss // with it, since it was lost
+	silentSince         time.Time   // when holds began to go unanswered; zero: the last one was answered
+	lastAnswerAt        time.Time   // latest answer to any order
+	orderUnanswered     bool        // an order sent after lastAnswerAt went unanswered
+	crashSuspects       []*task     // tasks that may have crashed it, set when it ends
+	lossReported        bool        // callOutcomes was told of an unanswered call, and none was answered since
+	contactLoss         contactLoss // zero: in contact
 	runs                map[job.TaskID]*run
 	allocated           job.Resources             // by runs
-	fillerRuns          int                       // of runs
-	servingRuns         int                       // of runs, with a latency target
-	longRunningRuns     int                       // of runs, long-running
-	longRunningCPUMilli int                       // thousandths of a core that these use
-	unknownRuns         map[job.TaskID]unknownRun // runs of jobs that are not known yet
-	lastSeenEnd         uint64                    // highest end that was handled
-	lastAckedEnd        uint64                    // highest end that may be forgotten
-	unacked             []unackedEnd
-	unknownEnds         map[uint64]unknownEnd // ends of jobs that are not known yet
-	avoidUntil          time.Time             // no new tasks until then
-	recentEnds          endHistory            // recent ends, to find bad workers
-	nextThrottleAt      time.Time
-	workerView          *workerView    // newest view of its service that it is in
-	workerViewIndex     int            // its place there
-	capacityClass       *capacityClass // its place in the index of usable workers; nil: it is not there
-	indexedService      string         // the service of that index
-	indexedFreeCPUMilli int            // thousandths of a core that were free then
-	indexStale          bool           // it has to be indexed anew
-	avoidPenalty        time.Duration
-	consecutiveNoRoom   int // starts on end that it refused for want of room
+	fillerRuns          int                       // filler runs
+	servingRuns         int                       // runs with a latency target
+	longRunningRuns     int                       // long-running runs
+	longRunningCPUMilli int                       // thousandths of a core used by them
+	unknownRuns         map[job.TaskID]unknownRun // runs of jobs not known yet
+	lastSeenEnd         uint64                    // highest end handled
+	lastAckedEnd        uint64                    // highest end that may be acknowledged
+	unacked             []unackedEnd              // in the order of their numbers
+	unknownEnds         map[uint64]unknownEnd     // ends of jobs not known yet, by number
+	avoidUntil          time.Time                 // gets no new tasks until then
+	recentEnds          endHistory                // for finding bad workers
+	nextThrottleAt      time.Time                 // next adjustment of its fillers' speed
+	workerView          *workerView               // latest view that includes it
+	workerViewIndex     int                       // index in workerView
+	capacityClass       *capacityClass            // class in the index of usable workers; nil: not indexed
+	indexedService      string                    // service of the index that it is in
+	indexedFreeCPUMilli int                       // free thousandths of a core as indexed
+	indexStale          bool                      // to be indexed again
+	avoidPenalty        time.Duration             // last time for which it was avoided
+	consecutiveNoRoom   int                       // consecutive starts refused for lack of capacity
 	reservedAt          time.Time
-	endOrdered          bool      // an order that ends this life was sent
-	idleSince           time.Time // nothing runs on it since; zero: something does
+	endOrdered          bool      // an order that ends the incarnation was sent
+	idleSince           time.Time // since when it has no runs; zero: it has some
 	reserved            reservation
 
-	trialRuns     []*run    // those that were started as trials; some may be over
-	isolatedFor   *jobState // a suspect of it gets the worker once nothing else runs there; nil: none
+	trialRuns     []*run    // runs started in isolation; may include ended ones
+	isolatedFor   *jobState // job whose suspected task gets the worker once it is empty; nil: none
 	isolatedUntil time.Time
 
-	preemptedFor   *stepState // runs were stopped for it; nil: for none
-	preemptedUntil time.Time  // until then it alone gets the room
+	preemptedFor   *stepState // step for which runs were preempted here; nil: none
+	preemptedUntil time.Time  // until then the freed capacity is kept for that step
 }
 
-// reservation is why a worker gets no new tasks; empty: it gets them.
+// reservation is why a worker gets no new tasks; empty: not reserved.
 type reservation string
 
 // The reservations.
@@ -264,30 +262,30 @@
 	since time.Time
 }
 
-// isReady reports whether nothing of the worker itself keeps new tasks from it.
+// isReady reports whether the worker's own state allows new tasks.
 func (w *worker) isReady(now time.Time) bool {
 	return w.heldByUs && w.registered && !w.ended && !w.Draining && w.lease.known &&
 		w.reserved == "" && !w.isSilent() && !now.Before(w.avoidUntil)
 }
 
-// Core is the state of the owner of all jobs.
+// Core is the state of the job owner.
 type Core struct {
 	opt                    Options
 	fencingToken           uint64
 	lastRun                uint64
 	catalog                *job.Catalog
 	jobs                   map[job.ID]*jobState
-	openJobs               map[job.ID]*jobState // not final, or not written as final
+	openJobs               map[job.ID]*jobState // not final, or not stored as final
 	workers                workerSet
-	unknownServiceWorkers  map[WorkerID]Registration // of services that no configuration names
+	unknownServiceWorkers  map[WorkerID]Registration // registrations for services not configured
 	workersByService       serviceWorkers
-	silentWorkers          workerSet               // that did not answer their newest hold
-	endedWorkers           workerSet               // the lives of which have ended
-	openCrashes            map[incarnation][]*task // tasks with a run on a worker the fate of which is open
-	workersWithUnknownJobs workerSet               // with runs or ends of jobs that are not known yet
+	silentWorkers          workerSet               // last hold unanswered
+	endedWorkers           workerSet               // incarnation ended
+	openCrashes            map[incarnation][]*task // tasks with a possible crash of the incarnation, not decided yet
+	workersWithUnknownJobs workerSet               // with runs or ends of jobs not known yet
 	colocatedWorkers       workerSet               // with fillers beside serving tasks
-	unlistedWorkers        workerSet               // that are missing among the registrations, and still count as registered
-	maintenanceWorkers     workerSet               // that are kept for a wave
+	unlistedWorkers        workerSet               // missing from the registrations, still counted as registered
+	maintenanceWorkers     workerSet               // reserved for a wave
 	instances              map[InstanceID]*instanceState
 	instanceOfWorker       map[WorkerID]InstanceID
 	waves                  map[int]*waveState
@@ -297,77 +295,77 @@
 	evacuatedZones         map[string]bool // zones that get no new tasks
 	nextSizingAt           time.Time
 	returnBudget           float64 // instances that may be given back at present
-	lastReturnAt           time.Time
-	nextWaveCheckAt        time.Time // when the waves are looked at next
-	adviceInFlight         int       // to the advisor, without an answer so far
+	returnRefilledAt       time.Time
+	nextWaveCheckAt        time.Time
+	adviceInFlight         int // unanswered advisor queries
 	dirtyJobs              map[job.ID]*jobState
-	unstoredCrashes        map[job.ID]*jobState // of these, with a crash that is not written
-	toWrite                writeQueue           // the jobs of dirty, in the order in which they are written
-	lastWriteSeq           uint64               // newest place in it
-	pendingPerQueue        map[string]int       // jobs of each queue of which no task is known to have started
-	changedServices        map[string]bool      // services with something to place
+	unstoredCrashes        map[job.ID]*jobState // dirty jobs with a crash that is not stored
+	toWrite                writeQueue           // dirty jobs in writing order
+	lastWriteSeq           uint64               // highest writeSeq assigned
+	pendingPerQueue        map[string]int       // jobs without a started task, by queue
+	changedServices        map[string]bool      // services with tasks that may be placeable now
 	effects                Effects
 	shares                 *quota.Shares
-	quotas                 *quota.Ledger           // what each tenant has running
-	presumedUsage          presumedUsage           // what may run of it without being known
-	takeoverDone           map[string]bool         // services of which every earlier run is known
-	loggedTakeoverWaits    map[string]takeoverWait // what others wait for, as the log says
-	lastUnconfirmed        map[string]InstanceID   // an instance of each service that had not answered when last looked for
+	quotas                 *quota.Ledger           // usage by tenant
+	presumedUsage          presumedUsage           // usage by tenant of runs that may exist but are not known
+	takeoverDone           map[string]bool         // services for which all runs of earlier owners are known
+	loggedTakeoverWaits    map[string]takeoverWait // last logged wait, by service
+	lastUnconfirmed        map[string]InstanceID   // instance found unconfirmed by the last scan, by service
 	startedAt              time.Time
 	electedAt              time.Time
-	orderHoldoff           map[InstanceID]time.Time // until when an instance is left to an earlier owner's order
-	registrationsAt        time.Time                // newest word of the registrations
-	registrationsLagSince  time.Time                // since when more has changed among them than is known; zero: it has not
-	unregisterFrom         time.Time                // missing registrations count as gone from then on
-	instanceListAt         time.Time                // newest instance list
+	orderHoldoff           map[InstanceID]time.Time // until when no order is sent, because of one of an earlier owner
+	registrationsAt        time.Time                // last update of the registrations
+	registrationsLagSince  time.Time                // since when known registrations are behind the store; zero: up to date
+	unregisterFrom         time.Time                // when missing registrations begin to count as gone
+	instanceListAt         time.Time                // last instance list
 	fenced                 bool
 
 	holdsDue          timerQueue[*worker]
-	stopsDue          timerQueue[*run]      // stops that may have to be sent again
-	stallsDue         timerQueue[*run]      // runs that may stand still
-	occurrencesDue    timerQueue[*jobState] // jobs with occurrences to come
-	recentlyEnded     []*worker             // lives that ended a moment ago
-	crashDecisionsDue timerQueue[*worker]   // lives that have ended without an order, to be looked into
-	avoidedDue        timerQueue[*worker]   // workers that get no new tasks until then
+	stopsDue          timerQueue[*run]      // stops to resend unless confirmed
+	stallsDue         timerQueue[*run]      // runs to check for lack of progress
+	occurrencesDue    timerQueue[*jobState] // jobs with later occurrences
+	recentlyEnded     []*worker             // incarnations kept for crash decisions
+	crashDecisionsDue timerQueue[*worker]   // incarnations whose end is to be attributed
+	avoidedDue        timerQueue[*worker]   // workers to index again when avoidUntil has passed
 
-	staleIndexWorkers []*worker // that have to be indexed anew
+	staleIndexWorkers []*worker // workers with indexStale set
 
 	callOutcomes      calls.Outcomes
-	starvedSince      time.Time     // when the newest time began in which timeouts say nothing
-	starvedUntil      time.Time     // and its end
-	meanAnswerLatency time.Duration // mean of the newest answers
-	slowAnswersSince  time.Time     // since when it is too long; zero: it is not
+	starvedSince      time.Time     // start of the current or last period in which timeouts prove nothing
+	starvedUntil      time.Time     // end of that period
+	meanAnswerLatency time.Duration // moving average
+	slowAnswersSince  time.Time     // since when the average is too high; zero: it is not
 
 	mostSilentSince time.Time // since when most workers seem silent; zero: they do not
 
-	storeLeaseLostAt time.Time            // zero: the store's lease is held
-	earlyCancels     map[job.ID]time.Time // cancellations of jobs that are not known yet
+	storeLeaseLostAt time.Time            // zero: the store lease is held
+	earlyCancels     map[job.ID]time.Time // cancellations of jobs not known yet
 	decisions        []Decision
 	counts           Counts
 
 	startWindow startWindow
 }
 
-// Counts are totals since the start of the term.
+// Counts holds totals since the start of the term.
 type Counts struct {
 	Starts, Refused, Failed, Lapsed, Lost, Stopped, Done, Commits int64
-	LongRunningLapsed                                             int64 // of those that lapsed, long-running tasks
-	Crashes                                                       int64 // workers that crashed, as far as tasks may have done it
-	Trials                                                        int64 // runs of suspects with nothing beside them
-	GivenUp                                                       int64 // tasks that crash their workers
-	JobsConsidered                                                int64 // jobs that were looked at for placement
+	LongRunningLapsed                                             int64 // long-running tasks among Lapsed
+	Crashes                                                       int64 // worker crashes that a task may have caused
+	Trials                                                        int64 // isolated runs of suspected tasks
+	GivenUp                                                       int64 // tasks given up because they crash their workers
+	JobsConsidered                                                int64 // jobs considered for placement
 }
 
-// Decision is a line for the log: what was decided about a job, a worker or an
-// instance, and why.
+// Decision is a log line: what was decided about a job, a worker or an instance, and
+// why.
 type Decision struct {
-	Event   string // one word for the kind of decision
+	Event   string // kind of decision, in kebab case
 	Job     job.ID
 	Task    string
 	Worker  WorkerID
 	Run     uint64
 	Reason  string
-	Account *TimeBreakdown // of a job that was late
+	Account *TimeBreakdown // set for a late job
 }
 
 func (c *Core) note(d Decision) { c.decisions = append(c.decisions, d) }
@@ -386,19 +384,19 @@
 	return out
 }
 
-// TakeHolds returns the holds alone since the last call, and leaves the other effects.
+// TakeHolds returns only the holds since the last call, and leaves the other effects.
 func (c *Core) TakeHolds() []Hold {
 	out := c.effects.Holds
 	c.effects.Holds = nil
 	return out
 }
 
-// Fenced reports whether a worker has seen a higher fencing token: another
+// Fenced reports whether a worker has seen a higher fencing token, so that another
 // daemon is the owner.
 func (c *Core) Fenced() bool { return c.fenced }
 
-// New returns a core for a term that begins at now. loaded are all jobs in the
-// store at that time.
+// New returns a core for a term that begins at now. loaded holds all jobs in the store
+// at that time.
 func New(opt Options, catalog *job.Catalog, loaded []Loaded, now time.Time) *Core {
 	c := &Core{
 		opt:                    opt,
@@ -460,6 +458,6 @@
 // Loaded is a job as the store holds it.
 type Loaded struct {
 	Job       *job.Job
-	Progress  *job.Progress // nil: none was written
+	Progress  *job.Progress // nil: none stored
 	Cancelled bool
 }
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -1,6 +1,6 @@
-// Package owner schedules all jobs of the fleet while this daemon is their
-// owner. Core is a state machine: events in, effects out, with the time as an
-// argument; it does no I/O and starts no goroutine.
+// Package owner schedules all jobs of the fleet while this daemon is their owner. Core is
+// a state machine: it takes events and the current time, and returns effects to carry out.
+// It does no I/O and starts no goroutine.
 package owner
 
 import (
@@ -11,14 +11,14 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// WorkerID names a worker. A restart may give it a new one or leave it the old one; when it
-// was born tells its lives apart.
+// WorkerID identifies a worker. After a restart a worker may have a new id or the old one;
+// its incarnations are told apart by their start times.
 type WorkerID string
 
-// InstanceID names an instance over all lives of its worker.
+// InstanceID identifies an instance across all incarnations of its worker.
 type InstanceID string
 
-// Registration is what a worker says of itself in the store.
+// Registration is a worker's entry in the store.
 type Registration struct {
 	Worker    WorkerID
 	Service   string
@@ -28,23 +28,23 @@
 	Labels    []string
 	Capacity  job.Resources
 	Draining  bool
-	StartedMs int64 // when this life began, in ms of Unix time on its own clock; 0: not told
+	StartedMs int64 // start of this incarnation in ms of Unix time, on the worker's clock; 0: not reported
 }
 
-// Validate returns why the registration names no worker that can be used.
+// Validate returns an error if the registration does not describe a usable worker.
 func (r *Registration) Validate() error {
 	switch {
 	case r.Worker == "" || r.Service == "" || r.Addr == "":
-		return fmt.Errorf("it lacks a name, a service or an address: %q, %q, %q", r.Worker, r.Service, r.Addr)
+		return fmt.Errorf("registration without id, service or address: id %q, service %q, address %q", r.Worker, r.Service, r.Addr)
 	case r.Capacity.CPUMilli < 0 || r.Capacity.MemMB < 0 || r.Capacity.GPU < 0:
-		return fmt.Errorf("its room is less than nothing: %s", r.Capacity)
+		return fmt.Errorf("registration with negative capacity: %s", r.Capacity)
 	case r.StartedMs < 0:
-		return fmt.Errorf("it was born at %d ms", r.StartedMs)
+		return fmt.Errorf("registration with negative start time: %d ms", r.StartedMs)
 	}
 	return nil
 }
 
-// InstanceState is where an instance is in its life.
+// InstanceState is the state of an instance in the platform's list.
 type InstanceState int
 
 // The states of an instance.
@@ -63,48 +63,48 @@
 	State    InstanceState
 	Zone     string
 	Rack     string
-	Worker   WorkerID      // of its present life; "" if there is none
-	Capacity job.Resources // of the instance, of which its worker may have less for a while; zero: not told
+	Worker   WorkerID      // current worker; "" if there is none
+	Capacity job.Resources // of the instance; its worker may temporarily register less; zero: not reported
 }
 
-// WaveRequest is an operators' request for the maintenance of instances.
+// WaveRequest is an operator's request to maintain instances.
 type WaveRequest struct {
 	Wave      int
 	Instances []InstanceID
-	Within    time.Duration // from the request to the last instance
-	MaxDown   int           // instances of the wave down at the same time
+	Within    time.Duration // time from the request until all instances are maintained
+	MaxDown   int           // limit of instances of the wave that are down at the same time
 }
 
-// Target is the worker that an order is meant for.
+// Target is the worker that an order is addressed to.
 type Target struct {
 	Worker    WorkerID
 	Addr      string
 	Token     uint64 // fencing token of the owner
-	StartedMs int64  // of the life that is meant; 0: not known
+	StartedMs int64  // identifies the incarnation; 0: not known
 }
 
 // Start orders a worker to run a task.
 type Start struct {
 	Target
-	Seq          uint64 // of the order, within the term
+	Seq          uint64 // number of the start within the term
 	Task         job.TaskID
 	Run          uint64
 	Payload      string
-	LeaseUntilMs int64 // end of the worker's lease, on the worker's clock, in ms
+	LeaseUntilMs int64 // end of the worker's lease, in ms on the worker's clock
 	Checkpoint   string
-	Ticket       string
-	Timeout      time.Duration // of its answer
+	Ticket       string        // the advisor's permission; "": not needed
+	Timeout      time.Duration // for the answer
 }
 
-// Stop orders a worker to end a run, or never to begin it.
+// Stop orders a worker to end a run, or not to start it if the start arrives later.
 type Stop struct {
 	Target
 	Task    job.TaskID
 	Run     uint64
-	Timeout time.Duration // of its answer
+	Timeout time.Duration // for the answer
 }
 
-// Throttle lets a run work at a share of its speed.
+// Throttle limits a run to a percentage of its full speed.
 type Throttle struct {
 	Target
 	Task    job.TaskID
@@ -112,32 +112,33 @@
 	Percent int
 }
 
-// Hold renews a worker's lease, acknowledges ends and asks what runs.
+// Hold renews a worker's lease, acknowledges run ends and long-polls for the worker's
+// runs.
 type Hold struct {
 	Target
-	LeaseUntilMs int64  // as in Start; 0: do not renew
-	AckThrough   uint64 // ends up to this number are recorded and may be forgotten
-	Wait         time.Duration
-	Timeout      time.Duration // of its answer, beyond Wait
+	LeaseUntilMs int64         // as in Start; 0: do not renew
+	AckThrough   uint64        // ends up to this number are stored, and the worker may drop them
+	Wait         time.Duration // how long the worker waits for a new end before it answers
+	Timeout      time.Duration // for the answer, beyond Wait
 }
 
-// Outcome is how a worker met an order.
+// Outcome is a worker's response to an order.
 type Outcome int
 
-// The outcomes of an order. Only Unanswered leaves open whether it was, or
+// The outcomes of an order. Only after Unanswered it is open whether the order was, or
 // will be, carried out.
 const (
 	Unanswered Outcome = iota
-	Taken
-	Fenced    // a higher fencing token was seen there
-	RunTooOld // this or a higher run was stopped or ended there
-	LeaseOver // the order's lease had already ended
+	Taken              // accepted
+	Fenced             // the worker has seen a higher fencing token
+	RunTooOld          // the worker has stopped or ended this run or a higher one of the task
+	LeaseOver          // the lease in the order had already expired
 	NoRoom
 	BadTicket
-	OtherBoot // another life of the worker answered
+	OtherBoot // another incarnation of the worker answered
 	Unhealthy // the worker refuses work at present
 	Invalid
-	NotSent // the order waited for too long, and was not sent
+	NotSent // the order was queued for too long, and dropped
 )
 
 var outcomeNames = [...]string{"unanswered", "taken", "fenced", "run-too-old", "lease-over", "no-room", "bad-ticket", "other-boot", "unhealthy", "invalid", "not-sent"}
@@ -148,12 +149,12 @@
 // Answer is a worker's answer to an order.
 type Answer struct {
 	Outcome Outcome
-	ClockMs int64 // the worker's clock when it answered, in ms; 0: not told
-	// Latency is the time from when a start was sent until its answer was read; 0: not
-	// measured, as for other orders.
+	ClockMs int64 // the worker's clock when it answered, in ms; 0: not reported
+	// Latency is the time from sending a start until its answer was read. It is 0 if not
+	// measured, as for all other orders.
 	Latency    time.Duration
 	Err        error // why there is no answer
-	ConnFailed bool  // there is none as the connection was refused or ended, not as time ran out
+	ConnFailed bool  // unanswered because the connection was refused or ended, not because of a timeout
 }
 
 // ActiveRun is a run that a worker lists as running.
@@ -161,8 +162,8 @@
 	Task       job.TaskID
 	Run        uint64
 	Checkpoint string
-	Percent    int // of its work; a long-running task is at work at 100
-	Usage      int // tail latency in ms of a serving task, else thousandths of a core in use
+	Percent    int // progress; a long-running task serves at 100
+	Usage      int // tail latency in ms of a serving task, otherwise thousandths of a core in use
 }
 
 // EndKind is how a run ended.
@@ -173,9 +174,9 @@
 	EndDone EndKind = iota
 	EndFailed
 	EndStopped
-	EndLapsed
-	EndPeerEnded      // another member of its gang ended
-	EndGangIncomplete // the other members of its gang did not come
+	EndLapsed         // the lease expired
+	EndPeerEnded      // another member of the gang ended
+	EndGangIncomplete // not all members of the gang arrived
 )
 
 var endKindNames = [...]string{"done", "failed", "stopped", "lapsed", "peer-ended", "gang-incomplete"}
@@ -185,7 +186,7 @@
 
 // RunEnd is a run that a worker lists as ended.
 type RunEnd struct {
-	Seq        uint64 // rises within one life of the worker
+	Seq        uint64 // increases within one incarnation of the worker
 	Task       job.TaskID
 	Run        uint64
 	Kind       EndKind
@@ -195,12 +196,12 @@
 // HoldAnswer is a worker's answer to a Hold.
 type HoldAnswer struct {
 	Answer
-	StartedMs int64 // of the life that answered; 0: not told
+	StartedMs int64 // of the incarnation that answered; 0: not reported
 	Active    []ActiveRun
 	Ends      []RunEnd
 }
 
-// WorkerClient sends orders to workers.
+// WorkerClient sends orders to workers and returns their answers.
 type WorkerClient interface {
 	Start(ctx context.Context, o Start) Answer
 	Stop(ctx context.Context, o Stop) Answer
@@ -208,20 +209,21 @@
 	Hold(ctx context.Context, o Hold) HoldAnswer
 }
 
-// Duty identifies the holder of the duty of moves and maintenance.
+// Duty identifies the holder of the duty: the exclusive right to order moves and
+// maintenance of instances.
 type Duty struct {
 	Holder string
-	Token  uint64
+	Token  uint64 // fencing token
 }
 
-// DutyOutcome is how the platform met an order for an instance.
+// DutyOutcome is the platform's response to an order for an instance.
 type DutyOutcome int
 
 // The outcomes of an order for an instance.
 const (
 	DutyUnanswered DutyOutcome = iota
 	DutyDone
-	DutyFenced  // a higher fencing token was seen
+	DutyFenced  // the platform has seen a higher fencing token
 	DutyRefused // the instance is busy, or the order does not apply to it
 	DutyInvalid // no such instance or pool
 )
@@ -233,15 +235,15 @@
 	Maintain(ctx context.Context, d Duty, id InstanceID, wave int) DutyOutcome
 }
 
-// Record is a job's progress to be written to the store.
+// Record is a job's progress to be stored.
 type Record struct {
 	Job      *job.Job
 	Progress job.Progress
-	Stored   bool // the store holds an earlier record of it, which the end replaces
+	Stored   bool // an earlier record is stored, which a final one replaces
 	version  uint64
 }
 
-// TxnEntries is how many entries of a transaction the record takes.
+// TxnEntries returns how many entries of a transaction the record takes.
 func (r *Record) TxnEntries() int {
 	if r.Progress.State.Final() && r.Stored {
 		return 2
@@ -252,27 +254,27 @@
 // InstanceOrder moves an instance to a pool, or maintains it for a wave.
 type InstanceOrder struct {
 	Instance InstanceID
-	Pool     string // if it is to be moved
-	Wave     int    // if it is to be maintained
+	Pool     string // target of a move
+	Wave     int    // wave of a maintenance
 }
 
-// RecentOrder is an instance for which an order was sent, or may have been, a moment
-// ago.
+// RecentOrder is an order for an instance that was sent, or may have been sent, a short
+// time ago.
 type RecentOrder struct {
 	Instance InstanceID
-	Holder   string // who sent it
-	// Age is how long ago it reached the platform at the latest; negative while it may
-	// still be on its way.
+	Holder   string // duty holder that sent it
+	// Age is the least time since the order reached the platform; negative while it may
+	// still be in flight.
 	Age time.Duration
 }
 
-// WaveStatus is the state of a wave for the operators.
+// WaveStatus is the state of a wave as shown to operators.
 type WaveStatus struct {
 	Wave int
 	Done bool
 }
 
-// Effects are what the shell has to carry out, in any order.
+// Effects holds the actions that the caller of Core has to carry out, in any order.
 type Effects struct {
 	Starts         []Start
 	Stops          []Stop
