--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -15,15 +15,15 @@
 // codeOverloaded says that the owner would get to the job too late.
 const codeOverloaded verdict.Code = "scheduler-overloaded"
 
-// refuse returns an error if the job is known to be late if it was accepted: its caller can
+// checkAdmission returns an error if the job is known to be late if it was accepted: its caller can
 // still come back, and the owner's time goes to jobs that can be in time. While the owner
 // keeps up it is not asked. One that is in the store already is accepted again: callers
 // repeat what they got no answer to.
-func (n *Node) refuse(ctx context.Context, j *job.Job) error {
+func (n *Node) checkAdmission(ctx context.Context, j *job.Job) error {
 	if !n.ownerBehind.Load() {
 		return nil
 	}
-	late := n.lateBy(ctx, j)
+	late := n.estimateLateness(ctx, j)
 	if late == 0 {
 		return nil
 	}
@@ -34,8 +34,8 @@
 	return verdict.Wrap(&gateway.OverloadedError{RetryAfter: late}, verdict.NotRun, codeOverloaded, "job %s", j.ID)
 }
 
-// lateBy asks the owner by how much the job would be late, 0 if it cannot tell.
-func (n *Node) lateBy(ctx context.Context, j *job.Job) time.Duration {
+// estimateLateness asks the owner by how much the job would be late, 0 if it cannot tell.
+func (n *Node) estimateLateness(ctx context.Context, j *job.Job) time.Duration {
 	if t := n.term.Load(); t != nil {
 		return t.admit(j).LateBy
 	}
--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -70,7 +70,7 @@
 func (n *Node) applyEvacuation(e ledger.Event) {
 	zone := strings.TrimPrefix(e.Key, n.platform.Formats.EvacuationPrefix)
 	if zone == "" {
-		n.refused.refuse(e.Key, e.Revision, errors.New("it names no zone"))
+		n.refusedEntries.add(e.Key, e.Revision, errors.New("it names no zone"))
 		return
 	}
 	if n.evacuations.set(zone, !e.Deleted) {
@@ -93,5 +93,5 @@
 	if n.evacuations.endList() {
 		n.evacuationsChanged()
 	}
-	n.configKnown.Store(n.sinceStart())
+	n.configConfirmedAt.Store(n.uptimeNanos())
 }
--- a/jobs/node/handler.go
+++ b/jobs/node/handler.go
@@ -11,7 +11,7 @@
 type peerHandler struct{ n *Node }
 
 // State implements peer.Handler.
-func (h peerHandler) State(r peer.StateRequest) peer.StateReply { return h.n.ownState(r.Job) }
+func (h peerHandler) State(r peer.StateRequest) peer.StateReply { return h.n.localState(r.Job) }
 
 // Pending implements peer.Handler.
 func (h peerHandler) Pending(r peer.PendingRequest) peer.PendingReply {
@@ -62,8 +62,8 @@
 	return h.n.peers.CheckPresence(ctx, addr)
 }
 
-// ownState answers from this daemon's term, if it has one.
-func (n *Node) ownState(id job.ID) peer.StateReply {
+// localState answers from this daemon's term, if it has one.
+func (n *Node) localState(id job.ID) peer.StateReply {
 	t := n.term.Load()
 	if t == nil {
 		return peer.StateReply{}
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -32,7 +32,7 @@
 // leasePause returns the time until the lease is next asked for or renewed: soon
 // if the last call failed, so that a lost answer does not cost the lease.
 func (n *Node) leasePause() time.Duration {
-	since := time.Duration(n.sinceStart() - n.renewed.Load())
+	since := time.Duration(n.uptimeNanos() - n.leaseRenewedAt.Load())
 	if n.lease.Load() == 0 || since > renewInterval {
 		return retryPause
 	}
@@ -42,13 +42,13 @@
 func (n *Node) grantLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	asked := n.sinceStart()
-	id, err := n.store.GrantLease(ctx, max(storeLease, n.set.MinStoreLease))
+	asked := n.uptimeNanos()
+	id, err := n.store.GrantLease(ctx, max(storeLease, n.settings.MinStoreLease))
 	if err != nil {
 		return // logged by storeFailed; asked again at once
 	}
 	n.writeEntry(ctx, id)
-	n.renewed.Store(asked)
+	n.leaseRenewedAt.Store(asked)
 	n.lease.Store(int64(id))
 	n.log.Info("lease-granted", zap.Int64("lease", int64(id)))
 	n.wakeElection()
@@ -56,8 +56,8 @@
 
 // writeEntry writes this daemon's entry under its lease.
 func (n *Node) writeEntry(ctx context.Context, id ledger.LeaseID) {
-	key := ledger.PrefixMembers + n.set.Node
-	_, err := n.store.Commit(ctx, ledger.Txn{Puts: []ledger.Put{{Key: key, Value: ledger.EncodeMember(n.self()), Lease: id}}})
+	key := ledger.PrefixMembers + n.settings.Node
+	_, err := n.store.Commit(ctx, ledger.Txn{Puts: []ledger.Put{{Key: key, Value: ledger.EncodeMember(n.memberEntry()), Lease: id}}})
 	if err != nil {
 		n.log.Warn("entry-not-written", zap.Error(err))
 	}
@@ -67,12 +67,12 @@
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	id := ledger.LeaseID(n.lease.Load())
-	asked := n.sinceStart()
+	asked := n.uptimeNanos()
 	alive, err := n.store.KeepAlive(ctx, id)
 	switch {
 	case err != nil: // logged by storeFailed
 	case alive:
-		n.renewed.Store(asked)
+		n.leaseRenewedAt.Store(asked)
 	default:
 		n.log.Warn("lease-ended", zap.Int64("lease", int64(id)))
 		n.lease.Store(0)
@@ -111,10 +111,10 @@
 	for _, i := range items {
 		m, err := ledger.DecodeMember(i)
 		if err != nil {
-			n.refused.refuse(i.Key, i.Revision, err)
+			n.refusedEntries.add(i.Key, i.Revision, err)
 			continue
 		}
-		n.refused.accept(i.Key)
+		n.refusedEntries.remove(i.Key)
 		list = append(list, m)
 	}
 	n.members.Store(&list)
@@ -125,7 +125,7 @@
 // lose by it: no work, or so much, or so little of a processor, that it cannot keep up.
 func (n *Node) yield() {
 	t := n.term.Load()
-	if t == nil || !n.peerStrongerBy(electionCPUFactor) {
+	if t == nil || !n.hasPeerWithMoreCPU(electionCPUFactor) {
 		return
 	}
 	why := ""
@@ -134,7 +134,7 @@
 		why = "no job is open"
 	case t.overloaded.Load():
 		why = "it cannot keep up"
-	case n.peerStrongerBy(yieldCPUFactor):
+	case n.hasPeerWithMoreCPU(yieldCPUFactor):
 		why = "it has much less of a processor"
 	default:
 		return
@@ -235,7 +235,7 @@
 	case strings.HasPrefix(e.Key, n.platform.Formats.EvacuationPrefix):
 		n.applyEvacuation(e)
 	case e.Deleted:
-		n.refused.accept(e.Key)
+		n.refusedEntries.remove(e.Key)
 	case e.Key == n.platform.Formats.ConfigKey:
 		n.configure(e.Item)
 	case strings.HasPrefix(e.Key, n.platform.Formats.WavePrefix):
@@ -248,10 +248,10 @@
 func (n *Node) configure(i ledger.Item) {
 	c, err := n.platform.Formats.DecodeCatalog(i.Value)
 	if err != nil {
-		n.refused.refuse(i.Key, i.Revision, err)
+		n.refusedEntries.add(i.Key, i.Revision, err)
 		return
 	}
-	n.refused.accept(i.Key)
+	n.refusedEntries.remove(i.Key)
 	if old := n.catalog.Load(); old != nil && old.Version >= c.Version {
 		return
 	}
@@ -266,10 +266,10 @@
 func (n *Node) addWave(i ledger.Item) {
 	w, err := n.platform.Formats.DecodeWave(i.Value)
 	if err != nil {
-		n.refused.refuse(i.Key, i.Revision, err)
+		n.refusedEntries.add(i.Key, i.Revision, err)
 		return
 	}
-	n.refused.accept(i.Key)
+	n.refusedEntries.remove(i.Key)
 	n.wavesMu.Lock()
 	n.waves[w.Wave] = w
 	n.wavesMu.Unlock()
@@ -288,7 +288,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.electNow:
+		case <-n.electionWake:
 		case <-time.After(renewInterval):
 		}
 		n.considerTerm(ctx)
@@ -308,10 +308,10 @@
 	l, held, ok, err := ledger.LockOf(e)
 	switch {
 	case err != nil: // nobody holds it: an election replaces it
-		n.refused.refuse(e.Key, e.Revision, err)
+		n.refusedEntries.add(e.Key, e.Revision, err)
 		n.setLock(ledger.Lock{}, false, e.Revision)
 	case ok:
-		n.refused.accept(e.Key)
+		n.refusedEntries.remove(e.Key)
 		n.setLock(l, held, e.Revision)
 	default:
 		return
@@ -322,7 +322,7 @@
 // wakeElection makes the election look again: what it waits for may have come.
 func (n *Node) wakeElection() {
 	select {
-	case n.electNow <- struct{}{}:
+	case n.electionWake <- struct{}{}:
 	default:
 	}
 }
@@ -331,7 +331,7 @@
 func (n *Node) setLock(l ledger.Lock, held bool, revision int64) {
 	if !held {
 		n.lock.Store(nil)
-		n.lockGone.Store(n.sinceStart())
+		n.lockGoneAt.Store(n.uptimeNanos())
 	} else {
 		n.lock.Store(&l)
 	}
@@ -351,10 +351,10 @@
 // says so: a stronger daemon is to have the first try.
 func (n *Node) lockReleased(term uint64) {
 	own := n.lock.Load()
-	if own == nil || own.Node != n.set.Node || own.Term != term {
+	if own == nil || own.Node != n.settings.Node || own.Term != term {
 		return // the watch was sooner
 	}
-	n.lockGone.Store(n.sinceStart())
+	n.lockGoneAt.Store(n.uptimeNanos())
 	n.lock.CompareAndSwap(own, nil)
 }
 
@@ -365,14 +365,14 @@
 	}
 	lease := ledger.LeaseID(n.lease.Load())
 	l := n.lock.Load()
-	if l != nil && l.Lease != lease && l.Node != n.set.Node {
+	if l != nil && l.Lease != lease && l.Node != n.settings.Node {
 		return
 	}
-	if left := weakerElectionDelay - time.Duration(n.sinceStart()-n.lockGone.Load()); l == nil && left > 0 && n.peerStrongerBy(electionCPUFactor) {
+	if left := weakerElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.hasPeerWithMoreCPU(electionCPUFactor) {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
-	if left := disconnectedElectionDelay - time.Duration(n.sinceStart()-n.lockGone.Load()); l == nil && left > 0 && n.store.CutFor() > 0 {
+	if left := disconnectedElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.store.CutFor() > 0 {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
@@ -398,10 +398,10 @@
 	switch {
 	case held && l.Lease == lease:
 		return ledger.Resume(ctx, n.store, l, revision)
-	case held && l.Node == n.set.Node:
+	case held && l.Node == n.settings.Node:
 		// Left by an earlier life of this daemon, which has ended for certain: an
 		// instance runs one.
-		term, err := ledger.Elect(ctx, n.store, n.self(), lease, revision)
+		term, err := ledger.Elect(ctx, n.store, n.memberEntry(), lease, revision)
 		if term != nil {
 			term.Successor = true
 		}
@@ -409,5 +409,5 @@
 	case held:
 		return nil, nil
 	}
-	return ledger.Elect(ctx, n.store, n.self(), lease, revision)
+	return ledger.Elect(ctx, n.store, n.memberEntry(), lease, revision)
 }
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -74,35 +74,35 @@
 
 // Node is one daemon.
 type Node struct {
-	set      Settings
-	platform Platform
-	log      *zap.Logger
-	metrics  *Metrics
-	refused  *refusals
-	store    *ledger.Failover
-	peers    Peers
-	accept   *ledger.Acceptor
-	gateway  *gateway.Gateway
-
-	catalog     atomic.Pointer[job.Catalog]
-	lock        atomic.Pointer[ledger.Lock] // nil: nobody is known to be the owner
-	term        atomic.Pointer[termRun]     // nil: this daemon is not the owner
-	members     atomic.Pointer[[]ledger.Member]
-	chance      *chance
-	ownerBehind atomic.Bool            // it has said so with the newest job that it was told of
-	lastRelay   atomic.Pointer[string] // address of the peer asked last
-	badRelays   sync.Map               // address of a peer to until when it is not asked for the store
-	lease       atomic.Int64           // ledger.LeaseID; 0: none
-	renewed     atomic.Int64           // when the lease was last renewed, in ns since start
-	electNow    chan struct{}          // wakes the election
-	configKnown atomic.Int64           // when the configuration was last certain to be the newest, in ns since start
-	lockGone    atomic.Int64           // when the lock was last seen to be gone, in ns since start
-	clock       Clock
-	slow        slowness
-	started     time.Time
-	stopping    atomic.Bool
-
-	suspendedBefore time.Duration // when it started
+	settings       Settings
+	platform       Platform
+	log            *zap.Logger
+	metrics        *Metrics
+	refusedEntries *refusedEntries
+	store          *ledger.Failover
+	peers          Peers
+	acceptor       *ledger.Acceptor
+	gateway        *gateway.Gateway
+
+	catalog           atomic.Pointer[job.Catalog]
+	lock              atomic.Pointer[ledger.Lock] // nil: nobody is known to be the owner
+	term              atomic.Pointer[termRun]     // nil: this daemon is not the owner
+	members           atomic.Pointer[[]ledger.Member]
+	rng               *lockedRand
+	ownerBehind       atomic.Bool            // it has said so with the newest job that it was told of
+	lastRelay         atomic.Pointer[string] // address of the peer asked last
+	failedRelays      sync.Map               // address of a peer to until when it is not asked for the store
+	lease             atomic.Int64           // ledger.LeaseID; 0: none
+	leaseRenewedAt    atomic.Int64           // when the lease was last renewed, in ns since start
+	electionWake      chan struct{}          // wakes the election
+	configConfirmedAt atomic.Int64           // when the configuration was last certain to be the newest, in ns since start
+	lockGoneAt        atomic.Int64           // when the lock was last seen to be gone, in ns since start
+	clock             Clock
+	slowdown          slowness
+	started           time.Time
+	stopping          atomic.Bool
+
+	suspendedAtStart time.Duration // when it started
 
 	evacuations evacuations
 
@@ -113,19 +113,19 @@
 // New returns a daemon that does not run yet.
 func New(set Settings, p Platform, log *zap.Logger, m *Metrics) *Node {
 	n := &Node{
-		set: set, platform: p, log: log, metrics: m,
-		peers: p.Peers, clock: p.Clock, started: p.Clock.Now(), suspendedBefore: p.Clock.Suspended(), chance: newChance(set.Node),
-		waves: map[int]owner.WaveRequest{}, electNow: make(chan struct{}, 1),
+		settings: set, platform: p, log: log, metrics: m,
+		peers: p.Peers, clock: p.Clock, started: p.Clock.Now(), suspendedAtStart: p.Clock.Suspended(), rng: newLockedRand(set.Node),
+		waves: map[int]owner.WaveRequest{}, electionWake: make(chan struct{}, 1),
 	}
-	n.refused = newRefusals(log, m)
+	n.refusedEntries = newRefusedEntries(log, m)
 	n.platform.Store = ledger.Counted(p.Store, m.storeCall)
-	n.store = ledger.NewFailover(n.platform.Store, n, p.Clock.Now, n.storeFailed)
-	n.accept = ledger.NewAcceptor(n.store)
+	n.store = ledger.NewFailover(n.platform.Store, n, p.Clock.Now, n.onStoreFailure)
+	n.acceptor = ledger.NewAcceptor(n.store)
 	n.gateway = gateway.New(n, p.Formats.CallerKey, p.Formats.DecodeJob, m, log)
 	return n
 }
 
-func (n *Node) storeFailed(err error) {
+func (n *Node) onStoreFailure(err error) {
 	n.metrics.storeFailure(err)
 	n.log.Warn("store-call-failed", zap.Error(err))
 }
@@ -150,7 +150,7 @@
 	go n.serve(&http.Server{Handler: n.readyHandler()}, listeners.ready)
 	go n.serve(&http.Server{Handler: n.metrics.Handler()}, listeners.metrics)
 	go n.servePeers(listeners.peers)
-	n.log.Info("start", zap.String("node", n.set.Node), zap.String("zone", n.set.Zone), zap.String("callers", n.set.CallersAddr))
+	n.log.Info("start", zap.String("node", n.settings.Node), zap.String("zone", n.settings.Zone), zap.String("callers", n.settings.CallersAddr))
 	<-ctx.Done()
 	n.stop(callers, endRequests)
 	stopWork()
@@ -163,7 +163,7 @@
 // at once, as a process that is killed does; HandOver is what a planned stop
 // does before.
 func (n *Node) RunBackground(ctx context.Context) {
-	n.accept.Run(ctx)
+	n.acceptor.Run(ctx)
 	var wg sync.WaitGroup
 	for _, loop := range []func(context.Context){n.keepLease, n.watchOperators, n.listMembers, n.elect, n.watchSpeed} {
 		wg.Go(func() { loop(ctx) })
@@ -194,10 +194,10 @@
 		to   *net.Listener
 		addr string
 	}{
-		{&l.callers, n.set.CallersAddr},
-		{&l.ready, n.set.ReadyAddr},
-		{&l.peers, n.set.peerAddr()},
-		{&l.metrics, fmt.Sprintf("%s:%d", n.set.IP, n.set.MetricsPort)},
+		{&l.callers, n.settings.CallersAddr},
+		{&l.ready, n.settings.ReadyAddr},
+		{&l.peers, n.settings.peerAddr()},
+		{&l.metrics, fmt.Sprintf("%s:%d", n.settings.IP, n.settings.MetricsPort)},
 	} {
 		if *e.to, err = net.Listen("tcp", e.addr); err != nil {
 			return l, err
@@ -231,39 +231,39 @@
 	return r
 }
 
-// sinceStart returns the time since this daemon started, in ns. Time in which its instance
+// uptimeNanos returns the time since this daemon started, in ns. Time in which its instance
 // was suspended counts: leases run on meanwhile.
-func (n *Node) sinceStart() int64 {
-	return int64(n.clock.Now().Sub(n.started) + n.clock.Suspended() - n.suspendedBefore)
+func (n *Node) uptimeNanos() int64 {
+	return int64(n.clock.Now().Sub(n.started) + n.clock.Suspended() - n.suspendedAtStart)
 }
 
 // leaseHeld reports whether the lease in the store is held for certain, with
 // some time left.
 func (n *Node) leaseHeld() bool {
-	return n.lease.Load() != 0 && time.Duration(n.sinceStart()-n.renewed.Load()) < storeLease-leaseSafetyMargin
+	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < storeLease-leaseSafetyMargin
 }
 
-// mayDoDuty reports whether the lease was renewed so lately that an owner that has
+// mayOrderInstances reports whether the lease was renewed so lately that an owner that has
 // taken over since, because the lease was revoked, still leaves instances alone.
-func (n *Node) mayDoDuty() bool {
-	return n.lease.Load() != 0 && time.Duration(n.sinceStart()-n.renewed.Load()) < owner.DutyLeaseAge
+func (n *Node) mayOrderInstances() bool {
+	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < owner.DutyLeaseAge
 }
 
-// self is this daemon's entry in the store.
-func (n *Node) self() ledger.Member {
-	return ledger.Member{Node: n.set.Node, Addr: n.set.peerAddr(), Cores: n.speed()}
+// memberEntry is this daemon's entry in the store.
+func (n *Node) memberEntry() ledger.Member {
+	return ledger.Member{Node: n.settings.Node, Addr: n.settings.peerAddr(), Cores: n.speed()}
 }
 
-// peerStrongerBy reports whether another live daemon has more than times what this one gets
+// hasPeerWithMoreCPU reports whether another live daemon has more than times what this one gets
 // of a processor: scheduling all jobs is the heaviest work there is.
-func (n *Node) peerStrongerBy(times float64) bool {
+func (n *Node) hasPeerWithMoreCPU(times float64) bool {
 	list := n.members.Load()
 	if list == nil {
 		return false
 	}
 	own := n.speed()
 	return slices.ContainsFunc(*list, func(m ledger.Member) bool {
-		return m.Node != n.set.Node && m.Cores > times*own
+		return m.Node != n.settings.Node && m.Cores > times*own
 	})
 }
 
@@ -272,18 +272,18 @@
 
 // ConfigConfirmed implements gateway.Jobs.
 func (n *Node) ConfigConfirmed() bool {
-	return n.set.MaxConfigAge == 0 || time.Duration(n.sinceStart()-n.configKnown.Load()) <= n.set.MaxConfigAge
+	return n.settings.MaxConfigAge == 0 || time.Duration(n.uptimeNanos()-n.configConfirmedAt.Load()) <= n.settings.MaxConfigAge
 }
 
 // Accept implements gateway.Jobs.
 func (n *Node) Accept(ctx context.Context, j *job.Job) error {
-	if err := n.refuse(ctx, j); err != nil {
+	if err := n.checkAdmission(ctx, j); err != nil {
 		return err
 	}
-	if err := n.accept.Accept(ctx, j); err != nil {
+	if err := n.acceptor.Accept(ctx, j); err != nil {
 		return err
 	}
-	go n.tellOwner(j.ID, func(ctx context.Context, addr string) error {
+	go n.notifyOwner(j.ID, func(ctx context.Context, addr string) error {
 		out, err := n.peers.Submitted(ctx, addr, j)
 		if err == nil {
 			n.ownerBehind.Store(out.Behind)
@@ -299,13 +299,13 @@
 	if err != nil || !known {
 		return known, err
 	}
-	go n.tellOwner(id, func(ctx context.Context, addr string) error { return n.peers.Cancelled(ctx, addr, id) })
+	go n.notifyOwner(id, func(ctx context.Context, addr string) error { return n.peers.Cancelled(ctx, addr, id) })
 	return true, nil
 }
 
-// tellOwner tells the owner of what is in the store, sooner than its watch
+// notifyOwner tells the owner of what is in the store, sooner than its watch
 // does. If that fails, the watch does it.
-func (n *Node) tellOwner(id job.ID, tell func(ctx context.Context, addr string) error) {
+func (n *Node) notifyOwner(id job.ID, tell func(ctx context.Context, addr string) error) {
 	lock := n.lock.Load()
 	if lock == nil {
 		return
@@ -320,15 +320,15 @@
 // State implements gateway.Jobs: from the owner, or from the store while there
 // is none, or if it has not heard of the job.
 func (n *Node) State(ctx context.Context, id job.ID) (job.State, string, bool, error) {
-	if r, err := n.askState(ctx, id); err == nil && r.Owner && r.Known {
+	if r, err := n.askOwnerState(ctx, id); err == nil && r.Owner && r.Known {
 		return r.State, r.Tenant, true, nil
 	}
 	return ledger.StateOf(ctx, n.store, id)
 }
 
-func (n *Node) askState(ctx context.Context, id job.ID) (peer.StateReply, error) {
+func (n *Node) askOwnerState(ctx context.Context, id job.ID) (peer.StateReply, error) {
 	if n.term.Load() != nil {
-		return n.ownState(id), nil
+		return n.localState(id), nil
 	}
 	lock := n.lock.Load()
 	if lock == nil {
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -36,7 +36,7 @@
 func (n *Node) watchOwnerProcess(ctx context.Context) {
 	for ctx.Err() == nil {
 		l := n.lock.Load()
-		if l == nil || l.Node == n.set.Node || n.stopping.Load() {
+		if l == nil || l.Node == n.settings.Node || n.stopping.Load() {
 			sleep.For(ctx, lockCheckInterval)
 			continue
 		}
@@ -61,7 +61,7 @@
 		sleep.For(ctx, lockCheckInterval) // its connection was reset, or cannot be opened
 		return
 	}
-	sleep.For(ctx, n.chance.upTo(maxRevokeJitter))
+	sleep.For(ctx, n.rng.durationBelow(maxRevokeJitter))
 	if n.lock.Load() != l {
 		return
 	}
@@ -84,7 +84,7 @@
 		return false
 	}
 	others := n.othersThan(l.Node)
-	n.chance.shuffle(others)
+	n.rng.shuffle(others)
 	confirmed := 0
 	for _, addr := range others[:min(len(others), maxPeersAsked)] {
 		seen, err := n.peers.CheckPresenceVia(ctx, addr, l.Addr)
@@ -114,7 +114,7 @@
 		return true
 	}
 	return !slices.ContainsFunc(*list, func(m ledger.Member) bool {
-		return m.Node == node && m.Cores > electionCPUFactor*n.set.Cores
+		return m.Node == node && m.Cores > electionCPUFactor*n.settings.Cores
 	})
 }
 
@@ -126,7 +126,7 @@
 	}
 	var out []string
 	for _, m := range *list {
-		if m.Node != n.set.Node && m.Node != node {
+		if m.Node != n.settings.Node && m.Node != node {
 			out = append(out, m.Addr)
 		}
 	}
--- a/jobs/node/ownerwatch_test.go
+++ b/jobs/node/ownerwatch_test.go
@@ -47,7 +47,7 @@
 		{"no other can be asked", absent, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := &Node{set: Settings{Node: "a"}, clock: &steadyClock{}, peers: sights{own: c.own, others: c.others}, log: zap.NewNop(), chance: newChance("a")}
+			n := &Node{settings: Settings{Node: "a"}, clock: &steadyClock{}, peers: sights{own: c.own, others: c.others}, log: zap.NewNop(), rng: newLockedRand("a")}
 			n.members.Store(&[]ledger.Member{{Node: "a", Addr: "a"}, {Node: "b", Addr: "b"}, {Node: "c", Addr: "c"}, {Node: "o", Addr: "o"}})
 			assert.Equal(t, c.gone, n.ownerGone(context.Background(), &ledger.Lock{Node: "o", Addr: "o"}))
 		})
@@ -68,7 +68,7 @@
 		{"strong", 0.8, "weak", true},
 		{"weak", 0.2, "unknown", true},
 	} {
-		n := &Node{set: Settings{Node: c.self, Cores: c.cores}, clock: &steadyClock{}}
+		n := &Node{settings: Settings{Node: c.self, Cores: c.cores}, clock: &steadyClock{}}
 		n.members.Store(&list)
 		assert.Equal(t, c.may, n.mayReplace(c.owner), "%s for %s", c.self, c.owner)
 	}
--- a/jobs/node/refusals.go
+++ b/jobs/node/refusals.go
@@ -6,9 +6,9 @@
 	"go.uber.org/zap"
 )
 
-// refusals are the entries of the store that cannot be used, as others write there, too. Each
+// refusedEntries are the entries of the store that cannot be used, as others write there, too. Each
 // is told once, however often it is read, and so is that it is gone or has become good.
-type refusals struct {
+type refusedEntries struct {
 	log     *zap.Logger
 	metrics *Metrics
 
@@ -16,12 +16,12 @@
 	bad map[string]int64 // revision by key
 }
 
-func newRefusals(log *zap.Logger, m *Metrics) *refusals {
-	return &refusals{log: log, metrics: m, bad: map[string]int64{}}
+func newRefusedEntries(log *zap.Logger, m *Metrics) *refusedEntries {
+	return &refusedEntries{log: log, metrics: m, bad: map[string]int64{}}
 }
 
-// refuse takes note that the entry cannot be used.
-func (r *refusals) refuse(key string, revision int64, why error) {
+// add takes note that the entry cannot be used.
+func (r *refusedEntries) add(key string, revision int64, why error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if known, told := r.bad[key]; told && known == revision {
@@ -32,8 +32,8 @@
 	r.metrics.refusedEntries(len(r.bad))
 }
 
-// accept takes note that the entry is good, or gone.
-func (r *refusals) accept(key string) {
+// remove takes note that the entry is good, or gone.
+func (r *refusedEntries) remove(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, told := r.bad[key]; !told {
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -101,17 +101,17 @@
 	for key, e := range newest {
 		name := owner.WorkerID(strings.TrimPrefix(key, prefix))
 		if e.Deleted {
-			t.n.refused.accept(key)
+			t.n.refusedEntries.remove(key)
 			gone = append(gone, name)
 			continue
 		}
 		r, err := t.decodeRegistration(name, e.Item)
 		if err != nil {
-			t.n.refused.refuse(key, e.Revision, err)
+			t.n.refusedEntries.add(key, e.Revision, err)
 			gone = append(gone, name)
 			continue
 		}
-		t.n.refused.accept(key)
+		t.n.refusedEntries.remove(key)
 		changed = append(changed, r)
 	}
 	return changed, gone
--- a/jobs/node/relays.go
+++ b/jobs/node/relays.go
@@ -20,7 +20,7 @@
 	var others []ledger.Member
 	last := n.lastRelay.Load()
 	for _, m := range *list {
-		if m.Node == n.set.Node || n.relayBad(m.Addr) {
+		if m.Node == n.settings.Node || n.relayBad(m.Addr) {
 			continue
 		}
 		if last != nil && m.Addr == *last {
@@ -31,7 +31,7 @@
 	if len(others) == 0 {
 		return nil
 	}
-	addr := n.chance.byWeight(others).Addr
+	addr := n.rng.pickWeighted(others).Addr
 	n.lastRelay.Store(&addr)
 	return peer.StoreVia(n.peers, addr)
 }
@@ -39,17 +39,17 @@
 // RelayFailed implements ledger.Relays.
 func (n *Node) RelayFailed(s ledger.Store) {
 	n.lastRelay.Store(nil)
-	n.badRelays.Store(peer.RelayAddr(s), n.clock.Now().Add(failedRelayPause))
+	n.failedRelays.Store(peer.RelayAddr(s), n.clock.Now().Add(failedRelayPause))
 }
 
 func (n *Node) relayBad(addr string) bool {
-	until, known := n.badRelays.Load(addr)
+	until, known := n.failedRelays.Load(addr)
 	if !known {
 		return false
 	}
 	if n.clock.Now().Before(until.(time.Time)) {
 		return true
 	}
-	n.badRelays.Delete(addr)
+	n.failedRelays.Delete(addr)
 	return false
 }
--- a/jobs/node/relays_test.go
+++ b/jobs/node/relays_test.go
@@ -27,7 +27,7 @@
 	chosen := map[string]int{}
 	byStrong := 0
 	for n := range strong + weak {
-		d := &Node{set: Settings{Node: list[n].Node}, clock: &steadyClock{}, chance: newChance(list[n].Node)}
+		d := &Node{settings: Settings{Node: list[n].Node}, clock: &steadyClock{}, rng: newLockedRand(list[n].Node)}
 		d.members.Store(&list)
 		first := d.Relay()
 		require.NotNil(t, first)
--- a/jobs/node/slowness.go
+++ b/jobs/node/slowness.go
@@ -116,15 +116,15 @@
 }
 
 // speed is what this daemon gets of a processor at present, in cores.
-func (n *Node) speed() float64 { return n.set.Cores / n.slow.at(n.clock.Now()) }
+func (n *Node) speed() float64 { return n.settings.Cores / n.slowdown.at(n.clock.Now()) }
 
 // watchSpeed measures the instance's speed, and hands over if it is the owner and slow.
 func (n *Node) watchSpeed(ctx context.Context) {
 	was := 1.0
 	for sleep.For(ctx, n.probePause()) {
 		now := n.clock.Now()
-		n.slow.add(n.platform.CPUProbe(), now)
-		by := n.slow.at(now)
+		n.slowdown.add(n.platform.CPUProbe(), now)
+		by := n.slowdown.at(now)
 		if (by > 1) != (was > 1) {
 			n.log.Warn("instance-speed", zap.Float64("slower-by", by))
 			go n.tellSpeed(ctx)
@@ -139,7 +139,7 @@
 
 // probePause returns the time until the next probe.
 func (n *Node) probePause() time.Duration {
-	if n.term.Load() != nil || n.slow.mayBe() {
+	if n.term.Load() != nil || n.slowdown.mayBe() {
 		return probeEvery
 	}
 	return probeRarely
@@ -173,10 +173,10 @@
 // the store nobody can take over.
 func (n *Node) yieldIfSlow(ctx context.Context, by float64) {
 	t := n.term.Load()
-	if t == nil || n.stopping.Load() || n.store.Away() || n.clock.Now().Sub(t.began) < leastTerm || !n.peerStrongerBy(fasterBy) {
+	if t == nil || n.stopping.Load() || n.store.Away() || n.clock.Now().Sub(t.began) < leastTerm || !n.hasPeerWithMoreCPU(fasterBy) {
 		return
 	}
-	if !n.listMembersOnce(ctx) || !n.peerStrongerBy(fasterBy) {
+	if !n.listMembersOnce(ctx) || !n.hasPeerWithMoreCPU(fasterBy) {
 		return
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "its instance is slow, and that of another daemon is not"))
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -25,9 +25,9 @@
 // while there is time to send it.
 func (n *Node) stop(callers *http.Server, endRequests func()) {
 	n.log.Info("stopping")
-	end := n.clock.Now().Add(n.set.StopGrace - stopReserve)
+	end := n.clock.Now().Add(n.settings.StopGrace - stopReserve)
 	n.HandOver()
-	time.Sleep(min(balancerReactionTime, n.set.StopGrace/2))
+	time.Sleep(min(balancerReactionTime, n.settings.StopGrace/2))
 	if err := shutdown(callers, time.Until(end)-answerReserve); err != nil {
 		n.log.Warn("callers-cut-off", zap.Error(err))
 		endRequests()
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -35,10 +35,10 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			n, r := termUnder(t, 1)
-			n.renewed.Store(n.sinceStart())
+			n.leaseRenewedAt.Store(n.uptimeNanos())
 			n.clock.(*steadyClock).suspended = c.suspended
 			assert.Equal(t, c.held, r.leaseHeld(), "lease after %s", c.suspended)
-			assert.Equal(t, c.duty, n.mayDoDuty(), "duty after %s", c.suspended)
+			assert.Equal(t, c.duty, n.mayOrderInstances(), "duty after %s", c.suspended)
 		})
 	}
 }
@@ -64,7 +64,7 @@
 		n.metrics = NewMetrics(tally.NoopScope, nil)
 		r.starts = newFanout(startsPerCore, 1, slotTime)
 		r.events = make(chan event, 2)
-		decided := n.sinceStart()
+		decided := n.uptimeNanos()
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
 		require.Equal(t, 1, w.starts)
 		n.clock.(*steadyClock).suspended = orderAge + time.Millisecond
--- a/jobs/node/termlease_test.go
+++ b/jobs/node/termlease_test.go
@@ -24,7 +24,7 @@
 // termUnder returns a daemon that holds lease 1, and its term under a lease. Whoever
 // brings an event to the core has to carry it out.
 func termUnder(t *testing.T, lease ledger.LeaseID) (*Node, *termRun) {
-	n := &Node{set: Settings{Node: "a"}, log: zap.NewNop(), clock: &steadyClock{}, started: time.Now()}
+	n := &Node{settings: Settings{Node: "a"}, log: zap.NewNop(), clock: &steadyClock{}, started: time.Now()}
 	n.lease.Store(1)
 	r := &termRun{n: n, term: &ledger.Term{Number: 1}, lease: lease, events: make(chan event, 1)}
 	r.core = owner.New(owner.Options{Term: 1}, &job.Catalog{}, nil, time.Now())
@@ -51,7 +51,7 @@
 		{"it is held", 1, func(*Node) {}, true},
 		{"the daemon has another one", 2, func(*Node) {}, false},
 		{"it ends while the question waits", 1, func(n *Node) { n.lease.Store(0) }, false},
-		{"it is not renewed in time while the question waits", 1, func(n *Node) { n.renewed.Store(-int64(storeLease)) }, false},
+		{"it is not renewed in time while the question waits", 1, func(n *Node) { n.leaseRenewedAt.Store(-int64(storeLease)) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -16,7 +16,7 @@
 // other calls: leases are renewed also while many tasks are started or stopped.
 func (t *termRun) dispatch(e owner.Effects) {
 	for _, o := range e.Starts {
-		go t.start(o, t.n.sinceStart())
+		go t.start(o, t.n.uptimeNanos())
 	}
 	for _, o := range e.Stops {
 		if !t.stops.begin(o) {
@@ -69,7 +69,7 @@
 func (t *termRun) start(o owner.Start, decided int64) {
 	t.order(t.starts, o.Timeout, func(ctx context.Context) event {
 		a := owner.Answer{Outcome: owner.NotSent}
-		if time.Duration(t.n.sinceStart()-decided) <= orderAge {
+		if time.Duration(t.n.uptimeNanos()-decided) <= orderAge {
 			sent := t.n.clock.Now()
 			a = t.n.platform.Workers.Start(ctx, o)
 			a.Latency = t.n.clock.Now().Sub(sent)
@@ -102,9 +102,9 @@
 // before the call: another daemon may do the duty some time after it has ended.
 func (t *termRun) orderInstance(ctx context.Context, o owner.InstanceOrder) event {
 	outcome := owner.DutyRefused
-	sent := t.n.mayDoDuty()
+	sent := t.n.mayOrderInstances()
 	if sent {
-		duty := owner.Duty{Holder: t.n.set.Node, Token: t.term.Number}
+		duty := owner.Duty{Holder: t.n.settings.Node, Token: t.term.Number}
 		if o.Wave != 0 {
 			outcome = t.n.platform.Manager.Maintain(ctx, duty, o.Instance, o.Wave)
 		} else {
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -73,24 +73,24 @@
 		return
 	}
 	t := &termRun{n: n, term: term, lease: lease, began: began, suspended: n.clock.Suspended(), events: make(chan event, eventQueueLen), leaving: make(chan struct{}), left: make(chan struct{}), relist: make(chan struct{}, 1), stops: stopSet{}}
-	t.starts = newFanout(startsPerCore, n.set.Cores, slotTime)
-	t.holds = newFanout(holdsPerCore, n.set.Cores, holdSlotTime)
-	t.others = newFanout(othersPerCore, n.set.Cores, slotTime)
-	t.orders = newInstanceOrders(n.set.Node, n.set.DutyHandover, term.OrderedBefore, began)
+	t.starts = newFanout(startsPerCore, n.settings.Cores, slotTime)
+	t.holds = newFanout(holdsPerCore, n.settings.Cores, holdSlotTime)
+	t.others = newFanout(othersPerCore, n.settings.Cores, slotTime)
+	t.orders = newInstanceOrders(n.settings.Node, n.settings.DutyHandover, term.OrderedBefore, began)
 	t.ctx, t.cancel = context.WithCancel(ctx)
 	defer t.cancel()
 	t.core = owner.New(owner.Options{
 		Term:      term.Number,
-		TaskLease: min(taskLease, n.set.MaxTaskLease), MaxWorkerLease: n.set.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
-		MaxHoldsPerSec: lossyHoldsPerCore * n.set.Cores,
-		MaxMovesPerSec: n.set.MovesPerSec,
-		DutyHandover:   n.set.DutyHandover, PriorOrders: n.ofOthers(term.OrderedBefore), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.Successor,
-		StatusRetention:  n.set.KeepStatus,
+		TaskLease: min(taskLease, n.settings.MaxTaskLease), MaxWorkerLease: n.settings.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
+		MaxHoldsPerSec: lossyHoldsPerCore * n.settings.Cores,
+		MaxMovesPerSec: n.settings.MovesPerSec,
+		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ofOthers(term.OrderedBefore), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.Successor,
+		StatusRetention:  n.settings.KeepStatus,
 		MaxPendingStarts: startsInLine * cap(t.starts.slots),
-		Weights:          n.set.Policy.Pools.Weights(), PoolPolicy: n.set.Policy.Pools.Size, JobOrder: n.set.Policy.Jobs.Order, CallPolicy: n.set.Policy.Workers.Calls,
+		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, JobOrder: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
 	for _, e := range snap.Refused {
-		n.refused.refuse(e.Key, e.Revision, e.Err)
+		n.refusedEntries.add(e.Key, e.Revision, e.Err)
 	}
 	n.log.Info("jobs-loaded", zap.Int("jobs", len(snap.Jobs)), zap.Int64("revision", snap.Revision), zap.Duration("took", n.clock.Now().Sub(began)))
 	n.term.Store(t)
@@ -111,7 +111,7 @@
 
 // ofOthers returns the orders that other daemons sent.
 func (n *Node) ofOthers(list []owner.RecentOrder) []owner.RecentOrder {
-	return slices.DeleteFunc(slices.Clone(list), func(o owner.RecentOrder) bool { return o.Holder == n.set.Node })
+	return slices.DeleteFunc(slices.Clone(list), func(o owner.RecentOrder) bool { return o.Holder == n.settings.Node })
 }
 
 func (t *termRun) startWaves(snap ledger.Snapshot) {
@@ -182,7 +182,7 @@
 			t.noteSuspension()
 			t.core.ReportTimerDelay(now.Sub(lastTick)-tickInterval, now)
 			lastTick = now
-			t.core.SetStoreLease(t.n.mayDoDuty(), now)
+			t.core.SetStoreLease(t.n.mayOrderInstances(), now)
 			t.core.Tick(now)
 			t.report(now)
 			t.n.yieldIfCut(t)
@@ -234,7 +234,7 @@
 	}
 	t.suspended += d
 	t.n.log.Warn("suspended", zap.Duration("for", d))
-	t.core.SetStoreLease(t.n.mayDoDuty(), now)
+	t.core.SetStoreLease(t.n.mayOrderInstances(), now)
 	t.core.ReportSuspension(d, now)
 }
 
--- a/jobs/node/termsources.go
+++ b/jobs/node/termsources.go
@@ -19,13 +19,13 @@
 		}
 		ch, ok, err := ledger.DecodeChange(e.Item)
 		if err != nil {
-			t.n.refused.refuse(e.Key, e.Revision, err)
+			t.n.refusedEntries.add(e.Key, e.Revision, err)
 			return
 		}
 		if !ok {
 			return
 		}
-		t.n.refused.accept(e.Key)
+		t.n.refusedEntries.remove(e.Key)
 		t.awaitLease()
 		t.do(func(c *owner.Core, now time.Time) {
 			switch {
@@ -69,11 +69,11 @@
 // instancesPause returns the least time until the next reading of a list of so many
 // instances, so that the list takes no more than its share of this daemon's link.
 func (t *termRun) instancesPause(instances int) time.Duration {
-	if t.n.set.LinkMbps <= 0 {
+	if t.n.settings.LinkMbps <= 0 {
 		return minInstancesInterval
 	}
 	megabits := float64(instances*bytesPerInstance) * 8 / 1e6
-	pause := time.Duration(megabits / (t.n.set.LinkMbps * instancesLinkShare) * float64(time.Second))
+	pause := time.Duration(megabits / (t.n.settings.LinkMbps * instancesLinkShare) * float64(time.Second))
 	return min(maxInstancesInterval, max(minInstancesInterval, pause))
 }
 
