--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -30,7 +30,7 @@
 // that what is known of the others is so, too: no more has changed.
 func (c *Core) UpdateRegistrations(changed []Registration, gone []WorkerID, current bool, now time.Time) {
 	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > storeOutageGap {
-		c.unregisterFrom = now.Add(reregisterTime)
+		c.unregisterFrom = now.Add(reregistrationGrace)
 		c.note(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
 	}
 	c.registrationsAt = now
--- a/jobs/owner/registrations_test.go
+++ b/jobs/owner/registrations_test.go
@@ -20,7 +20,7 @@
 	r.now = r.now.Add(time.Second)
 	r.core.UpdateRegistrations([]Registration{back}, nil, true, r.now)
 	for range 2 { // looks that show no change
-		r.now = r.now.Add(reregisterTime / 2)
+		r.now = r.now.Add(reregistrationGrace / 2)
 		r.core.UpdateRegistrations(nil, nil, true, r.now)
 	}
 	assert.True(t, r.core.workers[a].registered, "it is back")
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// adoptRun takes over a run that an earlier owner started, or stops it.
+// adoptRun takes over a run that an earlier owner started, or stops it if its task is done
+// or has another run.
 func (c *Core) adoptRun(w *worker, j *jobState, a ActiveRun, now time.Time) {
 	delete(w.unknownRuns, a.Task)
 	c.begin(j, a.Task.Occurrence)
@@ -11,7 +12,7 @@
 		return
 	}
 	if a.Run > c.opt.Term*runsPerTerm {
-		c.stopUnexpectedRun(w, a, "it was given up for certain")
+		c.stopUnexpectedRun(w, a, "this owner has already given up the run")
 		return
 	}
 	t := s.tasks[a.Task.Index]
@@ -24,31 +25,31 @@
 	c.noteStarted(r, now)
 	switch {
 	case j.state.Final() || t.done:
-		c.stop(r, "its task is over", now)
+		c.stop(r, "the task or its job is over", now)
 	case other != nil:
-		c.stop(r, "its task runs elsewhere", now)
+		c.stop(r, "the task has another run", now)
 	default:
 		c.note(Decision{Event: "run-adopted", Job: j.spec.ID, Task: a.Task.String(), Worker: w.Worker, Run: a.Run})
 	}
 }
 
-// stopUnexpectedRun stops a run that must not go on, and of which nothing more is known.
+// stopUnexpectedRun stops a listed run that must not go on and has no entry in this core.
 func (c *Core) stopUnexpectedRun(w *worker, a ActiveRun, why string) {
 	c.note(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: why})
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
 }
 
-// resolveUnknownJob handles what workers said of a job before it was known.
+// resolveUnknownJob applies the ends that workers listed for the job before it was known.
 func (c *Core) resolveUnknownJob(j *jobState, now time.Time) {
 	for _, w := range c.workersWithUnknownJobs.sorted() {
-		for n, we := range w.unknownEnds {
-			if we.end.Task.Job != j.spec.ID {
+		for seq, ue := range w.unknownEnds {
+			if ue.end.Task.Job != j.spec.ID {
 				continue
 			}
-			delete(w.unknownEnds, n)
-			c.applyEnd(w, j, we.end, now)
+			delete(w.unknownEnds, seq)
+			c.applyEnd(w, j, ue.end, now)
 			for i := range w.unacked {
-				if w.unacked[i].seq == n {
+				if w.unacked[i].seq == seq {
 					w.unacked[i].job, w.unacked[i].version = j, j.version
 				}
 			}
@@ -58,56 +59,58 @@
 	}
 }
 
-// expireUnknownJobs gives up on jobs that stay unknown: their runs are stopped
-// and their ends forgotten.
+// expireUnknownJobs handles jobs that stay unknown: it stops their runs and drops their
+// ends.
 func (c *Core) expireUnknownJobs(now time.Time) {
 	for _, w := range c.workersWithUnknownJobs.sorted() {
-		for n, we := range w.unknownEnds {
-			if now.Sub(we.since) > unknownJobGrace {
-				delete(w.unknownEnds, n)
-				c.note(Decision{Event: "end-of-unknown-job", Task: we.end.Task.String(), Worker: w.Worker})
+		for seq, ue := range w.unknownEnds {
+			if now.Sub(ue.since) > unknownJobGrace {
+				delete(w.unknownEnds, seq)
+				c.note(Decision{Event: "end-of-unknown-job", Task: ue.end.Task.String(), Worker: w.Worker})
 				c.advanceAck(w, now)
 			}
 		}
-		for id, s := range w.unknownRuns {
-			if now.Sub(s.since) > unknownJobGrace {
-				w.unknownRuns[id] = unknownRun{s.run, now}
-				c.note(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: s.run})
-				c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: id, Run: s.run, Timeout: OrderTimeout})
+		for id, ur := range w.unknownRuns {
+			if now.Sub(ur.since) > unknownJobGrace {
+				w.unknownRuns[id] = unknownRun{ur.run, now}
+				c.note(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: ur.run})
+				c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: id, Run: ur.run, Timeout: OrderTimeout})
 			}
 		}
 	}
 }
 
-// maxLeaseDuration is how long after its term any lease that an owner gave can last.
+// maxLeaseDuration returns how long a lease granted by an earlier owner can last after this
+// term has begun.
 func (c *Core) maxLeaseDuration() time.Duration {
 	return time.Duration(float64(c.opt.TaskLease)/(1-maxClockSlowdown)) + leaseMargin
 }
 
-// earlierRunsKnown reports whether every run that an earlier owner may have started for
-// the service is known: each instance up in its pool answered our token, or
-// all its leases have run out. An owner that is short of processor time waits for the
-// instances: what was done there may be in answers that it has not read.
+// earlierRunsKnown reports whether every run that an earlier owner may have started for the
+// service is known: each instance that is up in its pool has answered a hold of this owner,
+// or all earlier leases have expired. An owner that is short of processor time waits for
+// the instances even then, as answers that it has not read may report finished tasks.
 func (c *Core) earlierRunsKnown(service string, now time.Time) bool {
 	if c.opt.Term == 1 || c.takeoverDone[service] {
 		return true
 	}
-	unheard := c.unconfirmedInstance(service)
-	if unheard != "" && (now.Sub(c.startedAt) <= c.maxLeaseDuration() || c.isStarved(now)) {
-		c.logTakeoverWait(service, unheard, now)
+	awaited := c.unconfirmedInstance(service)
+	if awaited != "" && (now.Sub(c.startedAt) <= c.maxLeaseDuration() || c.isStarved(now)) {
+		c.logTakeoverWait(service, awaited, now)
 		return false
 	}
 	c.takeoverDone[service] = true
 	c.accountTakeoverWait(service, now)
 	why := "every worker has answered"
-	if unheard != "" {
-		why = "all leases have ended"
+	if awaited != "" {
+		why = "all earlier leases have expired"
 	}
 	c.note(Decision{Event: "inherited-tasks-go", Reason: service + ": " + why + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
 	return true
 }
 
-// accountTakeoverWait accounts for the time that inherited jobs of the service have waited.
+// accountTakeoverWait counts the time that inherited jobs of the service waited as
+// CauseTakeover.
 func (c *Core) accountTakeoverWait(service string, now time.Time) {
 	for _, j := range c.openJobs {
 		if j.inherited && j.service == service && !j.state.Final() {
@@ -116,33 +119,35 @@
 	}
 }
 
-// takeoverWaitLogInterval is the least time between two lines on what a service waits for.
+// takeoverWaitLogInterval is the minimum time between two inherited-tasks-wait lines of a
+// service.
 const takeoverWaitLogInterval = 500 * time.Millisecond
 
-// takeoverWait is what the log says that a service's inherited tasks wait for.
+// takeoverWait is the last logged wait of a service's inherited tasks.
 type takeoverWait struct {
 	waitsFor string
 	loggedAt time.Time
 }
 
-func (c *Core) logTakeoverWait(service, whom string, now time.Time) {
-	said := c.loggedTakeoverWaits[service]
-	if said.waitsFor == whom || now.Sub(said.loggedAt) < takeoverWaitLogInterval {
+func (c *Core) logTakeoverWait(service, awaited string, now time.Time) {
+	last := c.loggedTakeoverWaits[service]
+	if last.waitsFor == awaited || now.Sub(last.loggedAt) < takeoverWaitLogInterval {
 		return
 	}
-	c.loggedTakeoverWaits[service] = takeoverWait{whom, now}
-	c.note(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + whom})
+	c.loggedTakeoverWaits[service] = takeoverWait{awaited, now}
+	c.note(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + awaited})
 }
 
 // unconfirmedInstance names an instance of the service that may run tasks and has not
-// answered our token yet, "" if there is none. Registrations of lives that the
-// instance list does not show are left over: these lives are over.
+// answered a hold of this owner yet; "" if there is none. Registered workers that the
+// instance list does not show are ignored: they have ended, and their registrations are
+// left over.
 func (c *Core) unconfirmedInstance(service string) string {
 	if c.instanceListAt.IsZero() {
 		return "the instance list"
 	}
-	if known := c.lastUnconfirmed[service]; known != "" && c.isUnconfirmed(service, c.instances[known]) {
-		return "instance " + string(known)
+	if last := c.lastUnconfirmed[service]; last != "" && c.isUnconfirmed(service, c.instances[last]) {
+		return "instance " + string(last)
 	}
 	first := InstanceID("")
 	for _, i := range c.instances {
@@ -158,7 +163,7 @@
 }
 
 // isUnconfirmed reports whether the instance may run tasks of the service and has not
-// answered our token yet.
+// answered a hold of this owner yet.
 func (c *Core) isUnconfirmed(service string, i *instanceState) bool {
 	if i == nil || i.Pool != service || i.State != InstanceUp || i.Worker == "" {
 		return false
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -8,42 +8,42 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Times of the watch over workers.
+// Timeouts and retry pauses for workers.
 const (
-	// storeOutageGap is a gap between lists of registrations that counts as an storeOutageGap of
-	// the store: three missed reads of 400 ms.
+	// storeOutageGap is the gap between updates of the registrations that counts as a store
+	// outage: three missed reads at 400 ms.
 	storeOutageGap = 1500 * time.Millisecond
-	// reregisterTime is how long after an outage missing registrations may come
-	// back: the platform's page says about 2 s.
-	reregisterTime = 2200 * time.Millisecond
-	// holdRetryPause is the pause after a hold without an answer.
+	// reregistrationGrace is how long after a store outage missing registrations may come
+	// back. The platform documents about 2 s.
+	reregistrationGrace = 2200 * time.Millisecond
+	// holdRetryPause is the pause after an unanswered hold.
 	holdRetryPause = 150 * time.Millisecond
-	// unlistedHoldRetryPause is the same for a worker that the instance list does not show: most
-	// are lives that are over, whose registrations last for some seconds; asked as often
-	// as the others they would take most of a new owner's calls.
+	// unlistedHoldRetryPause is the same for a worker that the instance list does not show.
+	// Most of these have ended, and their registrations last for some seconds. Retried as
+	// often as the others they would take most of a new owner's calls.
 	unlistedHoldRetryPause = 700 * time.Millisecond
-	// ackRetryPause is how long the next hold waits for the ends of the last one to be
-	// recorded, before it looks again without acknowledging them.
+	// ackRetryPause is how long the next hold is delayed so that the ends of the last one can
+	// be stored and acknowledged with it.
 	ackRetryPause = 300 * time.Millisecond
-	// unknownJobGrace is how long a run of an unknown job is left alone. A job is
-	// known within the delay of the store's watch, a second in its worst hour.
+	// unknownJobGrace is how long a run of an unknown job is left alone. Jobs become known
+	// with the delay of the store's watch, at worst about a second.
 	unknownJobGrace = 4 * time.Second
-	// unhealthyPause is how long a worker that refuses work gets none.
+	// unhealthyPause is how long a worker that answered Unhealthy gets no new tasks.
 	unhealthyPause = 500 * time.Millisecond
 )
 
-// target returns the address of an order to w.
+// target returns the target of orders to w.
 func (c *Core) target(w *worker) Target {
 	return Target{Worker: w.Worker, Addr: w.Addr, Token: c.fencingToken, StartedMs: w.StartedMs}
 }
 
-// scheduleHold says when the worker is to be held next.
+// scheduleHold sets the time of the worker's next hold.
 func (c *Core) scheduleHold(w *worker, at time.Time) {
 	w.nextHoldAt = at
 	c.holdsDue.add(at, w)
 }
 
-// sendDueHolds sends the holds whose time has come.
+// sendDueHolds sends the holds that are due.
 func (c *Core) sendDueHolds(now time.Time) {
 	due := c.holdsDue.popAllDue(now)
 	slices.SortFunc(due, byID)
@@ -63,16 +63,16 @@
 	}
 }
 
-// Figures of holds.
+// Times of holds.
 const (
-	// holdTimeout is how long the answer to a hold may take beyond what the worker waits.
+	// holdTimeout is how long the answer to a hold may take beyond the hold's Wait.
 	holdTimeout = 300 * time.Millisecond
-	// lossyHoldWait is how long a worker with tasks waits for an end while calls are lost: an
-	// end is known so much later if the answer is, in place of a second and more.
+	// lossyHoldWait is the Wait of a worker with tasks while calls are being lost. A lost
+	// answer then delays the news of an end by about this time, not by a second or more.
 	lossyHoldWait = 120 * time.Millisecond
 )
 
-// holdWait returns how long the worker is to wait for an end before it answers.
+// holdWait returns how long the worker is to wait for a new end before it answers.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
 	case !w.heldByUs || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnconfirmedStart():
@@ -85,21 +85,21 @@
 	return c.opt.HoldWait
 }
 
-// minHoldWait returns how long each worker with tasks has to wait for the daemon to bear the
-// holds of all of them.
+// minHoldWait returns the Wait of each worker with tasks at which all of them together stay
+// within MaxHoldsPerSec.
 func (c *Core) minHoldWait() time.Duration {
 	if c.opt.MaxHoldsPerSec <= 0 {
 		return 0
 	}
-	atWork := 0
+	busy := 0
 	for _, p := range c.pools {
-		atWork += p.supply.instances - len(p.supply.idle)
+		busy += p.supply.instances - len(p.supply.idle)
 	}
-	return time.Duration(float64(atWork) / c.opt.MaxHoldsPerSec * float64(time.Second))
+	return time.Duration(float64(busy) / c.opt.MaxHoldsPerSec * float64(time.Second))
 }
 
-// hasUnconfirmedStart reports whether the worker's list has to tell if a start without an answer
-// began: the task stands still until it does.
+// hasUnconfirmedStart reports whether the worker has an unanswered start that is not sent
+// again. Its task is blocked until the worker's list shows whether the run started.
 func (w *worker) hasUnconfirmedStart() bool {
 	for _, r := range w.runs {
 		if r.phase == starting && !r.startAbandonedAt.IsZero() {
@@ -109,8 +109,8 @@
 	return false
 }
 
-// leaseEndFor returns the end of the lease for an order to w. A silent worker's
-// lease is not renewed: it has to end for its tasks to start elsewhere.
+// leaseEndFor returns the lease end for an order to w. The lease of a silent worker is not
+// renewed: it has to expire before its tasks may start elsewhere.
 func (c *Core) leaseEndFor(w *worker, now time.Time) int64 {
 	if w.isSilent() && !c.isStarved(now) {
 		return w.lease.grantedUntilMs
@@ -118,15 +118,16 @@
 	return w.lease.grant(c.opt.TaskLease, now)
 }
 
-// isSilent reports whether the newest order to w, or its newest hold, went
-// unanswered, and nothing was heard of it since.
+// isSilent reports whether the last hold or a later order to w went unanswered, with no
+// answer since.
 func (w *worker) isSilent() bool { return !w.silentSince.IsZero() || w.orderUnanswered }
 
-// onOrderAnswer takes note of the answer to an order, or that there is none. An order that is
-// lost on its way says nothing of the worker: the hold that is under way tells whether it is
-// there. Where a fifth of the orders are lost, each would else count as a possible crash.
+// onOrderAnswer handles the answer to an order other than a hold. A timeout does not count
+// as lost contact: the order alone may have been lost, and the hold in flight shows whether
+// the worker is there. Otherwise, on a network that loses a fifth of the calls, each lost
+// order would count as a possible crash.
 func (c *Core) onOrderAnswer(w *worker, a Answer, now time.Time) {
-	c.countCallOutcome(w, a)
+	c.recordCallOutcome(w, a)
 	if a.Outcome == Unanswered && !a.ConnFailed {
 		c.markWorkerChanged(w)
 		return
@@ -134,14 +135,16 @@
 	c.onAnswer(w, a, now)
 }
 
-// mayBeLostHold reports whether a hold may have no answer because it alone was lost: the next one
-// tells. Else what had just started on the worker would be a suspect of its crash.
+// mayBeLostHold reports whether an unanswered hold may have been lost on a lossy network.
+// The next hold decides; otherwise tasks just started on the worker would be suspected of
+// having crashed it.
 func (c *Core) mayBeLostHold(w *worker, a Answer) bool {
 	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.callOutcomes.Lossy()
 }
 
-// countCallOutcome takes note of whether a call was answered, for how long to wait for others.
-func (c *Core) countCallOutcome(w *worker, a Answer) {
+// recordCallOutcome counts answered and lost calls, by which the timeouts of later calls
+// are set.
+func (c *Core) recordCallOutcome(w *worker, a Answer) {
 	switch {
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
@@ -156,18 +159,18 @@
 	}
 }
 
-// onAnswer takes note of an answer, or that there is none.
+// onAnswer handles an answer of the worker, or a call without one.
 func (c *Core) onAnswer(w *worker, a Answer, now time.Time) {
 	c.markWorkerChanged(w)
 	if w.ended {
-		return // an answer that was on its way
+		return // answered before the incarnation ended
 	}
 	if a.Outcome == Unanswered {
 		c.onContactLost(w, a, now)
 		return
 	}
 	if a.Outcome == NotSent || a.Outcome == OtherBoot {
-		return // which says nothing of this life's answers
+		return // not an answer of this incarnation
 	}
 	w.lease.observeClock(a.ClockMs, now)
 	w.lastAnswerAt = now
@@ -177,7 +180,8 @@
 	c.trackAnswerLatency(a.Latency, now)
 }
 
-// noteOrderUnanswered takes note of an order, sent at sent, that went unanswered.
+// noteOrderUnanswered marks the worker as silent if it has not answered since an unanswered
+// order was sent.
 func (c *Core) noteOrderUnanswered(w *worker, sent time.Time) {
 	if w.lastAnswerAt.Before(sent) {
 		w.orderUnanswered = true
@@ -185,9 +189,9 @@
 	}
 }
 
-// OnHoldAnswer takes a worker's answer to a hold of the life that is meant.
-func (c *Core) OnHoldAnswer(of Target, h HoldAnswer, now time.Time) {
-	w := c.targetedWorker(of)
+// OnHoldAnswer handles the answer to a hold, or that there was none.
+func (c *Core) OnHoldAnswer(target Target, h HoldAnswer, now time.Time) {
+	w := c.targetedWorker(target)
 	if w == nil {
 		return
 	}
@@ -199,14 +203,14 @@
 			return
 		case nextIncarnation:
 			sent := w.holdSentAt
-			w = c.startIncarnation(w, h.StartedMs, "its list is of another life", now)
+			w = c.startIncarnation(w, h.StartedMs, "another incarnation answered the hold", now)
 			w.holdSentAt = sent
 		}
 	}
 	if w.ended {
-		return // sent before the end of its life, and nothing of it runs any more
+		return // answered before the incarnation ended; its runs are already released
 	}
-	c.countCallOutcome(w, h.Answer)
+	c.recordCallOutcome(w, h.Answer)
 	if !c.mayBeLostHold(w, h.Answer) {
 		c.onAnswer(w, h.Answer, now)
 	}
@@ -216,10 +220,10 @@
 		c.markFenced(w)
 		return
 	case OtherBoot:
-		c.endIncarnation(w, "another life answers at its address", now)
+		c.endIncarnation(w, "another incarnation answers at its address", now)
 		return
 	case NotSent:
-		c.scheduleHold(w, now.Add(holdRetryPause)) // which says nothing of the worker
+		c.scheduleHold(w, now.Add(holdRetryPause)) // says nothing about the worker
 		return
 	default:
 		if w.silentSince.IsZero() {
@@ -258,10 +262,10 @@
 	c.changedServices[w.Service] = true
 }
 
-// retryPause returns how long after a hold without an answer the next one is sent.
+// retryPause returns the pause before the next hold after an unanswered one.
 func (c *Core) retryPause(w *worker, now time.Time) time.Duration {
 	if c.callOutcomes.Lossy() && w.silentSince.Equal(now) {
-		return 0 // this one alone may be lost
+		return 0 // only this hold may have been lost
 	}
 	if !c.instanceListAt.IsZero() && !c.listed(w) {
 		return unlistedHoldRetryPause
@@ -281,10 +285,10 @@
 		return
 	}
 	c.fenced = true
-	c.note(Decision{Event: "fenced", Worker: w.Worker, Reason: "a higher fencing token was seen there"})
+	c.note(Decision{Event: "fenced", Worker: w.Worker, Reason: "the worker has seen a higher fencing token"})
 }
 
-// reconcileRuns compares what a worker runs with what it should run.
+// reconcileRuns compares the runs that a worker lists with those that it should have.
 func (c *Core) reconcileRuns(w *worker, active []ActiveRun, now time.Time) {
 	listed := map[job.TaskID]bool{}
 	for _, a := range active {
@@ -298,14 +302,14 @@
 		if r.provenNotStarted(w.holdSentAt) {
 			r.neverStarted = true
 			r.task.dropUndecidedCrash(r.number)
-			c.stop(r, "its start was not answered, and it does not run", now)
+			c.stop(r, "the start was not answered, and the worker does not list the run", now)
 			continue
 		}
 		confirmed := r.phase != starting && !r.confirmedAt.IsZero() && w.holdSentAt.After(r.confirmedAt)
 		if !confirmed {
 			continue
 		}
-		c.releaseRun(r, CauseRunLost, now) // its end was listed before, or it never began
+		c.releaseRun(r, CauseRunLost, now) // its end was listed before, or it never started
 		if r.phase == running {
 			c.counts.Lost++
 			c.note(Decision{Event: "run-vanished", Job: id.Job, Task: id.String(), Worker: w.Worker, Run: r.number})
@@ -332,7 +336,7 @@
 		return
 	}
 	if j.stepsDropped {
-		c.stopUnexpectedRun(w, a, "its job is over")
+		c.stopUnexpectedRun(w, a, "the job is over")
 		return
 	}
 	c.adoptRun(w, j, a, now)
@@ -358,11 +362,11 @@
 	r.usage = a.Usage
 	c.clearLongRunning(r, now)
 	if a.Checkpoint != "" && r.task.step.spec.Checkpoints {
-		r.task.checkpoint = a.Checkpoint // kept in the store only when the run ends
+		r.task.checkpoint = a.Checkpoint // stored only when the run ends
 	}
 }
 
-// endIncarnation handles the certain end of a worker's life: nothing runs there.
+// endIncarnation handles the certain end of a worker's incarnation: all its runs are lost.
 func (c *Core) endIncarnation(w *worker, proof string, now time.Time) {
 	if w.ended {
 		return
@@ -378,13 +382,13 @@
 		c.loseRun(r, proof, now)
 	}
 	for service := range c.pools {
-		c.changedServices[service] = true // what waited for news of it may go on
+		c.changedServices[service] = true // tasks that waited for the worker's fate may start
 	}
 }
 
-// expireLeases frees the runs of workers that are silent for longer than
-// every lease that they were given. An owner that is short of processor time frees
-// none: what was done there may be in answers that it has not read.
+// expireLeases releases the runs of silent workers whose leases have all expired. An owner
+// that is short of processor time releases none, as answers that it has not read may report
+// finished tasks.
 func (c *Core) expireLeases(now time.Time) {
 	for id, w := range c.endedWorkers {
 		if !w.registered && !w.holdInFlight {
@@ -396,14 +400,14 @@
 		if len(w.runs) > 0 && c.leasesExpired(w, now) && !c.isStarved(now) {
 			c.note(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
 			for _, r := range runsByNumber(w) {
-				c.recordPossibleCrash(r, now) // what became of the worker may be known later
+				c.recordPossibleCrash(r, now) // the worker's fate may become known later
 			}
 			for _, r := range runsByNumber(w) {
-				c.loseRun(r, "its lease is over", now)
+				c.loseRun(r, "its lease has expired", now)
 			}
 		}
 		if !w.registered && len(w.runs) == 0 && !w.holdInFlight && now.Sub(w.silentSince) > c.opt.TaskLease*2 {
-			c.forgetWorker(id) // it is known anew if it registers again
+			c.forgetWorker(id) // added again if it registers again
 		}
 	}
 }
