--- a/internal/jobmatrix/day_test.go
+++ b/internal/jobmatrix/day_test.go
@@ -78,10 +78,10 @@
 	return &job.Catalog{
 		Version: version,
 		Queues: []job.Queue{
-			{Name: "orders", Host: "jobs.example", Prefix: ordersPrefix, Service: "orders", MaxAttempts: 3, Stretch: 2, Objective: time.Second},
-			{Name: "reports", Host: "jobs.example", Prefix: reportsPrefix, Service: "reports", MaxAttempts: 3, Stretch: 2, Objective: time.Second},
+			{Name: "orders", Host: "jobs.example", Prefix: ordersPrefix, Service: "orders", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second},
+			{Name: "reports", Host: "jobs.example", Prefix: reportsPrefix, Service: "reports", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second},
 		},
-		Services: []job.Service{{Name: "orders", EnforcesRoom: true}, {Name: "reports"}, // whose workers start whatever they are told
+		Services: []job.Service{{Name: "orders", EnforcesCapacity: true}, {Name: "reports"}, // whose workers start whatever they are told
 			{Name: "spare", Spare: true}},
 	}
 }
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -90,8 +90,8 @@
 	MayMiss       int           `json:",omitempty"` // how many of its tasks maintenance may take away at once
 }
 
-// Occupies returns what a task of the step takes of a worker's room.
-func (s *Step) Occupies() Resources {
+// ReservedResources returns what a task of the step takes of a worker's room.
+func (s *Step) ReservedResources() Resources {
 	need := s.Need
 	if s.Filler {
 		need.CPUMilli = 0
@@ -179,17 +179,17 @@
 // Queue is a route of the configuration: where jobs are submitted and which
 // service runs them.
 type Queue struct {
-	Name        string
-	Host        string
-	Prefix      string // of the path; ends with a slash
-	Service     string
-	Public      bool          // its callers need no key
-	Priority    int           // 0 comes first
-	MaxAttempts int           // a task that failed so often fails its job
-	Stretch     float64       // objective: Stretch times the longest chain of work ...
-	Objective   time.Duration // ... and this much more
-	Timeout     time.Duration // of a caller's request
-	Advice      *Advice       // nil: every worker of the service may run its steps
+	Name            string
+	Host            string
+	Prefix          string // of the path; ends with a slash
+	Service         string
+	Public          bool          // its callers need no key
+	Priority        int           // 0 comes first
+	MaxAttempts     int           // a task that failed so often fails its job
+	ObjectiveFactor float64       // objective: Stretch times the longest chain of work ...
+	ObjectiveOffset time.Duration // ... and this much more
+	Timeout         time.Duration // of a caller's request
+	Advice          *Advice       // nil: every worker of the service may run its steps
 }
 
 // Advice describes the service that says which workers may run a step.
@@ -201,9 +201,9 @@
 
 // Service is a pool of workers.
 type Service struct {
-	Name         string
-	EnforcesRoom bool // its workers reject what does not fit
-	Spare        bool // its instances are off and cost nothing
+	Name             string
+	EnforcesCapacity bool // its workers reject what does not fit
+	Spare            bool // its instances are off and cost nothing
 }
 
 // Catalog is one version of the operators' configuration.
--- a/jobs/owner/account.go
+++ b/jobs/owner/account.go
@@ -148,7 +148,7 @@
 		}
 		work += s.lastDone.timeSpent[CauseWork] + s.lastDone.timeSpent[CauseSlowTask]
 	}
-	a.Allowed = time.Duration(j.queue.Stretch*float64(work)) + j.queue.Objective
+	a.Allowed = time.Duration(j.queue.ObjectiveFactor*float64(work)) + j.queue.ObjectiveOffset
 	rest := a.Total
 	for _, d := range a.Spent {
 		rest -= d
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -30,7 +30,7 @@
 func newRig(t *testing.T, term uint64, loaded ...Loaded) *rig {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{
-		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2, Stretch: 2, Objective: time.Second}},
+		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2, ObjectiveFactor: 2, ObjectiveOffset: time.Second}},
 		Services: []job.Service{{Name: "s"}, {Name: "spare", Spare: true}},
 	}
 	opt := Options{Term: term, TaskLease: rigLease, HoldWait: 500 * time.Millisecond, DutyHandover: 3 * time.Second, StatusRetention: time.Minute}
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -67,7 +67,7 @@
 		return
 	}
 	if r != nil && e.Kind == EndDone && !r.confirmedAt.IsZero() && !s.spec.LongRunning {
-		cores := float64(s.spec.Occupies().CPUMilli) / 1000
+		cores := float64(s.spec.ReservedResources().CPUMilli) / 1000
 		c.pool(j.service).estimateRatio.add(cores*now.Sub(r.confirmedAt).Seconds(), cores*s.spec.Estimate.Seconds())
 	}
 	w.recentEnds.add(e.Kind, now)
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -210,7 +210,7 @@
 
 // deadline is when the job stops being worth its whole value.
 func (j *jobState) deadline() time.Time {
-	allowed := time.Duration(j.queue.Stretch*float64(j.criticalPath)) + j.queue.Objective
+	allowed := time.Duration(j.queue.ObjectiveFactor*float64(j.criticalPath)) + j.queue.ObjectiveOffset
 	from := j.spec.AcceptedAt
 	if j.spec.Repeat > 0 {
 		from = j.spec.Due(max(0, j.nextOccurrence-1))
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -39,7 +39,7 @@
 
 // addWaiting adds n tasks of a step that found no room.
 func (p *poolState) addWaiting(s *stepState, n int) {
-	cores := float64(n) * float64(s.spec.Occupies().CPUMilli) / 1000
+	cores := float64(n) * float64(s.spec.ReservedResources().CPUMilli) / 1000
 	p.waitingCores += cores
 	if s.job.band >= bandOverShare {
 		p.lateWaitingCores += cores
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -46,7 +46,7 @@
 		for _, r := range runsByNumber(w) {
 			if r.preemptibleBy(s) {
 				runs[i] = append(runs[i], r)
-				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.Occupies(), LostWork: r.preemptionCost(now)})
+				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.ReservedResources(), LostWork: r.preemptionCost(now)})
 			}
 		}
 	}
@@ -98,7 +98,7 @@
 // preemptionCost returns the core-seconds of work that are lost if the run is stopped.
 func (r *run) preemptionCost(now time.Time) float64 {
 	spec := r.task.step.spec
-	lost := float64(spec.Occupies().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
+	lost := float64(spec.ReservedResources().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
 	if spec.Checkpoints {
 		lost *= checkpointLossShare
 	}
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -15,7 +15,7 @@
 func fullWorker(t *testing.T, queue string) (*rig, WorkerID, []ActiveRun) {
 	r := newRig(t, 1)
 	r.core.catalog.Queues = append(r.core.catalog.Queues,
-		job.Queue{Name: "batch", Service: "s", Priority: 2, MaxAttempts: 2, Stretch: 2, Objective: time.Second})
+		job.Queue{Name: "batch", Service: "s", Priority: 2, MaxAttempts: 2, ObjectiveFactor: 2, ObjectiveOffset: time.Second})
 	a := r.worker("a")
 	r.held(a, nil)
 	j := simpleJob(1, 8)
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -101,7 +101,7 @@
 // placementRequest returns what a task of the step needs.
 func placementRequest(s *stepState) placement.Request {
 	return placement.Request{
-		Need:                  s.spec.Occupies(),
+		Need:                  s.spec.ReservedResources(),
 		Filler:                s.spec.Filler,
 		Serving:               s.spec.LatencyTarget > 0,
 		RequiredLabel:         s.spec.RequiredLabel,
@@ -197,7 +197,7 @@
 	if !possible {
 		why = "no worker can ever take it"
 	}
-	need := s.spec.Occupies()
+	need := s.spec.ReservedResources()
 	p.core.note(Decision{Event: "job-waits", Job: j.spec.ID, Reason: fmt.Sprintf("%s: step %d needs %d thousandths of a core and %d MB, %d workers are usable",
 		why, s.index, need.CPUMilli, need.MemMB, p.pool.free.size())})
 }
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -74,7 +74,7 @@
 	f := &busyFleet{begin: time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC), workers: map[WorkerID]*busyWorker{}}
 	f.free = f.begin
 	catalog := &job.Catalog{
-		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 3, Stretch: 1.6, Objective: 600 * time.Millisecond}},
+		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 3, ObjectiveFactor: 1.6, ObjectiveOffset: 600 * time.Millisecond}},
 		Services: []job.Service{{Name: "s"}},
 	}
 	opt := Options{Term: 4, TaskLease: fullLease, HoldWait: 900 * time.Millisecond, DutyHandover: 3 * time.Second, StatusRetention: time.Minute}
--- a/jobs/owner/window_test.go
+++ b/jobs/owner/window_test.go
@@ -174,7 +174,7 @@
 	spare := 2*10.0 + 1 - 10 // stretch and objective of the queue, less the chain
 	assert.Zero(t, r.core.ExpectedLateness(more, r.now), "%.1f s to spare for a wait of %.1f s", spare, wait)
 
-	r.core.catalog.Queues[0].Stretch = 1
+	r.core.catalog.Queues[0].ObjectiveFactor = 1
 	assert.InDelta(t, wait-1, r.core.ExpectedLateness(more, r.now).Seconds(), 0.3*wait)
 	lasting, timed := *more, *more
 	lasting.Steps = []job.Step{{Count: 8, LongRunning: true}}
--- a/jobs/owner/workerview.go
+++ b/jobs/owner/workerview.go
@@ -130,7 +130,7 @@
 // addUsage adds n times what the run occupies.
 func (w *worker) addUsage(r *run, n int) {
 	spec := r.task.step.spec
-	need := spec.Occupies()
+	need := spec.ReservedResources()
 	w.allocated = w.allocated.Add(job.Resources{CPUMilli: n * need.CPUMilli, MemMB: n * need.MemMB, GPU: n * need.GPU})
 	if spec.Filler {
 		w.fillerRuns += n
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -108,8 +108,8 @@
 	s.result = Result{Causes: map[string]time.Duration{}, LateBySecond: map[int]int{}, JobsBySecond: map[int]int{}, LateByQueue: map[string]int{}}
 	s.catalog = &job.Catalog{Services: []job.Service{{Name: sparePool, Spare: true}}}
 	for _, q := range sc.Queues {
-		s.catalog.Queues = append(s.catalog.Queues, job.Queue{Name: q.Name, Service: q.Name, Priority: q.Priority, MaxAttempts: 3, Stretch: stretch, Objective: objective})
-		s.catalog.Services = append(s.catalog.Services, job.Service{Name: q.Name, EnforcesRoom: true})
+		s.catalog.Queues = append(s.catalog.Queues, job.Queue{Name: q.Name, Service: q.Name, Priority: q.Priority, MaxAttempts: 3, ObjectiveFactor: stretch, ObjectiveOffset: objective})
+		s.catalog.Services = append(s.catalog.Services, job.Service{Name: q.Name, EnforcesCapacity: true})
 		s.addInstances(q.Name, sc.Instances)
 	}
 	s.addInstances(sparePool, sc.Spare)
--- a/lab/jobsdemo/demo.go
+++ b/lab/jobsdemo/demo.go
@@ -91,8 +91,8 @@
 	}
 	d.in.Configure(&job.Catalog{
 		Version:  1,
-		Queues:   []job.Queue{{Name: "orders", Host: "jobs.example", Prefix: prefix, Service: "orders", MaxAttempts: 3, Stretch: 2, Objective: time.Second}},
-		Services: []job.Service{{Name: "orders", EnforcesRoom: true}, {Name: "spare", Spare: true}},
+		Queues:   []job.Queue{{Name: "orders", Host: "jobs.example", Prefix: prefix, Service: "orders", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second}},
+		Services: []job.Service{{Name: "orders", EnforcesCapacity: true}, {Name: "spare", Spare: true}},
 	})
 	for i := range 6 {
 		d.in.Start(fmt.Sprintf("d%d", i+1))
--- a/standin/jobfleet/shrink.go
+++ b/standin/jobfleet/shrink.go
@@ -17,7 +17,7 @@
 	defer f.mu.Unlock()
 	clear(f.unguarded)
 	for _, s := range c.Services {
-		f.unguarded[s.Name] = !s.EnforcesRoom
+		f.unguarded[s.Name] = !s.EnforcesCapacity
 	}
 }
 
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -310,7 +310,7 @@
 		a.Outcome = owner.Invalid
 		return a
 	}
-	if !f.freeOf(w).Fits(spec.Occupies()) {
+	if !f.freeOf(w).Fits(spec.ReservedResources()) {
 		if !f.unguarded[w.reg.Service] {
 			a.Outcome = owner.NoRoom
 			return a
@@ -338,7 +338,7 @@
 }
 
 func (f *Fleet) execute(w *worker, o owner.Start, spec *job.Step) {
-	e := &execution{task: o.Task, run: o.Run, began: time.Now(), need: spec.Occupies()}
+	e := &execution{task: o.Task, run: o.Run, began: time.Now(), need: spec.ReservedResources()}
 	w.active[o.Task] = e
 	f.judge.started(o.Task, o.Run, w.reg.Worker, o.Token)
 	f.judge.judgeZone(o.Task, w.reg.Zone)
