--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -189,14 +189,14 @@
 	ObjectiveFactor float64       // objective: Stretch times the longest chain of work ...
 	ObjectiveOffset time.Duration // ... and this much more
 	Timeout         time.Duration // of a caller's request
-	Advice          *Advice       // nil: every worker of the service may run its steps
+	Advisor         *Advice       // nil: every worker of the service may run its steps
 }
 
 // Advice describes the service that says which workers may run a step.
 type Advice struct {
-	Decision  time.Duration // of one call
-	PerWorker time.Duration // more for each worker asked about
-	Validity  time.Duration // of a ticket
+	DecisionTime   time.Duration // of one call
+	TimePerWorker  time.Duration // more for each worker asked about
+	TicketValidity time.Duration // of a ticket
 }
 
 // Service is a pool of workers.
--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -81,7 +81,7 @@
 func (s *stepState) id() StepID { return StepID{s.job.spec.ID, s.occurrence, s.index} }
 
 // needsPermits reports whether the step may only run where the advisor says.
-func (s *stepState) needsPermits() bool { return s.job.queue.Advice != nil }
+func (s *stepState) needsPermits() bool { return s.job.queue.Advisor != nil }
 
 // hasValidTicket reports whether the step has a valid ticket for the worker.
 func (s *stepState) hasValidTicket(w *worker, now time.Time) bool {
@@ -147,8 +147,8 @@
 		return
 	}
 	validity := a.Validity
-	if validity == 0 && j.queue.Advice != nil {
-		validity = j.queue.Advice.Validity
+	if validity == 0 && j.queue.Advisor != nil {
+		validity = j.queue.Advisor.TicketValidity
 	}
 	good := map[WorkerID]bool{}
 	for _, permit := range a.Permits {
