--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -6,9 +6,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// advanceAck moves the number up to which ends may be forgotten.
+// advanceAck advances the number up to which the worker's ends are acknowledged, past each
+// end whose job is stored.
 func (c *Core) advanceAck(w *worker, now time.Time) {
-	n := 0
+	acked := 0
 	for _, u := range w.unacked {
 		if u.job != nil && u.job.storedVersion < u.version {
 			u.job.addAckWaiter(w)
@@ -18,25 +19,25 @@
 			break
 		}
 		w.lastAckedEnd = u.seq
-		n++
+		acked++
 	}
-	if n == 0 {
+	if acked == 0 {
 		return
 	}
-	w.unacked = w.unacked[n:]
+	w.unacked = w.unacked[acked:]
 	if len(w.unacked) == 0 && w.nextHoldAt.After(now) {
 		c.scheduleHold(w, now)
 	}
 }
 
-// addAckWaiter lets the worker's ends be acknowledged once the job is recorded.
+// addAckWaiter has the worker's ends acknowledged once the job is stored.
 func (j *jobState) addAckWaiter(w *worker) {
 	if n := len(j.ackWaiters); n == 0 || j.ackWaiters[n-1] != w {
 		j.ackWaiters = append(j.ackWaiters, w)
 	}
 }
 
-// onEnd handles one end that a worker lists.
+// onEnd handles a run end that a worker lists.
 func (c *Core) onEnd(w *worker, e RunEnd, now time.Time) {
 	j := c.jobs[e.Task.Job]
 	if j == nil {
@@ -92,7 +93,7 @@
 	c.changedServices[j.service] = true
 }
 
-func (c *Core) onTaskDone(t *task, by *run, now time.Time) {
+func (c *Core) onTaskDone(t *task, doneBy *run, now time.Time) {
 	s := t.step
 	if s.spec.LongRunning {
 		c.changedServices[s.job.service] = true
@@ -106,7 +107,7 @@
 		wasDone := m.done
 		c.complete(m)
 		if !wasDone {
-			m.addRunTime(by, now)
+			m.addRunTime(doneBy, now)
 		}
 		for _, r := range m.runs {
 			c.stop(r, "the task is done", now)
@@ -116,8 +117,7 @@
 	c.finishIfDone(s.job, now)
 }
 
-// failureBackoff keeps a task that failed from using up its attempts at once
-// on one bad worker.
+// failureBackoff keeps a failed task from using up its attempts at once on one bad worker.
 const failureBackoff = 20 * time.Millisecond
 
 func (c *Core) onTaskFailed(w *worker, t *task, e RunEnd, now time.Time) {
@@ -127,16 +127,16 @@
 	c.note(Decision{Event: "task-failed", Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
 	c.avoidIfFailing(w, now)
 	if t.done {
-		return // a copy of it was
+		return // another copy completed it
 	}
-	if s.spec.LongRunning { // it has no limit of attempts
+	if s.spec.LongRunning { // no limit of attempts
 		t.consecutiveRetries++
 		t.notBefore = now.Add(longRunningBackoff.delay(t.consecutiveRetries))
 		return
 	}
 	t.failures = t.failures.With(e.Run)
 	t.notBefore = now.Add(failureBackoff)
-	if t.hasFailedOn(w) { // there was no other, and attempts are few
+	if t.hasFailedOn(w) { // no other worker could take it, and attempts are limited
 		t.notBefore = now.Add(otherWorkerWait)
 	}
 	t.failedOn = append(t.failedOn, w.Worker)
@@ -165,8 +165,7 @@
 	c.markDirty(t.step.job)
 }
 
-// cause returns what the time of a run that ended so counts as, if it did not do
-// the task.
+// cause returns the cause under which the time of a run that ended this way is counted.
 func (k EndKind) cause() Cause {
 	switch k {
 	case EndDone:
@@ -179,15 +178,15 @@
 	return CauseRunLost
 }
 
-// releaseRun frees the room of a run that is over. Its time counts as c, unless it did
-// the task.
+// releaseRun frees the resources of a run that is over. Its time is counted under cause,
+// except for CauseWork, which addRunTime counts.
 func (c *Core) releaseRun(r *run, cause Cause, now time.Time) {
 	if cause != CauseWork {
 		r.addLostTime(cause, now)
 	}
 	c.removeRun(r)
 	if r.worker.contactLoss.lostAt.IsZero() && !r.fromPastIncarnation {
-		r.task.dropUndecidedCrash(r.number) // its worker is there
+		r.task.dropUndecidedCrash(r.number) // the worker still answers
 	}
 	c.markWorkerChanged(r.worker)
 	c.changedServices[r.worker.Service] = true
--- a/jobs/owner/lease.go
+++ b/jobs/owner/lease.go
@@ -4,44 +4,43 @@
 
 // Bounds of a worker's clock and of leases on it.
 const (
-	// maxClockSlowdown is by how much a worker's clock may be slow, with room:
-	// the platform's page says 2%.
+	// maxClockSlowdown is the fraction by which a worker's clock may run slow. The platform
+	// documents 2%.
 	maxClockSlowdown = 0.02
-	// leaseMargin is added to the computed end of a lease: stopping what runs
-	// takes the worker a moment.
+	// leaseMargin is added to the computed end of a lease, as the worker needs some time to
+	// stop its runs.
 	leaseMargin = 150 * time.Millisecond
 )
 
-// workerLease tells what is known of a worker's clock, and until when the
-// orders that were sent let its tasks run.
+// workerLease tracks a worker's clock and the end of the leases that were sent to it.
 type workerLease struct {
-	known          bool
-	clockMs        int64     // of the worker in ms, when it wrote its newest answer
+	known          bool      // the worker's clock is known
+	clockMs        int64     // worker's clock in its last answer
 	clockReadAt    time.Time // when that answer was received
-	grantedUntilMs int64     // latest end of lease sent in any order, on the worker's clock
+	grantedUntilMs int64     // latest lease end sent in any order, on the worker's clock
 }
 
-// observeClock takes the clock from an answer received at now.
-func (l *workerLease) observeClock(clock int64, now time.Time) {
-	if clock == 0 || l.known && clock < l.clockMs {
+// observeClock takes the worker's clock from an answer received at now.
+func (l *workerLease) observeClock(clockMs int64, now time.Time) {
+	if clockMs == 0 || l.known && clockMs < l.clockMs {
 		return
 	}
-	l.known, l.clockMs, l.clockReadAt = true, clock, now
+	l.known, l.clockMs, l.clockReadAt = true, clockMs, now
 }
 
-// grant returns the end of a lease of length d from now, and remembers it. The
-// worker's clock is at least what it was plus the time since, so that the
-// lease may be a little shorter than d, never over before it was sent.
+// grant returns the end of a lease of length d from now, on the worker's clock, and
+// records it. The worker's clock is at least its last reading plus the time since then, so
+// the lease may be slightly shorter than d, but has never expired when it is sent.
 func (l *workerLease) grant(d time.Duration, now time.Time) int64 {
 	if !l.known {
 		return 0
 	}
-	until := l.clockMs + now.Sub(l.clockReadAt).Milliseconds() + d.Milliseconds()
-	l.grantedUntilMs = max(l.grantedUntilMs, until)
-	return until
+	untilMs := l.clockMs + now.Sub(l.clockReadAt).Milliseconds() + d.Milliseconds()
+	l.grantedUntilMs = max(l.grantedUntilMs, untilMs)
+	return untilMs
 }
 
-// expired reports whether every lease that was sent has ended for certain.
+// expired reports whether every lease that was sent has certainly expired.
 func (l *workerLease) expired(now time.Time) bool {
 	if !l.known {
 		return false
--- a/jobs/owner/lives.go
+++ b/jobs/owner/lives.go
@@ -92,9 +92,9 @@
 	return nextIncarnation
 }
 
-// maxPastStarts is how many former lives of a worker are remembered. What is late by more than
+// maxPastIncarnations is how many former lives of a worker are remembered. What is late by more than
 // some of them would have to be late by more than any answer is waited for.
-const maxPastStarts = 8
+const maxPastIncarnations = 8
 
 // newWorker adds a worker of which nothing is known yet.
 func (c *Core) newWorker(id WorkerID, born int64, now time.Time) *worker {
@@ -122,7 +122,7 @@
 	c.forgetWorker(old.Worker)
 	w := c.newWorker(old.Worker, born, now)
 	w.pastStartsMs = append(slices.Clone(old.pastStartsMs), old.StartedMs)
-	w.pastStartsMs = w.pastStartsMs[max(0, len(w.pastStartsMs)-maxPastStarts):]
+	w.pastStartsMs = w.pastStartsMs[max(0, len(w.pastStartsMs)-maxPastIncarnations):]
 	w.Registration = old.Registration
 	w.StartedMs, w.Draining = born, false
 	c.workersByService.add(w)
@@ -163,13 +163,13 @@
 	return w.lastAckedEnd
 }
 
-// pastIncarnationListed is for how long after a life began the instance list may still say what
+// pastIncarnationListedFor is for how long after a life began the instance list may still say what
 // became of the one before.
-const pastIncarnationListed = 3 * time.Second
+const pastIncarnationListedFor = 3 * time.Second
 
 // mayShowPastIncarnation reports whether the instance list may speak of an earlier life of the
 // worker, under the same id.
 func (c *Core) mayShowPastIncarnation(id WorkerID, now time.Time) bool {
 	w := c.workers[id]
-	return w != nil && len(w.pastStartsMs) > 0 && now.Sub(w.firstSeenAt) < pastIncarnationListed
+	return w != nil && len(w.pastStartsMs) > 0 && now.Sub(w.firstSeenAt) < pastIncarnationListedFor
 }
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -4,8 +4,8 @@
 
 // Retries of orders.
 const (
-	// maxStartSends is how often a start is sent before the worker's list is waited for:
-	// an unanswered order takes the shell's timeout each.
+	// maxStartSends is how often a start is sent before the core waits for the worker's list
+	// instead: each unanswered order takes a whole timeout.
 	maxStartSends = 2
 	// stopRetryPause is the pause before an unanswered stop is sent again.
 	stopRetryPause = 100 * time.Millisecond
@@ -27,7 +27,7 @@
 	})
 }
 
-// OnStarted takes a worker's answer to a start.
+// OnStarted handles the answer to a start, or that there was none.
 func (c *Core) OnStarted(o Start, a Answer, now time.Time) {
 	c.startWindow.onOutcome(o.Seq, now)
 	w := c.targetedWorker(o.Target)
@@ -36,11 +36,11 @@
 	}
 	c.onOrderAnswer(w, a, now)
 	if a.Outcome == Unanswered && !c.callOutcomes.Lossy() {
-		c.trackAnswerLatency(OrderTimeout, now) // it takes longer, or never comes
+		c.trackAnswerLatency(OrderTimeout, now) // the least that it takes, if it still comes
 	}
 	r := w.runs[o.Task]
 	if r == nil || r.number != o.Run {
-		c.logLateAnswer(w, o, a, now)
+		c.logLateStartAnswer(w, o, a, now)
 		return
 	}
 	switch a.Outcome {
@@ -58,7 +58,7 @@
 		c.markFenced(w)
 		return
 	case OtherBoot:
-		c.endIncarnation(w, "another life answers at its address", now)
+		c.endIncarnation(w, "another incarnation answers at its address", now)
 		return
 	case Unanswered:
 		c.onStartUnanswered(r, a, now)
@@ -85,13 +85,14 @@
 		r.task.notBefore = now.Add(invalidOrderBackoff.delay(r.task.consecutiveRetries))
 	}
 	if r.mayStartLate {
-		c.stop(r, "an earlier order for it may still arrive", now)
+		c.stop(r, "an earlier start of the run may still arrive", now)
 		return
 	}
 	c.releaseRun(r, CauseRunLost, now)
 }
 
-// resetRefusals ends the pauses of what this worker or the step was refused before.
+// resetRefusals resets the backoff for earlier refusals by the worker and of the step's
+// tickets.
 func (r *run) resetRefusals() {
 	r.worker.consecutiveNoRoom = 0
 	if p := r.task.step.permits; p != nil {
@@ -99,16 +100,16 @@
 	}
 }
 
-// logLateAnswer handles the answer to a start whose run was freed meanwhile.
-func (c *Core) logLateAnswer(w *worker, o Start, a Answer, now time.Time) {
+// logLateStartAnswer logs that a worker accepted a start whose run was already released.
+func (c *Core) logLateStartAnswer(w *worker, o Start, a Answer, now time.Time) {
 	if a.Outcome == Taken {
-		// Listed by the next hold, which decides.
+		// The next hold lists the run, and decides on it.
 		c.note(Decision{Event: "late-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
 	}
 }
 
-// onStartNotSent handles a start that waited for too long in the line of calls: its task is
-// placed anew by what is known now, unless an earlier order for it may have arrived.
+// onStartNotSent handles a start that was dropped after waiting too long to be sent. Its
+// task is placed again, unless an earlier start of the run may have arrived.
 func (c *Core) onStartNotSent(r *run, now time.Time) {
 	switch {
 	case r.phase != starting:
@@ -133,19 +134,19 @@
 	case r.sends < c.callOutcomes.Attempts(maxStartSends):
 		c.sendStart(r, now)
 	default:
-		// The worker may have begun it, and a stop would end a task at work. Its next
-		// list tells.
+		// The worker may have started it, and a stop would end a working task. The worker's
+		// next list shows whether it runs.
 		r.startAbandonedAt = now
 	}
 }
 
-// provenNotStarted reports whether a list that the worker was asked for at asked, and that
-// does not show the run, tells that no order to start it has arrived so far.
+// provenNotStarted reports whether an answer to a hold sent at asked that does not list the
+// run proves that no start of it has arrived so far.
 func (r *run) provenNotStarted(asked time.Time) bool {
 	return r.phase == starting && !r.startAbandonedAt.IsZero() && !asked.Before(r.startAbandonedAt)
 }
 
-// stop ends a run. Its room is free once its end is listed.
+// stop orders a run to be stopped. Its resources stay allocated until its end is listed.
 func (c *Core) stop(r *run, reason string, now time.Time) {
 	if r.phase == stopping {
 		return
@@ -163,7 +164,7 @@
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.callOutcomes.Timeout(OrderTimeout)})
 }
 
-// OnStopped takes a worker's answer to a stop.
+// OnStopped handles the answer to a stop, or that there was none.
 func (c *Core) OnStopped(o Stop, a Answer, now time.Time) {
 	w := c.targetedWorker(o.Target)
 	if w == nil {
@@ -175,7 +176,7 @@
 		c.markFenced(w)
 		return
 	case OtherBoot:
-		c.endIncarnation(w, "another life answers at its address", now)
+		c.endIncarnation(w, "another incarnation answers at its address", now)
 		return
 	}
 	r := w.runs[o.Task]
@@ -195,28 +196,28 @@
 	c.stopsDue.add(now.Add(c.stopRetryInterval()), r)
 }
 
-// resendStops sends unanswered stops again.
+// resendStops sends unconfirmed stops again.
 func (c *Core) resendStops(now time.Time) {
 	for _, r := range c.stopsDue.popAllDue(now) {
 		if r.phase != stopping || !r.confirmedAt.IsZero() || r.worker.ended || r.worker.runs[r.task.id()] != r {
 			continue
 		}
-		if again := r.sentAt.Add(c.stopRetryInterval()); now.Before(again) {
-			c.stopsDue.add(again, r) // it was sent since
+		if resendAt := r.sentAt.Add(c.stopRetryInterval()); now.Before(resendAt) {
+			c.stopsDue.add(resendAt, r) // it was sent again meanwhile
 			continue
 		}
 		c.sendStop(r, now)
 	}
 }
 
-// stopRetryInterval is longer than the shell waits for an answer, so that one stop at
-// a time is under way.
+// stopRetryInterval returns the time between two stops of a run. It exceeds the timeout of
+// an answer, so that at most one stop of a run is in flight.
 func (c *Core) stopRetryInterval() time.Duration {
 	return c.callOutcomes.Timeout(OrderTimeout) + stopRetryPause
 }
 
-// OrderTimeout is how long the shell waits for the answer to a start or stop:
-// some hundred round trips, and short against the time of a small task.
+// OrderTimeout is the timeout for the answer to a start or stop: about a hundred round
+// trips, and short compared with a small task.
 const OrderTimeout = 400 * time.Millisecond
 
 func laterOf(a, b time.Time) time.Time {
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -59,17 +59,17 @@
 		c.mostSilentSince = time.Time{}
 		return
 	}
-	all, silent := 0, 0
+	total, silent := 0, 0
 	for _, w := range c.workers {
 		if w.ended || !w.registered || w.endOrdered || w.reserved == reservedMove || !c.listed(w) {
 			continue // its life is over, or ends by an order
 		}
-		all++
+		total++
 		if !w.silentSince.IsZero() {
 			silent++
 		}
 	}
-	if silent <= maxSilent || float64(silent) <= maxSilentShare*float64(all) {
+	if silent <= maxSilent || float64(silent) <= maxSilentShare*float64(total) {
 		c.mostSilentSince = time.Time{}
 		return
 	}
@@ -77,7 +77,7 @@
 		c.mostSilentSince = now
 	}
 	if now.Sub(c.mostSilentSince) <= maxOverload && c.storeLeaseLostAt.IsZero() {
-		c.markStarved("owner-overloaded", fmt.Sprintf("%d of %d workers seem silent", silent, all), now)
+		c.markStarved("owner-overloaded", fmt.Sprintf("%d of %d workers seem silent", silent, total), now)
 	}
 }
 
