--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -207,7 +207,7 @@
 	j.Service = queue.Service
 	j.Tenant = tenant
 	j.AcceptedAt = time.Now()
-	if err := catalog.TooLarge(j); err != nil {
+	if err := catalog.CheckTenantLimit(j); err != nil {
 		return reply{status: http.StatusTooManyRequests, problem: err.Error()}
 	}
 	if err := g.jobs.Accept(ctx, j); err != nil {
--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -47,12 +47,12 @@
 // Certain returns how many workers have crashed under the task for certain.
 func (c Crashes) Certain() int { return c.count(func(k Crash) bool { return !k.Open() }) }
 
-// Suspicion is what a task has to put up with for crashes under it.
-type Suspicion int
+// CrashRisk is what a task has to put up with for crashes under it.
+type CrashRisk int
 
 // The suspicions.
 const (
-	Unsuspected   Suspicion = iota
+	CrashRiskNone CrashRisk = iota
 	SuspectAtOnce           // it may crash its worker as soon as it starts there
 	SuspectAlways           // it may do so at any time
 )
@@ -62,14 +62,14 @@
 const certainForAlways = 2
 
 // Suspicion returns what the crashes make of the task.
-func (c Crashes) Suspicion() Suspicion {
+func (c Crashes) Suspicion() CrashRisk {
 	switch {
 	case c.Certain() >= certainForAlways:
 		return SuspectAlways
 	case c.count(func(k Crash) bool { return k.Early }) > 0:
 		return SuspectAtOnce
 	}
-	return Unsuspected
+	return CrashRiskNone
 }
 
 // Figures of the proof that a task crashes its workers. A caller is told that its job has
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -16,11 +16,11 @@
 	for name, c := range map[string]struct {
 		crashes   Crashes
 		proven    bool
-		suspicion Suspicion
+		suspicion CrashRisk
 	}{
-		"none":                                  {nil, false, Unsuspected},
+		"none":                                  {nil, false, CrashRiskNone},
 		"one":                                   {Crashes{prompt}, false, SuspectAtOnce},
-		"one late in the run":                   {Crashes{late}, false, Unsuspected},
+		"one late in the run":                   {Crashes{late}, false, CrashRiskNone},
 		"two at the start, one alone":           {Crashes{beside, prompt}, true, SuspectAlways},
 		"two at the start, others beside":       {Crashes{beside, beside}, false, SuspectAlways},
 		"many, always beside others":            {Crashes{beside, late, beside, late, late}, false, SuspectAlways},
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -183,17 +183,17 @@
 	Host            string
 	Prefix          string // of the path; ends with a slash
 	Service         string
-	Public          bool          // its callers need no key
-	Priority        int           // 0 comes first
-	MaxAttempts     int           // a task that failed so often fails its job
-	ObjectiveFactor float64       // objective: Stretch times the longest chain of work ...
-	ObjectiveOffset time.Duration // ... and this much more
-	Timeout         time.Duration // of a caller's request
-	Advisor         *Advice       // nil: every worker of the service may run its steps
+	Public          bool           // its callers need no key
+	Priority        int            // 0 comes first
+	MaxAttempts     int            // a task that failed so often fails its job
+	ObjectiveFactor float64        // objective: Stretch times the longest chain of work ...
+	ObjectiveOffset time.Duration  // ... and this much more
+	Timeout         time.Duration  // of a caller's request
+	Advisor         *AdvisorTiming // nil: every worker of the service may run its steps
 }
 
-// Advice describes the service that says which workers may run a step.
-type Advice struct {
+// AdvisorTiming describes the service that says which workers may run a step.
+type AdvisorTiming struct {
 	DecisionTime   time.Duration // of one call
 	TimePerWorker  time.Duration // more for each worker asked about
 	TicketValidity time.Duration // of a ticket
--- a/jobs/job/tenant.go
+++ b/jobs/job/tenant.go
@@ -41,9 +41,9 @@
 	return nil
 }
 
-// TooLarge returns why the tenant's limit never lets the job run, nil if it may. Only the tasks
+// CheckTenantLimit returns why the tenant's limit never lets the job run, nil if it may. Only the tasks
 // of a gang need room at the same time; a single task larger than the limit runs alone.
-func (c *Catalog) TooLarge(j *Job) error {
+func (c *Catalog) CheckTenantLimit(j *Job) error {
 	for _, t := range c.Tenants {
 		if t.Name != j.Tenant {
 			continue
--- a/jobs/job/tenant_test.go
+++ b/jobs/job/tenant_test.go
@@ -11,12 +11,12 @@
 	step := func(count int, gang bool) *Job {
 		return &Job{Tenant: "t", Steps: []Step{{Count: 1}, {Count: count, Gang: gang, Need: Resources{CPUMilli: 2500, MemMB: 9}}}}
 	}
-	assert.NoError(t, c.TooLarge(step(9, false)), "its tasks run one after the other")
-	assert.NoError(t, c.TooLarge(step(1, true)))
-	assert.ErrorContains(t, c.TooLarge(step(2, true)), "step 1")
+	assert.NoError(t, c.CheckTenantLimit(step(9, false)), "its tasks run one after the other")
+	assert.NoError(t, c.CheckTenantLimit(step(1, true)))
+	assert.ErrorContains(t, c.CheckTenantLimit(step(2, true)), "step 1")
 	for _, tenant := range []string{"free", "unknown", ""} {
 		j := step(2, true)
 		j.Tenant = tenant
-		assert.NoError(t, c.TooLarge(j), tenant)
+		assert.NoError(t, c.CheckTenantLimit(j), tenant)
 	}
 }
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -39,7 +39,7 @@
 		return urgentCopy
 	}
 	late := time.Duration(copyDelayFactor*float64(spec.Estimate)) + copyExtraDelay
-	if r.phase == running && now.Sub(r.confirmedAt) > late && t.suspicion() == job.Unsuspected {
+	if r.phase == running && now.Sub(r.confirmedAt) > late && t.suspicion() == job.CrashRiskNone {
 		return lateCopy
 	}
 	return noCopy
@@ -73,7 +73,7 @@
 		}
 		first := t.runs[0].worker
 		barred := func(o *worker) bool { return o == first }
-		if t.suspicion() != job.Unsuspected {
+		if t.suspicion() != job.CrashRiskNone {
 			p.placeSuspect(t, choice, barred)
 			continue
 		}
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -369,7 +369,7 @@
 
 func TestTicketsOfTheAdvisor(t *testing.T) {
 	r := newRig(t, 1)
-	r.core.catalog.Queues[0].Advisor = &job.Advice{TicketValidity: 3 * time.Second}
+	r.core.catalog.Queues[0].Advisor = &job.AdvisorTiming{TicketValidity: 3 * time.Second}
 	a, b := r.worker("a"), r.worker("b")
 	r.held(a, nil)
 	r.held(b, nil)
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -30,15 +30,15 @@
 
 // suspicion returns that of the task; the members of a gang share theirs, as they start
 // together.
-func (t *task) suspicion() job.Suspicion {
+func (t *task) suspicion() job.CrashRisk {
 	if t.step.spec.Gang {
 		return t.step.suspicion()
 	}
 	return t.crashes.Suspicion()
 }
 
-func (s *stepState) suspicion() job.Suspicion {
-	most := job.Unsuspected
+func (s *stepState) suspicion() job.CrashRisk {
+	most := job.CrashRiskNone
 	for _, t := range s.tasks {
 		most = max(most, t.crashes.Suspicion())
 	}
@@ -66,7 +66,7 @@
 // worker, the next one counts it.
 func (c *Core) beginIsolation(r *run, now time.Time) {
 	r.trial = r.task.suspicion()
-	if r.trial == job.Unsuspected {
+	if r.trial == job.CrashRiskNone {
 		return
 	}
 	c.counts.Trials++
--- a/jobs/owner/repeat_test.go
+++ b/jobs/owner/repeat_test.go
@@ -93,7 +93,7 @@
 	})
 	t.Run("tickets that are refused", func(t *testing.T) {
 		r := newRig(t, 1)
-		r.core.catalog.Queues[0].Advisor = &job.Advice{TicketValidity: 2 * time.Second}
+		r.core.catalog.Queues[0].Advisor = &job.AdvisorTiming{TicketValidity: 2 * time.Second}
 		r.workers("w0", "w1", "w2")
 		r.submit(1, 1)
 		n := 0
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -134,7 +134,7 @@
 		if choice == nil {
 			choice = p.newWorkerSelector(s)
 		}
-		if t.suspicion() != job.Unsuspected {
+		if t.suspicion() != job.CrashRiskNone {
 			p.placeSuspect(t, choice, t.excludedAfterFailure(p.now))
 			if p.startsDeferred() {
 				return
@@ -226,7 +226,7 @@
 	req := placementRequest(s)
 	room := p.workersFor(s)
 	views := room.views
-	if s.suspicion() != job.Unsuspected {
+	if s.suspicion() != job.CrashRiskNone {
 		views = p.isolationViews(s, room)
 	}
 	chosen := placement.ChooseGang(views, req, len(s.tasks), s.spec.SameRack)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -51,7 +51,7 @@
 	progressAt          time.Time     // when percent last changed
 	stallWatched        bool          // queued in stallsDue
 	usage               int           // as in ActiveRun
-	trial               job.Suspicion // suspicion under which the run was isolated, to see whether it crashes its worker
+	trial               job.CrashRisk // suspicion under which the run was isolated, to see whether it crashes its worker
 	throttlePercent     int           // ordered percentage of full speed; initially 100
 	mayStartLate        bool          // a start went unanswered and may still arrive
 	fromPastIncarnation bool          // ordered on an earlier incarnation of the worker, not yet seen on this one
