--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -44,30 +44,30 @@
 	return n
 }
 
-// Certain returns how many workers have crashed under the task for certain.
-func (c Crashes) Certain() int { return c.count(func(k Crash) bool { return !k.Open() }) }
+// Confirmed returns how many workers have crashed under the task for certain.
+func (c Crashes) Confirmed() int { return c.count(func(k Crash) bool { return !k.Open() }) }
 
 // CrashRisk is what a task has to put up with for crashes under it.
 type CrashRisk int
 
 // The suspicions.
 const (
-	CrashRiskNone CrashRisk = iota
-	SuspectAtOnce           // it may crash its worker as soon as it starts there
-	SuspectAlways           // it may do so at any time
+	CrashRiskNone    CrashRisk = iota
+	CrashRiskAtStart           // it may crash its worker as soon as it starts there
+	CrashRiskAnytime           // it may do so at any time
 )
 
 // certainForAlways is how many crashes make a task suspect whenever in its runs they were: a
 // worker that crashes late in a run is no sign, two are.
 const certainForAlways = 2
 
-// Suspicion returns what the crashes make of the task.
-func (c Crashes) Suspicion() CrashRisk {
+// Risk returns what the crashes make of the task.
+func (c Crashes) Risk() CrashRisk {
 	switch {
-	case c.Certain() >= certainForAlways:
-		return SuspectAlways
+	case c.Confirmed() >= certainForAlways:
+		return CrashRiskAnytime
 	case c.count(func(k Crash) bool { return k.Early }) > 0:
-		return SuspectAtOnce
+		return CrashRiskAtStart
 	}
 	return CrashRiskNone
 }
@@ -87,7 +87,7 @@
 // cost one more. At least one of the crashes had no other cause that ran there.
 func (c Crashes) Proven() bool {
 	alone := c.count(func(k Crash) bool { return !k.Open() && k.Alone })
-	certain := c.Certain()
+	certain := c.Confirmed()
 	if alone > 0 && certain >= proofInDark {
 		return true
 	}
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -19,18 +19,18 @@
 		suspicion CrashRisk
 	}{
 		"none":                                  {nil, false, CrashRiskNone},
-		"one":                                   {Crashes{prompt}, false, SuspectAtOnce},
+		"one":                                   {Crashes{prompt}, false, CrashRiskAtStart},
 		"one late in the run":                   {Crashes{late}, false, CrashRiskNone},
-		"two at the start, one alone":           {Crashes{beside, prompt}, true, SuspectAlways},
-		"two at the start, others beside":       {Crashes{beside, beside}, false, SuspectAlways},
-		"many, always beside others":            {Crashes{beside, late, beside, late, late}, false, SuspectAlways},
-		"two late in the run":                   {Crashes{late, late}, false, SuspectAlways},
-		"three, the last alone":                 {Crashes{late, late, lateAlone}, true, SuspectAlways},
-		"two, the fate of one is open":          {Crashes{prompt, open}, false, SuspectAtOnce},
-		"three without a moment, as in outages": {Crashes{dark, dark, dark}, false, SuspectAlways},
-		"four without a moment":                 {Crashes{dark, dark, dark, dark}, true, SuspectAlways},
+		"two at the start, one alone":           {Crashes{beside, prompt}, true, CrashRiskAnytime},
+		"two at the start, others beside":       {Crashes{beside, beside}, false, CrashRiskAnytime},
+		"many, always beside others":            {Crashes{beside, late, beside, late, late}, false, CrashRiskAnytime},
+		"two late in the run":                   {Crashes{late, late}, false, CrashRiskAnytime},
+		"three, the last alone":                 {Crashes{late, late, lateAlone}, true, CrashRiskAnytime},
+		"two, the fate of one is open":          {Crashes{prompt, open}, false, CrashRiskAtStart},
+		"three without a moment, as in outages": {Crashes{dark, dark, dark}, false, CrashRiskAnytime},
+		"four without a moment":                 {Crashes{dark, dark, dark, dark}, true, CrashRiskAnytime},
 	} {
 		assert.Equal(t, c.proven, c.crashes.Proven(), name)
-		assert.Equal(t, c.suspicion, c.crashes.Suspicion(), name)
+		assert.Equal(t, c.suspicion, c.crashes.Risk(), name)
 	}
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -206,7 +206,7 @@
 }
 
 func crashReason(all job.Crashes, k *job.Crash) string {
-	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Certain(), k.Early, k.Exact, k.Alone)
+	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Confirmed(), k.Early, k.Exact, k.Alone)
 }
 
 // giveUpIfProven gives a task up that crashes its workers beyond doubt. Its job fails, unless
@@ -223,7 +223,7 @@
 	}
 	c.counts.GivenUp++
 	c.note(Decision{Event: "task-given-up", Job: j.spec.ID, Task: t.id().String(),
-		Reason: fmt.Sprintf("%d workers have crashed under it; %s", t.crashes.Certain(), outcome)})
+		Reason: fmt.Sprintf("%d workers have crashed under it; %s", t.crashes.Confirmed(), outcome)})
 	if !serves {
 		c.finish(j, job.Failed, now)
 	}
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -266,7 +266,7 @@
 	}
 	r.keep(time.Second, nil)
 	crashes := r.core.jobs[j.ID].steps[0].tasks[0].crashes
-	assert.Equal(t, 1, crashes.Certain(), "%+v", crashes)
+	assert.Equal(t, 1, crashes.Confirmed(), "%+v", crashes)
 }
 
 // TestALostOrderIsNoCrash: an order that gets no answer in time says nothing against its task
@@ -303,5 +303,5 @@
 	require.Equal(t, WorkerID("w1"), second[0].Worker, "its rack mate")
 	r.crash(second[0].Worker, "again too")
 	r.keep(time.Second, nil)
-	assert.Equal(t, 2, r.core.jobs[j.ID].steps[0].tasks[0].crashes.Certain())
+	assert.Equal(t, 2, r.core.jobs[j.ID].steps[0].tasks[0].crashes.Confirmed())
 }
--- a/jobs/owner/lives_test.go
+++ b/jobs/owner/lives_test.go
@@ -121,7 +121,7 @@
 	r.heldBy(r.lifeOf(a, 700), 700, nil)
 	r.keep(time.Second, nil, a)
 	task := r.core.jobs[j.ID].steps[0].tasks[0]
-	assert.Equal(t, 1, task.crashes.Certain())
+	assert.Equal(t, 1, task.crashes.Confirmed())
 }
 
 // TestTheInstanceListLagsBehindALife: it shows as down what has started again since.
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -34,13 +34,13 @@
 	if t.step.spec.Gang {
 		return t.step.suspicion()
 	}
-	return t.crashes.Suspicion()
+	return t.crashes.Risk()
 }
 
 func (s *stepState) suspicion() job.CrashRisk {
 	most := job.CrashRiskNone
 	for _, t := range s.tasks {
-		most = max(most, t.crashes.Suspicion())
+		most = max(most, t.crashes.Risk())
 	}
 	return most
 }
@@ -53,9 +53,9 @@
 // needsIsolation reports whether nothing may be started beside the run.
 func (r *run) needsIsolation(now time.Time) bool {
 	switch r.trial {
-	case job.SuspectAtOnce:
+	case job.CrashRiskAtStart:
 		return !r.isStable(now)
-	case job.SuspectAlways:
+	case job.CrashRiskAnytime:
 		return !r.task.step.spec.LongRunning || now.Sub(r.firstSentAt) < longRunningClearTime
 	}
 	return false
