--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -65,7 +65,7 @@
 		current := ch.Revision >= known && !returns.mayBeCut(len(ch.Events))
 		t.do(func(c *owner.Core, now time.Time) {
 			c.UpdateRegistrations(changed, gone, current, now)
-			t.expecting.Store(c.Expecting())
+			t.expecting.Store(c.ExpectsWorkers())
 		})
 		switch {
 		case current && len(ch.Events) > 0:
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -403,7 +403,7 @@
 		return peer.PendingReply{}
 	}
 	r, _ := ask(t, func(c *owner.Core) peer.PendingReply {
-		return peer.PendingReply{Owner: true, Count: c.Pending(queue)}
+		return peer.PendingReply{Owner: true, Count: c.PendingJobs(queue)}
 	})
 	if !t.leaseHeld() {
 		return peer.PendingReply{}
--- a/jobs/owner/account.go
+++ b/jobs/owner/account.go
@@ -124,7 +124,7 @@
 		return CauseInstancesArriving
 	case p.reservedForWave > 0:
 		return CauseMaintenance
-	case p.supply.closed > 0:
+	case p.supply.evacuated > 0:
 		return CauseZoneEvacuated
 	}
 	return CausePoolShort
--- a/jobs/owner/begun.go
+++ b/jobs/owner/begun.go
@@ -16,7 +16,7 @@
 		return
 	}
 	j.started = true
-	c.tally(j)
+	c.updatePendingCount(j)
 	c.note(Decision{Event: "job-started", Job: j.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number,
 		Reason: "accepted " + now.Sub(j.spec.AcceptedAt).Round(time.Millisecond).String() + " ago"})
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -225,7 +225,7 @@
 	c.note(Decision{Event: "task-given-up", Job: j.spec.ID, Task: t.id().String(),
 		Reason: fmt.Sprintf("%d workers have crashed under it; %s", t.crashes.Confirmed(), outcome)})
 	if !serves {
-		c.finish(j, job.Failed, now)
+		c.finishJob(j, job.Failed, now)
 	}
 }
 
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -51,7 +51,7 @@
 
 func (c *Core) applyEnd(w *worker, j *jobState, e RunEnd, now time.Time) {
 	delete(w.unknownRuns, e.Task)
-	c.begin(j, e.Task.Occurrence)
+	c.createOccurrences(j, e.Task.Occurrence)
 	s := j.step(e.Task.Occurrence, e.Task.Step)
 	if s == nil || e.Task.Index >= len(s.tasks) {
 		c.note(Decision{Event: "end-of-unknown-task", Task: e.Task.String(), Worker: w.Worker})
@@ -60,7 +60,7 @@
 	t := s.tasks[e.Task.Index]
 	r := t.findRun(e.Run, w)
 	j.started = j.started || s.endProvesStart(e.Kind)
-	c.tally(j)
+	c.updatePendingCount(j)
 	if r != nil {
 		c.releaseRun(r, e.Kind.cause(), now)
 	}
@@ -105,7 +105,7 @@
 	}
 	for _, m := range members {
 		wasDone := m.done
-		c.complete(m)
+		c.completeTask(m)
 		if !wasDone {
 			m.addRunTime(doneBy, now)
 		}
@@ -148,7 +148,7 @@
 	}
 	c.markDirty(j)
 	if j.queue.MaxAttempts > 0 && attempts >= j.queue.MaxAttempts {
-		c.finish(j, job.Failed, now)
+		c.finishJob(j, job.Failed, now)
 	}
 }
 
--- a/jobs/owner/evacuation.go
+++ b/jobs/owner/evacuation.go
@@ -33,7 +33,7 @@
 		c.markWorkerChanged(w)
 	}
 	for _, i := range c.instances {
-		c.count(i)
+		c.updateSupply(i)
 	}
 	for service := range c.pools {
 		c.changedServices[service] = true
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -39,8 +39,8 @@
 	r.core.Evacuate([]string{zone, "nowhere"})
 	supply := &r.core.pool("s").supply
 	assert.Equal(t, 1, supply.instances)
-	assert.Equal(t, 1, supply.closed)
-	assert.Equal(t, 1000, supply.busy, "it will need room elsewhere")
+	assert.Equal(t, 1, supply.evacuated)
+	assert.Equal(t, 1000, supply.busyMilli, "it will need room elsewhere")
 	r.submit(2, 3)
 	for _, s := range r.started() {
 		assert.NotEqual(t, first[0].Worker, s.Worker)
@@ -59,7 +59,7 @@
 	r.tick(100 * time.Millisecond)
 	assert.NotEmpty(t, r.started())
 	assert.Equal(t, 2, supply.instances)
-	assert.Zero(t, supply.closed)
+	assert.Zero(t, supply.evacuated)
 }
 
 // TestGiveBacksLeaveTurns: moves that are waited for come before those that only save.
@@ -67,13 +67,13 @@
 	r := newRig(t, 1)
 	c := r.core
 	c.opt.MaxMovesPerSec = 10
-	assert.Equal(t, 5, c.mayGiveBack(r.now), "half of a second's")
+	assert.Equal(t, 5, c.releaseAllowance(r.now), "half of a second's")
 	c.returnBudget -= 12 // ordered at once for tasks that wait
-	assert.Zero(t, c.mayGiveBack(r.now))
+	assert.Zero(t, c.releaseAllowance(r.now))
 	r.now = r.now.Add(time.Second)
-	assert.Zero(t, c.mayGiveBack(r.now))
+	assert.Zero(t, c.releaseAllowance(r.now))
 	r.now = r.now.Add(time.Second)
-	assert.Equal(t, 3, c.mayGiveBack(r.now))
+	assert.Equal(t, 3, c.releaseAllowance(r.now))
 	r.now = r.now.Add(time.Hour)
-	assert.Equal(t, 5, c.mayGiveBack(r.now))
+	assert.Equal(t, 5, c.releaseAllowance(r.now))
 }
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -170,7 +170,7 @@
 	for _, w := range c.staleIndexWorkers {
 		w.indexStale = false
 		c.reindex(w, now)
-		c.countOfWorker(w)
+		c.updateSupplyOfWorker(w)
 	}
 	clear(c.staleIndexWorkers)
 	c.staleIndexWorkers = c.staleIndexWorkers[:0]
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -17,7 +17,7 @@
 	}
 	for id, i := range c.instances {
 		if !seen[id] {
-			c.discount(i)
+			c.removeFromSupply(i)
 			delete(c.instances, id)
 		}
 	}
@@ -53,12 +53,12 @@
 		old = &instanceState{}
 		c.instances[i.ID] = old
 	}
-	c.discount(old) // under the id and the pool that it had
+	c.removeFromSupply(old) // under the id and the pool that it had
 	old.Instance = i
 	if i.Worker != "" {
 		c.instanceOfWorker[i.Worker] = i.ID
 	}
-	c.count(old)
+	c.updateSupply(old)
 	c.observe(i)
 }
 
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -7,13 +7,13 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// load takes over a job from the store.
-func (c *Core) load(l Loaded, now time.Time) {
+// loadJob takes over a job from the store.
+func (c *Core) loadJob(l Loaded, now time.Time) {
 	j := c.addJob(l.Job, now)
 	j.inherited = true
 	j.loadedFromStore = true
 	if l.Progress != nil {
-		c.restore(j, l.Progress, now)
+		c.restoreProgress(j, l.Progress, now)
 		c.failIfCrashProven(j, now)
 	}
 	if l.Cancelled {
@@ -21,10 +21,10 @@
 	}
 }
 
-func (c *Core) restore(j *jobState, p *job.Progress, now time.Time) {
+func (c *Core) restoreProgress(j *jobState, p *job.Progress, now time.Time) {
 	j.version, j.storedVersion = 1, 1
 	for _, sp := range p.Steps {
-		c.begin(j, sp.Occurrence)
+		c.createOccurrences(j, sp.Occurrence)
 		s := j.step(sp.Occurrence, sp.Step)
 		if s == nil {
 			continue
@@ -37,7 +37,7 @@
 			t.checkpoint = sp.Checkpoint[t.index]
 			c.restoreCrashes(t, sp.Crashed[t.index])
 			if sp.Done.Has(t.index) {
-				c.complete(t)
+				c.completeTask(t)
 			}
 		}
 		j.started = true
@@ -49,23 +49,23 @@
 		delete(c.openJobs, j.spec.ID)
 		delete(c.dirtyJobs, j.spec.ID)
 	}
-	c.tally(j)
+	c.updatePendingCount(j)
 }
 
-// learnArrivals lets the pools know of the newest arrivals in the store, so that a new
+// replayArrivals lets the pools know of the newest arrivals in the store, so that a new
 // owner sizes them by the rate from the first moment on.
-func (c *Core) learnArrivals(loaded []Loaded, now time.Time) {
+func (c *Core) replayArrivals(loaded []Loaded, now time.Time) {
 	list := slices.Clone(loaded)
 	slices.SortStableFunc(list, func(a, b Loaded) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
 	for _, l := range list {
 		c.chargeShare(c.jobs[l.Job.ID])
-		c.countArrival(c.jobs[l.Job.ID], l.Job.AcceptedAt, now)
+		c.recordArrival(c.jobs[l.Job.ID], l.Job.AcceptedAt, now)
 	}
 }
 
-// countArrival takes note of the work of a job that runs once and is accepted to be
+// recordArrival takes note of the work of a job that runs once and is accepted to be
 // done at once.
-func (c *Core) countArrival(j *jobState, at, now time.Time) {
+func (c *Core) recordArrival(j *jobState, at, now time.Time) {
 	if len(j.spec.Steps) == 0 || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning || at.After(now) {
 		return
 	}
@@ -75,10 +75,10 @@
 	c.pool(j.service).arrivalRate.Add(j.work, at)
 }
 
-// handoverTime is how long after a change of owner jobs may still reach the
+// submitHandoverWindow is how long after a change of owner jobs may still reach the
 // earlier one. It holds each worker twice a second, and ends at the first that
 // has seen the new fencing token.
-const handoverTime = time.Second
+const submitHandoverWindow = time.Second
 
 // Submit adds a job that was accepted.
 func (c *Core) Submit(spec *job.Job, now time.Time) {
@@ -87,10 +87,10 @@
 	}
 	j := c.addJob(spec, now)
 	// An earlier owner that does not know yet that it is none may have started it.
-	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < handoverTime
+	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < submitHandoverWindow
 	c.note(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
 	c.chargeShare(j)
-	c.countArrival(j, now, now)
+	c.recordArrival(j, now, now)
 	c.resolveUnknownJob(j, now)
 	if _, cancelled := c.earlyCancels[spec.ID]; cancelled {
 		delete(c.earlyCancels, spec.ID)
@@ -102,16 +102,16 @@
 	j := &jobState{spec: spec, service: spec.Service, state: job.Queued, knownAt: now}
 	c.jobs[spec.ID] = j
 	c.openJobs[spec.ID] = j
-	c.requeue(j)
-	j.criticalPath, j.work = chainAndWork(spec)
-	c.tally(j)
-	c.beginDue(j, now)
+	c.refreshQueue(j)
+	j.criticalPath, j.work = estimateChainAndWork(spec)
+	c.updatePendingCount(j)
+	c.createDueOccurrences(j, now)
 	return j
 }
 
-// lasts reports whether the job runs until it is cancelled. Its tasks are never done, so that
+// isLongRunning reports whether the job runs until it is cancelled. Its tasks are never done, so that
 // the end of every lease that they can have proves that they run nowhere.
-func (j *jobState) lasts() bool {
+func (j *jobState) isLongRunning() bool {
 	for _, s := range j.spec.Steps {
 		if !s.LongRunning {
 			return false
@@ -120,31 +120,31 @@
 	return true
 }
 
-// requeue takes the newest settings of the job's queue. A queue that is no
+// refreshQueue takes the newest settings of the job's queue. A queue that is no
 // longer configured keeps its last ones.
-func (c *Core) requeue(j *jobState) {
+func (c *Core) refreshQueue(j *jobState) {
 	if c.catalog == nil {
 		return
 	}
 	before := j.service
-	j.takeQueue(c.catalog)
+	j.applyQueueSettings(c.catalog)
 	if j.service != before {
 		j.queuedForPlacement = false // it leaves the queue of the service before
 	}
 	c.queueForPlacement(j)
 }
 
-// takeQueue takes the settings of the job's queue.
-func (j *jobState) takeQueue(catalog *job.Catalog) {
+// applyQueueSettings takes the settings of the job's queue.
+func (j *jobState) applyQueueSettings(catalog *job.Catalog) {
 	if q := catalog.Queue(j.spec.Queue); q != nil {
 		j.queue = *q
 		j.service = q.Service
 	}
 }
 
-// chainAndWork returns the longest chain of steps by the estimates, and the
+// estimateChainAndWork returns the longest chain of steps by the estimates, and the
 // core-seconds of one occurrence.
-func chainAndWork(spec *job.Job) (chain time.Duration, work float64) {
+func estimateChainAndWork(spec *job.Job) (chain time.Duration, work float64) {
 	ends := make([]time.Duration, len(spec.Steps))
 	for i, s := range spec.Steps {
 		var from time.Duration
@@ -158,28 +158,28 @@
 	return chain, work
 }
 
-// beginDue begins the occurrences whose time has come, and looks again when that of the
+// createDueOccurrences begins the occurrences whose time has come, and looks again when that of the
 // next one has.
-func (c *Core) beginDue(j *jobState, now time.Time) {
+func (c *Core) createDueOccurrences(j *jobState, now time.Time) {
 	for j.nextOccurrence < j.spec.Occurrences() && !j.spec.Due(j.nextOccurrence).After(now) {
-		c.begin(j, j.nextOccurrence)
+		c.createOccurrences(j, j.nextOccurrence)
 	}
 	if j.nextOccurrence < j.spec.Occurrences() {
 		c.occurrencesDue.add(j.spec.Due(j.nextOccurrence), j)
 	}
 }
 
-// beginTimed begins the occurrences of all jobs whose time has come.
-func (c *Core) beginTimed(now time.Time) {
+// createAllDueOccurrences begins the occurrences of all jobs whose time has come.
+func (c *Core) createAllDueOccurrences(now time.Time) {
 	for _, j := range c.occurrencesDue.popAllDue(now) {
 		if c.openJobs[j.spec.ID] == j && !j.state.Final() {
-			c.beginDue(j, now)
+			c.createDueOccurrences(j, now)
 		}
 	}
 }
 
-// begin creates the steps of all occurrences up to k.
-func (c *Core) begin(j *jobState, k int) {
+// createOccurrences creates the steps of all occurrences up to k.
+func (c *Core) createOccurrences(j *jobState, k int) {
 	if k >= j.spec.Occurrences() {
 		return
 	}
@@ -198,8 +198,8 @@
 	c.queueForPlacement(j)
 }
 
-// complete marks a task as done and unblocks what waits for its step.
-func (c *Core) complete(t *task) {
+// completeTask marks a task as done and unblocks what waits for its step.
+func (c *Core) completeTask(t *task) {
 	if t.done {
 		return
 	}
@@ -236,13 +236,13 @@
 			return
 		}
 	}
-	c.finish(j, job.Completed, now)
+	c.finishJob(j, job.Completed, now)
 }
 
-func (c *Core) finish(j *jobState, state job.State, now time.Time) {
+func (c *Core) finishJob(j *jobState, state job.State, now time.Time) {
 	j.state = state
 	j.endedAt = now
-	c.tally(j)
+	c.updatePendingCount(j)
 	c.markDirty(j)
 	c.toWrite.add(j) // among those that ended
 	c.note(Decision{Event: "job-" + string(state), Job: j.spec.ID})
@@ -265,16 +265,16 @@
 		return
 	}
 	if !j.state.Final() {
-		c.finish(j, job.Cancelled, now)
+		c.finishJob(j, job.Cancelled, now)
 	}
 }
 
-// earlyKept is how long the cancellation of a job that stays unknown is kept.
-const earlyKept = time.Minute
+// earlyCancellationTTL is how long the cancellation of a job that stays unknown is kept.
+const earlyCancellationTTL = time.Minute
 
-func (c *Core) expireEarly(now time.Time) {
+func (c *Core) expireEarlyCancellations(now time.Time) {
 	for id, at := range c.earlyCancels {
-		if now.Sub(at) > earlyKept {
+		if now.Sub(at) > earlyCancellationTTL {
 			delete(c.earlyCancels, id)
 		}
 	}
@@ -307,11 +307,11 @@
 	return ""
 }
 
-// Pending counts the jobs of a queue of which no task is known to have started.
-func (c *Core) Pending(queue string) int { return c.pendingPerQueue[queue] }
+// PendingJobs counts the jobs of a queue of which no task is known to have started.
+func (c *Core) PendingJobs(queue string) int { return c.pendingPerQueue[queue] }
 
-// tally counts the job among the pending ones, or no longer, after a change of its state.
-func (c *Core) tally(j *jobState) {
+// updatePendingCount counts the job among the pending ones, or no longer, after a change of its state.
+func (c *Core) updatePendingCount(j *jobState) {
 	pending := !j.started && !j.state.Final()
 	switch {
 	case pending && !j.countedPending:
@@ -327,7 +327,7 @@
 	c.catalog = catalog
 	c.setTenants(catalog.Tenants)
 	for _, j := range c.openJobs {
-		c.requeue(j)
+		c.refreshQueue(j)
 	}
 	c.registerNewlyConfigured()
 }
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -6,47 +6,47 @@
 	"github.com/postmount/postmount/jobs/capacity"
 )
 
-// moveState is an instance on its way to another pool.
-type moveState struct {
-	to       string
-	life     incarnation // before the move
-	at       time.Time
-	accepted bool
+// poolMove is an instance on its way to another pool.
+type poolMove struct {
+	toPool      string
+	incarnation incarnation // before the move
+	orderedAt   time.Time
+	accepted    bool
 }
 
 // moveTimeout is when a move that was accepted is no longer counted on.
 const moveTimeout = 6 * time.Second
 
-// settleMoves forgets moves that are over.
-func (c *Core) settleMoves(now time.Time) {
+// removeFinishedMoves forgets moves that are over.
+func (c *Core) removeFinishedMoves(now time.Time) {
 	for id, m := range c.moves {
 		i := c.instances[id]
 		switch {
 		case i == nil:
-		case m.accepted && i.Pool == m.to && i.State == InstanceUp && c.incarnationOn(&i.Instance) != m.life && c.hasJoinedPool(&i.Instance):
-		case m.accepted && now.Sub(m.at) > moveTimeout:
+		case m.accepted && i.Pool == m.toPool && i.State == InstanceUp && c.incarnationOn(&i.Instance) != m.incarnation && c.hasJoinedPool(&i.Instance):
+		case m.accepted && now.Sub(m.orderedAt) > moveTimeout:
 		default:
 			continue
 		}
-		c.endMove(id, m)
+		c.removeMove(id, m)
 	}
 }
 
-// endMove forgets a move that is over, or was not begun.
-func (c *Core) endMove(id InstanceID, m *moveState) {
+// removeMove forgets a move that is over, or was not begun.
+func (c *Core) removeMove(id InstanceID, m *poolMove) {
 	delete(c.moves, id)
-	if w := c.currentWorker(m.life); w != nil && !w.ended {
+	if w := c.currentWorker(m.incarnation); w != nil && !w.ended {
 		c.unreserve(w)
 	}
 	if i := c.instances[id]; i != nil {
-		c.count(i)
+		c.updateSupply(i)
 	}
 }
 
-// Expecting reports whether workers are about to register.
-func (c *Core) Expecting() bool {
+// ExpectsWorkers reports whether workers are about to register.
+func (c *Core) ExpectsWorkers() bool {
 	for _, m := range c.moves {
-		if s := c.catalog.Service(m.to); s == nil || !s.Spare {
+		if s := c.catalog.Service(m.toPool); s == nil || !s.Spare {
 			return true
 		}
 	}
@@ -55,27 +55,27 @@
 
 func (c *Core) orderMove(m capacity.Move, now time.Time) {
 	id := InstanceID(m.Instance)
-	if c.rejectedMoves[misfit{id, m.To}] {
+	if c.rejectedMoves[rejectedMove{id, m.To}] {
 		return
 	}
-	ms := &moveState{to: m.To, at: now, life: c.incarnationOn(&c.instances[id].Instance)}
+	ms := &poolMove{toPool: m.To, orderedAt: now, incarnation: c.incarnationOn(&c.instances[id].Instance)}
 	c.moves[id] = ms
-	c.count(c.instances[id])
-	if w := c.currentWorker(ms.life); w != nil {
+	c.updateSupply(c.instances[id])
+	if w := c.currentWorker(ms.incarnation); w != nil {
 		c.reserve(w, reservedMove, now)
 	}
 	c.returnBudget-- // each order takes a turn at the platform
-	c.note(Decision{Event: "move-ordered", Worker: ms.life.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
+	c.note(Decision{Event: "move-ordered", Worker: ms.incarnation.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
 	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
 }
 
-// misfit is an instance that a pool does not take.
-type misfit struct {
+// rejectedMove is an instance that a pool does not take.
+type rejectedMove struct {
 	instance InstanceID
 	pool     string
 }
 
-func (c *Core) onMove(o InstanceOrder, outcome DutyOutcome, now time.Time) {
+func (c *Core) onMoveOutcome(o InstanceOrder, outcome DutyOutcome, now time.Time) {
 	m := c.moves[o.Instance]
 	if m == nil {
 		return
@@ -92,27 +92,27 @@
 		c.fenced = true
 		return
 	case DutyInvalid:
-		c.rejectedMoves[misfit{o.Instance, o.Pool}] = true
+		c.rejectedMoves[rejectedMove{o.Instance, o.Pool}] = true
 	}
-	c.endMove(o.Instance, m)
+	c.removeMove(o.Instance, m)
 }
 
 // Moves that the platform accepts are shared: instances that are given back leave room for
 // those that are waited for.
 const (
-	// giveBackShare is the share of them that instances may take that are given back.
-	giveBackShare = 0.5
-	// manyMoves stands for any number.
-	manyMoves = 1 << 20
+	// releaseShare is the share of them that instances may take that are given back.
+	releaseShare = 0.5
+	// unlimitedReleases stands for any number.
+	unlimitedReleases = 1 << 20
 )
 
-// mayGiveBack returns how many instances may be given back now: no more than their share of what
+// releaseAllowance returns how many instances may be given back now: no more than their share of what
 // the platform accepts, less what has been ordered besides.
-func (c *Core) mayGiveBack(now time.Time) int {
+func (c *Core) releaseAllowance(now time.Time) int {
 	if c.opt.MaxMovesPerSec <= 0 {
-		return manyMoves
+		return unlimitedReleases
 	}
-	c.returnBudget = min(c.returnBudget+giveBackShare*c.opt.MaxMovesPerSec*now.Sub(c.returnRefilledAt).Seconds(), giveBackShare*c.opt.MaxMovesPerSec)
+	c.returnBudget = min(c.returnBudget+releaseShare*c.opt.MaxMovesPerSec*now.Sub(c.returnRefilledAt).Seconds(), releaseShare*c.opt.MaxMovesPerSec)
 	c.returnRefilledAt = now
 	return max(0, int(c.returnBudget))
 }
--- a/jobs/owner/notsent_test.go
+++ b/jobs/owner/notsent_test.go
@@ -34,7 +34,7 @@
 	require.Len(t, r.out.Starts, 1)
 	assert.NotEqual(t, first.Worker, r.out.Starts[0].Worker)
 	assert.Greater(t, r.out.Starts[0].Run, first.Run)
-	assert.Equal(t, 1, r.core.Pending("q"))
+	assert.Equal(t, 1, r.core.PendingJobs("q"))
 }
 
 // TestASecondStartThatWasNotSent: the first may have arrived, which the worker's list tells.
@@ -51,5 +51,5 @@
 	r.held(a, []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 20}})
 	assert.Empty(t, r.stopsOf(start.Task), "it is at work")
 	assert.Empty(t, r.out.Starts)
-	assert.Zero(t, r.core.Pending("q"))
+	assert.Zero(t, r.core.PendingJobs("q"))
 }
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -61,7 +61,7 @@
 			j := r.submit(1, 1)
 			require.Len(t, r.out.Starts, 1)
 			c.then(r, r.out.Starts[0])
-			assert.Equal(t, 1, r.core.Pending("q"))
+			assert.Equal(t, 1, r.core.PendingJobs("q"))
 			state, known := r.core.State(j.ID)
 			assert.True(t, known)
 			assert.Equal(t, job.Queued, state)
@@ -90,7 +90,7 @@
 			j := r.submit(1, 2)
 			require.Len(t, r.out.Starts, 2)
 			c.then(r, r.out.Starts[0])
-			assert.Zero(t, r.core.Pending("q"))
+			assert.Zero(t, r.core.PendingJobs("q"))
 			state, _ := r.core.State(j.ID)
 			assert.Equal(t, job.Running, state)
 		})
@@ -103,9 +103,9 @@
 	j := simpleJob(1, 1)
 	r := newRig(t, 2, Loaded{Job: j})
 	a := r.worker("a")
-	assert.Equal(t, 1, r.core.Pending("q"))
+	assert.Equal(t, 1, r.core.PendingJobs("q"))
 	r.held(a, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: runsPerTerm + 1}})
-	assert.Zero(t, r.core.Pending("q"))
+	assert.Zero(t, r.core.PendingJobs("q"))
 }
 
 // aGangWaitsForAllItsMembers: its tasks start only once all of them are there.
@@ -120,9 +120,9 @@
 	require.Len(t, r.out.Starts, 2)
 	first, second := r.out.Starts[0], r.out.Starts[1]
 	r.core.OnStarted(first, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
-	assert.Equal(t, 1, r.core.Pending("q"), "one member waits for the other")
+	assert.Equal(t, 1, r.core.PendingJobs("q"), "one member waits for the other")
 	r.held(first.Worker, nil, RunEnd{Seq: 1, Task: first.Task, Run: first.Run, Kind: EndGangIncomplete})
-	assert.Equal(t, 1, r.core.Pending("q"), "it waited in vain")
+	assert.Equal(t, 1, r.core.PendingJobs("q"), "it waited in vain")
 	r.core.OnStarted(second, Answer{Outcome: Taken, ClockMs: r.clock()}, r.now)
-	assert.Equal(t, 1, r.core.Pending("q"), "the other one came too late")
+	assert.Equal(t, 1, r.core.PendingJobs("q"), "the other one came too late")
 }
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -91,10 +91,10 @@
 		return
 	}
 	c.nextSizingAt = now.Add(sizingInterval)
-	c.settleMoves(now)
+	c.removeFinishedMoves(now)
 	pools, spare := c.poolSnapshots(now)
 	c.updateSupplyCounts(pools)
-	for _, m := range capacity.Plan(c.opt.PoolPolicy, c.opt.Weights, pools, spare, c.mayGiveBack(now)) {
+	for _, m := range capacity.Plan(c.opt.PoolPolicy, c.opt.Weights, pools, spare, c.releaseAllowance(now)) {
 		c.orderMove(m, now)
 	}
 }
@@ -129,16 +129,16 @@
 	}
 	c.updateIndexes(now)
 	for name, v := range views {
-		c.pool(name).supply.fill(v)
+		c.pool(name).supply.fillSnapshot(v)
 		for _, i := range c.pool(name).supply.idle {
-			v.Instances = append(v.Instances, c.idleView(i, now))
+			v.Instances = append(v.Instances, c.idleSnapshot(i, now))
 		}
-		for _, i := range c.pool(name).supply.closedIdle {
-			v.EvacuatedIdle = append(v.EvacuatedIdle, c.idleView(i, now))
+		for _, i := range c.pool(name).supply.evacuatedIdle {
+			v.EvacuatedIdle = append(v.EvacuatedIdle, c.idleSnapshot(i, now))
 		}
 	}
 	for _, m := range c.moves {
-		if v := views[m.to]; v != nil {
+		if v := views[m.toPool]; v != nil {
 			v.Arriving++
 		}
 	}
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -191,5 +191,5 @@
 	delete(c.maintenanceWorkers, id)
 	c.workersByService.remove(w)
 	w.removeFromIndex()
-	c.countOfWorker(w)
+	c.updateSupplyOfWorker(w)
 }
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -147,7 +147,7 @@
 	kept := pool.queue[:0]
 	claims := pool.claims[:0]
 	for _, j := range pool.queue {
-		if !j.inherited || takenOver || lapsed && j.lasts() {
+		if !j.inherited || takenOver || lapsed && j.isLongRunning() {
 			if j.state.Final() || j.service != service || !mayNeedPlacement(j) {
 				j.clearQueued(service)
 				continue
@@ -223,11 +223,11 @@
 	c.expireLeases(now)
 	c.decideLosses(now)
 	c.expireUnknownJobs(now)
-	c.expireEarly(now)
+	c.expireEarlyCancellations(now)
 	c.resendStops(now)
 	c.stopStalledRuns(now)
 	c.sendDueHolds(now)
-	c.beginTimed(now)
+	c.createAllDueOccurrences(now)
 	c.throttleFillers(now)
 	c.maintain(now)
 	c.resizePools(now)
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -168,7 +168,7 @@
 
 // onNoCapacity takes note of a step of which no further task finds room.
 func (p *schedulingPass) onNoCapacity(s *stepState, req *placement.Request) {
-	possible := p.pool.free.couldFit(req) || p.pool.supply.couldTake(req.Need)
+	possible := p.pool.free.couldFit(req) || p.pool.supply.couldFitAtFullSize(req.Need)
 	if possible {
 		p.pool.addWaiting(s, countUnplaced(s, p.now))
 		p.unplaceable.Add(req)
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -138,11 +138,11 @@
 	fresh := *spec
 	fresh.AcceptedAt = now
 	j := &jobState{spec: &fresh}
-	j.takeQueue(c.catalog)
+	j.applyQueueSettings(c.catalog)
 	if !c.startWindow.deferred[j.service] {
 		return 0
 	}
-	j.criticalPath, j.workLeft = chainAndWork(spec)
+	j.criticalPath, j.workLeft = estimateChainAndWork(spec)
 	j.criticalPathLeft = j.criticalPath
 	ahead := len(c.startWindow.outstanding) + countTasksAhead(c.pool(j.service).claims, c.queueEntryOf(j, now), c.opt.JobOrder)
 	wait := time.Duration(float64(ahead) / c.startWindow.outcomeRate * float64(time.Second))
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -290,8 +290,8 @@
 	instanceOfWorker       map[WorkerID]InstanceID
 	waves                  map[int]*waveState
 	pools                  map[string]*poolState
-	moves                  map[InstanceID]*moveState
-	rejectedMoves          map[misfit]bool
+	moves                  map[InstanceID]*poolMove
+	rejectedMoves          map[rejectedMove]bool
 	evacuatedZones         map[string]bool // zones that get no new tasks
 	nextSizingAt           time.Time
 	returnBudget           float64 // instances that may be given back at present
@@ -420,8 +420,8 @@
 		instanceOfWorker:       map[WorkerID]InstanceID{},
 		waves:                  map[int]*waveState{},
 		pools:                  map[string]*poolState{},
-		moves:                  map[InstanceID]*moveState{},
-		rejectedMoves:          map[misfit]bool{},
+		moves:                  map[InstanceID]*poolMove{},
+		rejectedMoves:          map[rejectedMove]bool{},
 		dirtyJobs:              map[job.ID]*jobState{},
 		unstoredCrashes:        map[job.ID]*jobState{},
 		changedServices:        map[string]bool{},
@@ -449,9 +449,9 @@
 		c.setTenants(catalog.Tenants)
 	}
 	for _, l := range loaded {
-		c.load(l, now)
+		c.loadJob(l, now)
 	}
-	c.learnArrivals(loaded, now)
+	c.replayArrivals(loaded, now)
 	return c
 }
 
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -12,64 +12,64 @@
 // instanceState is an instance of the platform's list, and what its pool counts of it.
 type instanceState struct {
 	Instance
-	counted contribution
-	life    *worker // its worker when it was counted; nil: it has none that is known
+	counted supplyContribution
+	worker  *worker // its worker when it was counted; nil: it has none that is known
 
 	crashedAt time.Time // newest crash that a task may have caused
 	suspects  []*task   // that ran there then
 }
 
-// contribution is what an instance adds to the sums of its pool; those that are away or
+// supplyContribution is what an instance adds to the sums of its pool; those that are away or
 // about to leave add nothing.
-type contribution struct {
-	pool    string // "": it is not counted
-	room    int    // thousandths of a core of the instance
-	missing int    // of these, what its worker has lost for a while
-	busy    int    // of these, in use
-	lasting int    // of these, by long-running tasks
-	idle    bool   // nothing runs on it
-	closed  bool   // its zone is evacuated: it is no room for what comes
+type supplyContribution struct {
+	pool             string // "": it is not counted
+	cpuMilli         int    // thousandths of a core of the instance
+	missingMilli     int    // of these, what its worker has lost for a while
+	busyMilli        int    // of these, in use
+	longRunningMilli int    // of these, by long-running tasks
+	idle             bool   // nothing runs on it
+	evacuated        bool   // its zone is evacuated: it is no room for what comes
 }
 
 // poolSupply sums up the instances of a pool. It is kept as they change, so that sizing a
 // pool costs what idles in it, not what there is.
 type poolSupply struct {
-	instances     int
-	busy, lasting int // thousandths of a core
-	missing       int // likewise, of workers that have shrunk
-	shrunk        map[InstanceID]*instanceState
-	rooms         map[int]int      // instances by what they have, likewise
-	idle          []*instanceState // in the order of their ids
-	closed        int              // instances of evacuated zones, which are not among instances
-	closedIdle    []*instanceState // of these, those on which nothing runs, likewise
+	instances                   int
+	busyMilli, longRunningMilli int // thousandths of a core
+	missingMilli                int // likewise, of workers that have shrunk
+	undersized                  map[InstanceID]*instanceState
+	sizes                       map[int]int      // instances by what they have, likewise
+	idle                        []*instanceState // in the order of their ids
+	evacuated                   int              // instances of evacuated zones, which are not among instances
+	evacuatedIdle               []*instanceState // of these, those on which nothing runs, likewise
 }
 
-func (s *poolSupply) add(i *instanceState, k *contribution, n int) {
-	s.busy += n * k.busy
-	s.lasting += n * k.lasting
-	if k.closed {
-		s.closed += n
+func (s *poolSupply) add(i *instanceState, k *supplyContribution, n int) {
+	s.busyMilli += n * k.busyMilli
+	s.longRunningMilli += n * k.longRunningMilli
+	if k.evacuated {
+		s.evacuated += n
 		if k.idle {
-			s.closedIdle = withOrWithout(s.closedIdle, i, n > 0)
+			s.evacuatedIdle = insertOrRemove(s.evacuatedIdle, i, n > 0)
 		}
 		return
 	}
 	s.instances += n
-	s.missing += n * k.missing
-	s.noteShrunk(i, k.missing > 0 && n > 0)
-	if s.rooms == nil {
-		s.rooms = map[int]int{}
+	s.missingMilli += n * k.missingMilli
+	s.trackUndersized(i, k.missingMilli > 0 && n > 0)
+	if s.sizes == nil {
+		s.sizes = map[int]int{}
 	}
-	if s.rooms[k.room] += n; s.rooms[k.room] == 0 {
-		delete(s.rooms, k.room)
+	if s.sizes[k.cpuMilli] += n; s.sizes[k.cpuMilli] == 0 {
+		delete(s.sizes, k.cpuMilli)
 	}
 	if k.idle {
-		s.idle = withOrWithout(s.idle, i, n > 0)
+		s.idle = insertOrRemove(s.idle, i, n > 0)
 	}
 }
 
-// withOrWithout returns a list in the order of ids with the instance in it, or without.
-func withOrWithout(list []*instanceState, i *instanceState, in bool) []*instanceState {
+// insertOrRemove returns a list in the order of ids with the instance in it, or without.
+func insertOrRemove(list []*instanceState, i *instanceState, in bool) []*instanceState {
 	at, found := slices.BinarySearchFunc(list, i, func(a, b *instanceState) int { return cmp.Compare(a.ID, b.ID) })
 	switch {
 	case in && !found:
@@ -80,21 +80,21 @@
 	return list
 }
 
-func (s *poolSupply) noteShrunk(i *instanceState, shrunk bool) {
+func (s *poolSupply) trackUndersized(i *instanceState, shrunk bool) {
 	if !shrunk {
-		delete(s.shrunk, i.ID)
+		delete(s.undersized, i.ID)
 		return
 	}
-	if s.shrunk == nil {
-		s.shrunk = map[InstanceID]*instanceState{}
+	if s.undersized == nil {
+		s.undersized = map[InstanceID]*instanceState{}
 	}
-	s.shrunk[i.ID] = i
+	s.undersized[i.ID] = i
 }
 
-// couldTake reports whether a worker that has shrunk could take as much once it has grown
+// couldFitAtFullSize reports whether a worker that has shrunk could take as much once it has grown
 // again.
-func (s *poolSupply) couldTake(need job.Resources) bool {
-	for _, i := range s.shrunk {
+func (s *poolSupply) couldFitAtFullSize(need job.Resources) bool {
+	for _, i := range s.undersized {
 		if i.Capacity.Fits(need) {
 			return true
 		}
@@ -102,81 +102,81 @@
 	return false
 }
 
-// fill sets what the plan has to know of the pool as a whole.
-func (s *poolSupply) fill(v *capacity.Pool) {
+// fillSnapshot sets what the plan has to know of the pool as a whole.
+func (s *poolSupply) fillSnapshot(v *capacity.Pool) {
 	v.BusyInstances = s.instances - len(s.idle)
-	v.BusyCores = float64(s.busy) / 1000
-	v.LongRunningCores = float64(s.lasting) / 1000
-	v.MissingCores = float64(s.missing) / 1000
-	for room := range s.rooms {
+	v.BusyCores = float64(s.busyMilli) / 1000
+	v.LongRunningCores = float64(s.longRunningMilli) / 1000
+	v.MissingCores = float64(s.missingMilli) / 1000
+	for room := range s.sizes {
 		v.CoresPerInstance = max(v.CoresPerInstance, float64(room)/1000)
 	}
 }
 
-// count brings the sums of the instance's pool up to date.
-func (c *Core) count(i *instanceState) {
-	i.life = c.workers[i.Worker]
+// updateSupply brings the sums of the instance's pool up to date.
+func (c *Core) updateSupply(i *instanceState) {
+	i.worker = c.workers[i.Worker]
 	k := c.contributionOf(i)
 	if k == i.counted {
 		return
 	}
-	c.discount(i)
+	c.removeFromSupply(i)
 	if k.pool != "" {
 		c.pool(k.pool).supply.add(i, &k, 1)
 	}
 	i.counted = k
 }
 
-// discount takes the instance out of the sums.
-func (c *Core) discount(i *instanceState) {
+// removeFromSupply takes the instance out of the sums.
+func (c *Core) removeFromSupply(i *instanceState) {
 	if i.counted.pool != "" {
 		c.pool(i.counted.pool).supply.add(i, &i.counted, -1)
 	}
-	i.counted = contribution{}
+	i.counted = supplyContribution{}
 }
 
-// countOfWorker does what count does for the instance that the worker is the life of.
-func (c *Core) countOfWorker(w *worker) {
+// updateSupplyOfWorker does what count does for the instance that the worker is the life of.
+func (c *Core) updateSupplyOfWorker(w *worker) {
 	if i := c.instances[c.instanceOfWorker[w.Worker]]; i != nil && i.Worker == w.Worker {
-		c.count(i)
+		c.updateSupply(i)
 	}
 }
 
-func (c *Core) contributionOf(i *instanceState) contribution {
+func (c *Core) contributionOf(i *instanceState) supplyContribution {
 	if i.State != InstanceUp || c.moves[i.ID] != nil {
-		return contribution{}
+		return supplyContribution{}
 	}
-	w := i.life
+	w := i.worker
 	closed := c.evacuatedZones[i.Zone]
 	if w == nil {
-		return contribution{pool: i.Pool, idle: i.Worker == "", closed: closed}
+		return supplyContribution{pool: i.Pool, idle: i.Worker == "", evacuated: closed}
 	}
-	k := contribution{closed: closed, pool: i.Pool, busy: w.allocated.CPUMilli, lasting: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
-	k.room, k.missing = i.roomOf(w)
+	k := supplyContribution{evacuated: closed, pool: i.Pool, busyMilli: w.allocated.CPUMilli, longRunningMilli: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
+	k.cpuMilli, k.missingMilli = i.sizeWith(w)
 	if !k.idle {
 		w.idleSince = time.Time{}
 	}
 	return k
 }
 
-// shrunkBelow is the share of its instance's processors below which a worker counts as one
+// undersizedBelow is the share of its instance's processors below which a worker counts as one
 // that has shrunk: those of one kind differ by a few hundredths.
-const shrunkBelow = 0.9
+const undersizedBelow = 0.9
 
-// roomOf returns the thousandths of a core that the instance has, and how many of them its
+// sizeWith returns the thousandths of a core that the instance has, and how many of them its
 // worker lacks at present.
-func (i *instanceState) roomOf(w *worker) (room, missing int) {
+func (i *instanceState) sizeWith(w *worker) (room, missing int) {
 	has, whole := w.Capacity.CPUMilli, i.Capacity.CPUMilli
-	if float64(has) >= shrunkBelow*float64(whole) {
+	if float64(has) >= undersizedBelow*float64(whole) {
 		return has, 0
 	}
 	return whole, whole - has
 }
 
-// idleView returns an instance on which nothing runs as the plan sees it.
-func (c *Core) idleView(i *instanceState, now time.Time) capacity.Instance {
+// idleSnapshot returns an instance on which nothing runs as the plan sees it.
+func (c *Core) idleSnapshot(i *instanceState, now time.Time) capacity.Instance {
 	out := capacity.Instance{ID: string(i.ID)}
-	w := i.life
+	w := i.worker
 	if w == nil {
 		out.Movable = !c.isUnderMaintenance(i.ID) && c.mayOrder(i.ID, now)
 		return out
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -6,7 +6,7 @@
 // or has another run.
 func (c *Core) adoptRun(w *worker, j *jobState, a ActiveRun, now time.Time) {
 	delete(w.unknownRuns, a.Task)
-	c.begin(j, a.Task.Occurrence)
+	c.createOccurrences(j, a.Task.Occurrence)
 	s := j.step(a.Task.Occurrence, a.Task.Step)
 	if s == nil || a.Task.Index >= len(s.tasks) {
 		return
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -20,7 +20,7 @@
 // chargeShare finds out whether the job lies within its tenant's share. One that does not takes
 // no room that jobs within theirs could use in time.
 func (c *Core) chargeShare(j *jobState) {
-	if !j.lasts() {
+	if !j.isLongRunning() {
 		j.overShare = !c.shares.Take(j.spec.Tenant, j.spec.AcceptedAt)
 	}
 }
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -92,7 +92,7 @@
 		r.limit(cores)
 		r.worker("w0")
 		r.workers("w1")
-		r.tick(handoverTime + 100*time.Millisecond) // from then on jobs are not inherited
+		r.tick(submitHandoverWindow + 100*time.Millisecond) // from then on jobs are not inherited
 		r.submitAll(of(2, 1, "q"))
 		running := r.started()
 		require.Len(t, running, starts, "limit %d", cores)
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -346,7 +346,7 @@
 // OnInstanceOrder takes the platform's answer to an order for an instance.
 func (c *Core) OnInstanceOrder(o InstanceOrder, outcome DutyOutcome, now time.Time) {
 	if o.Wave == 0 {
-		c.onMove(o, outcome, now)
+		c.onMoveOutcome(o, outcome, now)
 		return
 	}
 	ws := c.waves[o.Wave]
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -375,7 +375,7 @@
 func (s *sim) registered() {
 	s.listWorkers()
 	pause := registrationsEvery
-	if s.core != nil && s.core.Expecting() {
+	if s.core != nil && s.core.ExpectsWorkers() {
 		pause = expectingEvery
 	}
 	s.engine.after(pause, s.register)
