--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -5,15 +5,15 @@
 // Crash is a run of a task that was on a worker when it crashed, or when contact to it was
 // lost and nobody knows yet why.
 type Crash struct {
-	Run    uint64 `json:"R"`
-	Worker string `json:"W,omitempty"` // life of the worker, while its fate is open; "" once it has crashed
-	Early  bool   `json:"E,omitempty"` // it happened as soon as the run began
-	Exact  bool   `json:"X,omitempty"` // the moment is known, not only the last sign of life before it
-	Alone  bool   `json:"A,omitempty"` // nothing else that ran there explains it as well
+	Run       uint64 `json:"R"`
+	Worker    string `json:"W,omitempty"` // life of the worker, while its fate is open; "" once it has crashed
+	AtStart   bool   `json:"E,omitempty"` // it happened as soon as the run began
+	TimeKnown bool   `json:"X,omitempty"` // the moment is known, not only the last sign of life before it
+	Alone     bool   `json:"A,omitempty"` // nothing else that ran there explains it as well
 }
 
-// Open reports whether it is not known yet whether the worker has crashed.
-func (c *Crash) Open() bool { return c.Worker != "" }
+// Unconfirmed reports whether it is not known yet whether the worker has crashed.
+func (c *Crash) Unconfirmed() bool { return c.Worker != "" }
 
 // Crashes are those of one task. As with failures the runs are kept, not their number: news
 // of one may come again, to the next owner.
@@ -45,7 +45,7 @@
 }
 
 // Confirmed returns how many workers have crashed under the task for certain.
-func (c Crashes) Confirmed() int { return c.count(func(k Crash) bool { return !k.Open() }) }
+func (c Crashes) Confirmed() int { return c.count(func(k Crash) bool { return !k.Unconfirmed() }) }
 
 // CrashRisk is what a task has to put up with for crashes under it.
 type CrashRisk int
@@ -66,7 +66,7 @@
 	switch {
 	case c.Confirmed() >= certainForAlways:
 		return CrashRiskAnytime
-	case c.count(func(k Crash) bool { return k.Early }) > 0:
+	case c.count(func(k Crash) bool { return k.AtStart }) > 0:
 		return CrashRiskAtStart
 	}
 	return CrashRiskNone
@@ -83,15 +83,15 @@
 	proofInDark = 4
 )
 
-// Proven reports whether the task crashes its workers beyond doubt: starting it again would
+// Conclusive reports whether the task crashes its workers beyond doubt: starting it again would
 // cost one more. At least one of the crashes had no other cause that ran there.
-func (c Crashes) Proven() bool {
-	alone := c.count(func(k Crash) bool { return !k.Open() && k.Alone })
+func (c Crashes) Conclusive() bool {
+	alone := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.Alone })
 	certain := c.Confirmed()
 	if alone > 0 && certain >= proofInDark {
 		return true
 	}
-	exact := c.count(func(k Crash) bool { return !k.Open() && k.Alone && k.Exact })
-	atStart := c.count(func(k Crash) bool { return !k.Open() && k.Early && k.Exact })
+	exact := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.Alone && k.TimeKnown })
+	atStart := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.AtStart && k.TimeKnown })
 	return exact > 0 && (atStart >= proofByMoment || certain >= proofByNumber)
 }
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestProofThatATaskCrashesItsWorkers(t *testing.T) {
-	prompt := Crash{Early: true, Exact: true, Alone: true}
-	beside := Crash{Early: true, Exact: true}
-	late := Crash{Exact: true}
-	lateAlone := Crash{Exact: true, Alone: true}
-	dark := Crash{Early: true, Alone: true}
-	open := Crash{Worker: "w", Early: true, Exact: true, Alone: true}
+	prompt := Crash{AtStart: true, TimeKnown: true, Alone: true}
+	beside := Crash{AtStart: true, TimeKnown: true}
+	late := Crash{TimeKnown: true}
+	lateAlone := Crash{TimeKnown: true, Alone: true}
+	dark := Crash{AtStart: true, Alone: true}
+	open := Crash{Worker: "w", AtStart: true, TimeKnown: true, Alone: true}
 	for name, c := range map[string]struct {
 		crashes   Crashes
 		proven    bool
@@ -30,7 +30,7 @@
 		"three without a moment, as in outages": {Crashes{dark, dark, dark}, false, CrashRiskAnytime},
 		"four without a moment":                 {Crashes{dark, dark, dark, dark}, true, CrashRiskAnytime},
 	} {
-		assert.Equal(t, c.proven, c.crashes.Proven(), name)
+		assert.Equal(t, c.proven, c.crashes.Conclusive(), name)
 		assert.Equal(t, c.suspicion, c.crashes.Risk(), name)
 	}
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -63,7 +63,7 @@
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsAsPlanned() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), Early: r.isEarlyLoss(), Exact: r.worker.contactLoss.connFailed, Alone: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.isEarlyLoss(), TimeKnown: r.worker.contactLoss.connFailed, Alone: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
@@ -206,7 +206,7 @@
 }
 
 func crashReason(all job.Crashes, k *job.Crash) string {
-	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Confirmed(), k.Early, k.Exact, k.Alone)
+	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.Alone)
 }
 
 // giveUpIfProven gives a task up that crashes its workers beyond doubt. Its job fails, unless
@@ -243,12 +243,12 @@
 
 // isGivenUp reports whether the task crashes its workers beyond doubt: it is not started any
 // more.
-func (t *task) isGivenUp() bool { return t.crashes.Proven() }
+func (t *task) isGivenUp() bool { return t.crashes.Conclusive() }
 
 // restoreCrashes takes over what an earlier owner held against the task.
 func (c *Core) restoreCrashes(t *task, crashes job.Crashes) {
 	for _, k := range crashes {
-		if k.Open() {
+		if k.Unconfirmed() {
 			c.addUndecidedCrash(t, k)
 		} else {
 			t.crashes = append(t.crashes, k)
@@ -308,7 +308,7 @@
 
 // dropUndecidedCrash takes back what was held against the task for a run.
 func (t *task) dropUndecidedCrash(run uint64) {
-	t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Run == run && k.Open() })
+	t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Run == run && k.Unconfirmed() })
 }
 
 func (t *task) hasUndecidedCrashOn(l incarnation) bool {
@@ -327,7 +327,7 @@
 		return false
 	}
 	for _, k := range t.crashes {
-		if k.Open() && c.isLossUndecided(parseIncarnation(k.Worker), now) {
+		if k.Unconfirmed() && c.isLossUndecided(parseIncarnation(k.Worker), now) {
 			return true
 		}
 	}
