--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -84,7 +84,7 @@
 	n.metrics.evacuatedZones(len(zones))
 	n.log.Info("evacuations", zap.Strings("zones", zones))
 	if t := n.term.Load(); t != nil {
-		t.evacuate()
+		t.updateEvacuations()
 	}
 }
 
--- a/jobs/node/fanout_test.go
+++ b/jobs/node/fanout_test.go
@@ -38,7 +38,7 @@
 		workers := &slowStarts{}
 		n.platform.Workers = workers
 		n.metrics = NewMetrics(tally.NoopScope, nil)
-		r.starts = newFanout(startsPerCore, 0, slotTime)
+		r.startCalls = newFanout(startsPerCore, 0, slotTime)
 		r.events = make(chan event, starts)
 		began := time.Now()
 		r.dispatch(owner.Effects{Starts: slices.Repeat([]owner.Start{{Timeout: owner.OrderTimeout}}, starts)})
--- a/jobs/node/handler.go
+++ b/jobs/node/handler.go
@@ -25,7 +25,7 @@
 // Cancelled implements peer.Handler.
 func (h peerHandler) Cancelled(r peer.CancelRequest) {
 	if t := h.n.term.Load(); t != nil {
-		t.cancelled(r.Job)
+		t.onCancelled(r.Job)
 	}
 }
 
@@ -36,7 +36,7 @@
 	if t == nil || !t.leaseHeld() {
 		return peer.SubmitReply{}
 	}
-	t.submitted(&r.Job)
+	t.onSubmitted(&r.Job)
 	return peer.SubmitReply{Behind: t.behind.Load()}
 }
 
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -94,6 +94,6 @@
 // until when they may arrive is recorded.
 func (t *termRun) sendInstanceOrders(orders []owner.InstanceOrder) {
 	for _, o := range orders {
-		go t.call(2*instanceOrderTimeout, func(ctx context.Context) event { return t.orderInstance(ctx, o) })
+		go t.callNow(2*instanceOrderTimeout, func(ctx context.Context) event { return t.orderInstance(ctx, o) })
 	}
 }
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -132,7 +132,7 @@
 	switch {
 	case t.idle.Load():
 		why = "no job is open"
-	case t.overloaded.Load():
+	case t.cpuStarved.Load():
 		why = "it cannot keep up"
 	case n.hasPeerWithMoreCPU(yieldCPUFactor):
 		why = "it has much less of a processor"
@@ -259,7 +259,7 @@
 	n.wakeElection()
 	n.log.Info("configuration-applied", zap.Int64("version", c.Version), zap.Int("queues", len(c.Queues)))
 	if t := n.term.Load(); t != nil {
-		t.do(func(core *owner.Core, _ time.Time) { core.Configure(c) })
+		t.enqueue(func(core *owner.Core, _ time.Time) { core.Configure(c) })
 	}
 }
 
@@ -274,7 +274,7 @@
 	n.waves[w.Wave] = w
 	n.wavesMu.Unlock()
 	if t := n.term.Load(); t != nil {
-		t.do(func(core *owner.Core, now time.Time) { core.OnWave(w, nil, false, now) })
+		t.enqueue(func(core *owner.Core, now time.Time) { core.OnWave(w, nil, false, now) })
 	}
 }
 
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -41,7 +41,7 @@
 			continue
 		}
 		list, _ := t.decodeRegistrations(ledger.EventsOf(items))
-		t.do(func(c *owner.Core, now time.Time) { c.SetRegistrations(list, now) })
+		t.enqueue(func(c *owner.Core, now time.Time) { c.SetRegistrations(list, now) })
 		t.watchRegistrations(prefix, revision)
 	}
 }
@@ -63,9 +63,9 @@
 		revision = max(revision, ch.Revision)
 		changed, gone := t.decodeRegistrations(ch.Events)
 		current := ch.Revision >= known && !returns.mayBeCut(len(ch.Events))
-		t.do(func(c *owner.Core, now time.Time) {
+		t.enqueue(func(c *owner.Core, now time.Time) {
 			c.UpdateRegistrations(changed, gone, current, now)
-			t.expecting.Store(c.ExpectsWorkers())
+			t.expectingWorkers.Store(c.ExpectsWorkers())
 		})
 		switch {
 		case current && len(ch.Events) > 0:
@@ -130,7 +130,7 @@
 }
 
 func (t *termRun) registrationsPause() time.Duration {
-	if t.expecting.Load() {
+	if t.expectingWorkers.Load() {
 		return expectingInterval
 	}
 	return registrationsInterval
--- a/jobs/node/slowness.go
+++ b/jobs/node/slowness.go
@@ -173,7 +173,7 @@
 // the store nobody can take over.
 func (n *Node) yieldIfSlow(ctx context.Context, by float64) {
 	t := n.term.Load()
-	if t == nil || n.stopping.Load() || n.store.Away() || n.clock.Now().Sub(t.began) < leastTerm || !n.hasPeerWithMoreCPU(fasterBy) {
+	if t == nil || n.stopping.Load() || n.store.Away() || n.clock.Now().Sub(t.startedAt) < leastTerm || !n.hasPeerWithMoreCPU(fasterBy) {
 		return
 	}
 	if !n.listMembersOnce(ctx) || !n.hasPeerWithMoreCPU(fasterBy) {
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -62,7 +62,7 @@
 		w := &countedWorkers{}
 		n.platform.Workers = w
 		n.metrics = NewMetrics(tally.NoopScope, nil)
-		r.starts = newFanout(startsPerCore, 1, slotTime)
+		r.startCalls = newFanout(startsPerCore, 1, slotTime)
 		r.events = make(chan event, 2)
 		decided := n.uptimeNanos()
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
@@ -78,13 +78,13 @@
 func TestTheCoreIsToldOfASuspension(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, r := termUnder(t, 1)
-		r.noteSuspension()
+		r.checkSuspension()
 		require.Empty(t, r.core.TakeDecisions())
 		n.clock.(*steadyClock).suspended = 3 * time.Second
 		time.Sleep(suspensionCheckInterval)
-		r.noteSuspension()
+		r.checkSuspension()
 		time.Sleep(suspensionCheckInterval)
-		r.noteSuspension()
+		r.checkSuspension()
 		told := r.core.TakeDecisions()
 		require.Len(t, told, 1)
 		assert.Equal(t, "owner-suspended", told[0].Event)
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -17,7 +17,7 @@
 	if t.committing || now.Sub(t.lastCommit) < commitInterval && t.core.DirtyJobs() < commitBacklog && !t.core.HasUrgentRecords() {
 		return
 	}
-	puts := lastOfEachKey(t.extra)
+	puts := latestPutPerKey(t.pendingPuts)
 	var deletes []string
 	if len(puts) > ledger.MaxEntries {
 		puts = puts[:ledger.MaxEntries]
@@ -35,7 +35,7 @@
 			return
 		}
 	}
-	taken := len(t.extra)
+	taken := len(t.pendingPuts)
 	for _, r := range records {
 		p, d := ledger.RecordWrites(r)
 		puts = append(puts, p...)
@@ -44,11 +44,11 @@
 	t.committing = true
 	t.lastCommit = now
 	orders := t.orders.take(now)
-	go t.write(puts, deletes, records, taken, orders, t.orders.recent(now))
+	go t.writeTxn(puts, deletes, records, taken, orders, t.orders.recent(now))
 }
 
-// lastOfEachKey keeps the newest put of each key.
-func lastOfEachKey(puts []ledger.Put) []ledger.Put {
+// latestPutPerKey keeps the newest put of each key.
+func latestPutPerKey(puts []ledger.Put) []ledger.Put {
 	var out []ledger.Put
 	seen := map[string]bool{}
 	for i := len(puts) - 1; i >= 0; i-- {
@@ -60,7 +60,7 @@
 	return out
 }
 
-func (t *termRun) write(puts []ledger.Put, deletes []string, records []owner.Record, taken int, orders []owner.InstanceOrder, recent []owner.RecentOrder) {
+func (t *termRun) writeTxn(puts []ledger.Put, deletes []string, records []owner.Record, taken int, orders []owner.InstanceOrder, recent []owner.RecentOrder) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	began := t.n.clock.Now()
@@ -74,13 +74,13 @@
 		t.n.log.Warn("progress-not-written", zap.Error(err))
 		sleep.For(t.ctx, retryPause)
 	}
-	t.do(func(c *owner.Core, now time.Time) {
+	t.enqueue(func(c *owner.Core, now time.Time) {
 		t.committing = false
 		if err != nil {
 			t.refuse(c, orders, now)
 			return
 		}
-		t.extra = t.extra[taken:]
+		t.pendingPuts = t.pendingPuts[taken:]
 		c.OnCommitted(records, now)
 		if t.isLeaving() {
 			t.refuse(c, orders, now)
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -19,41 +19,41 @@
 		go t.start(o, t.n.uptimeNanos())
 	}
 	for _, o := range e.Stops {
-		if !t.stops.begin(o) {
+		if !t.stopsInFlight.begin(o) {
 			continue
 		}
-		go t.order(t.others, o.Timeout, func(ctx context.Context) event {
+		go t.callInSlot(t.otherCalls, o.Timeout, func(ctx context.Context) event {
 			a := t.n.platform.Workers.Stop(ctx, o)
 			t.n.metrics.order("stop", a.Outcome)
 			return func(c *owner.Core, now time.Time) {
-				t.stops.end(o)
+				t.stopsInFlight.end(o)
 				c.OnStopped(o, a, now)
 			}
 		})
 	}
 	for _, o := range e.Throttles {
-		go t.order(t.others, owner.OrderTimeout, func(ctx context.Context) event {
+		go t.callInSlot(t.otherCalls, owner.OrderTimeout, func(ctx context.Context) event {
 			a := t.n.platform.Workers.Throttle(ctx, o)
 			t.n.metrics.order("throttle", a.Outcome)
 			return func(c *owner.Core, now time.Time) { c.OnThrottled(o, a, now) }
 		})
 	}
 	for _, o := range e.Holds {
-		go t.order(t.holds, o.Wait+o.Timeout, func(ctx context.Context) event {
+		go t.callInSlot(t.holdCalls, o.Wait+o.Timeout, func(ctx context.Context) event {
 			h := t.n.platform.Workers.Hold(ctx, o)
 			t.n.metrics.order("hold", h.Outcome)
 			return func(c *owner.Core, now time.Time) { c.OnHoldAnswer(o.Target, h, now) }
 		})
 	}
 	for _, q := range e.AdviceQueries {
-		go t.call(owner.AdviceTimeout, func(ctx context.Context) event {
+		go t.callNow(owner.AdviceTimeout, func(ctx context.Context) event {
 			a := t.advise(ctx, q)
 			return func(c *owner.Core, now time.Time) { c.OnAdvice(q, a, now) }
 		})
 	}
 	t.orders.add(e.InstanceOrders)
 	for _, s := range e.WaveStatuses {
-		t.putWave(s)
+		t.queueWaveStatus(s)
 	}
 }
 
@@ -67,7 +67,7 @@
 // start sends an order to start a task, unless it has waited for its slot for too long, or
 // the instance was suspended meanwhile. decided is when it was decided, in ns since start.
 func (t *termRun) start(o owner.Start, decided int64) {
-	t.order(t.starts, o.Timeout, func(ctx context.Context) event {
+	t.callInSlot(t.startCalls, o.Timeout, func(ctx context.Context) event {
 		a := owner.Answer{Outcome: owner.NotSent}
 		if time.Duration(t.n.uptimeNanos()-decided) <= orderAge {
 			sent := t.n.clock.Now()
@@ -79,23 +79,23 @@
 	})
 }
 
-// order makes a call to a worker once it has a slot; its timeout begins then.
-func (t *termRun) order(f fanout, timeout time.Duration, call func(context.Context) event) {
+// callInSlot makes a call to a worker once it has a slot; its timeout begins then.
+func (t *termRun) callInSlot(f fanout, timeout time.Duration, call func(context.Context) event) {
 	leave, ok := f.enter(t.ctx)
 	if !ok {
 		return // the term is over
 	}
-	t.call(timeout, func(ctx context.Context) event {
+	t.callNow(timeout, func(ctx context.Context) event {
 		defer leave()
 		return call(ctx)
 	})
 }
 
-// call makes a call at once, and hands its outcome to the core.
-func (t *termRun) call(timeout time.Duration, call func(context.Context) event) {
+// callNow makes a callNow at once, and hands its outcome to the core.
+func (t *termRun) callNow(timeout time.Duration, call func(context.Context) event) {
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
-	t.do(call(ctx))
+	t.enqueue(call(ctx))
 }
 
 // orderInstance moves or maintains an instance. The lease is looked at right
@@ -115,7 +115,7 @@
 	case owner.DutyUnanswered:
 		sleep.For(t.ctx, retryPause)
 	case owner.DutyDone:
-		t.wantInstances()
+		t.requestInstanceList()
 	}
 	return func(c *owner.Core, now time.Time) {
 		if outcome != owner.DutyUnanswered {
@@ -125,11 +125,11 @@
 	}
 }
 
-// putWave adds the status of a wave to the next transaction.
-func (t *termRun) putWave(s owner.WaveStatus) {
+// queueWaveStatus adds the status of a wave to the next transaction.
+func (t *termRun) queueWaveStatus(s owner.WaveStatus) {
 	key, value := t.n.platform.Formats.EncodeWaveStatus(s.Wave, s.Done)
 	progress := ledger.WaveProgress{Begun: t.core.Begun(s.Wave), Done: s.Done}
-	t.extra = append(t.extra, ledger.Put{Key: key, Value: value}, ledger.WavePut(s.Wave, progress))
+	t.pendingPuts = append(t.pendingPuts, ledger.Put{Key: key, Value: value}, ledger.WavePut(s.Wave, progress))
 }
 
 // stopSet holds the stops that are under way. The core asks for an unanswered stop again
@@ -143,15 +143,15 @@
 	run    uint64
 }
 
-func keyOf(o owner.Stop) stopKey { return stopKey{o.Worker, o.Task, o.Run} }
+func stopKeyOf(o owner.Stop) stopKey { return stopKey{o.Worker, o.Task, o.Run} }
 
 // begin reports whether the stop is to be sent.
 func (s stopSet) begin(o owner.Stop) bool {
-	if s[keyOf(o)] {
+	if s[stopKeyOf(o)] {
 		return false
 	}
-	s[keyOf(o)] = true
+	s[stopKeyOf(o)] = true
 	return true
 }
 
-func (s stopSet) end(o owner.Stop) { delete(s, keyOf(o)) }
+func (s stopSet) end(o owner.Stop) { delete(s, stopKeyOf(o)) }
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -33,32 +33,32 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 
-	deposed  sync.Once
-	leaving  chan struct{} // closed when a planned stop begins
-	left     chan struct{} // closed when the lock is released
-	leaveOne sync.Once
+	deposeOnce sync.Once
+	leaving    chan struct{} // closed when a planned stop begins
+	released   chan struct{} // closed when the lock is released
+	leaveOnce  sync.Once
 
 	relist chan struct{} // holds one token while a reading of the instance list is wanted
 
-	expecting  atomic.Bool   // workers are about to register
-	idle       atomic.Bool   // no job is open
-	overloaded atomic.Bool   // it cannot keep up
-	suspended  time.Duration // of the instance, when the core was last told
-	lookedAt   time.Time     // when that was last looked at
-	behind     atomic.Bool   // work waits for its orders to be sent
-	committing bool
-	lastCommit time.Time
-	lastReport time.Time
-	lastExpire time.Time
-	began      time.Time
-	leftAt     time.Time    // when a planned stop began
-	triedAt    time.Time    // when the lock was last to be released
-	extra      []ledger.Put // puts beside the records
-	orders     instanceOrders
-	starts     fanout // calls to workers that start tasks
-	holds      fanout
-	others     fanout // all other calls to workers
-	stops      stopSet
+	expectingWorkers    atomic.Bool   // workers are about to register
+	idle                atomic.Bool   // no job is open
+	cpuStarved          atomic.Bool   // it cannot keep up
+	suspensionSeen      time.Duration // of the instance, when the core was last told
+	suspensionCheckedAt time.Time     // when that was last looked at
+	behind              atomic.Bool   // work waits for its orders to be sent
+	committing          bool
+	lastCommit          time.Time
+	lastStats           time.Time
+	lastExpire          time.Time
+	startedAt           time.Time
+	leavingSince        time.Time    // when a planned stop began
+	releaseTriedAt      time.Time    // when the lock was last to be released
+	pendingPuts         []ledger.Put // puts beside the records
+	orders              instanceOrders
+	startCalls          fanout // calls to workers that start tasks
+	holdCalls           fanout
+	otherCalls          fanout // all other calls to workers
+	stopsInFlight       stopSet
 }
 
 // runTerm is the owner until another daemon is, or ctx ends.
@@ -72,10 +72,10 @@
 		}
 		return
 	}
-	t := &termRun{n: n, term: term, lease: lease, began: began, suspended: n.clock.Suspended(), events: make(chan event, eventQueueLen), leaving: make(chan struct{}), left: make(chan struct{}), relist: make(chan struct{}, 1), stops: stopSet{}}
-	t.starts = newFanout(startsPerCore, n.settings.Cores, slotTime)
-	t.holds = newFanout(holdsPerCore, n.settings.Cores, holdSlotTime)
-	t.others = newFanout(othersPerCore, n.settings.Cores, slotTime)
+	t := &termRun{n: n, term: term, lease: lease, startedAt: began, suspensionSeen: n.clock.Suspended(), events: make(chan event, eventQueueLen), leaving: make(chan struct{}), released: make(chan struct{}), relist: make(chan struct{}, 1), stopsInFlight: stopSet{}}
+	t.startCalls = newFanout(startsPerCore, n.settings.Cores, slotTime)
+	t.holdCalls = newFanout(holdsPerCore, n.settings.Cores, holdSlotTime)
+	t.otherCalls = newFanout(othersPerCore, n.settings.Cores, slotTime)
 	t.orders = newInstanceOrders(n.settings.Node, n.settings.DutyHandover, term.OrderedBefore, began)
 	t.ctx, t.cancel = context.WithCancel(ctx)
 	defer t.cancel()
@@ -84,9 +84,9 @@
 		TaskLease: min(taskLease, n.settings.MaxTaskLease), MaxWorkerLease: n.settings.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
 		MaxHoldsPerSec: lossyHoldsPerCore * n.settings.Cores,
 		MaxMovesPerSec: n.settings.MovesPerSec,
-		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ofOthers(term.OrderedBefore), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.Successor,
+		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.OrderedBefore), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.Successor,
 		StatusRetention:  n.settings.KeepStatus,
-		MaxPendingStarts: startsInLine * cap(t.starts.slots),
+		MaxPendingStarts: startsInLine * cap(t.startCalls.slots),
 		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, JobOrder: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
 	for _, e := range snap.Refused {
@@ -102,15 +102,15 @@
 	t.startWaves(snap)
 	t.core.Evacuate(n.evacuations.list())
 	t.core.Configure(n.catalog.Load())
-	go t.followJobs(snap.Revision)
+	go t.watchJobs(snap.Revision)
 	go t.followRegistrations()
 	go t.pollInstances()
 	t.loop()
 	n.log.Info("no-longer-owner", zap.Uint64("term", term.Number))
 }
 
-// ofOthers returns the orders that other daemons sent.
-func (n *Node) ofOthers(list []owner.RecentOrder) []owner.RecentOrder {
+// ordersByOthers returns the orders that other daemons sent.
+func (n *Node) ordersByOthers(list []owner.RecentOrder) []owner.RecentOrder {
 	return slices.DeleteFunc(slices.Clone(list), func(o owner.RecentOrder) bool { return o.Holder == n.settings.Node })
 }
 
@@ -123,13 +123,13 @@
 	}
 }
 
-// evacuate hands the evacuated zones of the moment at which it is applied to the core.
-func (t *termRun) evacuate() {
-	t.do(func(c *owner.Core, _ time.Time) { c.Evacuate(t.n.evacuations.list()) })
+// updateEvacuations hands the evacuated zones of the moment at which it is applied to the core.
+func (t *termRun) updateEvacuations() {
+	t.enqueue(func(c *owner.Core, _ time.Time) { c.Evacuate(t.n.evacuations.list()) })
 }
 
-// do hands an event to the core's goroutine.
-func (t *termRun) do(e event) {
+// enqueue hands an event to the core's goroutine.
+func (t *termRun) enqueue(e event) {
 	select {
 	case t.events <- e:
 	case <-t.ctx.Done():
@@ -138,7 +138,7 @@
 
 // depose ends the term: another daemon is, or may become, the owner.
 func (t *termRun) depose(reason string) {
-	t.deposed.Do(func() {
+	t.deposeOnce.Do(func() {
 		t.n.log.Warn("deposed", zap.Uint64("term", t.term.Number), zap.String("why", reason))
 		t.cancel()
 	})
@@ -149,9 +149,9 @@
 // the term goes on then, and releases the lock when the store is back, if this daemon
 // is still there.
 func (t *termRun) handOver() bool {
-	t.leaveOne.Do(func() { close(t.leaving) })
+	t.leaveOnce.Do(func() { close(t.leaving) })
 	select {
-	case <-t.left:
+	case <-t.released:
 		return true
 	case <-t.ctx.Done():
 	case <-time.After(handOverTimeout):
@@ -173,18 +173,18 @@
 		case <-t.ctx.Done():
 			return
 		case e := <-t.events:
-			t.noteSuspension()
+			t.checkSuspension()
 			e(t.core, t.n.clock.Now())
-			t.drain()
+			t.applyQueued()
 			t.core.React(t.n.clock.Now())
 		case <-tick.C:
 			now := t.n.clock.Now()
-			t.noteSuspension()
+			t.checkSuspension()
 			t.core.ReportTimerDelay(now.Sub(lastTick)-tickInterval, now)
 			lastTick = now
 			t.core.SetStoreLease(t.n.mayOrderInstances(), now)
 			t.core.Tick(now)
-			t.report(now)
+			t.updateStats(now)
 			t.n.yieldIfCut(t)
 		case <-leaving:
 			leaving = nil
@@ -195,7 +195,7 @@
 		}
 		t.logDecisions()
 		if leaving == nil {
-			if t.leave() {
+			if t.tryRelease() {
 				return
 			}
 			if !t.n.store.Away() {
@@ -220,19 +220,19 @@
 // looks for itself.
 const suspensionCheckInterval = 5 * time.Millisecond
 
-// noteSuspension tells the core if the instance was suspended since it was last looked at:
+// checkSuspension tells the core if the instance was suspended since it was last looked at:
 // what it knows is older than the steady clock says. It comes before all that is decided by it.
-func (t *termRun) noteSuspension() {
+func (t *termRun) checkSuspension() {
 	now := t.n.clock.Now()
-	if now.Sub(t.lookedAt) < suspensionCheckInterval {
+	if now.Sub(t.suspensionCheckedAt) < suspensionCheckInterval {
 		return
 	}
-	t.lookedAt = now
-	d := t.n.clock.Suspended() - t.suspended
+	t.suspensionCheckedAt = now
+	d := t.n.clock.Suspended() - t.suspensionSeen
 	if d < minSuspension {
 		return
 	}
-	t.suspended += d
+	t.suspensionSeen += d
 	t.n.log.Warn("suspended", zap.Duration("for", d))
 	t.core.SetStoreLease(t.n.mayOrderInstances(), now)
 	t.core.ReportSuspension(d, now)
@@ -241,22 +241,22 @@
 // statsInterval is how often the owner's figures are handed to the metrics.
 const statsInterval = time.Second
 
-func (t *termRun) report(now time.Time) {
-	if now.Sub(t.lastReport) < statsInterval {
+func (t *termRun) updateStats(now time.Time) {
+	if now.Sub(t.lastStats) < statsInterval {
 		return
 	}
-	t.lastReport = now
+	t.lastStats = now
 	stats := t.core.Stats(now)
 	t.idle.Store(stats.OpenJobs == 0 && stats.UnrecordedJobs == 0)
 	t.behind.Store(t.core.IsBacklogged(now))
-	t.overloaded.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
+	t.cpuStarved.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
 	t.n.metrics.owner(stats)
 }
 
-// drain applies the events that wait, so that their effects are computed once. Each has
+// applyQueued applies the events that wait, so that their effects are computed once. Each has
 // a time of its own: more come meanwhile, and a lease whose end is reckoned from a time
 // before its worker's answer counts as over too soon.
-func (t *termRun) drain() {
+func (t *termRun) applyQueued() {
 	for range eventQueueLen {
 		select {
 		case e := <-t.events:
@@ -276,24 +276,24 @@
 	}
 }
 
-// leave stops sending orders and releases the lock; it reports whether the term is
+// tryRelease stops sending orders and releases the lock; it reports whether the term is
 // over. Some records go with the lock. The others need not be written: workers list
 // ends that were not recorded to the next owner, too.
-func (t *termRun) leave() bool {
+func (t *termRun) tryRelease() bool {
 	now := t.n.clock.Now()
-	if t.leftAt.IsZero() {
-		t.leftAt = now
+	if t.leavingSince.IsZero() {
+		t.leavingSince = now
 	}
 	away := t.n.store.Away()
-	if t.committing && now.Sub(t.leftAt) < releaseCommitWait || now.Sub(t.triedAt) < retryPause {
+	if t.committing && now.Sub(t.leavingSince) < releaseCommitWait || now.Sub(t.releaseTriedAt) < retryPause {
 		return false
 	}
-	t.triedAt = now
+	t.releaseTriedAt = now
 	timeout := storeTimeout
 	if away {
 		timeout = releaseProbeTimeout
 	}
-	puts, deletes := t.lastWrites()
+	puts, deletes := t.finalWrites()
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
 	if err := t.term.Release(ctx, puts, deletes, t.orders.recent(now)); err != nil {
@@ -301,13 +301,13 @@
 		return false
 	}
 	t.n.lockReleased(t.term.Number)
-	close(t.left)
+	close(t.released)
 	return true
 }
 
-// lastWrites returns what goes with the lock.
-func (t *termRun) lastWrites() (puts []ledger.Put, deletes []string) {
-	puts = lastOfEachKey(t.extra)
+// finalWrites returns what goes with the lock.
+func (t *termRun) finalWrites() (puts []ledger.Put, deletes []string) {
+	puts = latestPutPerKey(t.pendingPuts)
 	puts = puts[:min(len(puts), ledger.MaxEntries)]
 	for _, r := range t.core.PendingRecords(ledger.MaxEntries - len(puts)) {
 		p, d := ledger.RecordWrites(r)
@@ -357,9 +357,9 @@
 	return out
 }
 
-// ask runs a question on the core's goroutine, unless its turn comes after the asker has
+// queryCore runs a question on the core's goroutine, unless its turn comes after the asker has
 // given up.
-func ask[T any](t *termRun, question func(c *owner.Core) T) (answer T, ok bool) {
+func queryCore[T any](t *termRun, question func(c *owner.Core) T) (answer T, ok bool) {
 	ctx, cancel := context.WithTimeout(t.ctx, peerTimeout)
 	defer cancel()
 	out := make(chan T, 1)
@@ -382,7 +382,7 @@
 }
 
 func (t *termRun) state(id job.ID) peer.StateReply {
-	r, _ := ask(t, func(c *owner.Core) peer.StateReply {
+	r, _ := queryCore(t, func(c *owner.Core) peer.StateReply {
 		s, known := c.State(id)
 		return peer.StateReply{Owner: true, Known: known, State: s, Tenant: c.TenantOf(id)}
 	})
@@ -402,7 +402,7 @@
 	if !t.leaseHeld() {
 		return peer.PendingReply{}
 	}
-	r, _ := ask(t, func(c *owner.Core) peer.PendingReply {
+	r, _ := queryCore(t, func(c *owner.Core) peer.PendingReply {
 		return peer.PendingReply{Owner: true, Count: c.PendingJobs(queue)}
 	})
 	if !t.leaseHeld() {
@@ -413,16 +413,16 @@
 
 // admit tells by how much a job would be late if it was accepted now.
 func (t *termRun) admit(j *job.Job) peer.AdmitReply {
-	r, _ := ask(t, func(c *owner.Core) peer.AdmitReply {
+	r, _ := queryCore(t, func(c *owner.Core) peer.AdmitReply {
 		return peer.AdmitReply{Owner: true, LateBy: c.ExpectedLateness(j, t.n.clock.Now())}
 	})
 	return r
 }
 
-func (t *termRun) cancelled(id job.ID) {
-	t.do(func(c *owner.Core, now time.Time) { c.Cancel(id, now) })
+func (t *termRun) onCancelled(id job.ID) {
+	t.enqueue(func(c *owner.Core, now time.Time) { c.Cancel(id, now) })
 }
 
-func (t *termRun) submitted(j *job.Job) {
-	t.do(func(c *owner.Core, now time.Time) { c.Submit(j, now) })
+func (t *termRun) onSubmitted(j *job.Job) {
+	t.enqueue(func(c *owner.Core, now time.Time) { c.Submit(j, now) })
 }
--- a/jobs/node/termrun_test.go
+++ b/jobs/node/termrun_test.go
@@ -24,14 +24,14 @@
 		given := make(chan time.Time, 1)
 		var came time.Time
 		slow := func(*owner.Core, time.Time) { time.Sleep(time.Second) } // waits for the processor
-		run.do(slow)
-		run.do(slow)
+		run.enqueue(slow)
+		run.enqueue(slow)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
 			came = time.Now()
-			run.do(func(_ *owner.Core, now time.Time) { given <- now })
+			run.enqueue(func(_ *owner.Core, now time.Time) { given <- now })
 		}()
-		run.drain()
+		run.applyQueued()
 		assert.False(t, (<-given).Before(came))
 	})
 }
@@ -48,11 +48,11 @@
 		question := func(*owner.Core) int { answered++; return 1 }
 		began := time.Now()
 		for range 2 { // the second finds the queue full
-			_, ok := ask(run, question)
+			_, ok := queryCore(run, question)
 			assert.False(t, ok)
 		}
 		assert.Equal(t, 2*peerTimeout, time.Since(began))
-		run.drain()
+		run.applyQueued()
 		assert.Zero(t, answered)
 	})
 }
--- a/jobs/node/termsources.go
+++ b/jobs/node/termsources.go
@@ -11,8 +11,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// followJobs hands submissions and cancellations to the core.
-func (t *termRun) followJobs(revision int64) {
+// watchJobs hands submissions and cancellations to the core.
+func (t *termRun) watchJobs(revision int64) {
 	apply := func(e ledger.Event) {
 		if e.Deleted {
 			return
@@ -27,7 +27,7 @@
 		}
 		t.n.refusedEntries.remove(e.Key)
 		t.awaitLease()
-		t.do(func(c *owner.Core, now time.Time) {
+		t.enqueue(func(c *owner.Core, now time.Time) {
 			switch {
 			case ch.Ended != nil: // written by this owner
 			case ch.Submitted != nil:
@@ -54,7 +54,7 @@
 // that are accepted meanwhile share a reading.
 func (t *termRun) pollInstances() {
 	for t.ctx.Err() == nil {
-		pause := t.instancesPause(t.listInstances())
+		pause := t.instanceListPause(t.listInstances())
 		if !sleep.For(t.ctx, pause) {
 			return
 		}
@@ -66,9 +66,9 @@
 	}
 }
 
-// instancesPause returns the least time until the next reading of a list of so many
+// instanceListPause returns the least time until the next reading of a list of so many
 // instances, so that the list takes no more than its share of this daemon's link.
-func (t *termRun) instancesPause(instances int) time.Duration {
+func (t *termRun) instanceListPause(instances int) time.Duration {
 	if t.n.settings.LinkMbps <= 0 {
 		return minInstancesInterval
 	}
@@ -77,8 +77,8 @@
 	return min(maxInstancesInterval, max(minInstancesInterval, pause))
 }
 
-// wantInstances asks for a reading of the instance list that begins after now.
-func (t *termRun) wantInstances() {
+// requestInstanceList asks for a reading of the instance list that begins after now.
+func (t *termRun) requestInstanceList() {
 	select {
 	case t.relist <- struct{}{}:
 	default: // one is asked for already and has not begun
@@ -96,6 +96,6 @@
 		}
 		return 0
 	}
-	t.do(func(c *owner.Core, now time.Time) { c.OnInstances(list, now) })
+	t.enqueue(func(c *owner.Core, now time.Time) { c.OnInstances(list, now) })
 	return len(list)
 }
