--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// contactLoss says when a worker that does not answer was lost.
+// contactLoss is when contact to a worker was lost.
 type contactLoss struct {
-	lostAt       time.Time // first call that went unanswered; zero: it answers
-	lastAnswerAt time.Time // newest answer before that
-	connFailed   bool      // the connection ended: the worker was there until lostAt
+	lostAt       time.Time // first unanswered call; zero: the worker answers
+	lastAnswerAt time.Time // last answer before that
+	connFailed   bool      // the connection ended, so the worker was alive until lostAt
 }
 
-// markContactLost takes note of a call without an answer; first is true if the worker had
-// answered until then.
+// markContactLost records an unanswered call; first is true if the worker had answered
+// until then.
 func (w *worker) markContactLost(a Answer, now time.Time) (first bool) {
 	if !w.contactLoss.lostAt.IsZero() {
 		return false
@@ -19,7 +19,7 @@
 	return true
 }
 
-// lastAliveAt returns the latest time at which the worker was there for certain.
+// lastAliveAt returns the latest time at which the worker was certainly alive.
 func (k *contactLoss) lastAliveAt() time.Time {
 	if k.connFailed {
 		return k.lostAt
@@ -27,28 +27,29 @@
 	return k.lastAnswerAt
 }
 
-// loseRun frees a run that ended with its worker, or with its lease. proof is how that is known.
+// loseRun releases a run that ended with its worker or its lease. proof is how that is known.
 func (c *Core) loseRun(r *run, proof string, now time.Time) {
 	c.counts.Lost++
 	id := r.task.id()
 	c.note(Decision{Event: "run-lost", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number,
-		Reason: proof + "; " + r.workerSeenAfterStart()})
+		Reason: proof + "; " + r.describeContact()})
 	c.releaseRun(r, CauseRunLost, now)
 }
 
-// workerSeenAfterStart says for how long the worker of a lost run was seen to be there after the start.
-func (r *run) workerSeenAfterStart() string {
+// describeContact returns, for the log, how long the worker of a lost run was alive after
+// the start.
+func (r *run) describeContact() string {
 	if r.firstSentAt.IsZero() {
 		return "started by an earlier owner"
 	}
 	if r.worker.contactLoss.lostAt.IsZero() {
-		return "its worker did not fail to answer before"
+		return "contact to the worker had not been lost before"
 	}
-	return "its worker was there for " + r.aliveAfterStart().Round(time.Millisecond).String() + " after the start"
+	return "the worker was alive for " + r.aliveAfterStart().Round(time.Millisecond).String() + " after the start"
 }
 
-// aliveAfterStart returns for how long the worker was there for certain after it had confirmed the
-// run, or after the order if it has not; 0 at least.
+// aliveAfterStart returns how long the worker was certainly alive after it confirmed the run,
+// or after the first start order if it has not confirmed it; at least 0.
 func (r *run) aliveAfterStart() time.Duration {
 	from := r.firstSentAt
 	if r.phase == running {
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -68,7 +68,7 @@
 		*known = k
 	} else {
 		c.addUndecidedCrash(t, k)
-		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.workerSeenAfterStart()})
+		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.describeContact()})
 	}
 	c.markCrashDirty(t.step.job)
 }
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -38,11 +38,11 @@
 // PendingRecords returns records that have to be written and that take at most n entries
 // of a transaction. Those of jobs that ended come first, as their callers are told only
 // once they are written; beyond that each has its turn.
-func (c *Core) PendingRecords(n int) []Record {
+func (c *Core) PendingRecords(maxEntries int) []Record {
 	var out []Record
 	for j := range c.toWrite.all(c.dirtyJobs) {
 		r := Record{Job: j.spec, Progress: j.progress(), Stored: j.storedVersion > 0, version: j.version}
-		if n -= r.TxnEntries(); n < 0 {
+		if maxEntries -= r.TxnEntries(); maxEntries < 0 {
 			break
 		}
 		out = append(out, r)
@@ -159,10 +159,10 @@
 
 // RemoveExpired removes jobs that ended long ago from the core and returns their
 // ids, at most n, for removal from the store.
-func (c *Core) RemoveExpired(n int, now time.Time) []job.ID {
+func (c *Core) RemoveExpired(limit int, now time.Time) []job.ID {
 	var out []job.ID
 	for id, j := range c.jobs {
-		if len(out) == n {
+		if len(out) == limit {
 			break
 		}
 		if !j.state.Final() || j.storedVersion < j.version || now.Sub(j.endedAt) < 2*c.opt.StatusRetention {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// SetRegistrations takes the whole list of registrations.
+// SetRegistrations replaces all known registrations by the list.
 func (c *Core) SetRegistrations(list []Registration, now time.Time) {
-	present := make(map[WorkerID]bool, len(list))
+	listed := make(map[WorkerID]bool, len(list))
 	for _, r := range list {
-		present[r.Worker] = true
+		listed[r.Worker] = true
 	}
-	var gone []WorkerID
+	var missing []WorkerID
 	for id := range c.workers {
-		if !present[id] {
-			gone = append(gone, id)
+		if !listed[id] {
+			missing = append(missing, id)
 		}
 	}
 	for id := range c.unknownServiceWorkers {
-		if !present[id] {
+		if !listed[id] {
 			delete(c.unknownServiceWorkers, id)
 		}
 	}
-	c.UpdateRegistrations(list, gone, true, now)
+	c.UpdateRegistrations(list, missing, true, now)
 }
 
-// UpdateRegistrations takes what has changed among the registrations, if anything. current says
-// that what is known of the others is so, too: no more has changed.
-func (c *Core) UpdateRegistrations(changed []Registration, gone []WorkerID, current bool, now time.Time) {
+// UpdateRegistrations applies changes of registrations, if there are any. upToDate says
+// that no further changes are outstanding.
+func (c *Core) UpdateRegistrations(changed []Registration, missing []WorkerID, upToDate bool, now time.Time) {
 	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > storeOutageGap {
 		c.unregisterFrom = now.Add(reregistrationGrace)
 		c.note(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
 	}
 	c.registrationsAt = now
-	c.trackRegistrationLag(current, now)
+	c.trackRegistrationLag(upToDate, now)
 	for _, r := range changed {
 		if c.isConfigured(r.Service) {
 			delete(c.unknownServiceWorkers, r.Worker)
@@ -43,7 +43,7 @@
 			c.keepUnknownService(r, now)
 		}
 	}
-	for _, id := range gone {
+	for _, id := range missing {
 		delete(c.unknownServiceWorkers, id)
 		if w := c.workers[id]; w != nil {
 			c.markUnlisted(w, now)
@@ -57,39 +57,40 @@
 	}
 }
 
-// maxRegistrationLag is how old the view of the registrations may be, while the store tells of changes, for
-// tasks to be started by it: half of the shortest time after which none may start on a worker that
-// has said that it leaves.
+// maxRegistrationLag is how far the known registrations may lag behind the store for tasks
+// to be started. It is half of the shortest time from a worker's announcement that it leaves
+// until no task may start there.
 const maxRegistrationLag = time.Second
 
-// trackRegistrationLag takes note of since when more has changed among the registrations than is known.
-func (c *Core) trackRegistrationLag(current bool, now time.Time) {
+// trackRegistrationLag records since when the known registrations are behind the store.
+func (c *Core) trackRegistrationLag(upToDate bool, now time.Time) {
 	switch {
-	case current && c.areRegistrationsStale(now):
+	case upToDate && c.areRegistrationsStale(now):
 		c.note(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.registrationsLagSince).String()})
 		c.registrationsLagSince = time.Time{}
 		for service := range c.pools {
 			c.changedServices[service] = true
 		}
-	case current:
+	case upToDate:
 		c.registrationsLagSince = time.Time{}
 	case c.registrationsLagSince.IsZero():
 		c.registrationsLagSince = now
 	}
 }
 
-// areRegistrationsStale reports whether what is known of the registrations is too old for a start.
+// areRegistrationsStale reports whether the known registrations are too old to start tasks.
 func (c *Core) areRegistrationsStale(now time.Time) bool {
 	return !c.registrationsLagSince.IsZero() && now.Sub(c.registrationsLagSince) > maxRegistrationLag
 }
 
-// isConfigured reports whether the configuration names the service.
+// isConfigured reports whether the configuration contains the service. Without configured
+// services all are accepted.
 func (c *Core) isConfigured(service string) bool {
 	return c.catalog == nil || len(c.catalog.Services) == 0 || c.catalog.Service(service) != nil
 }
 
-// keepUnknownService keeps the registration of a worker of a service that no configuration names: it is
-// no worker to use, until one does.
+// keepUnknownService keeps the registration of a worker whose service is not configured.
+// The worker is not used until it is.
 func (c *Core) keepUnknownService(r Registration, now time.Time) {
 	if _, known := c.unknownServiceWorkers[r.Worker]; !known {
 		c.note(Decision{Event: "worker-of-unknown-service", Worker: r.Worker, Reason: r.Service})
@@ -100,7 +101,7 @@
 	}
 }
 
-// registerNewlyConfigured takes the workers of services that a configuration has come to name.
+// registerNewlyConfigured registers kept workers whose service is configured now.
 func (c *Core) registerNewlyConfigured() {
 	for id, r := range c.unknownServiceWorkers {
 		if c.isConfigured(r.Service) {
@@ -110,7 +111,7 @@
 	}
 }
 
-// markUnlisted takes note that the worker is not among the registrations.
+// markUnlisted records that the worker is missing from the registrations.
 func (c *Core) markUnlisted(w *worker, now time.Time) {
 	if w.unlistedSince.IsZero() {
 		w.unlistedSince = now
@@ -118,8 +119,8 @@
 	c.unlistedWorkers.put(w, w.registered)
 }
 
-// unregisterUnlisted counts workers that are missing as not registered: the store is not
-// about to have them back.
+// unregisterUnlisted marks missing workers as not registered. It is called once their
+// registrations can no longer come back after a store outage.
 func (c *Core) unregisterUnlisted() {
 	for _, w := range c.unlistedWorkers.sorted() {
 		w.registered = false
@@ -137,26 +138,26 @@
 	}
 	switch w.relationTo(r.StartedMs) {
 	case pastIncarnation:
-		return // written before its present life registered
+		return // written before the current incarnation registered
 	case nextIncarnation:
-		w = c.startIncarnation(w, r.StartedMs, "it has registered anew", now)
+		w = c.startIncarnation(w, r.StartedMs, "a new incarnation has registered", now)
 	}
 	if r.StartedMs == 0 {
-		r.StartedMs = w.StartedMs // which it does not say
+		r.StartedMs = w.StartedMs // not reported
 	}
 	if w.StartedMs != r.StartedMs && len(c.openCrashes[w.incarnation()]) > 0 {
-		c.clearCrashes(w.incarnation(), "it has only now said which life it is")
+		c.clearCrashes(w.incarnation(), "the worker's start time was unknown until now")
 	}
 	if r.Draining && !w.Draining {
 		c.note(Decision{Event: "worker-draining", Worker: r.Worker})
 	}
-	known := w.registered && w.equal(&r)
+	unchanged := w.registered && w.equal(&r)
 	w.unlistedSince = time.Time{}
 	c.unlistedWorkers.put(w, false)
-	if known {
+	if unchanged {
 		return
 	}
-	if w.Service != "" { // not of a worker that is new
+	if w.Service != "" { // not a new worker
 		c.workersByService.remove(w)
 		c.changedServices[w.Service] = true
 		if w.Capacity != r.Capacity {
@@ -170,17 +171,17 @@
 	c.changedServices[r.Service] = true
 }
 
-// equal reports whether the registration says the same.
+// equal reports whether both registrations are the same.
 func (r *Registration) equal(o *Registration) bool {
 	return r.Worker == o.Worker && r.Service == o.Service && r.Addr == o.Addr && r.Zone == o.Zone && r.Rack == o.Rack &&
 		r.Capacity == o.Capacity && r.Draining == o.Draining && r.StartedMs == o.StartedMs && slices.Equal(r.Labels, o.Labels)
 }
 
-// forgetWorker removes a worker of which nothing is left to know.
+// forgetWorker removes a worker whose state is no longer needed.
 func (c *Core) forgetWorker(id WorkerID) {
 	w := c.workers[id]
 	if !w.ended && len(c.openCrashes[w.incarnation()]) > 0 {
-		c.clearCrashes(w.incarnation(), "nobody can tell what became of it")
+		c.clearCrashes(w.incarnation(), "the worker was removed before its fate was known")
 	}
 	delete(c.workers, id)
 	delete(c.silentWorkers, id)
