--- a/jobs/explain/explain_test.go
+++ b/jobs/explain/explain_test.go
@@ -18,7 +18,7 @@
 
 const owning = `
 {"level":"info","ts":"2030-01-01T00:00:01.010Z","msg":"job-known","job":"00000000000000aa","why":"desk"}
-{"level":"info","ts":"2030-01-01T00:00:01.020Z","msg":"job-waits","job":"00000000000000aa","why":"no room: step 0 needs 2000 thousandths of a core and 100 MB, 3 workers are usable"}
+{"level":"info","ts":"2030-01-01T00:00:01.020Z","msg":"job-waits","job":"00000000000000aa","why":"insufficient capacity: step 0 needs 2000 millicores and 100 MB, 3 workers are usable"}
 {"level":"info","ts":"2030-01-01T00:00:02.500Z","msg":"job-started","job":"00000000000000aa","task":"00000000000000aa.0.0.0","worker":"w1","run":1000001}
 {"level":"info","ts":"2030-01-01T00:00:03.000Z","msg":"owner","term":2}
 {"level":"info","ts":"2030-01-01T00:00:03.500Z","msg":"task-failed","job":"00000000000000aa","task":"00000000000000aa.0.0.0","worker":"w1","run":1000001}
@@ -43,7 +43,7 @@
 	}
 	assert.Equal(t, []string{"job-accepted", "job-known", "job-waits", "job-started", "owner", "task-failed", "job-completed", "job-recorded"}, events)
 	assert.Equal(t, []string{
-		"it had to wait: no room: step 0 needs 2000 thousandths of a core and 100 MB, 3 workers are usable",
+		"it had to wait: insufficient capacity: step 0 needs 2000 millicores and 100 MB, 3 workers are usable",
 		"1 attempts failed, the first on worker w1",
 		"the owner changed 1 times meanwhile",
 	}, tl.Findings)
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -8,19 +8,19 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// capacityClass is the usable workers of a service that have the same room: what one of them
-// can ever take the others can, too, labels aside.
+// capacityClass holds the usable workers of a service with the same capacity; apart from
+// labels each of them can hold the same tasks.
 type capacityClass struct {
 	room   job.Resources
-	byFree []*worker // by free thousandths of a core, then by id
+	byFree []*worker // by free millicores, then by id
 }
 
-// freeIndex is the usable workers of a service in an order in which the best one for a
-// task that ends by itself comes early: a choice looks at a few workers, whatever the
-// size of the service. At 3,000 workers it takes 0.5 µs in place of 34.
+// freeIndex holds a service's usable workers ordered by free processors. The best worker for
+// a task that ends by itself is found among the first few, whatever the size of the service:
+// at 3,000 workers in 0.5 µs, where a scan takes 34 µs.
 type freeIndex struct{ classes []*capacityClass }
 
-// compareFree orders workers by free processors as they are in the index, then by id.
+// compareFree orders workers by their indexed free millicores, then by id.
 func compareFree(a, b *worker) int {
 	if a.indexedFreeCPUMilli != b.indexedFreeCPUMilli {
 		return a.indexedFreeCPUMilli - b.indexedFreeCPUMilli
@@ -39,7 +39,7 @@
 	return k
 }
 
-// size returns how many workers are usable.
+// size returns the number of usable workers.
 func (x *freeIndex) size() int {
 	n := 0
 	for _, k := range x.classes {
@@ -55,7 +55,7 @@
 	w.capacityClass.byFree = slices.Insert(w.capacityClass.byFree, at, w)
 }
 
-// removeFromIndex takes the worker out of the index that it is in, if any.
+// removeFromIndex removes the worker from its index, if it is in one.
 func (w *worker) removeFromIndex() {
 	if w.capacityClass == nil {
 		return
@@ -66,8 +66,8 @@
 	w.capacityClass = nil
 }
 
-// couldFit reports whether any worker could take the request if it were empty; true if
-// none is usable.
+// couldFit reports whether some worker could hold the request if it were empty. It returns
+// true if no worker is usable.
 func (x *freeIndex) couldFit(req *placement.Request) bool {
 	for _, k := range x.classes {
 		if len(k.byFree) == 0 || !k.room.Fits(req.Need) {
@@ -80,9 +80,9 @@
 	return x.size() == 0
 }
 
-// choose returns the best worker for a task that ends by itself, nil if none has room.
-// allowed says which workers may have it, and mine how many tasks of its step are there.
-// The result is that of placement.Choose over all workers.
+// choose returns the best worker for a task that ends by itself; nil if none has capacity.
+// allowed filters workers, and mine counts the step's tasks per worker. The result equals
+// that of placement.Choose over all workers.
 func (x *freeIndex) choose(req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) *worker {
 	var best []*worker
 	for _, k := range x.classes {
@@ -104,8 +104,9 @@
 	return best[placement.Choose(views, *req)]
 }
 
-// candidates appends the workers of the class of which one is its best: the fullest with
-// room, and the fullest of those that are not suspect or on the preferred rack.
+// candidates appends the workers of the class that may be the best one: the fullest with
+// enough free capacity for each combination of recent failures and preferred rack, up to
+// the first without failures on that rack.
 func (k *capacityClass) candidates(out []*worker, req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) []*worker {
 	from, _ := slices.BinarySearchFunc(k.byFree, req.Need.CPUMilli, func(w *worker, need int) int {
 		if w.indexedFreeCPUMilli < need {
@@ -113,7 +114,7 @@
 		}
 		return 1
 	})
-	var found [2][2]bool // by suspect, by rack
+	var found [2][2]bool // by recent failures, by preferred rack
 	for _, w := range k.byFree[from:] {
 		if !w.free().Fits(req.Need) || !allowed(w) ||
 			req.MaxPerWorker > 0 && mine[w] >= req.MaxPerWorker ||
@@ -140,12 +141,12 @@
 	return 0
 }
 
-// hasRecentFailures reports whether several of the worker's newest tasks failed.
+// hasRecentFailures reports whether minFailuresToAvoid of the worker's recent tasks failed.
 func (w *worker) hasRecentFailures(now time.Time) bool {
 	return w.recentEnds.failures(now) >= minFailuresToAvoid
 }
 
-// placementView returns the worker as placement sees it.
+// placementView returns the worker as the placement package sees it.
 func (w *worker) placementView(now time.Time) placement.Worker {
 	return placement.Worker{
 		Capacity: w.Capacity, Free: w.free(), Rack: w.Rack, Labels: w.Labels,
@@ -153,7 +154,8 @@
 	}
 }
 
-// markWorkerChanged says that something of the worker may have changed that placement sees.
+// markWorkerChanged has updateIndexes index the worker again. Call it after any change that
+// placement depends on.
 func (c *Core) markWorkerChanged(w *worker) {
 	if !w.indexStale {
 		w.indexStale = true
@@ -161,8 +163,8 @@
 	}
 }
 
-// updateIndexes brings the indexes up to date with the workers that were touched, and with
-// those that were put aside until now.
+// updateIndexes indexes again the workers that have changed, and those whose avoidance has
+// ended.
 func (c *Core) updateIndexes(now time.Time) {
 	for _, w := range c.avoidedDue.popAllDue(now) {
 		c.markWorkerChanged(w)
@@ -176,6 +178,7 @@
 	c.staleIndexWorkers = c.staleIndexWorkers[:0]
 }
 
+// reindex moves the worker to its place in the index, or out of it if it is not usable.
 func (c *Core) reindex(w *worker, now time.Time) {
 	c.colocatedWorkers.put(w, w.fillerRuns > 0 && w.servingRuns > 0 && !w.ended)
 	usable := c.workers[w.Worker] == w && c.isUsable(w, now)
@@ -189,8 +192,8 @@
 	}
 }
 
-// avoidWorkerUntil keeps new tasks from the worker until a time, or for longer if it was to be so
-// already.
+// avoidWorkerUntil keeps new tasks from the worker until the given time, or until a later
+// one set before.
 func (c *Core) avoidWorkerUntil(w *worker, until time.Time) {
 	w.avoidUntil = laterOf(w.avoidUntil, until)
 	c.markWorkerChanged(w)
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -2,39 +2,39 @@
 
 import "time"
 
-// Figures of the search for bad workers. They come from the faults that the
-// platform names: a worker that fails all it starts, and one whose tasks
-// stand still.
+// Parameters of the detection of faulty workers. The faults are those that the platform
+// documents: a worker on which every task fails, and one whose tasks make no progress.
 const (
-	// endHistoryLen is how many recent ends a worker is judged by.
+	// endHistoryLen is how many recent ends of runs are kept per worker.
 	endHistoryLen = 8
-	// endHistoryAge is how old these may be.
+	// endHistoryAge is how long an end counts.
 	endHistoryAge = 5 * time.Second
-	// minFailuresToAvoid in that window, and half of its ends at least, put a
-	// worker aside; one failure alone is often the task's own fault.
+	// minFailuresToAvoid failures in the history, if they are half of its ends or more, make a
+	// worker avoided; a single failure is often the task's own fault.
 	minFailuresToAvoid = 2
-	// minAvoidTime and maxPenalty bound how long; it doubles each time.
+	// minAvoidTime and maxAvoidTime bound the avoidance, which doubles each time.
 	minAvoidTime = time.Second
 	maxAvoidTime = 8 * time.Second
-	// stallTimeout without progress shows that a task stands still: a task of 5 s
-	// on a worker eight times slow still moves by 1% in 400 ms, and a worker is
-	// asked once a second.
+	// stallTimeout is how long a run may make no progress before it counts as stalled: a 5 s
+	// task on a worker eight times too slow still gains 1% in 400 ms, and a worker reports
+	// once a second.
 	stallTimeout = 1600 * time.Millisecond
-	// startupStallTimeout is stallTime for a long-running task that starts up.
+	// startupStallTimeout is the same for fillers and for long-running tasks, which start up
+	// until they report 100%.
 	startupStallTimeout = 3500 * time.Millisecond
-	// stallRecheckInterval is the pause between two looks at a run that has been without progress
-	// for that long, until its worker's list proves it.
+	// stallRecheckInterval is the pause between checks of a run past its timeout until its
+	// worker's list confirms the stall.
 	stallRecheckInterval = 25 * time.Millisecond
-	// maxStallsBlamedOnWorkers is how often a task may stand still by the fault of its workers: from
-	// then on none is put aside for it, and each time it is left alone for twice as long.
+	// maxStallsBlamedOnWorkers is how many stalls of a task are blamed on its workers. After
+	// these no worker is avoided for it, and its stall timeout doubles with each stall.
 	maxStallsBlamedOnWorkers = 2
-	// maxStallDoublings bounds that.
+	// maxStallDoublings bounds that doubling.
 	maxStallDoublings = 5
-	// maxAvoidedShare of a service's workers may be put aside at most.
+	// maxAvoidedShare is the largest share of a service's workers that may be avoided.
 	maxAvoidedShare = 0.34
 )
 
-// endHistory holds the newest ends on a worker.
+// endHistory is a ring buffer of the newest completed and failed runs on a worker.
 type endHistory struct {
 	failed [endHistoryLen]bool
 	at     [endHistoryLen]time.Time
@@ -55,7 +55,7 @@
 	e.next = (e.next + 1) % endHistoryLen
 }
 
-// failures returns how many of the newest ends were failures.
+// failures returns how many of the recent ends were failures.
 func (e *endHistory) failures(now time.Time) int {
 	if now.Sub(e.failedAt) > endHistoryAge {
 		return 0
@@ -64,6 +64,7 @@
 	return failed
 }
 
+// count returns how many ends are recent, and how many of them were failures.
 func (e *endHistory) count(now time.Time) (failed, all int) {
 	for i, at := range e.at {
 		if at.IsZero() || now.Sub(at) > endHistoryAge {
@@ -77,7 +78,7 @@
 	return failed, all
 }
 
-// avoidIfFailing puts a worker aside if too much failed on it.
+// avoidIfFailing avoids a worker on which too many recent tasks failed.
 func (c *Core) avoidIfFailing(w *worker, now time.Time) {
 	failed, all := w.recentEnds.count(now)
 	if failed < minFailuresToAvoid || failed*2 < all {
@@ -86,8 +87,8 @@
 	c.avoidWorker(w, "its tasks fail", now)
 }
 
-// avoidWorker keeps new tasks from a worker for a while, unless too many of its
-// service are put aside already.
+// avoidWorker keeps new tasks from a worker for a while, unless too many workers of its
+// service are avoided already.
 func (c *Core) avoidWorker(w *worker, reason string, now time.Time) {
 	if now.Before(w.avoidUntil) {
 		return
@@ -110,7 +111,7 @@
 	c.note(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
 }
 
-// scheduleStallCheck lets the run be looked at once it may stand still, if it is one that can.
+// scheduleStallCheck schedules a check of the run at its stall timeout, if it can stall.
 func (c *Core) scheduleStallCheck(r *run) {
 	if r.stallWatched || r.phase != running || r.task.step.spec.Gang || r.percent >= 100 {
 		return
@@ -119,7 +120,7 @@
 	c.stallsDue.add(r.progressAt.Add(r.stallLimit()), r)
 }
 
-// stopStalledRuns stops tasks that make no progress, to run them elsewhere.
+// stopStalledRuns stops runs that make no progress, so that their tasks start elsewhere.
 func (c *Core) stopStalledRuns(now time.Time) {
 	for _, r := range c.stallsDue.popAllDue(now) {
 		w := r.worker
@@ -132,23 +133,23 @@
 			continue
 		}
 		if r.task.stalls < maxStallsBlamedOnWorkers {
-			c.avoidWorker(w, "a task stands still", now)
+			c.avoidWorker(w, "a task makes no progress", now)
 		}
 		r.task.stalls++
 		c.stop(r, "no progress for "+now.Sub(r.progressAt).String(), now)
 	}
 }
 
-// rescheduleStallCheck lets a run that does not stand still for certain be looked at again.
+// rescheduleStallCheck schedules another check of a run that is not certain to have stalled.
 func (c *Core) rescheduleStallCheck(r *run, now time.Time) {
 	if r.phase != running || r.percent >= 100 {
-		return // it is watched anew if it falls back
+		return // scheduled again if its percentage falls back
 	}
 	r.stallWatched = true
 	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallLimit()), now.Add(stallRecheckInterval)), r)
 }
 
-// stallLimit is how long the run may be without progress.
+// stallLimit returns how long the run may make no progress.
 func (r *run) stallLimit() time.Duration {
 	limit := stallTimeout
 	if spec := r.task.step.spec; spec.LongRunning || spec.Filler {
@@ -157,26 +158,26 @@
 	return limit << min(maxStallDoublings, max(0, r.task.stalls-maxStallsBlamedOnWorkers+1))
 }
 
+// isStalled reports whether the run is certain to have made no progress for its timeout.
 func isStalled(r *run, now time.Time) bool {
 	spec := r.task.step.spec
 	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttlePercent < 100 {
 		return false
 	}
 	limit := r.stallLimit()
-	// The hold that showed the last percentage may be old: only one that was
-	// sent since then, and answered, proves the standstill.
+	// The list with the newest percentage may be old: only a hold that was sent since then,
+	// and answered, proves the stall.
 	return now.Sub(r.progressAt) > limit && r.worker.answeredHoldSentAt.Sub(r.progressAt) > limit/2
 }
 
-// updateRemaining works out anew what is left of the job, after a task was done or an
-// occurrence has begun.
+// updateRemaining recomputes the remaining work and critical path, after a task was done or
+// an occurrence has begun.
 func (j *jobState) updateRemaining() {
 	j.workLeft = j.remainingWork()
 	j.criticalPathLeft = j.remainingCriticalPath()
 }
 
-// remainingWork returns the core-seconds of a job that are not done, by its
-// estimates.
+// remainingWork returns the core-seconds of the job that are not done, by the estimates.
 func (j *jobState) remainingWork() float64 {
 	sum := 0.0
 	for _, s := range j.steps {
@@ -185,8 +186,8 @@
 	return sum
 }
 
-// remainingCriticalPath returns the longest chain of steps that are not done in the
-// first unfinished occurrence, by the estimates.
+// remainingCriticalPath returns the longest chain of unfinished steps of any occurrence, by
+// the estimates.
 func (j *jobState) remainingCriticalPath() time.Duration {
 	n := len(j.spec.Steps)
 	var longest time.Duration
@@ -208,7 +209,7 @@
 	return longest
 }
 
-// deadline is when the job stops being worth its whole value.
+// deadline returns the latest end at which the job is still worth its full value.
 func (j *jobState) deadline() time.Time {
 	allowed := time.Duration(j.queue.ObjectiveFactor*float64(j.criticalPath)) + j.queue.ObjectiveOffset
 	from := j.spec.AcceptedAt
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -6,27 +6,27 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// Figures of preemption.
+// Parameters of preemption.
 const (
-	// preemptDelay is how long a task waits for room before it takes that of less
-	// urgent ones: most get theirs sooner, as other tasks end.
+	// preemptDelay is how long a task waits for capacity before it preempts less urgent runs:
+	// most get capacity sooner, as other tasks end.
 	preemptDelay = 300 * time.Millisecond
-	// preemptDelayLongRunning is the same for long-running tasks, which may take the
-	// room of any task that ends by itself: they have to be back within 3 s.
+	// preemptDelayLongRunning is the same for long-running tasks, which must be restored
+	// within 3 s and may preempt any task that ends by itself.
 	preemptDelayLongRunning = 700 * time.Millisecond
-	// preemptInterval is the time between two preemptions for a step. The stopped
-	// runs have ended by then: a worker takes up to a second to stop one.
+	// preemptInterval is the time between two preemptions for a step: a worker takes up to a
+	// second to stop a run.
 	preemptInterval = 1200 * time.Millisecond
-	// preemptSearchInterval is the time between two looks for runs to stop: each goes over all
+	// preemptSearchInterval is the time between two searches for victims: each examines all
 	// runs of the service.
 	preemptSearchInterval = 200 * time.Millisecond
-	// checkpointLossShare is the share of a run's work that is lost if it can resume
+	// checkpointLossShare is the share of a run's work lost by stopping it if it can resume
 	// from a checkpoint.
 	checkpointLossShare = 0.2
 )
 
-// preempt stops less urgent runs if a task of the step has waited long enough for
-// room. The worker that is cleared is kept for the step.
+// preempt stops less urgent runs on one worker if the step has waited long enough for
+// capacity. The freed worker is reserved for the step for preemptInterval.
 func (p *schedulingPass) preempt(s *stepState, req *placement.Request) {
 	now := p.now
 	if s.waitingSince.IsZero() {
@@ -62,22 +62,22 @@
 	}
 }
 
-// noteStarted takes note of the priority of a job of which a task runs.
+// noteStarted records the priority of a job with a run in the pool.
 func (p *poolState) noteStarted(j *jobState) {
 	p.lowestStartedPriority = max(p.lowestStartedPriority, j.queue.Priority)
 }
 
-// mayHaveVictims reports whether runs of lower priority than the step may be there at
-// all.
+// mayHaveVictims reports whether runs that the step may preempt can exist in the pool.
 func (p *poolState) mayHaveVictims(s *stepState) bool {
 	return s.spec.LongRunning || p.lowestStartedPriority > s.job.queue.Priority
 }
 
-// recentlyPreempted reports whether a worker is being cleared for the step.
+// recentlyPreempted reports whether runs are being stopped to make room for the step.
 func (s *stepState) recentlyPreempted(now time.Time) bool {
 	return now.Sub(s.preemptedAt) < preemptInterval
 }
 
+// preemptionDelay is how long the step waits for capacity before it preempts.
 func (s *stepState) preemptionDelay() time.Duration {
 	if s.spec.LongRunning {
 		return preemptDelayLongRunning
@@ -85,8 +85,8 @@
 	return preemptDelay
 }
 
-// preemptibleBy reports whether the run may be stopped for a task of s. Members of
-// gangs may not: the others would end with them.
+// preemptibleBy reports whether the run may be stopped for a task of s. Gang members may
+// not, since the rest of the gang would end too.
 func (r *run) preemptibleBy(s *stepState) bool {
 	own := r.task.step
 	if r.phase != running || own.spec.LongRunning || own.spec.Gang || own.job == s.job {
@@ -95,7 +95,7 @@
 	return s.spec.LongRunning || own.job.queue.Priority > s.job.queue.Priority
 }
 
-// preemptionCost returns the core-seconds of work that are lost if the run is stopped.
+// preemptionCost returns the core-seconds of work lost if the run is stopped now.
 func (r *run) preemptionCost(now time.Time) float64 {
 	spec := r.task.step.spec
 	lost := float64(spec.ReservedResources().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
@@ -105,7 +105,8 @@
 	return lost
 }
 
-// isReservedForOther reports whether the worker was cleared for another step, or for a suspect.
+// isReservedForOther reports whether the worker is reserved for another step after a
+// preemption, or quarantined from the step's job.
 func (w *worker) isReservedForOther(s *stepState, now time.Time) bool {
 	return w.isQuarantinedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
 }
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// priorityBand orders jobs before all else.
+// priorityBand is the first sort key of waiting jobs; lower bands are placed first.
 type priorityBand int
 
 const (
-	bandLongRunning priorityBand = iota // long-running: they serve users all the time
-	bandOnTime                          // can still meet their objective
-	bandOverShare                       // likewise, and beyond their tenant's share
-	bandLate
+	bandLongRunning priorityBand = iota // serves users continuously
+	bandOnTime                          // can still meet its objective
+	bandOverShare                       // can still meet its objective, but exceeds its tenant's share
+	bandLate                            // can no longer meet its objective
 )
 
-// queueEntry is a job with tasks to place, and its place in the order.
+// queueEntry is a job with tasks to place and its sort keys.
 type queueEntry struct {
 	job           *jobState
 	band          priorityBand
 	priority      int
-	remainingWork float64       // core-seconds that are left
-	slack         time.Duration // until it would be late if all went by the estimates
+	remainingWork float64       // core-seconds left, by the estimates
+	slack         time.Duration // until the job is late if every step takes its estimate; negative: late already
 	acceptedAt    time.Time
 }
 
+// queueEntryOf computes the sort keys of a job and stores its band.
 func (c *Core) queueEntryOf(j *jobState, now time.Time) queueEntry {
 	cl := queueEntry{job: j, band: bandOnTime, priority: j.queue.Priority, remainingWork: j.workLeft, acceptedAt: j.spec.AcceptedAt}
 	cl.slack = j.deadline().Sub(now.Add(j.criticalPathLeft))
@@ -42,19 +43,19 @@
 	return cl
 }
 
-// SchedulingPolicy says which of the waiting jobs gets room first.
+// SchedulingPolicy is the order in which waiting jobs are placed.
 type SchedulingPolicy string
 
-// The policies. All but SchedulePriority are baselines that measurements compare
-// with. Long-running jobs come first in each.
+// Scheduling policies. All but SchedulePriority are baselines for comparison in
+// measurements. Every policy places long-running jobs first.
 const (
-	SchedulePriority      SchedulingPolicy = "worth"              // in time before late, then priority, then least work
-	ScheduleFIFO          SchedulingPolicy = "first-in-first-out" // by when they were accepted
+	SchedulePriority      SchedulingPolicy = "worth"              // on-time before late, then by priority, then least remaining work
+	ScheduleFIFO          SchedulingPolicy = "first-in-first-out" // by acceptance time
 	ScheduleShortestFirst SchedulingPolicy = "shortest"           // least remaining work
-	ScheduleLeastSlack    SchedulingPolicy = "slack"              // in time before late, then least time to spare
+	ScheduleLeastSlack    SchedulingPolicy = "slack"              // on-time before late, then by priority, then least slack
 )
 
-// compare orders claims; a comes first if it is negative.
+// compare returns a negative number if a is placed before b.
 func (a queueEntry) compare(b queueEntry, policy SchedulingPolicy) int {
 	if (a.band == bandLongRunning) != (b.band == bandLongRunning) {
 		return trueFirst(a.band == bandLongRunning)
@@ -76,17 +77,17 @@
 	return cmp.Or(order, cmp.Compare(a.job.spec.ID, b.job.spec.ID))
 }
 
-// Pauses between two placements of a service in which tasks wait for room: ends
-// that come meanwhile share one.
+// Minimum time between two scheduling passes of a service with waiting tasks. Runs that
+// end in between are handled by one pass.
 const (
-	// minScheduleInterval is the least of them, a hundredth of what a small task takes.
+	// minScheduleInterval is the base interval: a hundredth of a small task's duration.
 	minScheduleInterval = 5 * time.Millisecond
-	// scheduleIntervalPerJob is added for each job that waits: thirty times what looking at one takes, so
-	// that a long queue leaves the processor to all else.
+	// scheduleIntervalPerJob is added per waiting job: thirty times the cost of examining
+	// one, so that a long queue does not monopolize the processor.
 	scheduleIntervalPerJob = 60 * time.Microsecond
 )
 
-// schedule places waiting tasks of the services in which something changed.
+// schedule runs a pass for each service in changedServices that is due.
 func (c *Core) schedule(now time.Time) {
 	if c.fenced || len(c.changedServices) == 0 || c.areRegistrationsStale(now) {
 		return
@@ -94,7 +95,7 @@
 	c.updateIndexes(now)
 	c.startWindow.expire(now)
 	var due []*schedulingPass
-	for _, service := range slices.Sorted(maps.Keys(c.changedServices)) { // the same in each play of a test
+	for _, service := range slices.Sorted(maps.Keys(c.changedServices)) { // sorted, so that test runs are reproducible
 		pool := c.pool(service)
 		if pool.recentlyScheduled(now) || c.startWindow.deferred[service] && !c.startWindow.hasHeadroom() {
 			continue
@@ -111,13 +112,13 @@
 	}
 }
 
-// recentlyScheduled reports whether the service had its turn a moment ago, and tasks
-// were left without room.
+// recentlyScheduled reports whether the last pass left tasks waiting and the minimum
+// interval since then has not passed.
 func (p *poolState) recentlyScheduled(now time.Time) bool {
 	return p.waitingCores > 0 && now.Sub(p.placedAt) < minScheduleInterval+time.Duration(p.waitingJobs)*scheduleIntervalPerJob
 }
 
-// newSchedulingPass returns a placement of the service's waiting tasks that has not begun.
+// newSchedulingPass returns a pass over the service's waiting jobs, sorted by the policy.
 func (c *Core) newSchedulingPass(service string, pool *poolState, now time.Time) *schedulingPass {
 	claims := c.queueEntries(service, pool, now)
 	pool.waitingCores, pool.lateWaitingCores = 0, 0
@@ -127,7 +128,8 @@
 	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: claims}
 }
 
-// queueForPlacement puts the job among those of its service that may have tasks to place.
+// queueForPlacement marks the job's service as changed and adds the job to its queue
+// unless it is there already.
 func (c *Core) queueForPlacement(j *jobState) {
 	c.changedServices[j.service] = true
 	if !j.queuedForPlacement {
@@ -137,10 +139,11 @@
 	}
 }
 
-// queueEntries returns the jobs of the service with tasks to place, and takes those out of
-// its queue that have none any more. Inherited jobs wait until it is known what an
-// earlier owner started; they are not even looked at: with many of them, and workers that
-// answer one by one, looking would use up a new owner's processor for longer than leases last.
+// queueEntries returns the service's jobs with tasks to place and removes jobs without any
+// from the queue. Inherited jobs are skipped until it is known what an earlier owner
+// started. Skipping comes before any other check: with many inherited jobs, and workers
+// that answer one by one, examining them would keep a new owner's processor busy for
+// longer than leases last.
 func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
 	takenOver := c.earlierRunsKnown(service, now)
 	lapsed := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
@@ -164,14 +167,15 @@
 	return claims
 }
 
-// clearQueued says that the job is in no queue, unless it went over to another service's.
+// clearQueued marks the job as not queued, unless it has moved to another service's queue.
 func (j *jobState) clearQueued(service string) {
 	if j.service == service {
 		j.queuedForPlacement = false
 	}
 }
 
-// mayNeedPlacement reports whether the job has a task to place now or, if it has copies, later.
+// mayNeedPlacement reports whether the job has a task to place now, or may need a
+// speculative copy later.
 func mayNeedPlacement(j *jobState) bool {
 	for _, s := range j.steps {
 		if s.ready() && (s.withoutRun > 0 || s.spec.Speculative) {
@@ -181,7 +185,7 @@
 	return false
 }
 
-// jobNeedsPlacement reports whether the job has a task to place.
+// jobNeedsPlacement reports whether the job has a task or a speculative copy to place now.
 func jobNeedsPlacement(j *jobState, now time.Time) bool {
 	for _, s := range j.steps {
 		if !s.ready() {
@@ -197,6 +201,8 @@
 	return false
 }
 
+// needsPlacement reports whether the task has no run, is past its backoff and has not been
+// given up.
 func (t *task) needsPlacement(now time.Time) bool {
 	return !t.done && len(t.runs) == 0 && !now.Before(t.notBefore) && !t.isGivenUp()
 }
@@ -206,6 +212,7 @@
 	return c.lastRun
 }
 
+// startRun records a run of the task and sends the order to start it.
 func (c *Core) startRun(t *task, w *worker, number uint64, now time.Time) {
 	r := &run{task: t, number: number, worker: w, phase: starting, throttlePercent: 100, firstSentAt: now}
 	c.addRun(r)
@@ -216,8 +223,8 @@
 	c.sendStart(r, now)
 }
 
-// Tick does what is due by now: it ends leases, sends holds and retries,
-// begins occurrences, and places tasks.
+// Tick does all time-driven work that is due: it expires leases, sends holds and retries,
+// begins occurrences, sizes pools and places tasks.
 func (c *Core) Tick(now time.Time) {
 	c.detectOverload(now)
 	c.expireLeases(now)
@@ -235,8 +242,8 @@
 	c.schedule(now)
 }
 
-// markWaitingServices looks again at services whose waiting tasks may go on because time
-// has passed.
+// markWaitingServices schedules every service with queued jobs again: backoffs, leases and
+// other waits may have passed.
 func (c *Core) markWaitingServices() {
 	for service, p := range c.pools {
 		if len(p.queue) > 0 {
@@ -245,7 +252,8 @@
 	}
 }
 
-// React sends what an event made possible, without waiting for the next tick.
+// React sends holds and places tasks that an event has made possible, without waiting for
+// the next Tick.
 func (c *Core) React(now time.Time) {
 	c.sendDueHolds(now)
 	c.schedule(now)
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -9,18 +9,18 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// schedulingPass is one placement of a service's waiting tasks.
+// schedulingPass places the waiting tasks of one service.
 type schedulingPass struct {
 	core        *Core
 	service     string
 	pool        *poolState
 	now         time.Time
-	entries     []queueEntry // in the order in which they get room
+	entries     []queueEntry // in placement order
 	unplaceable placement.RejectedNeeds
 
-	placedEntries int         // claims that are placed
-	view          *workerView // all usable workers; nil: they were not needed so far
-	viewStep      *stepState  // the step of which view has the counts
+	placedEntries int         // entries handled by placeLongRunning
+	view          *workerView // all usable workers; nil until needed
+	viewStep      *stepState  // step that view's counts are for
 }
 
 // placeLongRunning places long-running tasks, which come first in the order.
@@ -35,7 +35,8 @@
 	p.placedEntries = n
 }
 
-// placeRemaining places all that placeLasting left.
+// placeRemaining places the entries that follow the long-running ones. Copies of slow tasks
+// come last, if no task waits.
 func (p *schedulingPass) placeRemaining() {
 	for _, cl := range p.entries[p.placedEntries:] {
 		if p.startsDeferred() {
@@ -49,7 +50,7 @@
 	p.pool.updateWaitingSince(p.now)
 }
 
-// placeJob places the tasks of a job that can start.
+// placeJob places the job's steps that are ready.
 func (p *schedulingPass) placeJob(j *jobState) {
 	for _, s := range j.steps {
 		if s.ready() {
@@ -58,10 +59,11 @@
 	}
 }
 
-// startsDeferred reports whether no more starts are ordered until answers have come.
+// startsDeferred reports whether the service's starts wait for room in the start window.
 func (p *schedulingPass) startsDeferred() bool { return p.core.startWindow.deferred[p.service] }
 
-// deferStarts reports whether no further start may be ordered, and takes note of it.
+// deferStarts reports whether the start window is full; if so, the service is scheduled
+// again later.
 func (p *schedulingPass) deferStarts() bool {
 	if !p.core.startWindow.isFull() {
 		return false
@@ -71,7 +73,7 @@
 	return true
 }
 
-// workersFor returns all usable workers, with what runs there of the step.
+// workersFor returns all usable workers, with the step's runs counted on each.
 func (p *schedulingPass) workersFor(s *stepState) *workerView {
 	if p.view == nil {
 		p.view = p.core.newWorkerView(p.service, p.now)
@@ -83,7 +85,7 @@
 	return p.view
 }
 
-// startRun starts the task on the worker, and takes its room.
+// startRun starts the task on the worker and updates the index and the view.
 func (p *schedulingPass) startRun(t *task, w *worker, req *placement.Request, number uint64) {
 	p.core.startRun(t, w, number, p.now)
 	p.core.reindex(w, p.now)
@@ -98,7 +100,7 @@
 	}
 }
 
-// placementRequest returns what a task of the step needs.
+// placementRequest returns the requirements of a task of the step.
 func placementRequest(s *stepState) placement.Request {
 	return placement.Request{
 		Need:                  s.spec.ReservedResources(),
@@ -113,8 +115,8 @@
 	}
 }
 
-// placeStep starts the step's waiting tasks one by one, as long as there is room and starts
-// may be ordered. Tasks without room are counted as such also if none may.
+// placeStep starts the step's waiting tasks one by one until capacity or the start window
+// is exhausted. Tasks without capacity count as waiting even while the window is full.
 func (p *schedulingPass) placeStep(s *stepState) {
 	if s.spec.Gang {
 		p.placeGang(s)
@@ -166,7 +168,8 @@
 	}
 }
 
-// onNoCapacity takes note of a step of which no further task finds room.
+// onNoCapacity handles a step whose remaining tasks fit nowhere now: it counts them as
+// demand, tries preemption and logs the wait. Tasks too large for any worker are no demand.
 func (p *schedulingPass) onNoCapacity(s *stepState, req *placement.Request) {
 	possible := p.pool.free.couldFit(req) || p.pool.supply.couldFitAtFullSize(req.Need)
 	if possible {
@@ -179,30 +182,30 @@
 	p.requestAdvice(s)
 }
 
-// requestAdvice asks the advisor about workers if the step needs that.
+// requestAdvice queries the advisor if the step needs permits.
 func (p *schedulingPass) requestAdvice(s *stepState) {
 	if s.needsPermits() {
 		p.core.queryAdvisor(s, p.workersFor(s), p.now)
 	}
 }
 
-// logWaiting says once for each job why a task of it was not placed.
+// logWaiting logs once per job why a task of it could not be placed.
 func (p *schedulingPass) logWaiting(s *stepState, possible bool) {
 	j := s.job
 	if j.waitLogged {
 		return
 	}
 	j.waitLogged = true
-	why := "no room"
+	why := "insufficient capacity"
 	if !possible {
-		why = "no worker can ever take it"
+		why = "no worker could ever fit it"
 	}
 	need := s.spec.ReservedResources()
-	p.core.note(Decision{Event: "job-waits", Job: j.spec.ID, Reason: fmt.Sprintf("%s: step %d needs %d thousandths of a core and %d MB, %d workers are usable",
+	p.core.note(Decision{Event: "job-waits", Job: j.spec.ID, Reason: fmt.Sprintf("%s: step %d needs %d millicores and %d MB, %d workers are usable",
 		why, s.index, need.CPUMilli, need.MemMB, p.pool.free.size())})
 }
 
-// countUnplaced returns how many tasks of the step could start now.
+// countUnplaced returns how many tasks of the step need placement.
 func countUnplaced(s *stepState, now time.Time) int {
 	n := 0
 	for _, t := range s.tasks {
@@ -245,15 +248,15 @@
 	}
 }
 
-// workerSelector chooses workers for the tasks of one step.
+// workerSelector selects workers for the tasks of one step.
 type workerSelector struct {
 	p         *schedulingPass
 	step      *stepState
 	req       placement.Request
-	stepTasks map[*worker]int // tasks of the step by worker; kept if only so many may be on one
+	stepTasks map[*worker]int // tasks of the step per worker; nil unless MaxPerWorker is set
 }
 
-// newWorkerSelector returns the choice for the step's tasks, of which some may run already.
+// newWorkerSelector returns a selector that counts the step's existing runs.
 func (p *schedulingPass) newWorkerSelector(s *stepState) *workerSelector {
 	ch := &workerSelector{p: p, step: s, req: placementRequest(s)}
 	if ch.req.MaxPerWorker > 0 {
@@ -267,7 +270,7 @@
 	return ch
 }
 
-// pick returns the pick worker that is not barred, nil if none has room.
+// pick returns the best worker that is not excluded; nil if none has capacity.
 func (ch *workerSelector) pick(barred func(*worker) bool) *worker {
 	if ch.req.LongRunning || ch.req.Filler || ch.req.Serving {
 		return ch.pickByScan(barred)
@@ -280,8 +283,8 @@
 	return ch.p.pool.free.choose(&ch.req, allowed, ch.stepTasks, now)
 }
 
-// pickByScan looks at each worker of the service: what is best for tasks that share it
-// with others over a long time depends on more than its room.
+// pickByScan examines every worker of the service. The free index orders by capacity only;
+// tasks that share a worker with others for long are scored by its other tasks as well.
 func (ch *workerSelector) pickByScan(barred func(*worker) bool) *worker {
 	room := ch.p.workersFor(ch.step)
 	views := room.views
@@ -297,7 +300,7 @@
 	return nil
 }
 
-// start starts the task on the worker.
+// start starts the task on the worker under a new run number.
 func (ch *workerSelector) start(t *task, w *worker) {
 	ch.p.startRun(t, w, &ch.req, ch.p.core.nextRunNumber())
 	if ch.stepTasks != nil {
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -6,55 +6,57 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// startWindow is the starts that are ordered and without an outcome, and how fast outcomes come.
-// What is ordered waits for its turn behind what was ordered before, whatever is more
-// urgent by then: so no more is ordered than can be sent at once.
+// startWindow limits the starts in flight, those ordered and without an outcome, and measures
+// how fast outcomes arrive. Orders queue behind earlier ones even if more urgent, so no more
+// are ordered than can be sent at once.
 type startWindow struct {
-	maxOutstanding int             // starts that may be without an outcome; 0: any number
-	limit          float64         // how many may be now, by the time that answers take
-	decreasedAt    time.Time       // when the limit was last lowered
-	deferred       map[string]bool // services with tasks that could start but for these
+	maxOutstanding int             // starts in flight; 0: unlimited
+	limit          float64         // current limit, adapted to answer latency
+	decreasedAt    time.Time       // last decrease of limit
+	deferred       map[string]bool // services with startable tasks that wait for the window
 
-	outstanding map[uint64]bool // starts in the line, by their numbers
-	sent        []sentStart     // all that may be in it, in the order in which they were ordered
+	outstanding map[uint64]bool // starts in flight, by sequence number
+	sent        []sentStart     // starts in the order in which they were ordered; some have an outcome
 	lastSeq     uint64
 
-	outcomeRate   float64 // outcomes a second, of late
-	outcomes      int     // outcomes since
+	outcomeRate   float64 // recent outcomes per second; 0: unknown
+	outcomes      int     // since rateUpdatedAt
 	rateUpdatedAt time.Time
 }
 
-// sentStart is a start and when it was ordered.
+// sentStart is a start and the time of its order.
 type sentStart struct {
 	seq uint64
 	at  time.Time
 }
 
-// maxOutstandingAge is how long a start without an outcome counts as being in the line: what takes
-// longer waits for its worker, and keeps nothing else from being sent.
+// maxOutstandingAge is how long a start without an outcome counts as in flight. One that
+// takes longer waits for its worker and does not delay other sends.
 const maxOutstandingAge = 100 * time.Millisecond
 
-// Figures of the rate.
+// Parameters of outcomeRate.
 const (
-	// rateInterval is how often the rate is worked out, and rateKept the share of it that
-	// each time leaves: the last two seconds count for the most.
+	// rateInterval is the update interval, and rateDecay the weight of the old value in each
+	// update: the last two seconds dominate.
 	rateInterval = 500 * time.Millisecond
 	rateDecay    = 0.6
-	// rateExpiry without an outcome means that nothing waits for the line.
+	// rateExpiry is how long the rate stays valid without an outcome; after that nothing
+	// waits for the window.
 	rateExpiry = 4 * rateInterval
 )
 
-// Figures of the limit: additive increase, multiplicative decrease, as in TCP. How many
-// orders a daemon's processor and its link bear is not known beforehand.
+// Parameters of the limit, which follows additive increase, multiplicative decrease as in
+// TCP: how many orders a daemon's processor and link can carry is not known in advance.
 const (
-	// congestedLatency is the mean time of answers that shows that orders wait on their way: thirty
-	// times what one takes, and a third of its timeout. Single workers may be slow.
+	// congestedLatency is the mean answer latency that indicates queuing on the way to the
+	// workers: thirty times an order's normal latency and a third of its timeout. The mean
+	// is used because single workers may be slow.
 	congestedLatency = 120 * time.Millisecond
-	// limitDecrease is the share that is left of the limit then, and limitPause the time until it
-	// is lowered again: what was ordered before is answered by then.
+	// limitDecrease is the factor of a decrease, and limitDecreaseInterval the least time
+	// between two: starts sent before the first are answered by then.
 	limitDecrease         = 0.7
 	limitDecreaseInterval = 200 * time.Millisecond
-	// minLimit keeps some starts under way.
+	// minLimit keeps some starts in flight.
 	minLimit = 8
 )
 
@@ -62,7 +64,7 @@
 	return startWindow{maxOutstanding: most, limit: float64(most), deferred: map[string]bool{}, outstanding: map[uint64]bool{}}
 }
 
-// add takes note that a start is ordered, and returns its number.
+// add records a start that is being ordered and returns its sequence number.
 func (l *startWindow) add(now time.Time) uint64 {
 	l.lastSeq++
 	l.outstanding[l.lastSeq] = true
@@ -70,7 +72,7 @@
 	return l.lastSeq
 }
 
-// expire takes those out of the line that were ordered long ago.
+// expire drops starts older than maxOutstandingAge.
 func (l *startWindow) expire(now time.Time) {
 	n := 0
 	for n < len(l.sent) && now.Sub(l.sent[n].at) >= maxOutstandingAge {
@@ -80,7 +82,7 @@
 	l.sent = l.sent[n:]
 }
 
-// onOutcome takes note of the outcome of a start.
+// onOutcome records the outcome of a start and updates the rate.
 func (l *startWindow) onOutcome(number uint64, now time.Time) {
 	delete(l.outstanding, number)
 	l.outcomes++
@@ -91,7 +93,7 @@
 	newest := float64(l.outcomes) / passed.Seconds()
 	switch {
 	case passed >= rateExpiry:
-		l.outcomeRate = 0 // not known
+		l.outcomeRate = 0 // unknown
 	case l.outcomeRate == 0:
 		l.outcomeRate = newest
 	default:
@@ -100,7 +102,7 @@
 	l.outcomes, l.rateUpdatedAt = 0, now
 }
 
-// adjust sets the limit by the mean time of answers, after each of them.
+// adjust adapts the limit to the mean answer latency; called after each answer.
 func (l *startWindow) adjust(mean time.Duration, now time.Time) {
 	switch {
 	case mean <= congestedLatency:
@@ -116,21 +118,22 @@
 	return l.maxOutstanding > 0 && len(l.outstanding) >= int(l.limit)
 }
 
-// hasHeadroom reports whether it is worth while to look again at services that were held
-// back: for each start alone a look would cost more than the start.
+// hasHeadroom reports whether enough of the window is free for another pass over deferred
+// services: a pass per freed slot would cost more than the start.
 func (l *startWindow) hasHeadroom() bool { return len(l.outstanding) <= int(l.limit)/2 }
 
-// isBacklogged reports whether tasks wait for the line, and outcomes come by which it can be
-// told for how long.
+// isBacklogged reports whether services are deferred and the outcome rate is current, so
+// that their wait can be estimated.
 func (l *startWindow) isBacklogged(now time.Time) bool {
 	return len(l.deferred) > 0 && l.outcomeRate > 0 && now.Sub(l.rateUpdatedAt) <= rateExpiry
 }
 
-// IsBacklogged reports whether work waits for its orders to be sent.
+// IsBacklogged reports whether tasks wait for their start orders to be sent.
 func (c *Core) IsBacklogged(now time.Time) bool { return c.startWindow.isBacklogged(now) }
 
-// ExpectedLateness returns by how much a job that was accepted now would be late, because starts that
-// go before its own wait to be sent; 0 if it would not be, or does not run now.
+// ExpectedLateness returns how late a job accepted now would be because of starts that are
+// sent before its own; 0 if it would be on time, repeats, is long-running or its service is
+// not deferred.
 func (c *Core) ExpectedLateness(spec *job.Job, now time.Time) time.Duration {
 	if !c.startWindow.isBacklogged(now) || spec.Repeat > 0 || spec.Steps[0].LongRunning {
 		return 0
@@ -149,8 +152,8 @@
 	return max(0, wait-j.deadline().Sub(now.Add(j.criticalPath)))
 }
 
-// countTasksAhead counts the tasks that can start and go before those of a claim, of jobs that
-// wait in this order.
+// countTasksAhead counts the startable tasks of jobs that sort before the entry; waiting is
+// sorted by the policy.
 func countTasksAhead(waiting []queueEntry, cl queueEntry, policy SchedulingPolicy) int {
 	n := 0
 	for _, w := range waiting {
--- a/jobs/owner/throttle.go
+++ b/jobs/owner/throttle.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// Figures of the pacing of fillers beside serving tasks.
+// Parameters of the throttling of fillers beside serving tasks.
 const (
-	// throttleInterval is how often a worker's fillers are looked at; the figures that
-	// a worker gives cover half a second.
+	// throttleInterval is how often a worker's fillers are adjusted; the latencies that a
+	// worker reports cover half a second.
 	throttleInterval = 400 * time.Millisecond
-	// slowDownAbove and speedUpAt are shares of a serving task's target: above the
-	// first its neighbours are slowed down to half, below the second they get
-	// some of their speed back.
+	// slowDownAbove and speedUpBelow are ratios of a serving task's latency to its target:
+	// above the first, fillers beside it are slowed to half; below the second they regain
+	// speed.
 	slowDownAbove = 0.95
 	speedUpBelow  = 0.7
-	// throttleStepPercent is how much speed is given back at a time, in percent.
+	// throttleStepPercent is the increase in speed per interval.
 	throttleStepPercent = 20
-	// minThrottlePercent is where halving ends and fillers stand still.
+	// minThrottlePercent is the speed at or below which fillers are paused instead of halved.
 	minThrottlePercent = 10
 )
 
-// throttleFillers throttles fillers by the worst tail of the serving tasks beside them:
-// additive increase, multiplicative decrease.
+// throttleFillers adjusts the speed of fillers to the worst tail latency of the serving tasks
+// on their worker: additive increase, multiplicative decrease.
 func (c *Core) throttleFillers(now time.Time) {
 	for _, w := range c.colocatedWorkers.sorted() {
 		if w.ended || !w.silentSince.IsZero() || now.Before(w.nextThrottleAt) {
@@ -38,8 +38,8 @@
 	}
 }
 
-// worstLatencyRatio returns the highest tail of a serving task on the worker as a share
-// of its target; 0: there is none.
+// worstLatencyRatio returns the highest ratio of tail latency to target among the worker's
+// serving tasks; 0 if none reports one.
 func worstLatencyRatio(w *worker) float64 {
 	worst := 0.0
 	for _, r := range w.runs {
@@ -52,8 +52,8 @@
 	return worst
 }
 
-// nextThrottle returns the speed of a filler beside a tail that is worst times its
-// target.
+// nextThrottle returns the new speed, in percent, of a filler that runs at current percent;
+// worst is the result of worstLatencyRatio.
 func nextThrottle(worst float64, current int) int {
 	switch {
 	case worst > slowDownAbove && current <= minThrottlePercent:
@@ -66,6 +66,7 @@
 	return current
 }
 
+// setThrottle orders the run's speed in percent, unless it is the one ordered last.
 func (c *Core) setThrottle(r *run, percent int) {
 	if percent == r.throttlePercent {
 		return
@@ -76,8 +77,8 @@
 	})
 }
 
-// OnThrottled takes a worker's answer to a throttle. After one without an
-// answer the run is throttled anew.
+// OnThrottled handles the answer to a Throttle order. Without an answer the order is sent
+// again at the next interval.
 func (c *Core) OnThrottled(o Throttle, a Answer, now time.Time) {
 	w := c.targetedWorker(o.Target)
 	if w == nil {
@@ -93,6 +94,6 @@
 	}
 }
 
-// unknownThrottle differs from every throttle that may be ordered, but counts
-// as full speed in paceFor.
+// unknownThrottle marks a speed whose order got no answer. It differs from every speed that
+// can be ordered and counts as full speed in nextThrottle.
 const unknownThrottle = 101
--- a/jobs/owner/workerview.go
+++ b/jobs/owner/workerview.go
@@ -10,14 +10,14 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// workerView is the workers of a service as placement sees them.
+// workerView is a snapshot of a service's usable workers for the placement package.
 type workerView struct {
 	workers []*worker
 	views   []placement.Worker
 }
 
-// newWorkerView returns the workers of the service that new tasks may go to. It costs the size
-// of the service: tasks that end by themselves are placed by the index instead.
+// newWorkerView returns a view of the service's usable workers. Its cost grows with the
+// service, so tasks that end by themselves are placed with the free index instead.
 func (c *Core) newWorkerView(service string, now time.Time) *workerView {
 	list := c.workersByService[service]
 	v := &workerView{workers: make([]*worker, 0, len(list)), views: make([]placement.Worker, 0, len(list))}
@@ -32,12 +32,11 @@
 	return v
 }
 
-// indexOf returns the place of a worker in the view; ok is false if it is not
-// there.
+// indexOf returns the worker's index in the view; ok is false if the view lacks it.
 func (v *workerView) indexOf(w *worker) (i int, ok bool) { return w.workerViewIndex, w.workerView == v }
 
-// countStepTasks sets how many tasks of the step run on each worker, and bars those
-// that it may not run on.
+// countStepTasks counts the step's runs on each worker, and excludes the workers that it
+// may not use.
 func (v *workerView) countStepTasks(s *stepState, now time.Time) {
 	needsPermits := s.needsPermits()
 	for i, w := range v.workers {
@@ -53,14 +52,14 @@
 	}
 }
 
-// otherWorkerWait is how long a task that failed waits for room on another
-// worker than those on which it did: attempts are few, and a bad worker fails all.
-// Most tasks end within it.
+// otherWorkerWait is how long a failed task waits for capacity on a worker where it has not
+// failed: attempts are limited, and a faulty worker fails every task. Most tasks end within
+// this time, which frees capacity.
 const otherWorkerWait = time.Second
 
-// awaitsOtherWorker reports whether the task failed a moment ago, and there are workers
-// that could take it and on which it did not. Tickets last for a short time, so
-// that tasks that need one do not wait.
+// awaitsOtherWorker reports whether the task failed recently and some usable worker where it
+// has not failed is large enough for it. Tasks that need a ticket do not wait, as tickets
+// expire soon.
 func (t *task) awaitsOtherWorker(free *freeIndex, req *placement.Request, now time.Time) bool {
 	if len(t.failedOn) == 0 || req.Restricted || now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return false
@@ -75,16 +74,17 @@
 	return false
 }
 
+// hasFailedOn reports whether the task failed on the worker in this term.
 func (t *task) hasFailedOn(w *worker) bool { return slices.Contains(t.failedOn, w.Worker) }
 
-// runsByNumber returns the runs on the worker in the order of their starts.
+// runsByNumber returns the worker's runs in the order of their starts.
 func runsByNumber(w *worker) []*run {
 	out := slices.Collect(maps.Values(w.runs))
 	slices.SortFunc(out, func(a, b *run) int { return cmp.Compare(a.number, b.number) })
 	return out
 }
 
-// addRun adds a run to its task and its worker.
+// addRun adds a run to the task and its worker.
 func (t *task) addRun(r *run) {
 	if len(t.runs) == 0 && !t.done {
 		t.step.withoutRun--
@@ -93,7 +93,7 @@
 	r.worker.addRun(r)
 }
 
-// removeRun is the inverse of addRun; a run that was dropped before is left alone.
+// removeRun undoes addRun; it returns false if the task does not have the run any more.
 func (t *task) removeRun(r *run) (dropped bool) {
 	r.worker.removeRun(r)
 	i := slices.Index(t.runs, r)
@@ -107,7 +107,7 @@
 	return true
 }
 
-// addRun accounts for a run on the worker.
+// addRun records the run on the worker and what it occupies.
 func (w *worker) addRun(r *run) {
 	id := r.task.id()
 	if old := w.runs[id]; old != nil {
@@ -117,7 +117,7 @@
 	w.addUsage(r, 1)
 }
 
-// removeRun is the inverse of addRun.
+// removeRun undoes addRun.
 func (w *worker) removeRun(r *run) {
 	id := r.task.id()
 	if w.runs[id] != r {
@@ -127,7 +127,7 @@
 	w.addUsage(r, -1)
 }
 
-// addUsage adds n times what the run occupies.
+// addUsage adds n times the run's needs to the worker's usage; n is 1 or -1.
 func (w *worker) addUsage(r *run, n int) {
 	spec := r.task.step.spec
 	need := spec.ReservedResources()
@@ -144,5 +144,5 @@
 	}
 }
 
-// free returns the room that no run occupies, as far as is known.
+// free returns the capacity that no known run occupies.
 func (w *worker) free() job.Resources { return w.Capacity.Sub(w.allocated) }
