--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -5,11 +5,11 @@
 // Crash is a run of a task that was on a worker when it crashed, or when contact to it was
 // lost and nobody knows yet why.
 type Crash struct {
-	Run       uint64 `json:"R"`
-	Worker    string `json:"W,omitempty"` // life of the worker, while its fate is open; "" once it has crashed
-	AtStart   bool   `json:"E,omitempty"` // it happened as soon as the run began
-	TimeKnown bool   `json:"X,omitempty"` // the moment is known, not only the last sign of life before it
-	Alone     bool   `json:"A,omitempty"` // nothing else that ran there explains it as well
+	Run         uint64 `json:"R"`
+	Worker      string `json:"W,omitempty"` // life of the worker, while its fate is open; "" once it has crashed
+	AtStart     bool   `json:"E,omitempty"` // it happened as soon as the run began
+	TimeKnown   bool   `json:"X,omitempty"` // the moment is known, not only the last sign of life before it
+	SoleSuspect bool   `json:"A,omitempty"` // nothing else that ran there explains it as well
 }
 
 // Unconfirmed reports whether it is not known yet whether the worker has crashed.
@@ -86,12 +86,12 @@
 // Conclusive reports whether the task crashes its workers beyond doubt: starting it again would
 // cost one more. At least one of the crashes had no other cause that ran there.
 func (c Crashes) Conclusive() bool {
-	alone := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.Alone })
+	alone := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect })
 	certain := c.Confirmed()
 	if alone > 0 && certain >= proofInDark {
 		return true
 	}
-	exact := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.Alone && k.TimeKnown })
+	exact := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect && k.TimeKnown })
 	atStart := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.AtStart && k.TimeKnown })
 	return exact > 0 && (atStart >= proofByMoment || certain >= proofByNumber)
 }
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -7,12 +7,12 @@
 )
 
 func TestProofThatATaskCrashesItsWorkers(t *testing.T) {
-	prompt := Crash{AtStart: true, TimeKnown: true, Alone: true}
+	prompt := Crash{AtStart: true, TimeKnown: true, SoleSuspect: true}
 	beside := Crash{AtStart: true, TimeKnown: true}
 	late := Crash{TimeKnown: true}
-	lateAlone := Crash{TimeKnown: true, Alone: true}
-	dark := Crash{AtStart: true, Alone: true}
-	open := Crash{Worker: "w", AtStart: true, TimeKnown: true, Alone: true}
+	lateAlone := Crash{TimeKnown: true, SoleSuspect: true}
+	dark := Crash{AtStart: true, SoleSuspect: true}
+	open := Crash{Worker: "w", AtStart: true, TimeKnown: true, SoleSuspect: true}
 	for name, c := range map[string]struct {
 		crashes   Crashes
 		proven    bool
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -63,7 +63,7 @@
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsAsPlanned() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.isEarlyLoss(), TimeKnown: r.worker.contactLoss.connFailed, Alone: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.isEarlyLoss(), TimeKnown: r.worker.contactLoss.connFailed, SoleSuspect: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
@@ -206,7 +206,7 @@
 }
 
 func crashReason(all job.Crashes, k *job.Crash) string {
-	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.Alone)
+	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
 }
 
 // giveUpIfProven gives a task up that crashes its workers beyond doubt. Its job fails, unless
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -75,7 +75,7 @@
 	w.isolatedFor = nil
 	w.trialRuns = append(w.trialRuns, r)
 	c.note(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
-	c.addUndecidedCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), AtStart: true, TimeKnown: true, Alone: true})
+	c.addUndecidedCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), AtStart: true, TimeKnown: true, SoleSuspect: true})
 	c.markCrashDirty(t.step.job)
 }
 
