--- a/jobs/calls/calls.go
+++ b/jobs/calls/calls.go
@@ -15,23 +15,23 @@
 	// keptFast is the same for the question whether anything is answered at all: the last
 	// twenty.
 	keptFast = 1 - 1.0/20
-	// LossyFrom is the share of lost calls from which on calls count as lost on their way, and
+	// LossyAbove is the share of lost calls from which on calls count as lost on their way, and
 	// LossyUntil that below which they do not any more: one worker of a hundred that ends
 	// without notice is below both.
-	LossyFrom  = 0.03
-	LossyUntil = 0.005
+	LossyAbove      = 0.03
+	LossyUntilBelow = 0.005
 	// mostLost is the share from which on it is the way itself that does not serve.
 	mostLost = 0.5
 )
 
 // Figures of waiting while calls are lost.
 const (
-	// Patience is how long an answer is waited for: thirty times what one takes, and more than
+	// LossyTimeout is how long an answer is waited for: thirty times what one takes, and more than
 	// the tenth of a second for which a processor with an allowance may stand still.
-	Patience = 120 * time.Millisecond
-	// Tries is how often a call is sent then. Of those that are lost once in five, one of
+	LossyTimeout = 120 * time.Millisecond
+	// LossyAttempts is how often a call is sent then. Of those that are lost once in five, one of
 	// 15,000 is lost so often; together they take no longer than two patient ones.
-	Tries = 6
+	LossyAttempts = 6
 )
 
 // Policy says how long answers are waited for.
@@ -44,39 +44,39 @@
 	Short    Policy = "short"    // as if it was lost, unless hardly anything is answered
 )
 
-// Outcomes sums up the outcomes of calls. Its zero value has seen none, and is adaptive.
-type Outcomes struct {
+// LossDetector sums up the outcomes of calls. Its zero value has seen none, and is adaptive.
+type LossDetector struct {
 	Policy         Policy
 	lost, lostFast float64 // shares
 	lossy          bool
 }
 
 // Answered takes note of a call that was answered.
-func (o *Outcomes) Answered() { o.note(0, true) }
+func (o *LossDetector) Answered() { o.note(0, true) }
 
 // Lost takes note of a call without an answer to a worker that answered the one before.
-func (o *Outcomes) Lost() { o.note(1, true) }
+func (o *LossDetector) Lost() { o.note(1, true) }
 
-// LostAgain takes note of one more to a worker that has not answered since. It may be the
+// LostRepeatedly takes note of one more to a worker that has not answered since. It may be the
 // worker that is silent, so that it counts only for whether anything is answered at all.
-func (o *Outcomes) LostAgain() { o.note(1, false) }
+func (o *LossDetector) LostRepeatedly() { o.note(1, false) }
 
-func (o *Outcomes) note(lost float64, onItsWay bool) {
+func (o *LossDetector) note(lost float64, onItsWay bool) {
 	o.lostFast = keptFast*o.lostFast + (1-keptFast)*lost
 	if !onItsWay {
 		return
 	}
 	o.lost = kept*o.lost + (1-kept)*lost
 	switch {
-	case o.lost >= LossyFrom:
+	case o.lost >= LossyAbove:
 		o.lossy = true
-	case o.lost < LossyUntil:
+	case o.lost < LossyUntilBelow:
 		o.lossy = false
 	}
 }
 
 // Lossy reports whether calls are lost one by one, while most are answered.
-func (o *Outcomes) Lossy() bool {
+func (o *LossDetector) Lossy() bool {
 	switch o.Policy {
 	case Patient:
 		return false
@@ -87,17 +87,17 @@
 }
 
 // Timeout returns how long to wait for an answer, usual being what is waited for else.
-func (o *Outcomes) Timeout(usual time.Duration) time.Duration {
+func (o *LossDetector) Timeout(usual time.Duration) time.Duration {
 	if o.Lossy() {
-		return min(usual, Patience)
+		return min(usual, LossyTimeout)
 	}
 	return usual
 }
 
 // Attempts returns how often to send a call that is not answered, likewise.
-func (o *Outcomes) Attempts(usual int) int {
+func (o *LossDetector) Attempts(usual int) int {
 	if o.Lossy() {
-		return max(usual, Tries)
+		return max(usual, LossyAttempts)
 	}
 	return usual
 }
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -330,7 +330,7 @@
 
 	staleIndexWorkers []*worker // workers with indexStale set
 
-	callOutcomes      calls.Outcomes
+	callOutcomes      calls.LossDetector
 	starvedSince      time.Time     // start of the current or last period in which timeouts prove nothing
 	starvedUntil      time.Time     // end of that period
 	meanAnswerLatency time.Duration // moving average
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -152,7 +152,7 @@
 		w.lossReported = false
 	case a.ConnFailed:
 	case w.lossReported:
-		c.callOutcomes.LostAgain()
+		c.callOutcomes.LostRepeatedly()
 	default:
 		c.callOutcomes.Lost()
 		w.lossReported = true
