--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -97,7 +97,7 @@
 }
 
 // queryAdvisor asks the advisor about usable workers, those with the most room first.
-func (c *Core) queryAdvisor(s *stepState, room *workerView, now time.Time) {
+func (c *Core) queryAdvisor(s *stepState, view *workerView, now time.Time) {
 	if s.permits == nil {
 		s.permits = &permits{tickets: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
 	}
@@ -106,7 +106,7 @@
 		return
 	}
 	var list []*worker
-	for _, w := range room.workers {
+	for _, w := range view.workers {
 		if !p.denied[w.Worker] && !s.hasValidTicket(w, now) {
 			list = append(list, w)
 		}
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -20,11 +20,11 @@
 }
 
 // lastAliveAt returns the latest time at which the worker was certainly alive.
-func (k *contactLoss) lastAliveAt() time.Time {
-	if k.connFailed {
-		return k.lostAt
+func (l *contactLoss) lastAliveAt() time.Time {
+	if l.connFailed {
+		return l.lostAt
 	}
-	return k.lastAnswerAt
+	return l.lastAnswerAt
 }
 
 // loseRun releases a run that ended with its worker or its lease. proof is how that is known.
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -39,7 +39,7 @@
 		return urgentCopy
 	}
 	late := time.Duration(copyDelayFactor*float64(spec.Estimate)) + copyExtraDelay
-	if r.phase == running && now.Sub(r.confirmedAt) > late && t.suspicion() == job.CrashRiskNone {
+	if r.phase == running && now.Sub(r.confirmedAt) > late && t.crashRisk() == job.CrashRiskNone {
 		return lateCopy
 	}
 	return noCopy
@@ -47,9 +47,9 @@
 
 // placeLateCopies starts copies of tasks that take long. It comes after all
 // placements that left no task waiting: a copy is worth less than a first run.
-func (p *schedulingPass) placeLateCopies(claims []queueEntry) {
-	for _, cl := range claims {
-		for _, s := range cl.job.steps {
+func (p *schedulingPass) placeLateCopies(entries []queueEntry) {
+	for _, e := range entries {
+		for _, s := range e.job.steps {
 			if s.ready() && s.spec.Speculative {
 				p.placeCopies(s, lateCopy)
 			}
@@ -60,7 +60,7 @@
 // placeCopies starts copies of the step's tasks that need one so much. A copy of an
 // inherited task may run beside a run that is not known yet; its step allows that.
 func (p *schedulingPass) placeCopies(s *stepState, need copyNeed) {
-	var choice *workerSelector
+	var sel *workerSelector
 	for _, t := range s.tasks {
 		if t.copyNeed(p.now) != need {
 			continue
@@ -68,20 +68,20 @@
 		if p.deferStarts() || !p.core.quotaAllows(s.job.spec, s.spec, 1, p.now) {
 			return
 		}
-		if choice == nil {
-			choice = p.newWorkerSelector(s)
+		if sel == nil {
+			sel = p.newWorkerSelector(s)
 		}
 		first := t.runs[0].worker
-		barred := func(o *worker) bool { return o == first }
-		if t.suspicion() != job.CrashRiskNone {
-			p.placeSuspect(t, choice, barred)
+		excluded := func(o *worker) bool { return o == first }
+		if t.crashRisk() != job.CrashRiskNone {
+			p.placeSuspect(t, sel, excluded)
 			continue
 		}
-		w := choice.pick(barred)
+		w := sel.pick(excluded)
 		if w == nil {
 			return
 		}
 		p.core.note(Decision{Event: "copy-started", Job: s.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Reason: "its run on " + string(first.Worker) + " lags"})
-		choice.start(t, w)
+		sel.start(t, w)
 	}
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -17,9 +17,9 @@
 
 // Figures of crashes.
 const (
-	// earlyCrashTime is how long after a run was confirmed a crash counts as early. A crash at
+	// atStartTime is how long after a run was confirmed a crash counts as early. A crash at
 	// the start shows within milliseconds; the answer may wait for the owner's processor.
-	earlyCrashTime = 150 * time.Millisecond
+	atStartTime = 150 * time.Millisecond
 	// lossDecisionDelay is how long after the end of a life it is decided whether a task may have
 	// been the cause: other workers of a rack that failed are seen to be lost by then.
 	lossDecisionDelay = 400 * time.Millisecond
@@ -36,10 +36,10 @@
 	longRunningClearTime = 10 * time.Second
 )
 
-// isEarlyLoss reports whether the run's worker was lost as soon as the run began, as far as is
+// lostAtStart reports whether the run's worker was lost as soon as the run began, as far as is
 // known.
-func (r *run) isEarlyLoss() bool {
-	return !r.firstSentAt.IsZero() && (r.phase == starting || r.aliveAfterStart() <= earlyCrashTime)
+func (r *run) lostAtStart() bool {
+	return !r.firstSentAt.IsZero() && (r.phase == starting || r.aliveAfterStart() <= atStartTime)
 }
 
 // onContactLost takes note of a call to the worker without an answer. What was started there a
@@ -50,7 +50,7 @@
 		return
 	}
 	for _, r := range runsByNumber(w) {
-		if r.isEarlyLoss() {
+		if r.lostAtStart() {
 			c.recordPossibleCrash(r, now)
 		}
 	}
@@ -63,18 +63,18 @@
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsAsPlanned() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.isEarlyLoss(), TimeKnown: r.worker.contactLoss.connFailed, SoleSuspect: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.lostAtStart(), TimeKnown: r.worker.contactLoss.connFailed, SoleSuspect: r.isOnlyCause()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
-		c.addUndecidedCrash(t, k)
+		c.addUnconfirmedCrash(t, k)
 		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.describeContact()})
 	}
 	c.markCrashDirty(t.step.job)
 }
 
-// addUndecidedCrash adds a crash that is open.
-func (c *Core) addUndecidedCrash(t *task, k job.Crash) {
+// addUnconfirmedCrash adds a crash that is open.
+func (c *Core) addUnconfirmedCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
 	l := parseIncarnation(k.Worker)
 	c.openCrashes[l] = append(c.openCrashes[l], t)
@@ -82,9 +82,9 @@
 
 // isOnlyCause reports whether no run of another job explains the loss of the worker as well.
 func (r *run) isOnlyCause() bool {
-	early := r.isEarlyLoss()
+	early := r.lostAtStart()
 	for _, o := range r.worker.runs {
-		if o.task.step.job != r.task.step.job && (!early || o.isEarlyLoss()) {
+		if o.task.step.job != r.task.step.job && (!early || o.lostAtStart()) {
 			return false
 		}
 	}
@@ -127,11 +127,11 @@
 		c.clearCrashes(w.incarnation(), "it ended as planned")
 		return
 	}
-	with := c.lossCorrelationOf(w)
+	correlation := c.lossCorrelationOf(w)
 	switch {
-	case with == possiblyCorrelated && now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime:
+	case correlation == possiblyCorrelated && now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime:
 		c.crashDecisionsDue.add(now.Add(lossDecisionDelay), w)
-	case with == uncorrelated:
+	case correlation == uncorrelated:
 		c.confirmCrashes(w.incarnation(), now)
 	default:
 		c.clearCrashes(w.incarnation(), "its rack or zone failed")
@@ -249,7 +249,7 @@
 func (c *Core) restoreCrashes(t *task, crashes job.Crashes) {
 	for _, k := range crashes {
 		if k.Unconfirmed() {
-			c.addUndecidedCrash(t, k)
+			c.addUnconfirmedCrash(t, k)
 		} else {
 			t.crashes = append(t.crashes, k)
 		}
@@ -295,7 +295,7 @@
 			r := t.findRun(k.Run, w)
 			return k.Worker == l.String() && (r == nil || r.isStable(now))
 		})
-		if t.hasUndecidedCrashOn(l) {
+		if t.hasUnconfirmedCrashOn(l) {
 			left = append(left, t)
 		}
 	}
@@ -306,12 +306,12 @@
 	c.openCrashes[l] = left
 }
 
-// dropUndecidedCrash takes back what was held against the task for a run.
-func (t *task) dropUndecidedCrash(run uint64) {
+// dropUnconfirmedCrash takes back what was held against the task for a run.
+func (t *task) dropUnconfirmedCrash(run uint64) {
 	t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Run == run && k.Unconfirmed() })
 }
 
-func (t *task) hasUndecidedCrashOn(l incarnation) bool {
+func (t *task) hasUnconfirmedCrashOn(l incarnation) bool {
 	for _, k := range t.crashes {
 		if k.Worker == l.String() {
 			return true
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -14,25 +14,25 @@
 
 // longRunningOn counts the long-running tasks on a worker by their step.
 func longRunningOn(w *worker) map[*stepState]int {
-	here := map[*stepState]int{}
+	counts := map[*stepState]int{}
 	for _, r := range w.runs {
 		if s := r.task.step; s.spec.LongRunning && !s.job.state.Final() {
-			here[s]++
+			counts[s]++
 		}
 	}
-	return here
+	return counts
 }
 
 // unavailableElsewhere counts the tasks of a step that are away beside those on w. A task
 // on a worker that was ordered away is.
 func unavailableElsewhere(s *stepState, w *worker, now time.Time) int {
-	away := 0
+	unavailable := 0
 	for _, t := range s.tasks {
 		if !t.runsOn(w) && !t.isServing(now) {
-			away++
+			unavailable++
 		}
 	}
-	return away
+	return unavailable
 }
 
 // canTakeDown reports whether the budgets of the long-running tasks on the worker
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -186,7 +186,7 @@
 	}
 	c.removeRun(r)
 	if r.worker.contactLoss.lostAt.IsZero() && !r.fromPastIncarnation {
-		r.task.dropUndecidedCrash(r.number) // the worker still answers
+		r.task.dropUnconfirmedCrash(r.number) // the worker still answers
 	}
 	c.markWorkerChanged(r.worker)
 	c.changedServices[r.worker.Service] = true
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -11,8 +11,8 @@
 // capacityClass holds the usable workers of a service with the same capacity; apart from
 // labels each of them can hold the same tasks.
 type capacityClass struct {
-	room   job.Resources
-	byFree []*worker // by free millicores, then by id
+	capacity job.Resources
+	byFree   []*worker // by free millicores, then by id
 }
 
 // freeIndex holds a service's usable workers ordered by free processors. The best worker for
@@ -28,13 +28,13 @@
 	return byID(a, b)
 }
 
-func (x *freeIndex) classOf(room job.Resources) *capacityClass {
+func (x *freeIndex) classOf(capacity job.Resources) *capacityClass {
 	for _, k := range x.classes {
-		if k.room == room {
+		if k.capacity == capacity {
 			return k
 		}
 	}
-	k := &capacityClass{room: room}
+	k := &capacityClass{capacity: capacity}
 	x.classes = append(x.classes, k)
 	return k
 }
@@ -70,7 +70,7 @@
 // true if no worker is usable.
 func (x *freeIndex) couldFit(req *placement.Request) bool {
 	for _, k := range x.classes {
-		if len(k.byFree) == 0 || !k.room.Fits(req.Need) {
+		if len(k.byFree) == 0 || !k.capacity.Fits(req.Need) {
 			continue
 		}
 		if req.RequiredLabel == "" || slices.ContainsFunc(k.byFree, func(w *worker) bool { return slices.Contains(w.Labels, req.RequiredLabel) }) {
@@ -83,11 +83,11 @@
 // choose returns the best worker for a task that ends by itself; nil if none has capacity.
 // allowed filters workers, and mine counts the step's tasks per worker. The result equals
 // that of placement.Choose over all workers.
-func (x *freeIndex) choose(req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) *worker {
+func (x *freeIndex) choose(req *placement.Request, allowed func(*worker) bool, stepTasks map[*worker]int, now time.Time) *worker {
 	var best []*worker
 	for _, k := range x.classes {
-		if k.room.Fits(req.Need) {
-			best = k.candidates(best, req, allowed, mine, now)
+		if k.capacity.Fits(req.Need) {
+			best = k.candidates(best, req, allowed, stepTasks, now)
 		}
 	}
 	switch len(best) {
@@ -107,7 +107,7 @@
 // candidates appends the workers of the class that may be the best one: the fullest with
 // enough free capacity for each combination of recent failures and preferred rack, up to
 // the first without failures on that rack.
-func (k *capacityClass) candidates(out []*worker, req *placement.Request, allowed func(*worker) bool, mine map[*worker]int, now time.Time) []*worker {
+func (k *capacityClass) candidates(out []*worker, req *placement.Request, allowed func(*worker) bool, stepTasks map[*worker]int, now time.Time) []*worker {
 	from, _ := slices.BinarySearchFunc(k.byFree, req.Need.CPUMilli, func(w *worker, need int) int {
 		if w.indexedFreeCPUMilli < need {
 			return -1
@@ -117,25 +117,25 @@
 	var found [2][2]bool // by recent failures, by preferred rack
 	for _, w := range k.byFree[from:] {
 		if !w.free().Fits(req.Need) || !allowed(w) ||
-			req.MaxPerWorker > 0 && mine[w] >= req.MaxPerWorker ||
+			req.MaxPerWorker > 0 && stepTasks[w] >= req.MaxPerWorker ||
 			req.RequiredLabel != "" && !slices.Contains(w.Labels, req.RequiredLabel) {
 			continue
 		}
-		suspect := w.hasRecentFailures(now)
-		near := req.PreferredRack == "" || w.Rack == req.PreferredRack
-		if seen := &found[boolIndex(suspect)][boolIndex(near)]; !*seen {
+		failing := w.hasRecentFailures(now)
+		onRack := req.PreferredRack == "" || w.Rack == req.PreferredRack
+		if seen := &found[boolIndex(failing)][boolIndex(onRack)]; !*seen {
 			*seen = true
 			out = append(out, w)
 		}
-		if !suspect && near {
+		if !failing && onRack {
 			break
 		}
 	}
 	return out
 }
 
-func boolIndex(holds bool) int {
-	if holds {
+func boolIndex(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
@@ -182,7 +182,7 @@
 func (c *Core) reindex(w *worker, now time.Time) {
 	c.colocatedWorkers.put(w, w.fillerRuns > 0 && w.servingRuns > 0 && !w.ended)
 	usable := c.workers[w.Worker] == w && c.isUsable(w, now)
-	if usable && w.capacityClass != nil && w.indexedService == w.Service && w.capacityClass.room == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
+	if usable && w.capacityClass != nil && w.indexedService == w.Service && w.capacityClass.capacity == w.Capacity && w.indexedFreeCPUMilli == w.free().CPUMilli {
 		return
 	}
 	w.removeFromIndex()
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -68,12 +68,12 @@
 
 // overlaps reports whether both losses may have happened at the same moment: each between the
 // last sign of life and the first call without an answer.
-func (k *contactLoss) overlaps(o *contactLoss) bool {
-	if k.lostAt.IsZero() || o.lostAt.IsZero() {
+func (l *contactLoss) overlaps(o *contactLoss) bool {
+	if l.lostAt.IsZero() || o.lostAt.IsZero() {
 		return false
 	}
-	const accuracy = earlyCrashTime // of what is known of the moment at which a connection ended
-	return !k.lastAliveAt().After(o.lostAt.Add(accuracy)) && !o.lastAliveAt().After(k.lostAt.Add(accuracy))
+	const accuracy = atStartTime // of what is known of the moment at which a connection ended
+	return !l.lastAliveAt().After(o.lostAt.Add(accuracy)) && !o.lastAliveAt().After(l.lostAt.Add(accuracy))
 }
 
 // lossCount counts the workers of a rack or zone.
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -39,10 +39,10 @@
 		return
 	}
 	s.preemptCheckedAt = now
-	room := p.workersFor(s)
-	runs := make([][]*run, len(room.workers))
-	occupants := make([][]placement.Occupant, len(room.workers))
-	for i, w := range room.workers {
+	view := p.workersFor(s)
+	runs := make([][]*run, len(view.workers))
+	occupants := make([][]placement.Occupant, len(view.workers))
+	for i, w := range view.workers {
 		for _, r := range runsByNumber(w) {
 			if r.preemptibleBy(s) {
 				runs[i] = append(runs[i], r)
@@ -50,12 +50,12 @@
 			}
 		}
 	}
-	cleared, ok := placement.Preempt(room.views, occupants, *req)
+	cleared, ok := placement.Preempt(view.views, occupants, *req)
 	if !ok {
 		return
 	}
 	s.preemptedAt = now
-	w := room.workers[cleared.Worker]
+	w := view.workers[cleared.Worker]
 	w.preemptedFor, w.preemptedUntil = s, now.Add(preemptInterval)
 	for _, i := range cleared.Occupants {
 		p.core.stop(runs[cleared.Worker][i], "preempted by "+string(s.job.spec.ID), now)
@@ -108,5 +108,5 @@
 // isReservedForOther reports whether the worker is reserved for another step after a
 // preemption, or quarantined from the step's job.
 func (w *worker) isReservedForOther(s *stepState, now time.Time) bool {
-	return w.isQuarantinedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
+	return w.isIsolatedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
 }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -13,31 +13,31 @@
 const (
 	// stableAfter is how long a run has to be there to count as one that does not crash its
 	// worker at the start.
-	stableAfter = 2 * earlyCrashTime
+	stableAfter = 2 * atStartTime
 	// isolationWait is how long a suspect waits for an empty worker before it goes beside
 	// runs that have settled, and isolateLasting the same for a long-running task, which has
 	// to be back within 3 s. Most tasks end within it.
 	isolationWait            = 1500 * time.Millisecond
 	isolationWaitLongRunning = 700 * time.Millisecond
-	// emptyingTime is how long a worker gets no other tasks so that it empties for a suspect.
-	emptyingTime = 2 * time.Second
-	// maxEmptyingShare of a service's workers may be kept so at most, one at least.
-	maxEmptyingShare = 0.25
+	// drainTime is how long a worker gets no other tasks so that it empties for a suspect.
+	drainTime = 2 * time.Second
+	// maxDrainingShare of a service's workers may be kept so at most, one at least.
+	maxDrainingShare = 0.25
 	// crashedInstanceAvoidTime is how long an instance that has crashed is the last choice: it may go down
 	// again by itself, and the suspect would be blamed for it.
 	crashedInstanceAvoidTime = 20 * time.Second
 )
 
-// suspicion returns that of the task; the members of a gang share theirs, as they start
+// crashRisk returns that of the task; the members of a gang share theirs, as they start
 // together.
-func (t *task) suspicion() job.CrashRisk {
+func (t *task) crashRisk() job.CrashRisk {
 	if t.step.spec.Gang {
-		return t.step.suspicion()
+		return t.step.crashRisk()
 	}
 	return t.crashes.Risk()
 }
 
-func (s *stepState) suspicion() job.CrashRisk {
+func (s *stepState) crashRisk() job.CrashRisk {
 	most := job.CrashRiskNone
 	for _, t := range s.tasks {
 		most = max(most, t.crashes.Risk())
@@ -65,7 +65,7 @@
 // recorded as possible before the start is answered: should this owner be lost with the
 // worker, the next one counts it.
 func (c *Core) beginIsolation(r *run, now time.Time) {
-	r.trial = r.task.suspicion()
+	r.trial = r.task.crashRisk()
 	if r.trial == job.CrashRiskNone {
 		return
 	}
@@ -75,27 +75,27 @@
 	w.isolatedFor = nil
 	w.trialRuns = append(w.trialRuns, r)
 	c.note(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
-	c.addUndecidedCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), AtStart: true, TimeKnown: true, SoleSuspect: true})
+	c.addUnconfirmedCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), AtStart: true, TimeKnown: true, SoleSuspect: true})
 	c.markCrashDirty(t.step.job)
 }
 
-// isQuarantinedFrom reports whether the worker is kept for a suspect of another job, or runs
+// isIsolatedFrom reports whether the worker is kept for a suspect of another job, or runs
 // one that has not settled.
-func (w *worker) isQuarantinedFrom(j *jobState, now time.Time) bool {
+func (w *worker) isIsolatedFrom(j *jobState, now time.Time) bool {
 	if w.isolatedFor != nil && w.isolatedFor != j && now.Before(w.isolatedUntil) && !w.isolatedFor.state.Final() {
 		return true
 	}
 	kept := w.trialRuns[:0]
-	quarantined := false
+	isolating := false
 	for _, r := range w.trialRuns {
 		if w.runs[r.task.id()] != r || !r.needsIsolation(now) {
 			continue
 		}
 		kept = append(kept, r)
-		quarantined = quarantined || r.task.step.job != j
+		isolating = isolating || r.task.step.job != j
 	}
 	w.trialRuns = kept
-	return quarantined
+	return isolating
 }
 
 // runsNoOtherJob reports whether nothing of another job runs on the worker.
@@ -133,15 +133,15 @@
 		t.isolationWaitSince = p.now
 	}
 	sound := func(w *worker) bool { return p.core.isInstanceSound(w, p.now) }
-	settled := func(w *worker) bool { return w.otherJobsStable(j, p.now) }
+	stable := func(w *worker) bool { return w.otherJobsStable(j, p.now) }
 	out := []func(*worker) bool{func(w *worker) bool { return w.runsNoOtherJob(j) && sound(w) }}
 	if p.now.Sub(t.isolationWaitSince) < t.step.isolationWait() {
 		return out
 	}
 	return append(out,
-		func(w *worker) bool { return settled(w) && sound(w) },
+		func(w *worker) bool { return stable(w) && sound(w) },
 		func(w *worker) bool { return w.runsNoOtherJob(j) },
-		settled)
+		stable)
 }
 
 func (s *stepState) isolationWait() time.Duration {
@@ -160,21 +160,21 @@
 }
 
 // placeSuspect starts a suspect on a worker of its own, if there is one.
-func (p *schedulingPass) placeSuspect(t *task, choice *workerSelector, barred func(*worker) bool) {
+func (p *schedulingPass) placeSuspect(t *task, sel *workerSelector, excluded func(*worker) bool) {
 	for _, fits := range p.isolationConditions(t) {
-		w := choice.pick(func(w *worker) bool { return barred(w) || !fits(w) })
+		w := sel.pick(func(w *worker) bool { return excluded(w) || !fits(w) })
 		if w == nil {
 			continue
 		}
 		if !p.deferStarts() {
-			choice.start(t, w)
+			sel.start(t, w)
 			t.step.waitingSince = time.Time{}
 		}
 		return
 	}
-	p.awaitIsolation(t, &choice.req)
+	p.awaitIsolation(t, &sel.req)
 	if p.now.Sub(t.isolationWaitSince) >= t.step.isolationWait() {
-		p.preempt(t.step, &choice.req) // there is no room at all
+		p.preempt(t.step, &sel.req) // there is no room at all
 	}
 }
 
@@ -185,39 +185,39 @@
 	p.pool.addWaiting(s, 1)
 	t.addTime(CauseFailedThereBefore, s.readySince(), p.now)
 	p.requestAdvice(s)
-	room := p.workersFor(s)
-	kept := 0
+	view := p.workersFor(s)
+	draining := 0
 	var best *worker
-	for i, w := range room.workers {
+	for i, w := range view.workers {
 		if w.isolatedFor != nil && p.now.Before(w.isolatedUntil) {
 			if w.isolatedFor == s.job {
 				return
 			}
-			kept++
+			draining++
 			continue
 		}
-		if w.longRunningRuns > 0 || room.views[i].Excluded || // a long-running task does not end for it
-			!placement.Feasible(&room.views[i], req) {
+		if w.longRunningRuns > 0 || view.views[i].Excluded || // a long-running task does not end for it
+			!placement.Feasible(&view.views[i], req) {
 			continue
 		}
 		if best == nil || len(w.runs) < len(best.runs) {
 			best = w
 		}
 	}
-	if best == nil || float64(kept+1) > max(1, maxEmptyingShare*float64(len(room.workers))) {
+	if best == nil || float64(draining+1) > max(1, maxDrainingShare*float64(len(view.workers))) {
 		return
 	}
-	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(emptyingTime)
+	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(drainTime)
 }
 
 // isolationViews returns the views of the room with the workers barred on which a gang of
 // suspects may not start.
-func (p *schedulingPass) isolationViews(s *stepState, room *workerView) []placement.Worker {
+func (p *schedulingPass) isolationViews(s *stepState, view *workerView) []placement.Worker {
 	conditions := p.isolationConditions(s.tasks[0])
 	allowed := conditions[len(conditions)-1]
-	views := make([]placement.Worker, len(room.views))
-	copy(views, room.views)
-	for i, w := range room.workers {
+	views := make([]placement.Worker, len(view.views))
+	copy(views, view.views)
+	for i, w := range view.workers {
 		views[i].Excluded = views[i].Excluded || !allowed(w)
 	}
 	return views
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -29,18 +29,18 @@
 
 // queueEntryOf computes the sort keys of a job and stores its band.
 func (c *Core) queueEntryOf(j *jobState, now time.Time) queueEntry {
-	cl := queueEntry{job: j, band: bandOnTime, priority: j.queue.Priority, remainingWork: j.workLeft, acceptedAt: j.spec.AcceptedAt}
-	cl.slack = j.deadline().Sub(now.Add(j.criticalPathLeft))
+	e := queueEntry{job: j, band: bandOnTime, priority: j.queue.Priority, remainingWork: j.workLeft, acceptedAt: j.spec.AcceptedAt}
+	e.slack = j.deadline().Sub(now.Add(j.criticalPathLeft))
 	switch {
 	case j.spec.Steps[0].LongRunning:
-		cl.band = bandLongRunning
-	case cl.slack < 0:
-		cl.band = bandLate
+		e.band = bandLongRunning
+	case e.slack < 0:
+		e.band = bandLate
 	case j.overShare:
-		cl.band = bandOverShare
+		e.band = bandOverShare
 	}
-	j.band = cl.band
-	return cl
+	j.band = e.band
+	return e
 }
 
 // SchedulingPolicy is the order in which waiting jobs are placed.
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -29,8 +29,8 @@
 	for n < len(p.entries) && p.entries[n].band == bandLongRunning {
 		n++
 	}
-	for _, cl := range p.entries[:n] {
-		p.placeJob(cl.job)
+	for _, e := range p.entries[:n] {
+		p.placeJob(e.job)
 	}
 	p.placedEntries = n
 }
@@ -38,11 +38,11 @@
 // placeRemaining places the entries that follow the long-running ones. Copies of slow tasks
 // come last, if no task waits.
 func (p *schedulingPass) placeRemaining() {
-	for _, cl := range p.entries[p.placedEntries:] {
+	for _, e := range p.entries[p.placedEntries:] {
 		if p.startsDeferred() {
 			break
 		}
-		p.placeJob(cl.job)
+		p.placeJob(e.job)
 	}
 	if p.pool.waitingCores == 0 && !p.startsDeferred() {
 		p.placeLateCopies(p.entries)
@@ -125,7 +125,7 @@
 	if s.spec.Speculative {
 		defer p.placeCopies(s, urgentCopy)
 	}
-	var choice *workerSelector
+	var sel *workerSelector
 	for _, t := range s.tasks {
 		if !t.needsPlacement(p.now) || t.awaitsLossDecision(p.core, p.now) {
 			continue
@@ -133,37 +133,37 @@
 		if !p.withinTenantLimit(s, 1) {
 			return
 		}
-		if choice == nil {
-			choice = p.newWorkerSelector(s)
+		if sel == nil {
+			sel = p.newWorkerSelector(s)
 		}
-		if t.suspicion() != job.CrashRiskNone {
-			p.placeSuspect(t, choice, t.excludedAfterFailure(p.now))
+		if t.crashRisk() != job.CrashRiskNone {
+			p.placeSuspect(t, sel, t.excludedAfterFailure(p.now))
 			if p.startsDeferred() {
 				return
 			}
 			continue
 		}
-		if p.unplaceable.Covers(&choice.req) && !s.recentlyPreempted(p.now) {
-			p.onNoCapacity(s, &choice.req)
+		if p.unplaceable.Covers(&sel.req) && !s.recentlyPreempted(p.now) {
+			p.onNoCapacity(s, &sel.req)
 			return
 		}
-		w := choice.pick(t.hasFailedOn)
-		if w == nil && t.awaitsOtherWorker(&p.pool.free, &choice.req, p.now) {
+		w := sel.pick(t.hasFailedOn)
+		if w == nil && t.awaitsOtherWorker(&p.pool.free, &sel.req, p.now) {
 			p.pool.addWaiting(s, 1)
 			t.addTime(CauseFailedThereBefore, s.readySince(), p.now)
 			continue
 		}
 		if w == nil && len(t.failedOn) > 0 {
-			w = choice.pick(excludeNone)
+			w = sel.pick(excludeNone)
 		}
 		if w == nil {
-			p.onNoCapacity(s, &choice.req)
+			p.onNoCapacity(s, &sel.req)
 			return
 		}
 		if p.deferStarts() {
 			return
 		}
-		choice.start(t, w)
+		sel.start(t, w)
 		s.waitingSince = time.Time{}
 	}
 }
@@ -227,10 +227,10 @@
 		return
 	}
 	req := placementRequest(s)
-	room := p.workersFor(s)
-	views := room.views
-	if s.suspicion() != job.CrashRiskNone {
-		views = p.isolationViews(s, room)
+	view := p.workersFor(s)
+	views := view.views
+	if s.crashRisk() != job.CrashRiskNone {
+		views = p.isolationViews(s, view)
 	}
 	chosen := placement.ChooseGang(views, req, len(s.tasks), s.spec.SameRack)
 	if chosen == nil {
@@ -244,7 +244,7 @@
 	}
 	number := p.core.nextRunNumber()
 	for n, i := range chosen {
-		p.startRun(s.tasks[n], room.workers[i], &req, number)
+		p.startRun(s.tasks[n], view.workers[i], &req, number)
 	}
 }
 
@@ -271,31 +271,31 @@
 }
 
 // pick returns the best worker that is not excluded; nil if none has capacity.
-func (ch *workerSelector) pick(barred func(*worker) bool) *worker {
+func (ch *workerSelector) pick(excluded func(*worker) bool) *worker {
 	if ch.req.LongRunning || ch.req.Filler || ch.req.Serving {
-		return ch.pickByScan(barred)
+		return ch.pickByScan(excluded)
 	}
 	s, now := ch.step, ch.p.now
 	permits := s.needsPermits()
 	allowed := func(w *worker) bool {
-		return !barred(w) && !w.isReservedForOther(s, now) && (!permits || s.hasValidTicket(w, now))
+		return !excluded(w) && !w.isReservedForOther(s, now) && (!permits || s.hasValidTicket(w, now))
 	}
 	return ch.p.pool.free.choose(&ch.req, allowed, ch.stepTasks, now)
 }
 
 // pickByScan examines every worker of the service. The free index orders by capacity only;
 // tasks that share a worker with others for long are scored by its other tasks as well.
-func (ch *workerSelector) pickByScan(barred func(*worker) bool) *worker {
-	room := ch.p.workersFor(ch.step)
-	views := room.views
-	if slices.ContainsFunc(room.workers, barred) {
+func (ch *workerSelector) pickByScan(excluded func(*worker) bool) *worker {
+	view := ch.p.workersFor(ch.step)
+	views := view.views
+	if slices.ContainsFunc(view.workers, excluded) {
 		views = slices.Clone(views)
-		for i, w := range room.workers {
-			views[i].Excluded = views[i].Excluded || barred(w)
+		for i, w := range view.workers {
+			views[i].Excluded = views[i].Excluded || excluded(w)
 		}
 	}
 	if i := placement.Choose(views, ch.req); i >= 0 {
-		return room.workers[i]
+		return view.workers[i]
 	}
 	return nil
 }
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -60,8 +60,8 @@
 	minLimit = 8
 )
 
-func newStartWindow(most int) startWindow {
-	return startWindow{maxOutstanding: most, limit: float64(most), deferred: map[string]bool{}, outstanding: map[uint64]bool{}}
+func newStartWindow(maxOutstanding int) startWindow {
+	return startWindow{maxOutstanding: maxOutstanding, limit: float64(maxOutstanding), deferred: map[string]bool{}, outstanding: map[uint64]bool{}}
 }
 
 // add records a start that is being ordered and returns its sequence number.
@@ -83,8 +83,8 @@
 }
 
 // onOutcome records the outcome of a start and updates the rate.
-func (l *startWindow) onOutcome(number uint64, now time.Time) {
-	delete(l.outstanding, number)
+func (l *startWindow) onOutcome(seq uint64, now time.Time) {
+	delete(l.outstanding, seq)
 	l.outcomes++
 	passed := now.Sub(l.rateUpdatedAt)
 	if passed < rateInterval {
@@ -138,9 +138,9 @@
 	if !c.startWindow.isBacklogged(now) || spec.Repeat > 0 || spec.Steps[0].LongRunning {
 		return 0
 	}
-	fresh := *spec
-	fresh.AcceptedAt = now
-	j := &jobState{spec: &fresh}
+	accepted := *spec
+	accepted.AcceptedAt = now
+	j := &jobState{spec: &accepted}
 	j.applyQueueSettings(c.catalog)
 	if !c.startWindow.deferred[j.service] {
 		return 0
@@ -154,10 +154,10 @@
 
 // countTasksAhead counts the startable tasks of jobs that sort before the entry; waiting is
 // sorted by the policy.
-func countTasksAhead(waiting []queueEntry, cl queueEntry, policy SchedulingPolicy) int {
+func countTasksAhead(waiting []queueEntry, e queueEntry, policy SchedulingPolicy) int {
 	n := 0
 	for _, w := range waiting {
-		if w.compare(cl, policy) > 0 {
+		if w.compare(e, policy) > 0 {
 			break
 		}
 		for _, s := range w.job.steps {
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -301,7 +301,7 @@
 		}
 		if r.provenNotStarted(w.holdSentAt) {
 			r.neverStarted = true
-			r.task.dropUndecidedCrash(r.number)
+			r.task.dropUnconfirmedCrash(r.number)
 			c.stop(r, "the start was not answered, and the worker does not list the run", now)
 			continue
 		}
@@ -346,7 +346,7 @@
 	r.mayStartLate = false
 	if r.fromPastIncarnation {
 		r.fromPastIncarnation = false
-		r.task.dropUndecidedCrash(r.number)
+		r.task.dropUnconfirmedCrash(r.number)
 	}
 	if r.phase == starting {
 		r.phase = running
--- a/jobs/owner/workerview.go
+++ b/jobs/owner/workerview.go
@@ -94,7 +94,7 @@
 }
 
 // removeRun undoes addRun; it returns false if the task does not have the run any more.
-func (t *task) removeRun(r *run) (dropped bool) {
+func (t *task) removeRun(r *run) (removed bool) {
 	r.worker.removeRun(r)
 	i := slices.Index(t.runs, r)
 	if i < 0 {
