--- a/jobs/owner/begun.go
+++ b/jobs/owner/begun.go
@@ -2,13 +2,12 @@
 
 import "time"
 
-// A job has begun once a worker has said so: by taking a start, or by listing a run or
-// the end of one. That a start was sent shows nothing. It may be refused or lost, and
-// while the workers of a new owner are slow to answer those of many jobs are on their
-// way for seconds, all of which still wait.
+// A job counts as started once a worker has confirmed it, by accepting a start or by listing
+// a run or its end. Sending a start is not enough: it may be refused or lost, and while the
+// workers are slow to answer a new owner, the starts of many jobs are in flight for seconds.
 
-// noteStarted takes note that the worker has the run, if that is the first sign that its
-// job has begun.
+// noteStarted marks the job as started when a worker first confirms a run of it. A gang has
+// started once all its members are confirmed.
 func (c *Core) noteStarted(r *run, now time.Time) {
 	s := r.task.step
 	j := s.job
@@ -21,8 +20,8 @@
 		Reason: "accepted " + now.Sub(j.spec.AcceptedAt).Round(time.Millisecond).String() + " ago"})
 }
 
-// gangRunsTogether reports whether workers have all members of a gang in the given run: their
-// tasks start only then.
+// gangRunsTogether reports whether workers have confirmed all members of a gang under one run
+// number. Only then do their tasks start.
 func (s *stepState) gangRunsTogether(number uint64) bool {
 	for _, t := range s.tasks {
 		r := t.activeRun()
@@ -34,7 +33,7 @@
 }
 
 // endProvesStart reports whether an end of this kind shows that a task of the step had
-// started. A member of a gang may have waited for the others until then.
+// started. A member of a gang may have ended while it waited for the others.
 func (s *stepState) endProvesStart(k EndKind) bool {
 	return !s.spec.Gang || k == EndDone || k == EndFailed || k == EndPeerEnded
 }
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -5,37 +5,40 @@
 	"time"
 )
 
-// Figures of an owner that is short of processor time.
+// Thresholds for an owner that is short of processor time or bandwidth.
 const (
-	// starvedDelay is the delay of the owner's own timer from which on its timeouts
-	// say nothing about workers: a third of what it waits for a hold.
-	starvedDelay = 300 * time.Millisecond
-	// starvedMemory is how long that is remembered: a hold, and its answer.
-	starvedMemory = 1500 * time.Millisecond
-	// maxSilentShare of the workers do not fall silent at once: cuts and crashes strike
-	// a quarter of them at most, while an owner that cannot keep up hears 3 to 40 of
-	// 100. maxSilent of them may, being a small rack.
-	maxSilentShare = 0.5
-	maxSilent      = 4
-	// slowAnswerLatency is the mean time of answers from which on the owner's own way to the
-	// workers is full: orders take 4 ms, and are given up after OrderTimeout. answersKept
-	// is the share that each answer leaves of the mean: the last twenty or so count.
+	// starvedTimerDelay is the delay of the owner's own timer from which its timeouts prove
+	// nothing about workers: a third of the time that it waits for a hold.
+	starvedTimerDelay = 300 * time.Millisecond
+	// starvedPeriod is how long the owner counts as starved after each sign of it: the time
+	// of a hold and its answer.
+	starvedPeriod = 1500 * time.Millisecond
+	// maxSilentShare is the share of workers that may plausibly fall silent at once. Network
+	// cuts and crashes hit a quarter of them at most, while an owner that cannot keep up
+	// hears from only 3 to 40 of 100. maxSilentWorkers, a small rack, always may.
+	maxSilentShare   = 0.5
+	maxSilentWorkers = 4
+	// slowAnswerLatency is the mean answer latency from which the owner's own link to the
+	// workers counts as saturated. Orders normally take 4 ms, and time out after OrderTimeout.
 	slowAnswerLatency = 150 * time.Millisecond
-	latencySmoothing  = 0.95
+	// latencyDecay is the weight of the previous mean at each answer: about the last twenty
+	// answers count.
+	latencyDecay = 0.95
 	// maxOverload is how long most workers may stay silent before they count as cut off
-	// after all: four leases, in which an owner that can be relieved has been.
+	// after all: four leases. An owner that can be replaced has been replaced by then.
 	maxOverload = 20 * time.Second
 )
 
-// ReportTimerDelay tells by how much the owner's timer was late.
+// ReportTimerDelay reports by how much the owner's timer was late.
 func (c *Core) ReportTimerDelay(d time.Duration, now time.Time) {
-	if d >= starvedDelay {
+	if d >= starvedTimerDelay {
 		c.markStarved("owner-delayed", d.Round(time.Millisecond).String(), now)
 	}
 }
 
-// ReportSuspension tells that the owner's instance was suspended for d, which the time of its events
-// does not count: what was heard is as much older, and whoever seems silent may have answered.
+// ReportSuspension reports that the owner's instance was suspended for d, which the time of
+// its events does not include. All that was received is older by d, and workers that seem
+// silent may have answered.
 func (c *Core) ReportSuspension(d time.Duration, now time.Time) {
 	c.markStarved("owner-suspended", d.Round(time.Millisecond).String(), now)
 	if !c.instanceListAt.IsZero() {
@@ -50,26 +53,26 @@
 	}
 }
 
-// detectOverload tells whether silence is the workers' or the owner's own doing: if most of them
-// seem silent at once, it is the owner, whose timer need not be late for that. It may
-// hold on to what runs only while no other daemon can be the owner, and not for ever:
-// what ran on workers that are cut off has to start elsewhere.
+// detectOverload marks the owner as starved if most workers seem silent at once: then the
+// owner is the cause, even if its timer is not late. It does so only while it holds the
+// store lease, so that no other daemon can be the owner, and for at most maxOverload, as
+// tasks on workers that are really cut off have to start elsewhere.
 func (c *Core) detectOverload(now time.Time) {
-	if len(c.silentWorkers) <= maxSilent {
+	if len(c.silentWorkers) <= maxSilentWorkers {
 		c.mostSilentSince = time.Time{}
 		return
 	}
 	total, silent := 0, 0
 	for _, w := range c.workers {
 		if w.ended || !w.registered || w.endOrdered || w.reserved == reservedMove || !c.listed(w) {
-			continue // its life is over, or ends by an order
+			continue // the incarnation has ended, or ends by an order
 		}
 		total++
 		if !w.silentSince.IsZero() {
 			silent++
 		}
 	}
-	if silent <= maxSilent || float64(silent) <= maxSilentShare*float64(total) {
+	if silent <= maxSilentWorkers || float64(silent) <= maxSilentShare*float64(total) {
 		c.mostSilentSince = time.Time{}
 		return
 	}
@@ -81,14 +84,14 @@
 	}
 }
 
-// trackAnswerLatency tells by how long answers take whether the owner's link is full. Workers
-// that seem silent meanwhile may have answered; it holds on to what runs there as long as
-// judgeSilence does.
+// trackAnswerLatency marks the owner as starved while the mean answer latency shows that its
+// link is saturated, as workers that seem silent may have answered. It is limited in time
+// like detectOverload.
 func (c *Core) trackAnswerLatency(took time.Duration, now time.Time) {
 	if took == 0 {
 		return
 	}
-	c.meanAnswerLatency = time.Duration(latencySmoothing*float64(c.meanAnswerLatency) + (1-latencySmoothing)*float64(took))
+	c.meanAnswerLatency = time.Duration(latencyDecay*float64(c.meanAnswerLatency) + (1-latencyDecay)*float64(took))
 	c.startWindow.adjust(c.meanAnswerLatency, now)
 	if c.meanAnswerLatency < slowAnswerLatency {
 		c.slowAnswersSince = time.Time{}
@@ -102,20 +105,20 @@
 	}
 }
 
-// markStarved takes note that the owner is short of processor time. The leases of workers
-// that seem silent are renewed all the same for a while: their answers may wait to be
-// read, and a lease that is left to end stops their tasks.
+// markStarved records that the owner is short of processor time or bandwidth. For
+// starvedPeriod it renews the leases even of workers that seem silent: their answers may
+// wait to be read, and an expired lease would stop their tasks.
 func (c *Core) markStarved(event, why string, now time.Time) {
 	if !c.isStarved(now) {
 		c.starvedSince = now
 		c.note(Decision{Event: event, Reason: why})
 	}
-	c.starvedUntil = now.Add(starvedMemory)
+	c.starvedUntil = now.Add(starvedPeriod)
 }
 
 func (c *Core) isStarved(now time.Time) bool { return now.Before(c.starvedUntil) }
 
-// StarvedFor returns how long the owner has been short of processor time on end.
+// StarvedFor returns how long the owner has been starved without interruption.
 func (c *Core) StarvedFor(now time.Time) time.Duration {
 	if !c.isStarved(now) {
 		return 0
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -7,7 +7,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// markDirty says that something of the job has to be kept.
+// markDirty records a change of the job that has to be stored.
 func (c *Core) markDirty(j *jobState) {
 	j.version++
 	if c.dirtyJobs[j.spec.ID] == nil {
@@ -16,8 +16,8 @@
 	}
 }
 
-// markCrashDirty says that a crash of the job has to be kept, before all else: until then a loss
-// of this owner would hide it from the next one.
+// markCrashDirty records a crash under a task of the job, which is stored before all other
+// changes. If this owner failed before that, the next one would not know of the crash.
 func (c *Core) markCrashDirty(j *jobState) {
 	c.markDirty(j)
 	j.crashUnstored = true
@@ -25,19 +25,18 @@
 	c.toWrite.add(j)
 }
 
-// HasUrgentRecords reports whether something has to be written that the next owner must know of.
+// HasUrgentRecords reports whether a crash has to be stored, for the next owner to know of.
 func (c *Core) HasUrgentRecords() bool { return len(c.unstoredCrashes) > 0 }
 
-// enqueueWrite puts the job last among those that have to be written.
+// enqueueWrite appends the job to the write queue.
 func (c *Core) enqueueWrite(j *jobState) {
 	c.lastWriteSeq++
 	j.writeSeq = c.lastWriteSeq
 	c.toWrite.add(j)
 }
 
-// PendingRecords returns records that have to be written and that take at most n entries
-// of a transaction. Those of jobs that ended come first, as their callers are told only
-// once they are written; beyond that each has its turn.
+// PendingRecords returns the next records to store, with at most maxEntries transaction
+// entries in all, in the order of writeQueue.
 func (c *Core) PendingRecords(maxEntries int) []Record {
 	var out []Record
 	for j := range c.toWrite.all(c.dirtyJobs) {
@@ -50,18 +49,18 @@
 	return out
 }
 
-// trueFirst orders what holds before what does not.
-func trueFirst(holds bool) int {
-	if holds {
+// trueFirst is a comparison result that orders true before false.
+func trueFirst(b bool) int {
+	if b {
 		return -1
 	}
 	return 1
 }
 
-// DirtyJobs returns how many jobs have to be written.
+// DirtyJobs returns the number of jobs to be stored.
 func (c *Core) DirtyJobs() int { return len(c.dirtyJobs) }
 
-// OnCommitted says that records are in the store.
+// OnCommitted handles records that were stored.
 func (c *Core) OnCommitted(records []Record, now time.Time) {
 	c.counts.Commits++
 	for _, r := range records {
@@ -90,9 +89,9 @@
 	}
 }
 
-// dropSteps frees what was known of the tasks of a job that is over, once its end is
-// recorded and nothing of it runs. Its state is asked for long after: of 5,400 jobs in half
-// a minute all but the open ones are kept for that alone.
+// dropSteps frees the tasks of a job once its end is stored and it has no runs. The job's
+// state is queried long afterwards: of 5,400 jobs in half a minute all but the open ones
+// are kept only for that.
 func (c *Core) dropSteps(j *jobState) {
 	if j.stepsDropped || !j.state.Final() || j.storedVersion < j.version || c.hasRuns(j) {
 		return
@@ -102,18 +101,18 @@
 	j.spec = &job.Job{ID: j.spec.ID, Queue: j.spec.Queue, Service: j.spec.Service}
 }
 
-// ackRecordedEnds lets workers forget the ends that waited for a record of the job.
+// ackRecordedEnds acknowledges the ends that waited for the job to be stored.
 func (c *Core) ackRecordedEnds(j *jobState, now time.Time) {
-	waited := j.ackWaiters
+	waiters := j.ackWaiters
 	j.ackWaiters = nil
-	for _, w := range waited {
+	for _, w := range waiters {
 		if c.workers[w.Worker] == w {
 			c.advanceAck(w, now)
 		}
 	}
 }
 
-// progress returns the record of the job. A final state needs no details.
+// progress returns the job's progress to store; in a final state, without details.
 func (j *jobState) progress() job.Progress {
 	p := job.Progress{State: j.state}
 	if j.state.Final() {
@@ -157,8 +156,8 @@
 	return m
 }
 
-// RemoveExpired removes jobs that ended long ago from the core and returns their
-// ids, at most n, for removal from the store.
+// RemoveExpired removes up to limit jobs that ended more than twice StatusRetention ago, and
+// returns their ids for removal from the store.
 func (c *Core) RemoveExpired(limit int, now time.Time) []job.ID {
 	var out []job.ID
 	for id, j := range c.jobs {
--- a/jobs/owner/workerset.go
+++ b/jobs/owner/workerset.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// workerSet is a set of workers by their ids.
+// workerSet is a set of workers by id.
 type workerSet map[WorkerID]*worker
 
-// put adds the worker to the set or takes it out.
+// put adds the worker to the set, or removes it.
 func (s workerSet) put(w *worker, in bool) {
 	if in {
 		s[w.Worker] = w
@@ -17,7 +17,7 @@
 	}
 }
 
-// sorted returns the workers in the order of their ids.
+// sorted returns the workers sorted by id.
 func (s workerSet) sorted() []*worker {
 	out := make([]*worker, 0, len(s))
 	for _, w := range s {
@@ -29,10 +29,10 @@
 
 func byID(a, b *worker) int { return cmp.Compare(a.Worker, b.Worker) }
 
-// serviceWorkers keeps the workers of each service in the order of their ids.
+// serviceWorkers holds the workers of each service, sorted by id.
 type serviceWorkers map[string][]*worker
 
-func (r serviceWorkers) find(w *worker) (at int, found bool) {
+func (r serviceWorkers) find(w *worker) (index int, found bool) {
 	return slices.BinarySearchFunc(r[w.Service], w, byID)
 }
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// remove is the inverse of add; it has to come before a change of the worker's service.
+// remove is the inverse of add. It has to be called before the worker's service changes.
 func (r serviceWorkers) remove(w *worker) {
 	if at, found := r.find(w); found {
 		r[w.Service] = slices.Delete(r[w.Service], at, at+1)
--- a/jobs/owner/writequeue.go
+++ b/jobs/owner/writequeue.go
@@ -8,14 +8,13 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// writeQueue is the jobs that have to be written, in their order: those with a task under
-// which a worker may have crashed come first, as the next owner has to know of it; then those
-// that ended, as their callers are told only once they are written; beyond that each has its
-// turn. Jobs are not taken out when they are written: whoever goes over the queue drops what
-// no longer has the turn that it had.
+// writeQueue holds the jobs to be stored, by class and then by writeSeq. Jobs with a
+// possible crash come first, as the next owner has to know of it; then ended jobs, as their
+// callers are told only once the end is stored; then the others. Entries are not removed
+// when a job is stored: iteration skips entries that are no longer current.
 type writeQueue [writeClasses][]writeEntry
 
-// writeClass orders jobs that have to be written before their turns do.
+// writeClass is the priority of a job in the write queue.
 type writeClass int
 
 const (
@@ -40,17 +39,17 @@
 	seq uint64
 }
 
-// add gives the job the place that its turn and its state ask for. Turns rise, so that
-// this is the last one, but for jobs that end.
+// add inserts the job by its class and its writeSeq. As writeSeq increases, this is mostly
+// the end of the list; not for a job that changes its class.
 func (q *writeQueue) add(j *jobState) {
 	list := &q[j.writeClass()]
-	at, found := slices.BinarySearchFunc(*list, j.writeSeq, func(e writeEntry, turn uint64) int { return cmp.Compare(e.seq, turn) })
+	at, found := slices.BinarySearchFunc(*list, j.writeSeq, func(e writeEntry, seq uint64) int { return cmp.Compare(e.seq, seq) })
 	if !found {
 		*list = slices.Insert(*list, at, writeEntry{j, j.writeSeq})
 	}
 }
 
-// all goes over the jobs of dirty in their order.
+// all iterates over the dirty jobs in the order of the queue.
 func (q *writeQueue) all(dirty map[job.ID]*jobState) iter.Seq[*jobState] {
 	return func(yield func(*jobState) bool) {
 		for class := range writeClasses {
@@ -64,12 +63,12 @@
 	}
 }
 
-// isCurrent reports whether the job still has this turn.
+// isCurrent reports whether the job is still dirty and has this class and number.
 func (e writeEntry) isCurrent(class writeClass, dirty map[job.ID]*jobState) bool {
 	return e.job.writeSeq == e.seq && e.job.writeClass() == class && dirty[e.job.spec.ID] == e.job
 }
 
-// dropStale drops entries at the front that do not hold any more.
+// dropStale drops entries at the front that are no longer current.
 func dropStale(list []writeEntry, class writeClass, dirty map[job.ID]*jobState) []writeEntry {
 	n := 0
 	for n < len(list) && !list[n].isCurrent(class, dirty) {
