--- a/jobs/ledger/accept.go
+++ b/jobs/ledger/accept.go
@@ -31,18 +31,18 @@
 	acceptPause = 60 * time.Millisecond
 )
 
-// CodeBusy says that too many submissions wait.
-const CodeBusy verdict.Code = "too-many-submissions"
+// CodeTooManySubmissions says that too many submissions wait.
+const CodeTooManySubmissions verdict.Code = "too-many-submissions"
 
-// AcceptStore is a store that knows whether it is away.
-type AcceptStore interface {
+// AcceptorStore is a store that knows whether it is away.
+type AcceptorStore interface {
 	Store
-	Away() bool
+	Unavailable() bool
 }
 
 // Acceptor writes submissions, several at a time.
 type Acceptor struct {
-	store AcceptStore
+	store AcceptorStore
 	queue chan pending
 }
 
@@ -54,7 +54,7 @@
 }
 
 // NewAcceptor returns an acceptor that does nothing before Run.
-func NewAcceptor(s AcceptStore) *Acceptor {
+func NewAcceptor(s AcceptorStore) *Acceptor {
 	return &Acceptor{store: s, queue: make(chan pending, acceptQueue)}
 }
 
@@ -70,24 +70,26 @@
 // away nothing is sent, so that the refusal can say for certain that it is not, and
 // callers come back after a pause instead of spending their tries at once.
 func (a *Acceptor) Accept(ctx context.Context, j *job.Job) error {
-	if a.store.Away() {
+	if a.store.Unavailable() {
 		return errAway()
 	}
 	s := pending{key: prefixSubmitted + string(j.ID), tenant: j.Tenant, value: encode(j), done: make(chan error, 1)}
 	select {
 	case a.queue <- s:
 	default:
-		return verdict.New(verdict.NotRun, CodeBusy, "%d submissions wait for the store", acceptQueue)
+		return verdict.New(verdict.NotRun, CodeTooManySubmissions, "%d submissions wait for the store", acceptQueue)
 	}
 	select {
 	case err := <-s.done:
 		return err
 	case <-ctx.Done():
-		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStore, "job %s is being stored", j.ID)
+		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "job %s is being stored", j.ID)
 	}
 }
 
-func errAway() error { return verdict.New(verdict.NotRun, CodeStore, "the store does not answer") }
+func errAway() error {
+	return verdict.New(verdict.NotRun, CodeStoreUnavailable, "the store does not answer")
+}
 
 func (a *Acceptor) work(ctx context.Context) {
 	for {
@@ -118,7 +120,7 @@
 // storeBatch writes a batch. Jobs that are in the store already are taken out of
 // it, and the rest is sent again.
 func (a *Acceptor) storeBatch(ctx context.Context, batch map[string][]pending) {
-	if a.store.Away() {
+	if a.store.Unavailable() {
 		finish(batch, errAway())
 		return
 	}
@@ -133,7 +135,7 @@
 				continue
 			}
 			if sent {
-				err = verdict.Wrap(err, verdict.MayHaveRun, CodeStore, "tried for %s", time.Since(began).Round(time.Millisecond))
+				err = verdict.Wrap(err, verdict.MayHaveRun, CodeStoreUnavailable, "tried for %s", time.Since(began).Round(time.Millisecond))
 			}
 			finish(batch, err)
 			return
@@ -142,7 +144,7 @@
 			return
 		}
 		if a.dropExisting(batch, res) == 0 {
-			finish(batch, verdict.New(verdict.MayHaveRun, CodeStore, "the store refused a batch and named no existing key"))
+			finish(batch, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "the store refused a batch and named no existing key"))
 			return
 		}
 	}
@@ -201,8 +203,8 @@
 	}
 }
 
-// Known reports whether the job is in the store: accepted, or ended a while ago.
-func Known(ctx context.Context, s Store, id job.ID) (bool, error) {
+// JobExists reports whether the job is in the store: accepted, or ended a while ago.
+func JobExists(ctx context.Context, s Store, id job.ID) (bool, error) {
 	_, known, err := s.Get(ctx, prefixSubmitted+string(id), false)
 	return known, err
 }
--- a/jobs/ledger/accept_test.go
+++ b/jobs/ledger/accept_test.go
@@ -26,14 +26,14 @@
 func (o *outage) Commit(context.Context, Txn) (TxnResult, error) {
 	o.commits++
 	if o.away.Load() {
-		return TxnResult{}, verdict.New(verdict.MayHaveRun, CodeStore, "connection reset")
+		return TxnResult{}, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "connection reset")
 	}
 	return TxnResult{Committed: true}, nil
 }
 
 func (o *outage) KeepAlive(context.Context, LeaseID) (bool, error) {
 	if o.away.Load() {
-		return false, verdict.New(verdict.MayHaveRun, CodeStore, "connection reset")
+		return false, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "connection reset")
 	}
 	return true, nil
 }
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -62,9 +62,9 @@
 // count as away: one alone may be an answer that was lost.
 const awayAfter = 2
 
-// Away reports whether the store does not answer at present, by any way. The daemon's
+// Unavailable reports whether the store does not answer at present, by any way. The daemon's
 // own calls, the renewal of its lease above all, go on and notice its return.
-func (f *Failover) Away() bool {
+func (f *Failover) Unavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.misses >= awayAfter
@@ -177,7 +177,7 @@
 	for _, w := range f.ways(probes) {
 		began := f.now()
 		out, err = by(ctx, w, call)
-		if err == nil || verdict.CodeOf(err) != CodeStore {
+		if err == nil || verdict.CodeOf(err) != CodeStoreUnavailable {
 			f.worked(w.store, began)
 			return out, err
 		}
--- a/jobs/ledger/failover_test.go
+++ b/jobs/ledger/failover_test.go
@@ -33,7 +33,7 @@
 func (s *scripted) RelayFailed(Store) { s.failures++ }
 
 func storeError(context.Context) error {
-	return verdict.New(verdict.MayHaveRun, CodeStore, "no answer")
+	return verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
 }
 
 func answers(context.Context) error { return nil }
@@ -82,7 +82,7 @@
 // a peer that fails is no reason to try the direct way again at once.
 func TestACutOffDaemonStaysWithItsPeers(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStore, "no connection") }
+	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
 	direct, relay := &scripted{get: refused}, &scripted{get: storeError}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	_, _, err := f.Get(context.Background(), "k", false)
@@ -98,7 +98,7 @@
 // timeout; an answer there ends the backoff.
 func TestADaemonThatStaysCutOffTriesLessOften(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStore, "no connection") }
+	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
 	direct, relay := &scripted{get: refused}, &scripted{get: answers}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	during := func(d time.Duration) int {
@@ -119,7 +119,7 @@
 // hangs is a way on which nothing is answered.
 func hangs(ctx context.Context) error {
 	<-ctx.Done()
-	return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStore, "no answer")
+	return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
 }
 
 func (s *scripted) Commit(ctx context.Context, _ Txn) (TxnResult, error) {
--- a/jobs/ledger/store.go
+++ b/jobs/ledger/store.go
@@ -83,8 +83,8 @@
 
 // Codes of the store's errors.
 const (
-	CodeStore     verdict.Code = "store-unavailable"
-	CodeCompacted verdict.Code = "store-history-gone"
+	CodeStoreUnavailable verdict.Code = "store-unavailable"
+	CodeCompacted        verdict.Code = "store-history-gone"
 )
 
 // Store is the platform's key-value service. Each method makes one call. The
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -13,8 +13,8 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// CodeDeposed says that another daemon is the owner.
-const CodeDeposed verdict.Code = "not-the-owner"
+// CodeNotOwner says that another daemon is the owner.
+const CodeNotOwner verdict.Code = "not-the-owner"
 
 // Term is this daemon's ownership: the right to write progress. All its
 // transactions hold on the lock's revision and run one after another.
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	if res.LeaseGone {
-		return nil, verdict.New(verdict.NotRun, CodeStore, "the lease %d has ended", lease)
+		return nil, verdict.New(verdict.NotRun, CodeStoreUnavailable, "the lease %d has ended", lease)
 	}
 	if !res.Committed {
 		return nil, nil
@@ -214,9 +214,9 @@
 		}
 	}
 	if !lockHeld {
-		return verdict.New(verdict.NotRun, CodeDeposed, "term %d is over", t.Number)
+		return verdict.New(verdict.NotRun, CodeNotOwner, "term %d is over", t.Number)
 	}
-	return verdict.New(verdict.NotRun, CodeStore, "an earlier write of this term came late")
+	return verdict.New(verdict.NotRun, CodeStoreUnavailable, "an earlier write of this term came late")
 }
 
 // settle reads the sequence after a lost answer. A transaction that is still
--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -27,7 +27,7 @@
 	if late == 0 {
 		return nil
 	}
-	if known, err := ledger.Known(ctx, n.store, j.ID); err != nil || known {
+	if known, err := ledger.JobExists(ctx, n.store, j.ID); err != nil || known {
 		return nil // accepted before, or that is not known: accepting decides
 	}
 	n.log.Info("job-not-admitted", zap.String("job", string(j.ID)), zap.String("queue", j.Queue), zap.Duration("late-by", late))
--- a/jobs/node/slowness.go
+++ b/jobs/node/slowness.go
@@ -173,14 +173,14 @@
 // the store nobody can take over.
 func (n *Node) yieldIfSlow(ctx context.Context, by float64) {
 	t := n.term.Load()
-	if t == nil || n.stopping.Load() || n.store.Away() || n.clock.Now().Sub(t.startedAt) < leastTerm || !n.hasPeerWithMoreCPU(fasterBy) {
+	if t == nil || n.stopping.Load() || n.store.Unavailable() || n.clock.Now().Sub(t.startedAt) < leastTerm || !n.hasPeerWithMoreCPU(fasterBy) {
 		return
 	}
 	if !n.listMembersOnce(ctx) || !n.hasPeerWithMoreCPU(fasterBy) {
 		return
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "its instance is slow, and that of another daemon is not"))
-	if !t.handOver() && !n.store.Away() {
+	if !t.handOver() && !n.store.Unavailable() {
 		n.endLease() // the lock goes with it
 	}
 }
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -15,7 +15,7 @@
 func (n *Node) HandOver() {
 	n.stopping.Store(true)
 	n.gateway.DisableKeepAlives()
-	if t := n.term.Load(); t != nil && !t.handOver() && !n.store.Away() {
+	if t := n.term.Load(); t != nil && !t.handOver() && !n.store.Unavailable() {
 		n.endLease() // the lock goes with it
 	}
 }
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -66,7 +66,7 @@
 	began := t.n.clock.Now()
 	err := t.term.Write(ctx, puts, deletes, recent)
 	t.n.metrics.commit(err, t.n.clock.Now().Sub(began))
-	if verdict.CodeOf(err) == ledger.CodeDeposed {
+	if verdict.CodeOf(err) == ledger.CodeNotOwner {
 		t.depose(err.Error())
 		return
 	}
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -155,7 +155,7 @@
 		return true
 	case <-t.ctx.Done():
 	case <-time.After(handOverTimeout):
-		if !t.n.store.Away() {
+		if !t.n.store.Unavailable() {
 			t.depose("the lock could not be released in time")
 		}
 	}
@@ -198,7 +198,7 @@
 			if t.tryRelease() {
 				return
 			}
-			if !t.n.store.Away() {
+			if !t.n.store.Unavailable() {
 				// Nothing new is ordered while the lock is being released. It is kept, as
 				// the core counts on its being sent if the store goes away meanwhile. Leases
 				// are renewed, as they have to outlast the next owner's takeover.
@@ -284,7 +284,7 @@
 	if t.leavingSince.IsZero() {
 		t.leavingSince = now
 	}
-	away := t.n.store.Away()
+	away := t.n.store.Unavailable()
 	if t.committing && now.Sub(t.leavingSince) < releaseCommitWait || now.Sub(t.releaseTriedAt) < retryPause {
 		return false
 	}
--- a/jobs/peer/relay.go
+++ b/jobs/peer/relay.go
@@ -38,7 +38,7 @@
 	defer cancel()
 	out, err := s.client.Relay(ctx, s.addr, r)
 	if err != nil {
-		return out, verdict.Wrap(err, verdict.Of(err), ledger.CodeStore, "store by a peer")
+		return out, verdict.Wrap(err, verdict.Of(err), ledger.CodeStoreUnavailable, "store by a peer")
 	}
 	if out.Message != "" {
 		return out, verdict.New(out.Verdict, out.Code, "store by %s: %s", s.addr, out.Message)
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -49,7 +49,7 @@
 	time.Sleep(storeLatency)
 	switch c.hook(c.daemon, op) {
 	case Refused:
-		return none, verdict.New(verdict.NotRun, ledger.CodeStore, "store: refused")
+		return none, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "store: refused")
 	case Swallowed:
 		<-ctx.Done()
 		return none, lost(ctx)
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -242,7 +242,7 @@
 	defer s.mu.Unlock()
 	s.calls["commit"]++
 	if n := len(t.If) + len(t.Puts) + len(t.Deletes); n > ledger.MaxTxnEntries {
-		return ledger.TxnResult{}, verdict.New(verdict.NotRun, ledger.CodeStore, "%d entries", n)
+		return ledger.TxnResult{}, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "%d entries", n)
 	}
 	held := true
 	var current []ledger.Item
@@ -317,5 +317,5 @@
 var errLost = errors.New("no answer")
 
 func lost(ctx context.Context) error {
-	return verdict.Wrap(errors.Join(errLost, ctx.Err()), verdict.MayHaveRun, ledger.CodeStore, "store")
+	return verdict.Wrap(errors.Join(errLost, ctx.Err()), verdict.MayHaveRun, ledger.CodeStoreUnavailable, "store")
 }
