--- a/jobs/node/fanout_test.go
+++ b/jobs/node/fanout_test.go
@@ -38,7 +38,7 @@
 		workers := &slowStarts{}
 		n.platform.Workers = workers
 		n.metrics = NewMetrics(tally.NoopScope, nil)
-		r.startCalls = newFanout(startsPerCore, 0, slotTime)
+		r.startCalls = newCallLimiter(startSlotsPerCore, 0, callSlotTimeout)
 		r.events = make(chan event, starts)
 		began := time.Now()
 		r.dispatch(owner.Effects{Starts: slices.Repeat([]owner.Start{{Timeout: owner.OrderTimeout}}, starts)})
@@ -46,8 +46,8 @@
 		synctest.Wait()
 		assert.Len(t, r.events, starts, "each has an outcome")
 		assert.Less(t, len(workers.sent), starts)
-		assert.Greater(t, len(workers.sent), leastSlots)
+		assert.Greater(t, len(workers.sent), minSlots)
 		newest := workers.sent[len(workers.sent)-1]
-		assert.LessOrEqual(t, newest.Sub(began), orderAge)
+		assert.LessOrEqual(t, newest.Sub(began), maxStartAge)
 	})
 }
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -9,83 +9,83 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// orderDelay is how long after it was recorded an order for an instance may reach the
+// maxOrderDelay is how long after it was recorded an order for an instance may reach the
 // platform at the latest: the transaction's timeout, and the call's.
-const orderDelay = storeTimeout + instanceOrderTimeout
+const maxOrderDelay = storeTimeout + instanceOrderTimeout
 
 // instanceOrders holds orders for instances until the store knows that they are
 // about to be sent, and remembers for which instances there were any. Whoever is
 // the owner next finds them there, and may order all other instances at once.
 type instanceOrders struct {
-	self    string
-	pending []owner.InstanceOrder
-	newest  map[owner.InstanceID]arrival // of the orders for each instance
-	keep    time.Duration
+	self      string
+	pending   []owner.InstanceOrder
+	latest    map[owner.InstanceID]arrival // of the orders for each instance
+	retention time.Duration
 }
 
 // arrival is when an order reached the platform at the latest, and who sent it.
 type arrival struct {
-	at     time.Time
-	holder string
-	before *arrival // of the order before, until this one is known to be sent
+	at       time.Time
+	holder   string
+	previous *arrival // of the order before, until this one is known to be sent
 }
 
 // newInstanceOrders begins with those of the owner before.
 func newInstanceOrders(self string, handover time.Duration, before []owner.RecentOrder, electedAt time.Time) instanceOrders {
-	o := instanceOrders{self: self, newest: map[owner.InstanceID]arrival{}, keep: handover + owner.DutyMargin}
+	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyMargin}
 	for _, b := range before {
-		o.newest[b.Instance] = arrival{at: electedAt.Add(-b.Age), holder: b.Holder}
+		o.latest[b.Instance] = arrival{at: electedAt.Add(-b.Age), holder: b.Holder}
 	}
 	return o
 }
 
 func (o *instanceOrders) add(list []owner.InstanceOrder) { o.pending = append(o.pending, list...) }
 
-func (o *instanceOrders) waiting() int { return len(o.pending) }
+func (o *instanceOrders) pendingCount() int { return len(o.pending) }
 
 // take returns the orders that wait, for the next transaction.
 func (o *instanceOrders) take(now time.Time) []owner.InstanceOrder {
 	out := o.pending
 	o.pending = nil
 	for _, m := range out {
-		a := arrival{at: now.Add(orderDelay), holder: o.self}
-		if before, ok := o.newest[m.Instance]; ok {
-			before.before = nil
-			a.before = &before
+		a := arrival{at: now.Add(maxOrderDelay), holder: o.self}
+		if before, ok := o.latest[m.Instance]; ok {
+			before.previous = nil
+			a.previous = &before
 		}
-		o.newest[m.Instance] = a
+		o.latest[m.Instance] = a
 	}
 	return out
 }
 
-// settle takes note of what came of an order: it arrived by now, or was never sent.
-func (o *instanceOrders) settle(id owner.InstanceID, sent bool, now time.Time) {
-	a := o.newest[id]
+// resolve takes note of what came of an order: it arrived by now, or was never sent.
+func (o *instanceOrders) resolve(id owner.InstanceID, sent bool, now time.Time) {
+	a := o.latest[id]
 	switch {
 	case sent && a.at.After(now):
-		o.newest[id] = arrival{at: now, holder: o.self}
+		o.latest[id] = arrival{at: now, holder: o.self}
 	case sent:
-	case a.before != nil:
-		o.newest[id] = *a.before
+	case a.previous != nil:
+		o.latest[id] = *a.previous
 	default:
-		delete(o.newest, id)
+		delete(o.latest, id)
 	}
 }
 
 // recent returns the orders that the next owner has to know of.
 func (o *instanceOrders) recent(now time.Time) []owner.RecentOrder {
-	maps.DeleteFunc(o.newest, func(_ owner.InstanceID, a arrival) bool { return now.Sub(a.at) > o.keep })
+	maps.DeleteFunc(o.latest, func(_ owner.InstanceID, a arrival) bool { return now.Sub(a.at) > o.retention })
 	var out []owner.RecentOrder
-	for _, id := range slices.Sorted(maps.Keys(o.newest)) {
-		out = append(out, owner.RecentOrder{Instance: id, Holder: o.newest[id].holder, Age: now.Sub(o.newest[id].at)})
+	for _, id := range slices.Sorted(maps.Keys(o.latest)) {
+		out = append(out, owner.RecentOrder{Instance: id, Holder: o.latest[id].holder, Age: now.Sub(o.latest[id].at)})
 	}
 	return out
 }
 
-// refuse tells the core that orders were not sent.
-func (t *termRun) refuse(c *owner.Core, orders []owner.InstanceOrder, now time.Time) {
+// rejectInstanceOrders tells the core that orders were not sent.
+func (t *termRun) rejectInstanceOrders(c *owner.Core, orders []owner.InstanceOrder, now time.Time) {
 	for _, o := range orders {
-		t.orders.settle(o.Instance, false, now)
+		t.orders.resolve(o.Instance, false, now)
 		c.OnInstanceOrder(o, owner.DutyRefused, now)
 	}
 }
--- a/jobs/node/instanceorders_test.go
+++ b/jobs/node/instanceorders_test.go
@@ -13,18 +13,18 @@
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	o := newInstanceOrders("d", 3*time.Second, []owner.RecentOrder{{Instance: "old", Holder: "e", Age: time.Second}}, now)
 	o.add([]owner.InstanceOrder{{Instance: "b", Pool: "p"}, {Instance: "a", Pool: "p"}, {Instance: "c", Pool: "p"}})
-	assert.Equal(t, 3, o.waiting())
+	assert.Equal(t, 3, o.pendingCount())
 	assert.Equal(t, []owner.RecentOrder{{Instance: "old", Holder: "e", Age: time.Second}}, o.recent(now), "one that waits is not sent")
 	assert.Len(t, o.take(now), 3)
-	assert.Zero(t, o.waiting())
+	assert.Zero(t, o.pendingCount())
 
 	later := now.Add(500 * time.Millisecond)
-	o.settle("a", true, later)
-	o.settle("c", false, later)
+	o.resolve("a", true, later)
+	o.resolve("c", false, later)
 	assert.Equal(t, []owner.RecentOrder{
 		{Instance: "a", Holder: "d", Age: 0},
-		{Instance: "b", Holder: "d", Age: 500*time.Millisecond - orderDelay}, // may be on its way
+		{Instance: "b", Holder: "d", Age: 500*time.Millisecond - maxOrderDelay}, // may be on its way
 		{Instance: "old", Holder: "e", Age: 1500 * time.Millisecond},
 	}, o.recent(later))
-	assert.Empty(t, o.recent(now.Add(orderDelay+o.keep+time.Second)))
+	assert.Empty(t, o.recent(now.Add(maxOrderDelay+o.retention+time.Second)))
 }
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -141,7 +141,7 @@
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", why+", and a stronger daemon is there"))
 	if !t.handOver() && !t.idle.Load() && !n.store.Unavailable() {
-		n.endLease() // the lock goes with it
+		n.revokeLease() // the lock goes with it
 	}
 }
 
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -40,13 +40,13 @@
 			sleep.For(ctx, lockCheckInterval)
 			continue
 		}
-		n.awaitOwnersEnd(ctx, l)
+		n.watchOwnerConnection(ctx, l)
 	}
 }
 
-// awaitOwnersEnd returns when there is another owner, or the connection to this one has
+// watchOwnerConnection returns when there is another owner, or the connection to this one has
 // ended and its lease if its process is gone.
-func (n *Node) awaitOwnersEnd(ctx context.Context, l *ledger.Lock) {
+func (n *Node) watchOwnerConnection(ctx context.Context, l *ledger.Lock) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -83,7 +83,7 @@
 	if n.peers.CheckPresence(ctx, l.Addr) != peer.Absent {
 		return false
 	}
-	others := n.othersThan(l.Node)
+	others := n.peersExcept(l.Node)
 	n.rng.shuffle(others)
 	confirmed := 0
 	for _, addr := range others[:min(len(others), maxPeersAsked)] {
@@ -118,8 +118,8 @@
 	})
 }
 
-// othersThan returns the addresses of all daemons but this one and the named one.
-func (n *Node) othersThan(node string) []string {
+// peersExcept returns the addresses of all daemons but this one and the named one.
+func (n *Node) peersExcept(node string) []string {
 	list := n.members.Load()
 	if list == nil {
 		return nil
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -28,11 +28,11 @@
 	expectingInterval     = 100 * time.Millisecond
 )
 
-// followRegistrations hands the workers' entries to the core, and tells it whenever a look
+// watchRegistrations hands the workers' entries to the core, and tells it whenever a look
 // at the store has shown that what it knows of them is current. The whole list is read when
 // a term begins and when the store has dropped the changes in between: of 132 workers it has
 // 49 KB, a fifth of a second of a link of 2 Mbit/s.
-func (t *termRun) followRegistrations() {
+func (t *termRun) watchRegistrations() {
 	prefix := t.n.platform.Formats.WorkerPrefix
 	for t.ctx.Err() == nil {
 		items, revision, err := t.n.readAll(t.ctx, prefix)
@@ -42,13 +42,13 @@
 		}
 		list, _ := t.decodeRegistrations(ledger.EventsOf(items))
 		t.enqueue(func(c *owner.Core, now time.Time) { c.SetRegistrations(list, now) })
-		t.watchRegistrations(prefix, revision)
+		t.watchRegistrationChanges(prefix, revision)
 	}
 }
 
-// watchRegistrations hands on changes after a revision until the history is gone.
-func (t *termRun) watchRegistrations(prefix string, revision int64) {
-	var returns returnSizes
+// watchRegistrationChanges hands on changes after a revision until the history is gone.
+func (t *termRun) watchRegistrationChanges(prefix string, revision int64) {
+	var returns truncationDetector
 	for t.ctx.Err() == nil {
 		known := t.n.store.Newest()
 		ch, err := t.n.watchFor(t.ctx, prefix, revision, registrationsWait)
@@ -62,7 +62,7 @@
 		}
 		revision = max(revision, ch.Revision)
 		changed, gone := t.decodeRegistrations(ch.Events)
-		current := ch.Revision >= known && !returns.mayBeCut(len(ch.Events))
+		current := ch.Revision >= known && !returns.mayBeTruncated(len(ch.Events))
 		t.enqueue(func(c *owner.Core, now time.Time) {
 			c.UpdateRegistrations(changed, gone, current, now)
 			t.expectingWorkers.Store(c.ExpectsWorkers())
@@ -76,17 +76,17 @@
 	}
 }
 
-// returnSizes tells from how much a watch returns whether more has changed. A store bounds a
+// truncationDetector tells from how much a watch returns whether more has changed. A store bounds a
 // return, and does not say that it did.
-type returnSizes struct{ most int }
+type truncationDetector struct{ maxChanges int }
 
 // minTruncatedChanges is the fewest changes that a store may bound a return to.
 const minTruncatedChanges = 64
 
-// mayBeCut reports whether a return of so many changes is about as large as any before.
-func (r *returnSizes) mayBeCut(changes int) bool {
-	r.most = max(r.most, changes)
-	return changes >= minTruncatedChanges && 4*changes >= 3*r.most
+// mayBeTruncated reports whether a return of so many changes is about as large as any before.
+func (r *truncationDetector) mayBeTruncated(changes int) bool {
+	r.maxChanges = max(r.maxChanges, changes)
+	return changes >= minTruncatedChanges && 4*changes >= 3*r.maxChanges
 }
 
 // decodeRegistrations returns what events leave of each worker's entry. One that cannot be
--- a/jobs/node/relays.go
+++ b/jobs/node/relays.go
@@ -20,7 +20,7 @@
 	var others []ledger.Member
 	last := n.lastRelay.Load()
 	for _, m := range *list {
-		if m.Node == n.settings.Node || n.relayBad(m.Addr) {
+		if m.Node == n.settings.Node || n.relayFailedRecently(m.Addr) {
 			continue
 		}
 		if last != nil && m.Addr == *last {
@@ -42,7 +42,7 @@
 	n.failedRelays.Store(peer.RelayAddr(s), n.clock.Now().Add(failedRelayPause))
 }
 
-func (n *Node) relayBad(addr string) bool {
+func (n *Node) relayFailedRecently(addr string) bool {
 	until, known := n.failedRelays.Load(addr)
 	if !known {
 		return false
--- a/jobs/node/slowness.go
+++ b/jobs/node/slowness.go
@@ -181,6 +181,6 @@
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "its instance is slow, and that of another daemon is not"))
 	if !t.handOver() && !n.store.Unavailable() {
-		n.endLease() // the lock goes with it
+		n.revokeLease() // the lock goes with it
 	}
 }
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -16,7 +16,7 @@
 	n.stopping.Store(true)
 	n.gateway.DisableKeepAlives()
 	if t := n.term.Load(); t != nil && !t.handOver() && !n.store.Unavailable() {
-		n.endLease() // the lock goes with it
+		n.revokeLease() // the lock goes with it
 	}
 }
 
@@ -25,7 +25,7 @@
 // while there is time to send it.
 func (n *Node) stop(callers *http.Server, endRequests func()) {
 	n.log.Info("stopping")
-	end := n.clock.Now().Add(n.settings.StopGrace - stopReserve)
+	end := n.clock.Now().Add(n.settings.StopGrace - exitReserve)
 	n.HandOver()
 	time.Sleep(min(balancerReactionTime, n.settings.StopGrace/2))
 	if err := shutdown(callers, time.Until(end)-answerReserve); err != nil {
@@ -35,7 +35,7 @@
 			n.log.Warn("callers-unanswered", zap.Error(err))
 		}
 	}
-	n.endLease()
+	n.revokeLease()
 }
 
 // shutdown takes no new connections and waits for requests under way, for some
@@ -46,13 +46,13 @@
 	return s.Shutdown(ctx)
 }
 
-// endLease removes this daemon's keys, so that nobody waits for their end.
-func (n *Node) endLease() {
+// revokeLease removes this daemon's keys, so that nobody waits for their end.
+func (n *Node) revokeLease() {
 	id := ledger.LeaseID(n.lease.Load())
 	if id == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), endLeaseTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), revokeLeaseTimeout)
 	defer cancel()
 	if err := n.store.EndLease(ctx, id); err != nil {
 		n.log.Warn("lease-not-ended", zap.Error(err))
@@ -62,10 +62,10 @@
 }
 
 const (
-	// stopReserve of the grace is kept for the lease and the end of the process.
-	stopReserve = 800 * time.Millisecond
+	// exitReserve of the grace is kept for the lease and the end of the process.
+	exitReserve = 800 * time.Millisecond
 	// answerReserve is kept for the answers of requests that are given up.
 	answerReserve = 200 * time.Millisecond
-	// endLeaseTimeout bounds the end of the lease: it ends by itself in two seconds.
-	endLeaseTimeout = 300 * time.Millisecond
+	// revokeLeaseTimeout bounds the end of the lease: it ends by itself in two seconds.
+	revokeLeaseTimeout = 300 * time.Millisecond
 )
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -62,12 +62,12 @@
 		w := &countedWorkers{}
 		n.platform.Workers = w
 		n.metrics = NewMetrics(tally.NoopScope, nil)
-		r.startCalls = newFanout(startsPerCore, 1, slotTime)
+		r.startCalls = newCallLimiter(startSlotsPerCore, 1, callSlotTimeout)
 		r.events = make(chan event, 2)
 		decided := n.uptimeNanos()
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
 		require.Equal(t, 1, w.starts)
-		n.clock.(*steadyClock).suspended = orderAge + time.Millisecond
+		n.clock.(*steadyClock).suspended = maxStartAge + time.Millisecond
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
 		assert.Equal(t, 1, w.starts)
 		assert.Len(t, r.events, 2, "the core hears of both")
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -23,7 +23,7 @@
 		puts = puts[:ledger.MaxEntries]
 	}
 	records := t.core.PendingRecords(ledger.MaxEntries - len(puts))
-	if len(records)+len(puts)+t.orders.waiting() == 0 {
+	if len(records)+len(puts)+t.orders.pendingCount() == 0 {
 		if now.Sub(t.lastExpire) < expireInterval {
 			return
 		}
@@ -77,13 +77,13 @@
 	t.enqueue(func(c *owner.Core, now time.Time) {
 		t.committing = false
 		if err != nil {
-			t.refuse(c, orders, now)
+			t.rejectInstanceOrders(c, orders, now)
 			return
 		}
 		t.pendingPuts = t.pendingPuts[taken:]
 		c.OnCommitted(records, now)
 		if t.isLeaving() {
-			t.refuse(c, orders, now)
+			t.rejectInstanceOrders(c, orders, now)
 			return
 		}
 		t.sendInstanceOrders(orders)
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -69,7 +69,7 @@
 func (t *termRun) start(o owner.Start, decided int64) {
 	t.callInSlot(t.startCalls, o.Timeout, func(ctx context.Context) event {
 		a := owner.Answer{Outcome: owner.NotSent}
-		if time.Duration(t.n.uptimeNanos()-decided) <= orderAge {
+		if time.Duration(t.n.uptimeNanos()-decided) <= maxStartAge {
 			sent := t.n.clock.Now()
 			a = t.n.platform.Workers.Start(ctx, o)
 			a.Latency = t.n.clock.Now().Sub(sent)
@@ -80,8 +80,8 @@
 }
 
 // callInSlot makes a call to a worker once it has a slot; its timeout begins then.
-func (t *termRun) callInSlot(f fanout, timeout time.Duration, call func(context.Context) event) {
-	leave, ok := f.enter(t.ctx)
+func (t *termRun) callInSlot(f callLimiter, timeout time.Duration, call func(context.Context) event) {
+	leave, ok := f.acquire(t.ctx)
 	if !ok {
 		return // the term is over
 	}
@@ -119,7 +119,7 @@
 	}
 	return func(c *owner.Core, now time.Time) {
 		if outcome != owner.DutyUnanswered {
-			t.orders.settle(o.Instance, sent, now)
+			t.orders.resolve(o.Instance, sent, now)
 		}
 		c.OnInstanceOrder(o, outcome, now)
 	}
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -55,9 +55,9 @@
 	releaseTriedAt      time.Time    // when the lock was last to be released
 	pendingPuts         []ledger.Put // puts beside the records
 	orders              instanceOrders
-	startCalls          fanout // calls to workers that start tasks
-	holdCalls           fanout
-	otherCalls          fanout // all other calls to workers
+	startCalls          callLimiter // calls to workers that start tasks
+	holdCalls           callLimiter
+	otherCalls          callLimiter // all other calls to workers
 	stopsInFlight       stopSet
 }
 
@@ -73,20 +73,20 @@
 		return
 	}
 	t := &termRun{n: n, term: term, lease: lease, startedAt: began, suspensionSeen: n.clock.Suspended(), events: make(chan event, eventQueueLen), leaving: make(chan struct{}), released: make(chan struct{}), relist: make(chan struct{}, 1), stopsInFlight: stopSet{}}
-	t.startCalls = newFanout(startsPerCore, n.settings.Cores, slotTime)
-	t.holdCalls = newFanout(holdsPerCore, n.settings.Cores, holdSlotTime)
-	t.otherCalls = newFanout(othersPerCore, n.settings.Cores, slotTime)
+	t.startCalls = newCallLimiter(startSlotsPerCore, n.settings.Cores, callSlotTimeout)
+	t.holdCalls = newCallLimiter(holdSlotsPerCore, n.settings.Cores, holdSlotTimeout)
+	t.otherCalls = newCallLimiter(otherSlotsPerCore, n.settings.Cores, callSlotTimeout)
 	t.orders = newInstanceOrders(n.settings.Node, n.settings.DutyHandover, term.OrderedBefore, began)
 	t.ctx, t.cancel = context.WithCancel(ctx)
 	defer t.cancel()
 	t.core = owner.New(owner.Options{
 		Term:      term.Number,
 		TaskLease: min(taskLease, n.settings.MaxTaskLease), MaxWorkerLease: n.settings.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
-		MaxHoldsPerSec: lossyHoldsPerCore * n.settings.Cores,
+		MaxHoldsPerSec: lossyHoldsPerCoreSecond * n.settings.Cores,
 		MaxMovesPerSec: n.settings.MovesPerSec,
 		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.OrderedBefore), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.Successor,
 		StatusRetention:  n.settings.KeepStatus,
-		MaxPendingStarts: startsInLine * cap(t.startCalls.slots),
+		MaxPendingStarts: startsPerSlot * cap(t.startCalls.slots),
 		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, JobOrder: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
 	for _, e := range snap.Refused {
@@ -103,7 +103,7 @@
 	t.core.Evacuate(n.evacuations.list())
 	t.core.Configure(n.catalog.Load())
 	go t.watchJobs(snap.Revision)
-	go t.followRegistrations()
+	go t.watchRegistrations()
 	go t.pollInstances()
 	t.loop()
 	n.log.Info("no-longer-owner", zap.Uint64("term", term.Number))
