--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -32,7 +32,7 @@
 
 // newInstanceOrders begins with those of the owner before.
 func newInstanceOrders(self string, handover time.Duration, before []owner.RecentOrder, electedAt time.Time) instanceOrders {
-	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyMargin}
+	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyHandoverMargin}
 	for _, b := range before {
 		o.latest[b.Instance] = arrival{at: electedAt.Add(-b.Age), holder: b.Holder}
 	}
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -246,7 +246,7 @@
 // mayOrderInstances reports whether the lease was renewed so lately that an owner that has
 // taken over since, because the lease was revoked, still leaves instances alone.
 func (n *Node) mayOrderInstances() bool {
-	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < owner.DutyLeaseAge
+	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < owner.MaxDutyLeaseAge
 }
 
 // memberEntry is this daemon's entry in the store.
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -26,8 +26,8 @@
 		held, duty bool
 	}{
 		{0, true, true},
-		{owner.DutyLeaseAge - 10*time.Millisecond, true, true},
-		{owner.DutyLeaseAge + 10*time.Millisecond, true, false},
+		{owner.MaxDutyLeaseAge - 10*time.Millisecond, true, true},
+		{owner.MaxDutyLeaseAge + 10*time.Millisecond, true, false},
 		{storeLease - leaseSafetyMargin - 10*time.Millisecond, true, false},
 		{storeLease - leaseSafetyMargin + 10*time.Millisecond, false, false},
 		{storeLease, false, false},
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -128,7 +128,7 @@
 // queueWaveStatus adds the status of a wave to the next transaction.
 func (t *termRun) queueWaveStatus(s owner.WaveStatus) {
 	key, value := t.n.platform.Formats.EncodeWaveStatus(s.Wave, s.Done)
-	progress := ledger.WaveProgress{Begun: t.core.Begun(s.Wave), Done: s.Done}
+	progress := ledger.WaveProgress{Begun: t.core.MaintenanceStarted(s.Wave), Done: s.Done}
 	t.pendingPuts = append(t.pendingPuts, ledger.Put{Key: key, Value: value}, ledger.WavePut(s.Wave, progress))
 }
 
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -346,7 +346,7 @@
 	a := r.worker("a")
 	r.held(a, nil)
 	r.core.OnWave(WaveRequest{Wave: 1, Instances: []InstanceID{"i-a"}, Within: time.Minute, MaxDown: 1}, nil, false, r.now)
-	for r.now.Sub(r.core.startedAt) < 3*time.Second+DutyLeaseAge { // the pause of a change of owner
+	for r.now.Sub(r.core.startedAt) < 3*time.Second+MaxDutyLeaseAge { // the pause of a change of owner
 		require.Empty(t, r.maintenances(), "the old owner may still send an order")
 		r.tick(100 * time.Millisecond)
 		r.list()
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -26,27 +26,27 @@
 func (c *Core) onInstance(i Instance, now time.Time) {
 	old := c.instances[i.ID]
 	if old != nil && old.Instance == i {
-		c.observe(i)
+		c.updateWaves(i)
 		return
 	}
 	if old != nil && old.Worker != i.Worker {
 		if w := c.workers[i.Worker]; w != nil && w.ended {
 			return // an answer that is older than what is known
 		}
-		if old.Pool != i.Pool || c.orderedByOther(i.ID, now) {
-			c.markOrdered(old.Worker)
+		if old.Pool != i.Pool || c.mayBeOrderedByEarlierOwner(i.ID, now) {
+			c.markDeparting(old.Worker)
 		}
-		c.lifeOverOf(old.Worker, "the instance list shows another life", now)
+		c.endIncarnationOf(old.Worker, "the instance list shows another life", now)
 	}
 	switch i.State {
 	case InstanceDown:
 		if !c.mayShowPastIncarnation(i.Worker, now) {
-			c.lifeOverOf(i.Worker, "the instance list shows it down", now)
+			c.endIncarnationOf(i.Worker, "the instance list shows it down", now)
 		}
 	case InstanceInMaintenance, InstanceMoving:
 		if !c.mayShowPastIncarnation(i.Worker, now) {
-			c.markOrdered(i.Worker)
-			c.lifeOverOf(i.Worker, "the instance list shows it away", now)
+			c.markDeparting(i.Worker)
+			c.endIncarnationOf(i.Worker, "the instance list shows it away", now)
 		}
 	}
 	if old == nil {
@@ -59,59 +59,59 @@
 		c.instanceOfWorker[i.Worker] = i.ID
 	}
 	c.updateSupply(old)
-	c.observe(i)
+	c.updateWaves(i)
 }
 
-// observe tells the waves, also those that are completed, what the list says of an instance. The list does not say
+// updateWaves tells the waves, also those that are completed, what the list says of an instance. The list does not say
 // for which wave an instance is away.
-func (c *Core) observe(i Instance) {
+func (c *Core) updateWaves(i Instance) {
 	for _, ws := range c.waves {
-		if ws.member[i.ID] && !c.isDownForOther(ws, i.ID) {
-			ws.observe(i, c.isOfOneWave(i.ID))
+		if ws.members[i.ID] && !c.isDownForOtherWave(ws, i.ID) {
+			ws.observeInstance(i, c.isInOneWave(i.ID))
 		}
 	}
 }
 
-// isDownForOther reports whether another wave has ordered the maintenance that the instance is
+// isDownForOtherWave reports whether another wave has ordered the maintenance that the instance is
 // away for, or is about to be.
-func (c *Core) isDownForOther(ws *waveState, id InstanceID) bool {
+func (c *Core) isDownForOtherWave(ws *waveState, id InstanceID) bool {
 	for _, o := range c.waves {
-		if d, down := o.down[id]; down && o != ws && !d.at.IsZero() {
+		if d, down := o.down[id]; down && o != ws && !d.orderedAt.IsZero() {
 			return true
 		}
 	}
 	return false
 }
 
-// isOfOneWave reports whether a single wave names the instance.
-func (c *Core) isOfOneWave(id InstanceID) bool {
+// isInOneWave reports whether a single wave names the instance.
+func (c *Core) isInOneWave(id InstanceID) bool {
 	n := 0
 	for _, ws := range c.waves {
-		if ws.member[id] {
+		if ws.members[id] {
 			n++
 		}
 	}
 	return n == 1
 }
 
-// markOrdered takes note that an order, of this owner or of one before, ends the life.
-func (c *Core) markOrdered(id WorkerID) {
+// markDeparting takes note that an order, of this owner or of one before, ends the life.
+func (c *Core) markDeparting(id WorkerID) {
 	if w := c.workers[id]; w != nil {
 		w.endOrdered = true
 	}
 }
 
-// orderShows is how long after an order for an instance its next life shows in the list: a
+// orderVisibleWithin is how long after an order for an instance its next life shows in the list: a
 // move or a maintenance takes two seconds.
-const orderShows = 5 * time.Second
+const orderVisibleWithin = 5 * time.Second
 
-// orderedByOther reports whether an earlier owner may have ordered the instance away.
-func (c *Core) orderedByOther(id InstanceID, now time.Time) bool {
+// mayBeOrderedByEarlierOwner reports whether an earlier owner may have ordered the instance away.
+func (c *Core) mayBeOrderedByEarlierOwner(id InstanceID, now time.Time) bool {
 	until, ordered := c.orderHoldoff[id]
-	return ordered && now.Before(until.Add(orderShows))
+	return ordered && now.Before(until.Add(orderVisibleWithin))
 }
 
-func (c *Core) lifeOverOf(id WorkerID, proof string, now time.Time) {
+func (c *Core) endIncarnationOf(id WorkerID, proof string, now time.Time) {
 	if w := c.workers[id]; w != nil {
 		c.endIncarnation(w, proof, now)
 	}
@@ -127,37 +127,37 @@
 	}
 }
 
-// mayDoDuty reports whether orders for instances may be sent.
-func (c *Core) mayDoDuty(now time.Time) bool {
-	return c.storeLeaseLostAt.IsZero() && !c.fenced && now.Sub(c.instanceListAt) <= instanceListAge
+// canSendInstanceOrders reports whether orders for instances may be sent.
+func (c *Core) canSendInstanceOrders(now time.Time) bool {
+	return c.storeLeaseLostAt.IsZero() && !c.fenced && now.Sub(c.instanceListAt) <= maxInstanceListAge
 }
 
-// handedOver reports whether it is known what the orders of the owner before did: they
+// isHandoverComplete reports whether it is known what the orders of the owner before did: they
 // have arrived, and the instance list shows what they began.
-func (c *Core) handedOver(now time.Time) bool {
-	wait := c.opt.DutyHandover + DutyMargin
+func (c *Core) isHandoverComplete(now time.Time) bool {
+	wait := c.opt.DutyHandover + DutyHandoverMargin
 	if c.opt.SucceedsSelf {
-		wait = DutyMargin
+		wait = DutyHandoverMargin
 	}
 	return c.opt.Term == 1 || now.Sub(c.electedAt) > wait
 }
 
-// mayOrder reports whether an order for the instance may be sent. Two owners must not
+// mayOrderInstance reports whether an order for the instance may be sent. Two owners must not
 // take turns with one instance; the others need not wait for that.
-func (c *Core) mayOrder(id InstanceID, now time.Time) bool {
-	if c.opt.PriorOrdersUnknown && now.Sub(c.electedAt) < c.opt.DutyHandover+DutyMargin {
+func (c *Core) mayOrderInstance(id InstanceID, now time.Time) bool {
+	if c.opt.PriorOrdersUnknown && now.Sub(c.electedAt) < c.opt.DutyHandover+DutyHandoverMargin {
 		return false
 	}
 	return !now.Before(c.orderHoldoff[id])
 }
 
-// listed reports whether the instance list shows the worker as a life. The store keeps the
+// isListedAsWorker reports whether the instance list shows the worker as a life. The store keeps the
 // registrations of lives that are over for some seconds.
-func (c *Core) listed(w *worker) bool {
+func (c *Core) isListedAsWorker(w *worker) bool {
 	return c.isOnInstanceList(w.Worker)
 }
 
-func (c *Core) workerOf(id InstanceID) *worker {
+func (c *Core) workerOfInstance(id InstanceID) *worker {
 	i := c.instances[id]
 	if i == nil || i.Worker == "" {
 		return nil
@@ -165,7 +165,7 @@
 	return c.workers[i.Worker]
 }
 
-var dutyNames = [...]string{"unanswered", "done", "fenced", "refused", "invalid"}
+var dutyOutcomeNames = [...]string{"unanswered", "done", "fenced", "refused", "invalid"}
 
 // String returns the outcome's name in logs and metrics.
-func (o DutyOutcome) String() string { return dutyNames[o] }
+func (o DutyOutcome) String() string { return dutyOutcomeNames[o] }
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -87,7 +87,7 @@
 
 // resizePools moves instances between pools by demand.
 func (c *Core) resizePools(now time.Time) {
-	if !c.mayDoDuty(now) || now.Before(c.nextSizingAt) {
+	if !c.canSendInstanceOrders(now) || now.Before(c.nextSizingAt) {
 		return
 	}
 	c.nextSizingAt = now.Add(sizingInterval)
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -236,7 +236,7 @@
 	c.sendDueHolds(now)
 	c.createAllDueOccurrences(now)
 	c.throttleFillers(now)
-	c.maintain(now)
+	c.advanceWaves(now)
 	c.resizePools(now)
 	c.markWaitingServices()
 	c.schedule(now)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -442,7 +442,7 @@
 		c.electedAt = opt.ElectedAt
 	}
 	for _, o := range opt.PriorOrders {
-		wait := min(opt.DutyHandover+DutyMargin, opt.DutyHandover+orderFlight-o.Age)
+		wait := min(opt.DutyHandover+DutyHandoverMargin, opt.DutyHandover+maxOrderTransit-o.Age)
 		c.orderHoldoff[o.Instance] = c.electedAt.Add(wait)
 	}
 	if catalog != nil {
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -178,13 +178,13 @@
 	out := capacity.Instance{ID: string(i.ID)}
 	w := i.worker
 	if w == nil {
-		out.Movable = !c.isUnderMaintenance(i.ID) && c.mayOrder(i.ID, now)
+		out.Movable = !c.isUnderMaintenance(i.ID) && c.mayOrderInstance(i.ID, now)
 		return out
 	}
 	if w.idleSince.IsZero() {
 		w.idleSince = now
 	}
 	out.IdleFor = now.Sub(w.idleSince)
-	out.Movable = w.heldByUs && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrder(i.ID, now)
+	out.Movable = w.heldByUs && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrderInstance(i.ID, now)
 	return out
 }
