--- a/jobs/ledger/counted.go
+++ b/jobs/ledger/counted.go
@@ -7,20 +7,20 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Call describes one call to the store: each is priced, also one that is refused.
-type Call struct {
+// StoreCall describes one call to the store: each is priced, also one that is refused.
+type StoreCall struct {
 	Kind    string // the method's name in small letters
 	Stale   bool   // a read at a tenth of the price
 	Outcome string // "answered", or the code of the error
 	Took    time.Duration
 }
 
-// Counted returns a store that tells observe each call.
-func Counted(s Store, observe func(Call)) Store { return &counted{s, observe} }
+// Observed returns a store that tells observe each call.
+func Observed(s Store, observe func(StoreCall)) Store { return &counted{s, observe} }
 
 type counted struct {
 	store   Store
-	observe func(Call)
+	observe func(StoreCall)
 }
 
 // note tells a call that began at began.
@@ -29,7 +29,7 @@
 	if err != nil {
 		outcome = string(verdict.CodeOf(err))
 	}
-	c.observe(Call{Kind: kind, Stale: stale, Outcome: outcome, Took: time.Since(began)})
+	c.observe(StoreCall{Kind: kind, Stale: stale, Outcome: outcome, Took: time.Since(began)})
 }
 
 // Get implements Store.
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -151,10 +151,10 @@
 	f.cut.relayed(began, f.now())
 }
 
-// CutFor returns for how long calls by the direct way have had no answer while those by other
+// PartitionedFor returns for how long calls by the direct way have had no answer while those by other
 // daemons are answered promptly; 0 if that cannot be said. The store serves others then, and not
 // this daemon: one that is away, or slow for all, does not count.
-func (f *Failover) CutFor() time.Duration {
+func (f *Failover) PartitionedFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cut.lasts(f.now())
@@ -224,8 +224,8 @@
 	return page, err
 }
 
-// Newest returns the newest revision that the store is known to have reached.
-func (f *Failover) Newest() int64 { return f.newest.Load() }
+// LatestRevision returns the newest revision that the store is known to have reached.
+func (f *Failover) LatestRevision() int64 { return f.newest.Load() }
 
 // reached takes note of a revision of the store; 0: none was told.
 func (f *Failover) reached(revision int64) {
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -20,11 +20,11 @@
 // transactions hold on the lock's revision and run one after another.
 type Term struct {
 	Number uint64
-	// Successor says that the owner before was an earlier life of this daemon.
-	Successor bool
-	// OrderedBefore are the instances for which the owner before may have sent an
+	// SucceedsSelf says that the owner before was an earlier life of this daemon.
+	SucceedsSelf bool
+	// PreviousOrders are the instances for which the owner before may have sent an
 	// order within the last seconds of its term.
-	OrderedBefore []owner.RecentOrder
+	PreviousOrders []owner.RecentOrder
 	// OrdersUnknown says that these cannot be known.
 	OrdersUnknown bool
 
@@ -115,7 +115,7 @@
 	if seq.Revision != 0 {
 		last, err := decode[sequenceValue](seq)
 		t.OrdersUnknown = err != nil // another writer's: the next write replaces it
-		t.OrderedBefore = last.orders()
+		t.PreviousOrders = last.orders()
 	}
 	return t, nil
 }
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -147,7 +147,7 @@
 
 // yieldIfCut gives the lock to a daemon that the store serves, if this one's own way there is cut.
 func (n *Node) yieldIfCut(t *termRun) {
-	cut := n.store.CutFor()
+	cut := n.store.PartitionedFor()
 	if cut < disconnectedYieldAfter || t.isLeaving() {
 		return
 	}
@@ -198,7 +198,7 @@
 // followFrom hands changes after a revision to the follower until the history is gone.
 func (n *Node) followFrom(ctx context.Context, f follower, revision int64) {
 	for ctx.Err() == nil {
-		known := n.store.Newest()
+		known := n.store.LatestRevision()
 		ch, err := n.watchFor(ctx, f.prefix, revision, watchWait)
 		if verdict.CodeOf(err) == ledger.CodeCompacted {
 			n.log.Warn("history-gone", zap.String("prefix", f.prefix), zap.Int64("after", revision))
@@ -372,7 +372,7 @@
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
-	if left := disconnectedElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.store.CutFor() > 0 {
+	if left := disconnectedElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.store.PartitionedFor() > 0 {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
@@ -403,7 +403,7 @@
 		// instance runs one.
 		term, err := ledger.Elect(ctx, n.store, n.memberEntry(), lease, revision)
 		if term != nil {
-			term.Successor = true
+			term.SucceedsSelf = true
 		}
 		return term, err
 	case held:
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -60,7 +60,7 @@
 
 // storeCall counts a call to the store that this daemon made itself, for a peer
 // too.
-func (m *Metrics) storeCall(c ledger.Call) {
+func (m *Metrics) storeCall(c ledger.StoreCall) {
 	kind := map[string]string{"call": c.Kind, "stale": strconv.FormatBool(c.Stale)}
 	m.scope.Tagged(kind).Tagged(map[string]string{"outcome": c.Outcome}).Counter("store_calls").Inc(1)
 	if c.Kind != "watch" { // a watch takes as long as nothing happens
--- a/jobs/node/metrics_test.go
+++ b/jobs/node/metrics_test.go
@@ -26,7 +26,7 @@
 		OpenJobs: 7, Counts: owner.Counts{Starts: 42, LongRunningLapsed: 5, JobsConsidered: 1400},
 		Pools: []owner.PoolStats{{Name: "orders", Instances: 5, Arriving: 1, BusyCores: 12.5, WaitingCores: 3, ArrivalRate: 20}},
 	})
-	n.storeCall(ledger.Call{Kind: "range", Stale: true, Outcome: "answered", Took: 4 * time.Millisecond})
+	n.storeCall(ledger.StoreCall{Kind: "range", Stale: true, Outcome: "answered", Took: 4 * time.Millisecond})
 	require.NoError(t, m.Close()) // reports what was counted
 	srv := httptest.NewServer(n.Handler())
 	defer srv.Close()
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -118,7 +118,7 @@
 		waves: map[int]owner.WaveRequest{}, electionWake: make(chan struct{}, 1),
 	}
 	n.refusedEntries = newRefusedEntries(log, m)
-	n.platform.Store = ledger.Counted(p.Store, m.storeCall)
+	n.platform.Store = ledger.Observed(p.Store, m.storeCall)
 	n.store = ledger.NewFailover(n.platform.Store, n, p.Clock.Now, n.onStoreFailure)
 	n.acceptor = ledger.NewAcceptor(n.store)
 	n.gateway = gateway.New(n, p.Formats.CallerKey, p.Formats.DecodeJob, m, log)
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -50,7 +50,7 @@
 func (t *termRun) watchRegistrationChanges(prefix string, revision int64) {
 	var returns truncationDetector
 	for t.ctx.Err() == nil {
-		known := t.n.store.Newest()
+		known := t.n.store.LatestRevision()
 		ch, err := t.n.watchFor(t.ctx, prefix, revision, registrationsWait)
 		if verdict.CodeOf(err) == ledger.CodeCompacted {
 			t.n.log.Warn("history-gone", zap.String("prefix", prefix), zap.Int64("after", revision))
