--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -19,10 +19,10 @@
 	// to be back within 3 s. Most tasks end within it.
 	isolationWait            = 1500 * time.Millisecond
 	isolationWaitLongRunning = 700 * time.Millisecond
-	// drainTime is how long a worker gets no other tasks so that it empties for a suspect.
-	drainTime = 2 * time.Second
-	// maxDrainingShare of a service's workers may be kept so at most, one at least.
-	maxDrainingShare = 0.25
+	// vacateTime is how long a worker gets no other tasks so that it empties for a suspect.
+	vacateTime = 2 * time.Second
+	// maxVacatingShare of a service's workers may be kept so at most, one at least.
+	maxVacatingShare = 0.25
 	// crashedInstanceAvoidTime is how long an instance that has crashed is the last choice: it may go down
 	// again by itself, and the suspect would be blamed for it.
 	crashedInstanceAvoidTime = 20 * time.Second
@@ -186,14 +186,14 @@
 	t.addTime(CauseFailedThereBefore, s.readySince(), p.now)
 	p.requestAdvice(s)
 	view := p.workersFor(s)
-	draining := 0
+	vacating := 0
 	var best *worker
 	for i, w := range view.workers {
 		if w.isolatedFor != nil && p.now.Before(w.isolatedUntil) {
 			if w.isolatedFor == s.job {
 				return
 			}
-			draining++
+			vacating++
 			continue
 		}
 		if w.longRunningRuns > 0 || view.views[i].Excluded || // a long-running task does not end for it
@@ -204,10 +204,10 @@
 			best = w
 		}
 	}
-	if best == nil || float64(draining+1) > max(1, maxDrainingShare*float64(len(view.workers))) {
+	if best == nil || float64(vacating+1) > max(1, maxVacatingShare*float64(len(view.workers))) {
 		return
 	}
-	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(drainTime)
+	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(vacateTime)
 }
 
 // isolationViews returns the views of the room with the workers barred on which a gang of
