--- a/jobs/ledger/keys.go
+++ b/jobs/ledger/keys.go
@@ -71,13 +71,13 @@
 
 // Change is what a key under PrefixJobs says.
 type Change struct {
-	Submitted *job.Job // a job was accepted
-	Ended     *Ended   // it has ended since; nil: not yet
-	Cancelled job.ID   // or a job's caller has cancelled it
+	Submitted *job.Job   // a job was accepted
+	Ended     *EndRecord // it has ended since; nil: not yet
+	Cancelled job.ID     // or a job's caller has cancelled it
 }
 
-// Ended is what is kept of a job that has ended.
-type Ended struct {
+// EndRecord is what is kept of a job that has ended.
+type EndRecord struct {
 	State job.State
 	At    time.Time
 }
@@ -87,7 +87,7 @@
 // repeated submission is not taken for a new one, and a new owner reads all of them.
 type submission struct {
 	job.Job
-	Ended *Ended `json:",omitempty"`
+	Ended *EndRecord `json:",omitempty"`
 }
 
 // DecodeChange decodes a key under PrefixJobs; ok is false for one of neither
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -25,8 +25,8 @@
 	// PreviousOrders are the instances for which the owner before may have sent an
 	// order within the last seconds of its term.
 	PreviousOrders []owner.RecentOrder
-	// OrdersUnknown says that these cannot be known.
-	OrdersUnknown bool
+	// PreviousOrdersUnknown says that these cannot be known.
+	PreviousOrdersUnknown bool
 
 	store    Store
 	lock     Condition
@@ -114,7 +114,7 @@
 	t := &Term{Number: number, store: s, lock: Condition{keyLock, lockRevision}, sequence: seq.Revision}
 	if seq.Revision != 0 {
 		last, err := decode[sequenceValue](seq)
-		t.OrdersUnknown = err != nil // another writer's: the next write replaces it
+		t.PreviousOrdersUnknown = err != nil // another writer's: the next write replaces it
 		t.PreviousOrders = last.orders()
 	}
 	return t, nil
@@ -171,8 +171,8 @@
 // and the put of the sequence.
 const entriesOfTerm = 3
 
-// MaxEntries is how many puts and deletes one Write takes.
-const MaxEntries = MaxTxnEntries - entriesOfTerm
+// MaxWriteEntries is how many puts and deletes one Write takes.
+const MaxWriteEntries = MaxTxnEntries - entriesOfTerm
 
 // Write stores puts and deletes if this daemon still is the owner, and orders, the
 // instances for which it may have sent an order of late or is about to. After an
@@ -237,7 +237,7 @@
 	if !r.Progress.State.Final() {
 		return []Put{{Key: progress, Value: encode(r.Progress)}}, nil
 	}
-	end := submission{Job: *r.Job, Ended: &Ended{r.Progress.State, r.Progress.EndedAt}}
+	end := submission{Job: *r.Job, Ended: &EndRecord{r.Progress.State, r.Progress.EndedAt}}
 	end.Payload = ""
 	if r.Stored {
 		deletes = []string{progress}
@@ -273,8 +273,8 @@
 	return err
 }
 
-// Refused is an entry that cannot be used, and why.
-type Refused struct {
+// RefusedEntry is an entry that cannot be used, and why.
+type RefusedEntry struct {
 	Key      string
 	Revision int64
 	Err      error
@@ -282,7 +282,7 @@
 
 // Snapshot is what an owner finds in the store.
 type Snapshot struct {
-	Refused  []Refused
+	Refused  []RefusedEntry
 	Jobs     []owner.Loaded
 	Waves    map[int]WaveProgress
 	Revision int64 // watching PrefixJobs from there misses nothing
@@ -325,7 +325,7 @@
 }
 
 func (s *Snapshot) refuse(i Item, err error) {
-	s.Refused = append(s.Refused, Refused{i.Key, i.Revision, err})
+	s.Refused = append(s.Refused, RefusedEntry{i.Key, i.Revision, err})
 }
 
 // together calls functions at the same time and returns their errors.
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -140,7 +140,7 @@
 	// commitBacklog is how many jobs may wait to be written before transactions follow
 	// each other without a pause: two transactions' worth. At 300 jobs a second callers
 	// would hear of an end, and workers forget it, later and later.
-	commitBacklog = 2 * ledger.MaxEntries
+	commitBacklog = 2 * ledger.MaxWriteEntries
 	// jobsInterval is the least time between two readings of new submissions by the
 	// owner. Daemons tell it of them at once; the store is the second way.
 	jobsInterval = 200 * time.Millisecond
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -19,16 +19,16 @@
 	}
 	puts := latestPutPerKey(t.pendingPuts)
 	var deletes []string
-	if len(puts) > ledger.MaxEntries {
-		puts = puts[:ledger.MaxEntries]
+	if len(puts) > ledger.MaxWriteEntries {
+		puts = puts[:ledger.MaxWriteEntries]
 	}
-	records := t.core.PendingRecords(ledger.MaxEntries - len(puts))
+	records := t.core.PendingRecords(ledger.MaxWriteEntries - len(puts))
 	if len(records)+len(puts)+t.orders.pendingCount() == 0 {
 		if now.Sub(t.lastExpire) < expireInterval {
 			return
 		}
 		t.lastExpire = now
-		for _, id := range t.core.RemoveExpired(ledger.MaxEntries/3, now) {
+		for _, id := range t.core.RemoveExpired(ledger.MaxWriteEntries/3, now) {
 			deletes = append(deletes, ledger.JobKeys(id)...)
 		}
 		if len(deletes) == 0 {
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -84,7 +84,7 @@
 		TaskLease: min(taskLease, n.settings.MaxTaskLease), MaxWorkerLease: n.settings.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
 		MaxHoldsPerSec: lossyHoldsPerCoreSecond * n.settings.Cores,
 		MaxMovesPerSec: n.settings.MovesPerSec,
-		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PreviousOrders), ElectedAt: began, PriorOrdersUnknown: term.OrdersUnknown, SucceedsSelf: term.SucceedsSelf,
+		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PreviousOrders), ElectedAt: began, PriorOrdersUnknown: term.PreviousOrdersUnknown, SucceedsSelf: term.SucceedsSelf,
 		StatusRetention:  n.settings.KeepStatus,
 		MaxPendingStarts: startsPerSlot * cap(t.startCalls.slots),
 		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, JobOrder: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
@@ -308,8 +308,8 @@
 // finalWrites returns what goes with the lock.
 func (t *termRun) finalWrites() (puts []ledger.Put, deletes []string) {
 	puts = latestPutPerKey(t.pendingPuts)
-	puts = puts[:min(len(puts), ledger.MaxEntries)]
-	for _, r := range t.core.PendingRecords(ledger.MaxEntries - len(puts)) {
+	puts = puts[:min(len(puts), ledger.MaxWriteEntries)]
+	for _, r := range t.core.PendingRecords(ledger.MaxWriteEntries - len(puts)) {
 		p, d := ledger.RecordWrites(r)
 		puts = append(puts, p...)
 		deletes = append(deletes, d...)
