--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -6,33 +6,33 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Figures of copies of speculative tasks.
+// Parameters of speculative copies.
 const (
-	// copyDelayFactor is how many times its estimate a task may take, and copySlack how
-	// much more, before a copy is started: estimates are off by half and more.
+	// A copy is started once a run has taken copyDelayFactor times its estimate plus
+	// copyExtraDelay: estimates are off by half and more.
 	copyDelayFactor = 1.8
 	copyExtraDelay  = 400 * time.Millisecond
-	// maxSpeculativeRuns of one task run at the same time.
+	// maxSpeculativeRuns is how many runs of a task there may be at a time.
 	maxSpeculativeRuns = 2
 )
 
-// copyNeed says how much a task needs a second run.
+// copyNeed is whether, and why, a task needs a second run.
 type copyNeed int
 
 const (
 	noCopy     copyNeed = iota
-	lateCopy            // it takes much longer than estimated
-	urgentCopy          // its worker is silent, or the run is to end
+	lateCopy            // the run takes much longer than estimated
+	urgentCopy          // the run's worker is silent, or the run is being stopped
 )
 
-// copyNeed reports whether a copy of a speculative task may be sooner.
+// copyNeed returns whether a copy of a speculative task may complete before its run.
 func (t *task) copyNeed(now time.Time) copyNeed {
 	spec := t.step.spec
 	if !spec.Speculative || t.done || spec.LongRunning || len(t.runs) == 0 || len(t.runs) >= maxSpeculativeRuns {
 		return noCopy
 	}
 	if len(t.crashes) >= minCrashesForProof {
-		return noCopy // it may crash the worker of the copy, too
+		return noCopy // may crash the copy's worker too
 	}
 	r := t.runs[0]
 	if r.phase == stopping || r.worker.isSilent() {
@@ -45,8 +45,8 @@
 	return noCopy
 }
 
-// placeLateCopies starts copies of tasks that take long. It comes after all
-// placements that left no task waiting: a copy is worth less than a first run.
+// placeLateCopies starts copies of slow runs. It is called once no task waits: a copy is
+// worth less than a first run.
 func (p *schedulingPass) placeLateCopies(entries []queueEntry) {
 	for _, e := range entries {
 		for _, s := range e.job.steps {
@@ -57,8 +57,9 @@
 	}
 }
 
-// placeCopies starts copies of the step's tasks that need one so much. A copy of an
-// inherited task may run beside a run that is not known yet; its step allows that.
+// placeCopies starts copies of the step's tasks with the given need. A copy of an inherited
+// task may run beside a run of an earlier owner that is not known yet; speculative steps
+// allow that.
 func (p *schedulingPass) placeCopies(s *stepState, need copyNeed) {
 	var sel *workerSelector
 	for _, t := range s.tasks {
@@ -81,7 +82,7 @@
 		if w == nil {
 			return
 		}
-		p.core.note(Decision{Event: "copy-started", Job: s.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Reason: "its run on " + string(first.Worker) + " lags"})
+		p.core.note(Decision{Event: "copy-started", Job: s.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Reason: "its run on " + string(first.Worker) + " is slow, silent or stopping"})
 		sel.start(t, w)
 	}
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -9,42 +9,45 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// A task may crash each worker that starts it. What ran there is lost with it, so that such
-// a task has to be found and given up, at the price of few workers, and nothing else may be
-// given up in its place. Each run that is on a worker when contact to it is lost counts as a
-// possible crash of its task; what became of the worker decides. A task with an early one is
-// a suspect: it starts with nothing beside it, and what happens then convicts or clears it.
-
-// Figures of crashes.
+// A task may crash every worker that starts it, and all other runs there are lost with the
+// worker. Such a task has to be found at the cost of few workers, and no other task may be
+// given up in its place. Each run on a worker at the time contact is lost counts as a possible
+// crash of its task; the crash is confirmed or cleared once it is known what became of the
+// worker. A task with a crash at its start, or with two confirmed ones, is a suspect: it is
+// started in isolation, with nothing of another job beside it, so that what happens next is
+// conclusive.
+
+// Parameters of crash attribution.
 const (
-	// atStartTime is how long after a run was confirmed a crash counts as early. A crash at
-	// the start shows within milliseconds; the answer may wait for the owner's processor.
+	// atStartTime is how long after a run was confirmed a crash still counts as one at the
+	// start. Such a crash happens within milliseconds, but the confirming answer may wait for
+	// the owner's processor.
 	atStartTime = 150 * time.Millisecond
-	// lossDecisionDelay is how long after the end of a life it is decided whether a task may have
-	// been the cause: other workers of a rack that failed are seen to be lost by then.
+	// lossDecisionDelay is the time from the end of a worker's incarnation to the decision
+	// whether a task caused it: if its rack failed, the other losses are known by then.
 	lossDecisionDelay = 400 * time.Millisecond
-	// maxLossDecisionTime bounds how long a task waits for it before it starts once more: the
-	// fate of a worker is known within about three seconds, or it is cut off.
+	// maxLossDecisionTime bounds how long a task waits for that decision before it is started
+	// again: what became of a worker is known within about 3 s unless it is partitioned.
 	maxLossDecisionTime = 6 * time.Second
-	// unseenWorkerWait is how long a new owner waits for the lists to show a worker that an
-	// earlier one lost contact to.
+	// unseenWorkerWait is how long a new owner waits for a worker to which an earlier owner
+	// lost contact to appear in the registrations and the instance list.
 	unseenWorkerWait = 2500 * time.Millisecond
-	// lostWorkerRetention is how long the end of a life is remembered for these decisions: the longest
-	// wait for one, and some seconds.
+	// lostWorkerRetention is how long ended incarnations are kept for these decisions: the
+	// longest wait and a margin.
 	lostWorkerRetention = maxLossDecisionTime + 2*time.Second
-	// longRunningClearTime is how long a long-running task has to be at work to be cleared.
+	// longRunningClearTime is how long a long-running task has to serve to be cleared.
 	longRunningClearTime = 10 * time.Second
 )
 
-// lostAtStart reports whether the run's worker was lost as soon as the run began, as far as is
+// lostAtStart reports whether the run's worker was lost at the start of the run, as far as is
 // known.
 func (r *run) lostAtStart() bool {
 	return !r.firstSentAt.IsZero() && (r.phase == starting || r.aliveAfterStart() <= atStartTime)
 }
 
-// onContactLost takes note of a call to the worker without an answer. What was started there a
-// moment ago may be the cause: that is recorded before the worker's fate is known, so that
-// the next owner knows of it.
+// onContactLost handles an unanswered call to the worker. Runs that have just started there
+// may have crashed it. That is recorded at once, before it is known what became of the
+// worker, so that the next owner knows too.
 func (c *Core) onContactLost(w *worker, a Answer, now time.Time) {
 	if !w.markContactLost(a, now) || c.isStarved(now) {
 		return
@@ -56,8 +59,8 @@
 	}
 }
 
-// recordPossibleCrash records that the run may have crashed its worker, or that the worker has crashed
-// for another reason.
+// recordPossibleCrash records or updates an unconfirmed crash for the run. The worker may
+// have crashed for another reason, or not at all.
 func (c *Core) recordPossibleCrash(r *run, now time.Time) {
 	t := r.task
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsAsPlanned() {
@@ -73,7 +76,7 @@
 	c.markCrashDirty(t.step.job)
 }
 
-// addUnconfirmedCrash adds a crash that is open.
+// addUnconfirmedCrash adds an unconfirmed crash to the task and to openCrashes.
 func (c *Core) addUnconfirmedCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
 	l := parseIncarnation(k.Worker)
@@ -91,12 +94,13 @@
 	return true
 }
 
-// endsAsPlanned reports whether the worker's life ends as planned: moved, maintained or drained.
+// endsAsPlanned reports whether the incarnation ends by an order or a drain.
 func (w *worker) endsAsPlanned() bool {
 	return w.endOrdered || w.Draining || w.reserved == reservedMove
 }
 
-// investigateLoss decides later whether a task may have ended a life.
+// investigateLoss records possible crashes for an incarnation that has ended, and schedules
+// the decision on them.
 func (c *Core) investigateLoss(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
 		w.contactLoss = contactLoss{lostAt: now, lastAnswerAt: w.lastAnswerAt}
@@ -111,7 +115,7 @@
 	}
 }
 
-// decideLosses decides on the lives that ended a moment ago.
+// decideLosses makes the decisions that are due.
 func (c *Core) decideLosses(now time.Time) {
 	for _, w := range c.crashDecisionsDue.popAllDue(now) {
 		c.decideLoss(w, now)
@@ -120,11 +124,12 @@
 	c.recentlyEnded = slices.DeleteFunc(c.recentlyEnded, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostWorkerRetention })
 }
 
-// decideLoss decides on a life that ended. Silence of the others of its rack is waited out:
-// on a way that is cut for seconds each crash of a task would be put down to the rack.
+// decideLoss confirms or clears the crashes of an incarnation that has ended. While other
+// workers of its rack or zone are silent it waits: during a network cut of some seconds a
+// crash by a task would otherwise be blamed on the rack.
 func (c *Core) decideLoss(w *worker, now time.Time) {
 	if w.endsAsPlanned() {
-		c.clearCrashes(w.incarnation(), "it ended as planned")
+		c.clearCrashes(w.incarnation(), "the worker ended as planned")
 		return
 	}
 	correlation := c.lossCorrelationOf(w)
@@ -134,12 +139,12 @@
 	case correlation == uncorrelated:
 		c.confirmCrashes(w.incarnation(), now)
 	default:
-		c.clearCrashes(w.incarnation(), "its rack or zone failed")
+		c.clearCrashes(w.incarnation(), "the worker's rack or zone failed")
 	}
 }
 
-// decideUnseenWorkers decides on workers to which an earlier owner lost contact, and which have
-// not answered this one: if the instance list does not show such a life it is over.
+// decideUnseenWorkers confirms crashes on workers to which an earlier owner lost contact and
+// which have not answered this one, once it is known that they have ended.
 func (c *Core) decideUnseenWorkers(now time.Time) {
 	if len(c.openCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
@@ -151,22 +156,23 @@
 	}
 }
 
-// isUnseenLifeOver reports whether a life that has not answered this owner is over.
+// isUnseenLifeOver reports whether an incarnation that has not answered this owner has ended:
+// another one followed, or the instance list does not show it.
 func (c *Core) isUnseenLifeOver(l incarnation) bool {
 	w := c.workers[l.worker]
 	if w != nil && w.relationTo(l.startedMs) != sameIncarnation {
-		return true // another one has followed
+		return true // a later incarnation is known
 	}
 	return (w == nil || !w.heldByUs && !w.ended) && !c.isOnInstanceList(l.worker)
 }
 
-// isOnInstanceList reports whether the instance list shows the worker as present.
+// isOnInstanceList reports whether the instance list shows the worker.
 func (c *Core) isOnInstanceList(id WorkerID) bool {
 	i := c.instances[c.instanceOfWorker[id]]
 	return i != nil && i.Worker == id
 }
 
-// isUnderInvestigation reports whether a decision on the life is due by itself.
+// isUnderInvestigation reports whether a decision on the incarnation is scheduled.
 func (c *Core) isUnderInvestigation(l incarnation) bool {
 	for _, e := range c.crashDecisionsDue.entries {
 		if e.value.incarnation() == l {
@@ -176,7 +182,7 @@
 	return false
 }
 
-// confirmCrashes counts the crash of a worker under the tasks that ran there.
+// confirmCrashes confirms the crash of an incarnation for all tasks that may have caused it.
 func (c *Core) confirmCrashes(l incarnation, now time.Time) {
 	tasks := c.openCrashes[l]
 	delete(c.openCrashes, l)
@@ -189,6 +195,7 @@
 	}
 }
 
+// confirmCrash confirms it for one task, and gives the task up if that is conclusive.
 func (c *Core) confirmCrash(t *task, l incarnation, now time.Time) {
 	j := t.step.job
 	if t.done || j.state.Final() {
@@ -205,12 +212,13 @@
 	c.giveUpIfProven(t, now)
 }
 
+// crashReason describes a confirmed crash in the log.
 func crashReason(all job.Crashes, k *job.Crash) string {
-	return fmt.Sprintf("%d so far; early %t, exact %t, alone %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
+	return fmt.Sprintf("%d confirmed so far; at start %t, time known %t, alone %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
 }
 
-// giveUpIfProven gives a task up that crashes its workers beyond doubt. Its job fails, unless
-// other long-running tasks of it are at work: these go on serving, without it.
+// giveUpIfProven gives the task up if it conclusively crashes its workers. Its job fails,
+// unless other long-running tasks of the job serve; these go on without it.
 func (c *Core) giveUpIfProven(t *task, now time.Time) {
 	j := t.step.job
 	if j.state.Final() || !t.isGivenUp() {
@@ -229,7 +237,7 @@
 	}
 }
 
-// isServing reports whether a long-running task of the job is at work.
+// isServing reports whether a long-running task of the job serves.
 func (j *jobState) isServing(now time.Time) bool {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
@@ -241,11 +249,11 @@
 	return false
 }
 
-// isGivenUp reports whether the task crashes its workers beyond doubt: it is not started any
+// isGivenUp reports whether the task conclusively crashes its workers and is not started any
 // more.
 func (t *task) isGivenUp() bool { return t.crashes.Conclusive() }
 
-// restoreCrashes takes over what an earlier owner held against the task.
+// restoreCrashes restores the crashes that an earlier owner recorded for the task.
 func (c *Core) restoreCrashes(t *task, crashes job.Crashes) {
 	for _, k := range crashes {
 		if k.Unconfirmed() {
@@ -256,8 +264,8 @@
 	}
 }
 
-// failIfCrashProven fails a job if an earlier owner had proof against one of its tasks. Whether
-// long-running ones of it serve is not known yet: they are left to go on.
+// failIfCrashProven fails a job if the crashes that an earlier owner recorded are conclusive.
+// Long-running tasks are left alone: whether others of the job serve is not known yet.
 func (c *Core) failIfCrashProven(j *jobState, now time.Time) {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
@@ -268,7 +276,7 @@
 	}
 }
 
-// clearCrashes takes back what was held against tasks because contact to a worker was lost.
+// clearCrashes removes the unconfirmed crashes on an incarnation.
 func (c *Core) clearCrashes(l incarnation, why string) {
 	for _, t := range c.openCrashes[l] {
 		before := len(t.crashes)
@@ -281,8 +289,8 @@
 	c.note(Decision{Event: "crash-ruled-out", Worker: l.worker, Reason: why})
 }
 
-// clearCrashesOfAnswering takes back what was held against the tasks of a worker that answers, but
-// for those that have just started.
+// clearCrashesOfAnswering removes the unconfirmed crashes on a worker that answers, except
+// for runs that are not stable yet.
 func (c *Core) clearCrashesOfAnswering(w *worker, now time.Time) {
 	l := w.incarnation()
 	tasks := c.openCrashes[l]
@@ -306,11 +314,12 @@
 	c.openCrashes[l] = left
 }
 
-// dropUnconfirmedCrash takes back what was held against the task for a run.
+// dropUnconfirmedCrash removes the unconfirmed crash recorded for a run.
 func (t *task) dropUnconfirmedCrash(run uint64) {
 	t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Run == run && k.Unconfirmed() })
 }
 
+// hasUnconfirmedCrashOn reports whether the task has an unconfirmed crash on the incarnation.
 func (t *task) hasUnconfirmedCrashOn(l incarnation) bool {
 	for _, k := range t.crashes {
 		if k.Worker == l.String() {
@@ -320,8 +329,9 @@
 	return false
 }
 
-// awaitsLossDecision reports whether the task has to wait for the fate of workers: one more start
-// before it is known could be one too many.
+// awaitsLossDecision reports whether the task has to wait until it is known what became of
+// the workers it may have crashed: the crashes may turn out conclusive, and another start
+// would cost one more worker.
 func (t *task) awaitsLossDecision(c *Core, now time.Time) bool {
 	if len(t.crashes) < minCrashesForProof {
 		return false
@@ -334,10 +344,11 @@
 	return false
 }
 
-// minCrashesForProof is how many crashes may convict a task.
+// minCrashesForProof is the least number of crashes that can be conclusive.
 const minCrashesForProof = 2
 
-// isLossUndecided reports whether it will be known soon what became of the worker.
+// isLossUndecided reports whether it will be known within maxLossDecisionTime what became of
+// the incarnation.
 func (c *Core) isLossUndecided(l incarnation, now time.Time) bool {
 	if w := c.currentWorker(l); w != nil {
 		return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
@@ -350,8 +361,8 @@
 	return now.Sub(c.startedAt) < maxLossDecisionTime
 }
 
-// clearLongRunning clears a long-running task that has been at work for long enough: what befell
-// it before says nothing of it any more.
+// clearLongRunning clears the crashes, stalls and retries of a long-running task that has
+// served for longRunningClearTime.
 func (c *Core) clearLongRunning(r *run, now time.Time) {
 	t := r.task
 	if !t.step.spec.LongRunning || r.percent < 100 || now.Sub(r.confirmedAt) < longRunningClearTime {
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -2,27 +2,28 @@
 
 import "slices"
 
-// Workers that were lost together: a rack, or an availability zone, is nobody's crash.
+// Correlated losses: if most of a rack or availability zone is lost at the same time, no task
+// is blamed.
 
-// Least workers that have to be lost at the same time, beside more than half of those there
-// are.
+// A rack or zone counts as failed if at least this many of its workers, and more than half of
+// them, were lost at the same time.
 const (
 	minRackLosses = 2
 	minZoneLosses = 3
 )
 
-// lossCorrelation says whether a worker was lost with the others of its rack or zone.
+// lossCorrelation is whether a worker was lost together with others of its rack or zone.
 type lossCorrelation int
 
 const (
 	uncorrelated       lossCorrelation = iota
-	possiblyCorrelated                 // so many others are silent that it depends on whether they come back
+	possiblyCorrelated                 // so many others are silent that it depends on whether they return
 	correlated
 )
 
-// lossCorrelationOf tells whether most workers of the worker's rack or zone were lost with it. Those
-// that are silent, but not known to have ended, may be behind a way that is cut for a moment:
-// while they decide, nothing is certain.
+// lossCorrelationOf returns whether most workers of w's rack or zone were lost with w. Workers
+// that are silent but not known to have ended may be behind a short network cut; if they
+// make the difference, the result is possiblyCorrelated.
 func (c *Core) lossCorrelationOf(w *worker) lossCorrelation {
 	rack, zone := lossCount{min: minRackLosses}, lossCount{min: minZoneLosses}
 	count := func(o *worker) {
@@ -31,7 +32,7 @@
 		}
 		lost := o.contactLoss.overlaps(&w.contactLoss)
 		if o.ended && !lost {
-			return // it was over before
+			return // ended before
 		}
 		if w.Rack != "" && o.Rack == w.Rack {
 			rack.add(lost, o.ended)
@@ -51,8 +52,8 @@
 	return max(rack.correlation(), zone.correlation())
 }
 
-// shareCrashSuspect reports whether one task may have crashed both workers: started again at once, it
-// can end a rack worker by worker.
+// shareCrashSuspect reports whether one task may have crashed both workers: started again at
+// once, it can crash a rack worker by worker.
 func (c *Core) shareCrashSuspect(a, b *worker) bool {
 	others := c.crashSuspects(b)
 	return slices.ContainsFunc(c.crashSuspects(a), func(t *task) bool { return slices.Contains(others, t) })
@@ -66,13 +67,13 @@
 	return c.openCrashes[w.incarnation()]
 }
 
-// overlaps reports whether both losses may have happened at the same moment: each between the
-// last sign of life and the first call without an answer.
+// overlaps reports whether both losses may have happened at the same time: each happened
+// between the last sign of life and the first unanswered call.
 func (l *contactLoss) overlaps(o *contactLoss) bool {
 	if l.lostAt.IsZero() || o.lostAt.IsZero() {
 		return false
 	}
-	const accuracy = atStartTime // of what is known of the moment at which a connection ended
+	const accuracy = atStartTime // of the time at which a connection failed
 	return !l.lastAliveAt().After(o.lostAt.Add(accuracy)) && !o.lastAliveAt().After(l.lostAt.Add(accuracy))
 }
 
@@ -80,10 +81,11 @@
 type lossCount struct {
 	min  int
 	all  int
-	lost int // silent or gone
-	gone int // gone for certain
+	lost int // silent or ended
+	gone int // ended
 }
 
+// add counts a worker.
 func (t *lossCount) add(lost, gone bool) {
 	t.all++
 	if lost {
@@ -94,6 +96,7 @@
 	}
 }
 
+// correlation returns lossCorrelation by the counts.
 func (t *lossCount) correlation() lossCorrelation {
 	switch {
 	case t.isMajority(t.gone):
@@ -104,4 +107,5 @@
 	return uncorrelated
 }
 
+// isMajority reports whether n is at least the minimum and more than half of all.
 func (t *lossCount) isMajority(n int) bool { return n >= t.min && 2*n > t.all }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -8,28 +8,30 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// Figures of quarantine: a suspect starts on a worker on which nothing of another job runs,
-// and nothing is started beside it until it has settled.
+// Parameters of isolation. A suspect is started on a worker without runs of other jobs, and
+// nothing of another job is started there until the suspect is stable.
 const (
-	// stableAfter is how long a run has to be there to count as one that does not crash its
-	// worker at the start.
+	// stableAfter is how long a run has to be up to count as not having crashed its worker at
+	// the start.
 	stableAfter = 2 * atStartTime
-	// isolationWait is how long a suspect waits for an empty worker before it goes beside
-	// runs that have settled, and isolateLasting the same for a long-running task, which has
-	// to be back within 3 s. Most tasks end within it.
+	// isolationWait is how long a suspect waits for an empty worker before one whose other runs
+	// are stable will do; isolationWaitLongRunning is the same for long-running tasks, which
+	// must be restored within 3 s. Most tasks end within this time.
 	isolationWait            = 1500 * time.Millisecond
 	isolationWaitLongRunning = 700 * time.Millisecond
-	// vacateTime is how long a worker gets no other tasks so that it empties for a suspect.
+	// vacateTime is how long a worker gets no other tasks so that it becomes empty for a
+	// suspect.
 	vacateTime = 2 * time.Second
-	// maxVacatingShare of a service's workers may be kept so at most, one at least.
+	// maxVacatingShare is the largest share of a service's workers that are vacated for
+	// suspects; one worker always may be.
 	maxVacatingShare = 0.25
-	// crashedInstanceAvoidTime is how long an instance that has crashed is the last choice: it may go down
-	// again by itself, and the suspect would be blamed for it.
+	// crashedInstanceAvoidTime is how long an instance that has crashed is a last resort for
+	// suspects: it may crash again by itself, and the suspect would be blamed.
 	crashedInstanceAvoidTime = 20 * time.Second
 )
 
-// crashRisk returns that of the task; the members of a gang share theirs, as they start
-// together.
+// crashRisk returns the task's risk of crashing its worker. Members of a gang share the
+// highest among them, as they start together.
 func (t *task) crashRisk() job.CrashRisk {
 	if t.step.spec.Gang {
 		return t.step.crashRisk()
@@ -37,6 +39,7 @@
 	return t.crashes.Risk()
 }
 
+// crashRisk returns the highest risk among the step's tasks.
 func (s *stepState) crashRisk() job.CrashRisk {
 	most := job.CrashRiskNone
 	for _, t := range s.tasks {
@@ -45,12 +48,12 @@
 	return most
 }
 
-// isStable reports whether the run is there long enough.
+// isStable reports whether the run has been up for stableAfter on a worker that answers.
 func (r *run) isStable(now time.Time) bool {
 	return r.phase != starting && r.worker.contactLoss.lostAt.IsZero() && (r.firstSentAt.IsZero() || now.Sub(r.confirmedAt) > stableAfter)
 }
 
-// needsIsolation reports whether nothing may be started beside the run.
+// needsIsolation reports whether nothing of another job may be started beside the run.
 func (r *run) needsIsolation(now time.Time) bool {
 	switch r.trial {
 	case job.CrashRiskAtStart:
@@ -61,9 +64,9 @@
 	return false
 }
 
-// beginIsolation takes note that the run of a suspect starts with nothing beside it. A crash is
-// recorded as possible before the start is answered: should this owner be lost with the
-// worker, the next one counts it.
+// beginIsolation records the isolated start of a suspect. An unconfirmed crash is stored
+// before the start is answered: if this owner is lost together with the worker, the next
+// one counts the crash.
 func (c *Core) beginIsolation(r *run, now time.Time) {
 	r.trial = r.task.crashRisk()
 	if r.trial == job.CrashRiskNone {
@@ -79,8 +82,8 @@
 	c.markCrashDirty(t.step.job)
 }
 
-// isIsolatedFrom reports whether the worker is kept for a suspect of another job, or runs
-// one that has not settled.
+// isIsolatedFrom reports whether the worker is being vacated for a suspect of another job, or
+// runs one that needs isolation.
 func (w *worker) isIsolatedFrom(j *jobState, now time.Time) bool {
 	if w.isolatedFor != nil && w.isolatedFor != j && now.Before(w.isolatedUntil) && !w.isolatedFor.state.Final() {
 		return true
@@ -98,7 +101,7 @@
 	return isolating
 }
 
-// runsNoOtherJob reports whether nothing of another job runs on the worker.
+// runsNoOtherJob reports whether the worker has no runs of other jobs.
 func (w *worker) runsNoOtherJob(j *jobState) bool {
 	for _, r := range w.runs {
 		if r.task.step.job != j {
@@ -108,8 +111,8 @@
 	return true
 }
 
-// otherJobsStable reports whether all that runs there of other jobs has settled: if the worker
-// crashes now it is none of these.
+// otherJobsStable reports whether all runs of other jobs on the worker are stable. If the
+// worker crashes at the start of a new run, they are not the cause.
 func (w *worker) otherJobsStable(j *jobState, now time.Time) bool {
 	for _, r := range w.runs {
 		if r.task.step.job != j && !r.isStable(now) {
@@ -119,14 +122,14 @@
 	return true
 }
 
-// isInstanceSound reports whether the worker's instance has not crashed of late, but for a task that
-// was given up.
+// isInstanceSound reports whether the worker's instance has not crashed recently, apart from
+// crashes by a task that was given up.
 func (c *Core) isInstanceSound(w *worker, now time.Time) bool {
 	i := c.instances[c.instanceOfWorker[w.Worker]]
 	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > crashedInstanceAvoidTime || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
 }
 
-// isolationConditions returns the conditions for a worker of a suspect, the best first.
+// isolationConditions returns conditions on a suspect's worker, in order of preference.
 func (p *schedulingPass) isolationConditions(t *task) []func(*worker) bool {
 	j := t.step.job
 	if t.isolationWaitSince.IsZero() {
@@ -144,6 +147,7 @@
 		stable)
 }
 
+// isolationWait returns how long a suspect of the step waits for an empty worker.
 func (s *stepState) isolationWait() time.Duration {
 	if s.spec.LongRunning {
 		return isolationWaitLongRunning
@@ -151,7 +155,8 @@
 	return isolationWait
 }
 
-// excludedAfterFailure returns the workers on which a suspect that failed a moment ago is not started.
+// excludedAfterFailure returns the workers to exclude for a suspect: those where it failed, if
+// it failed recently.
 func (t *task) excludedAfterFailure(now time.Time) func(*worker) bool {
 	if now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return excludeNone
@@ -159,7 +164,8 @@
 	return t.hasFailedOn
 }
 
-// placeSuspect starts a suspect on a worker of its own, if there is one.
+// placeSuspect starts a suspect on the best worker that meets an isolation condition. If
+// there is none, it waits, and after isolationWait it may preempt.
 func (p *schedulingPass) placeSuspect(t *task, sel *workerSelector, excluded func(*worker) bool) {
 	for _, fits := range p.isolationConditions(t) {
 		w := sel.pick(func(w *worker) bool { return excluded(w) || !fits(w) })
@@ -174,12 +180,12 @@
 	}
 	p.awaitIsolation(t, &sel.req)
 	if p.now.Sub(t.isolationWaitSince) >= t.step.isolationWait() {
-		p.preempt(t.step, &sel.req) // there is no room at all
+		p.preempt(t.step, &sel.req) // no worker has capacity
 	}
 }
 
-// awaitIsolation takes note that a suspect waits for a worker of its own, and lets one
-// become empty for it.
+// awaitIsolation counts a suspect as waiting, and has a worker vacated for it: the one with
+// the fewest runs.
 func (p *schedulingPass) awaitIsolation(t *task, req *placement.Request) {
 	s := t.step
 	p.pool.addWaiting(s, 1)
@@ -196,7 +202,7 @@
 			vacating++
 			continue
 		}
-		if w.longRunningRuns > 0 || view.views[i].Excluded || // a long-running task does not end for it
+		if w.longRunningRuns > 0 || view.views[i].Excluded || // long-running tasks do not end by themselves
 			!placement.Feasible(&view.views[i], req) {
 			continue
 		}
@@ -210,8 +216,8 @@
 	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(vacateTime)
 }
 
-// isolationViews returns the views of the room with the workers barred on which a gang of
-// suspects may not start.
+// isolationViews returns the views with the workers excluded on which a gang of suspects may
+// not start.
 func (p *schedulingPass) isolationViews(s *stepState, view *workerView) []placement.Worker {
 	conditions := p.isolationConditions(s.tasks[0])
 	allowed := conditions[len(conditions)-1]
