--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	r := late.Make(lines)
+	r := late.NewReport(lines)
 	if plot != "" {
 		if err := plotLate(plot, r.BySecond(slice), slice); err != nil {
 			return err
@@ -68,7 +68,7 @@
 	printTable([]string{"from", "jobs", "late", "never accepted", "failed", "causes"}, groupRows(r.BySecond(slice)))
 }
 
-func causeRows(sums []late.Sum) [][]string {
+func causeRows(sums []late.CauseTotal) [][]string {
 	var out [][]string
 	for _, s := range sums {
 		out = append(out, []string{s.Cause, strconv.Itoa(s.Jobs), strconv.FormatFloat(s.Seconds, 'f', 1, 64)})
--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -51,8 +51,8 @@
 	Spent   map[string]time.Duration // by cause
 }
 
-// Worst returns the cause that took most of the job's avoidable time.
-func (j Job) Worst() string {
+// MainCause returns the cause that took most of the job's avoidable time.
+func (j Job) MainCause() string {
 	worst, most := "", time.Duration(-1)
 	for c, d := range j.Spent {
 		if c != owner.CauseWork.String() && (d > most || d == most && c < worst) {
@@ -81,8 +81,8 @@
 	crashes  bool // and a task of it crashes its workers
 }
 
-// Make reads the lines of all daemons.
-func Make(lines []explain.Line) Report {
+// NewReport reads the lines of all daemons.
+func NewReport(lines []explain.Line) Report {
 	var begin time.Time
 	traces := map[string]*jobTrace{}
 	out := Report{}
@@ -221,8 +221,8 @@
 	return OtherRefusal
 }
 
-// Sum is what one cause cost a group of jobs.
-type Sum struct {
+// CauseTotal is what one cause cost a group of jobs.
+type CauseTotal struct {
 	Cause   string
 	Seconds float64 // of all jobs of the group
 	Jobs    int     // of which it took most of the avoidable time
@@ -234,7 +234,7 @@
 	From     time.Duration // of a slice of time: when it begins
 	Jobs     int
 	Outcomes map[Outcome]int
-	Causes   []Sum // those that cost most first
+	Causes   []CauseTotal // those that cost most first
 
 	at time.Duration // of its first job
 }
@@ -287,17 +287,17 @@
 	if len(jobs) > 0 {
 		g.at = jobs[0].At
 	}
-	sums := map[string]*Sum{}
-	sum := func(c string) *Sum {
+	sums := map[string]*CauseTotal{}
+	sum := func(c string) *CauseTotal {
 		if sums[c] == nil {
-			sums[c] = &Sum{Cause: c}
+			sums[c] = &CauseTotal{Cause: c}
 		}
 		return sums[c]
 	}
 	for i := range jobs {
 		j := &jobs[i]
 		g.Outcomes[j.Outcome]++
-		sum(j.Worst()).Jobs++
+		sum(j.MainCause()).Jobs++
 		for c, d := range j.Spent {
 			sum(c).Seconds += d.Seconds()
 		}
@@ -305,7 +305,7 @@
 	for _, s := range sums {
 		g.Causes = append(g.Causes, *s)
 	}
-	slices.SortFunc(g.Causes, func(a, b Sum) int {
+	slices.SortFunc(g.Causes, func(a, b CauseTotal) int {
 		return cmp.Or(cmp.Compare(b.Jobs, a.Jobs), cmp.Compare(b.Seconds, a.Seconds), cmp.Compare(a.Cause, b.Cause))
 	})
 	return g
--- a/jobs/late/late_test.go
+++ b/jobs/late/late_test.go
@@ -33,7 +33,7 @@
 	lines, bad, err := explain.Read("d", strings.NewReader(logs))
 	require.NoError(t, err)
 	require.Zero(t, bad)
-	r := Make(lines)
+	r := NewReport(lines)
 	assert.Equal(t, 3, r.Accepted)
 	assert.Equal(t, 7, r.LeftOut)
 	byID := map[string]Job{}
@@ -45,14 +45,14 @@
 	a := byID["a"]
 	assert.Equal(t, Late, a.Outcome)
 	assert.Equal(t, time.Second, a.At)
-	assert.Equal(t, "pool-short", a.Worst())
+	assert.Equal(t, "pool-short", a.MainCause())
 	assert.Equal(t, 5500*time.Millisecond, a.Total, "the tries that were refused count")
 	assert.Equal(t, 1500*time.Millisecond, a.Spent[NotAccepted])
 
 	assert.Equal(t, Failed, byID["c"].Outcome)
-	assert.Equal(t, JobFailed, byID["c"].Worst())
-	assert.Equal(t, Overloaded, byID["d"].Worst())
-	assert.Equal(t, StoreAway, byID["f"].Worst())
+	assert.Equal(t, JobFailed, byID["c"].MainCause())
+	assert.Equal(t, Overloaded, byID["d"].MainCause())
+	assert.Equal(t, StoreAway, byID["f"].MainCause())
 
 	queues := r.ByQueue()
 	require.Len(t, queues, 2)
@@ -64,7 +64,7 @@
 }
 
 func TestNothingLate(t *testing.T) {
-	r := Make(nil)
+	r := NewReport(nil)
 	all := r.All()
 	assert.Zero(t, all.Jobs)
 	assert.Empty(t, r.ByQueue())
@@ -79,7 +79,7 @@
 	lines, bad, err := explain.Read("owner", f)
 	require.NoError(t, err)
 	require.Zero(t, bad)
-	r := Make(lines)
+	r := NewReport(lines)
 	raw, err := json.MarshalIndent(struct {
 		All      Group
 		ByQueue  []Group
@@ -97,8 +97,8 @@
 {"ts":"2030-01-01T00:00:07Z","msg":"job-failed","job":"g"}
 `))
 	require.NoError(t, err)
-	jobs := Make(lines).Jobs
+	jobs := NewReport(lines).Jobs
 	require.Len(t, jobs, 1)
 	assert.Equal(t, Failed, jobs[0].Outcome)
-	assert.Equal(t, JobCrashes, jobs[0].Worst())
+	assert.Equal(t, JobCrashes, jobs[0].MainCause())
 }
--- a/lab/jobload/report_test.go
+++ b/lab/jobload/report_test.go
@@ -50,7 +50,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			sc := byTurns(1)
 			sc.Troubles = []Trouble{c.trouble}
-			r := late.Make(logOf(sc))
+			r := late.NewReport(logOf(sc))
 			all := r.All()
 			require.NotEmpty(t, all.Causes)
 			assert.Contains(t, c.causes, all.Causes[0].Cause)
