--- a/cmd/postmount/report_entries.go
+++ b/cmd/postmount/report_entries.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func printEntries(entries []explain.Entry, output string) {
+func printEntries(entries []explain.RefusedEntry, output string) {
 	if output == "json" {
 		printJSON(entries)
 		return
--- a/jobs/explain/entries.go
+++ b/jobs/explain/entries.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Entry is one of the store's that a daemon refused.
-type Entry struct {
+// RefusedEntry is one of the store's that a daemon refused.
+type RefusedEntry struct {
 	Key   string
 	First time.Time // when it was first refused
 	Why   string    // newest reason
@@ -16,12 +16,12 @@
 
 // entryTrace is what the logs say of one entry so far.
 type entryTrace struct {
-	Entry
+	RefusedEntry
 	refusing map[string]bool // by file
 }
 
 // RefusedEntries returns the entries that daemons refuse at the end of their logs, by key.
-func RefusedEntries(lines []Line) []Entry {
+func RefusedEntries(lines []Line) []RefusedEntry {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
 	traces := map[string]*entryTrace{}
@@ -42,23 +42,23 @@
 			}
 		}
 	}
-	var out []Entry
+	var out []RefusedEntry
 	for _, e := range traces {
 		for by := range e.refusing {
 			e.By = append(e.By, by)
 		}
 		if len(e.By) > 0 {
 			slices.Sort(e.By)
-			out = append(out, e.Entry)
+			out = append(out, e.RefusedEntry)
 		}
 	}
-	slices.SortFunc(out, func(a, b Entry) int { return strings.Compare(a.Key, b.Key) })
+	slices.SortFunc(out, func(a, b RefusedEntry) int { return strings.Compare(a.Key, b.Key) })
 	return out
 }
 
 func traceOf(traces map[string]*entryTrace, key string) *entryTrace {
 	if traces[key] == nil {
-		traces[key] = &entryTrace{Entry: Entry{Key: key}, refusing: map[string]bool{}}
+		traces[key] = &entryTrace{RefusedEntry: RefusedEntry{Key: key}, refusing: map[string]bool{}}
 	}
 	return traces[key]
 }
--- a/jobs/explain/entries_test.go
+++ b/jobs/explain/entries_test.go
@@ -29,7 +29,7 @@
 {"ts":"2030-01-01T00:00:01Z","msg":"entry-refused","key":"member/x","revision":5,"error":"it names nobody"}
 {"ts":"2030-01-01T00:00:05Z","msg":"start"}
 `)
-	assert.Equal(t, []Entry{
+	assert.Equal(t, []RefusedEntry{
 		{Key: "op/wave/3", First: time.Date(2030, 1, 1, 0, 0, 2, 0, time.UTC), Why: "maxCount is 0", By: []string{"d1", "d2"}},
 		{Key: "servers/i-1", First: time.Date(2030, 1, 1, 0, 0, 1, 0, time.UTC), Why: "address is missing", By: []string{"d1"}},
 	}, RefusedEntries(append(append(two, one...), restarted...)))
