--- a/cmd/postmountd/platform.go
+++ b/cmd/postmountd/platform.go
@@ -67,7 +67,7 @@
 	m := telemetry.NewMetrics()
 	defer m.Close()
 	left := m.Scope.Counter("log_lines_left_out")
-	log = telemetry.Bounded(log, func() { left.Inc(1) })
+	log = telemetry.Sampled(log, func() { left.Inc(1) })
 	reach, err := platform.New(set)
 	if err != nil {
 		log.Error("failed", zap.Error(err))
--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -96,9 +96,9 @@
 	}
 }
 
-// Bounded limits how often one event is written. onDrop is called for each line
+// Sampled limits how often one event is written. onDrop is called for each line
 // that is left out.
-func Bounded(log *zap.Logger, onDrop func()) *zap.Logger {
+func Sampled(log *zap.Logger, onDrop func()) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, sampleTick, sampleFirst, sampleEach,
 			zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -55,7 +55,7 @@
 	log, err := NewLogger("info", "json", &out)
 	require.NoError(t, err)
 	left := 0
-	log = Bounded(log, func() { left++ })
+	log = Sampled(log, func() { left++ })
 	for range 1000 {
 		log.Info("same event")
 	}
