--- a/jobs/owner/lease.go
+++ b/jobs/owner/lease.go
@@ -35,9 +35,9 @@
 	if !l.known {
 		return 0
 	}
-	untilMs := l.clockMs + now.Sub(l.clockReadAt).Milliseconds() + d.Milliseconds()
-	l.grantedUntilMs = max(l.grantedUntilMs, untilMs)
-	return untilMs
+	expiresAtMs := l.clockMs + now.Sub(l.clockReadAt).Milliseconds() + d.Milliseconds()
+	l.grantedUntilMs = max(l.grantedUntilMs, expiresAtMs)
+	return expiresAtMs
 }
 
 // expired reports whether every lease that was sent has certainly expired.
