--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -87,7 +87,7 @@
 		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PreviousOrders), ElectedAt: began, PriorOrdersUnknown: term.PreviousOrdersUnknown, SucceedsSelf: term.SucceedsSelf,
 		StatusRetention:  n.settings.KeepStatus,
 		MaxPendingStarts: startsPerSlot * cap(t.startCalls.slots),
-		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, JobOrder: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
+		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, SchedulingPolicy: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
 	for _, e := range snap.Refused {
 		n.refusedEntries.add(e.Key, e.Revision, e.Err)
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -80,7 +80,7 @@
 func (c *Core) addUnconfirmedCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
 	l := parseIncarnation(k.Worker)
-	c.openCrashes[l] = append(c.openCrashes[l], t)
+	c.unconfirmedCrashes[l] = append(c.unconfirmedCrashes[l], t)
 }
 
 // isOnlyCause reports whether no run of another job explains the loss of the worker as well.
@@ -108,9 +108,9 @@
 	for _, r := range runsByNumber(w) {
 		c.recordPossibleCrash(r, now)
 	}
-	w.crashSuspects = slices.Clone(c.openCrashes[w.incarnation()])
+	w.crashSuspects = slices.Clone(c.unconfirmedCrashes[w.incarnation()])
 	c.recentlyEnded = append(c.recentlyEnded, w)
-	if len(c.openCrashes[w.incarnation()]) > 0 {
+	if len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
 		c.crashDecisionsDue.add(now.Add(lossDecisionDelay), w)
 	}
 }
@@ -146,10 +146,10 @@
 // decideUnseenWorkers confirms crashes on workers to which an earlier owner lost contact and
 // which have not answered this one, once it is known that they have ended.
 func (c *Core) decideUnseenWorkers(now time.Time) {
-	if len(c.openCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
+	if len(c.unconfirmedCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
 	}
-	for _, l := range slices.SortedFunc(maps.Keys(c.openCrashes), compareIncarnations) {
+	for _, l := range slices.SortedFunc(maps.Keys(c.unconfirmedCrashes), compareIncarnations) {
 		if !c.isUnderInvestigation(l) && c.isUnseenLifeOver(l) {
 			c.confirmCrashes(l, now)
 		}
@@ -184,8 +184,8 @@
 
 // confirmCrashes confirms the crash of an incarnation for all tasks that may have caused it.
 func (c *Core) confirmCrashes(l incarnation, now time.Time) {
-	tasks := c.openCrashes[l]
-	delete(c.openCrashes, l)
+	tasks := c.unconfirmedCrashes[l]
+	delete(c.unconfirmedCrashes, l)
 	c.counts.Crashes++
 	if i := c.instances[c.instanceOfWorker[l.worker]]; i != nil {
 		i.crashedAt, i.suspects = now, tasks
@@ -278,14 +278,14 @@
 
 // clearCrashes removes the unconfirmed crashes on an incarnation.
 func (c *Core) clearCrashes(l incarnation, why string) {
-	for _, t := range c.openCrashes[l] {
+	for _, t := range c.unconfirmedCrashes[l] {
 		before := len(t.crashes)
 		t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Worker == l.String() })
 		if len(t.crashes) < before {
 			c.queueForPlacement(t.step.job)
 		}
 	}
-	delete(c.openCrashes, l)
+	delete(c.unconfirmedCrashes, l)
 	c.note(Decision{Event: "crash-ruled-out", Worker: l.worker, Reason: why})
 }
 
@@ -293,7 +293,7 @@
 // for runs that are not stable yet.
 func (c *Core) clearCrashesOfAnswering(w *worker, now time.Time) {
 	l := w.incarnation()
-	tasks := c.openCrashes[l]
+	tasks := c.unconfirmedCrashes[l]
 	if len(tasks) == 0 {
 		return
 	}
@@ -308,10 +308,10 @@
 		}
 	}
 	if len(left) == 0 {
-		delete(c.openCrashes, l)
+		delete(c.unconfirmedCrashes, l)
 		return
 	}
-	c.openCrashes[l] = left
+	c.unconfirmedCrashes[l] = left
 }
 
 // dropUnconfirmedCrash removes the unconfirmed crash recorded for a run.
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -201,7 +201,7 @@
 			lose(r, first[0].Worker)
 			r.keep(time.Second, append(first, r.confirmStarts()...))
 			assert.Empty(t, r.core.jobs[j.ID].steps[0].tasks[0].crashes)
-			assert.Empty(t, r.core.openCrashes)
+			assert.Empty(t, r.core.unconfirmedCrashes)
 		})
 	}
 }
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -15,7 +15,7 @@
 			u.job.addAckWaiter(w)
 			break
 		}
-		if _, waits := w.unknownEnds[u.seq]; waits {
+		if _, unknown := w.unknownEnds[u.seq]; unknown {
 			break
 		}
 		w.lastAckedEnd = u.seq
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -64,7 +64,7 @@
 	if w.ended {
 		return w.crashSuspects
 	}
-	return c.openCrashes[w.incarnation()]
+	return c.unconfirmedCrashes[w.incarnation()]
 }
 
 // overlaps reports whether both losses may have happened at the same time: each happened
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -23,7 +23,7 @@
 		LeaseUntilMs: c.leaseEndFor(r.worker, now),
 		Checkpoint:   r.task.checkpoint,
 		Ticket:       r.task.step.ticketFor(r.worker),
-		Timeout:      c.callOutcomes.Timeout(OrderTimeout),
+		Timeout:      c.lossDetector.Timeout(OrderTimeout),
 	})
 }
 
@@ -35,7 +35,7 @@
 		return
 	}
 	c.onOrderAnswer(w, a, now)
-	if a.Outcome == Unanswered && !c.callOutcomes.Lossy() {
+	if a.Outcome == Unanswered && !c.lossDetector.Lossy() {
 		c.trackAnswerLatency(OrderTimeout, now) // the least that it takes, if it still comes
 	}
 	r := w.runs[o.Task]
@@ -131,7 +131,7 @@
 	switch {
 	case r.task.done:
 		c.stop(r, "the task is done", now)
-	case r.sends < c.callOutcomes.Attempts(maxStartSends):
+	case r.sends < c.lossDetector.Attempts(maxStartSends):
 		c.sendStart(r, now)
 	default:
 		// The worker may have started it, and a stop would end a working task. The worker's
@@ -142,8 +142,8 @@
 
 // provenNotStarted reports whether an answer to a hold sent at asked that does not list the
 // run proves that no start of it has arrived so far.
-func (r *run) provenNotStarted(asked time.Time) bool {
-	return r.phase == starting && !r.startAbandonedAt.IsZero() && !asked.Before(r.startAbandonedAt)
+func (r *run) provenNotStarted(holdSentAt time.Time) bool {
+	return r.phase == starting && !r.startAbandonedAt.IsZero() && !holdSentAt.Before(r.startAbandonedAt)
 }
 
 // stop orders a run to be stopped. Its resources stay allocated until its end is listed.
@@ -161,7 +161,7 @@
 func (c *Core) sendStop(r *run, now time.Time) {
 	r.sentAt = now
 	c.stopsDue.add(now.Add(c.stopRetryInterval()), r)
-	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.callOutcomes.Timeout(OrderTimeout)})
+	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.lossDetector.Timeout(OrderTimeout)})
 }
 
 // OnStopped handles the answer to a stop, or that there was none.
@@ -213,7 +213,7 @@
 // stopRetryInterval returns the time between two stops of a run. It exceeds the timeout of
 // an answer, so that at most one stop of a run is in flight.
 func (c *Core) stopRetryInterval() time.Duration {
-	return c.callOutcomes.Timeout(OrderTimeout) + stopRetryPause
+	return c.lossDetector.Timeout(OrderTimeout) + stopRetryPause
 }
 
 // OrderTimeout is the timeout for the answer to a start or stop: about a hundred round
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -87,11 +87,11 @@
 // trackAnswerLatency marks the owner as starved while the mean answer latency shows that its
 // link is saturated, as workers that seem silent may have answered. It is limited in time
 // like detectOverload.
-func (c *Core) trackAnswerLatency(took time.Duration, now time.Time) {
-	if took == 0 {
+func (c *Core) trackAnswerLatency(latency time.Duration, now time.Time) {
+	if latency == 0 {
 		return
 	}
-	c.meanAnswerLatency = time.Duration(latencyDecay*float64(c.meanAnswerLatency) + (1-latencyDecay)*float64(took))
+	c.meanAnswerLatency = time.Duration(latencyDecay*float64(c.meanAnswerLatency) + (1-latencyDecay)*float64(latency))
 	c.startWindow.adjust(c.meanAnswerLatency, now)
 	if c.meanAnswerLatency < slowAnswerLatency {
 		c.slowAnswersSince = time.Time{}
@@ -108,10 +108,10 @@
 // markStarved records that the owner is short of processor time or bandwidth. For
 // starvedPeriod it renews the leases even of workers that seem silent: their answers may
 // wait to be read, and an expired lease would stop their tasks.
-func (c *Core) markStarved(event, why string, now time.Time) {
+func (c *Core) markStarved(event, reason string, now time.Time) {
 	if !c.isStarved(now) {
 		c.starvedSince = now
-		c.note(Decision{Event: event, Reason: why})
+		c.note(Decision{Event: event, Reason: reason})
 	}
 	c.starvedUntil = now.Add(starvedPeriod)
 }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -55,7 +55,7 @@
 
 // needsIsolation reports whether nothing of another job may be started beside the run.
 func (r *run) needsIsolation(now time.Time) bool {
-	switch r.trial {
+	switch r.trialRisk {
 	case job.CrashRiskAtStart:
 		return !r.isStable(now)
 	case job.CrashRiskAnytime:
@@ -68,8 +68,8 @@
 // before the start is answered: if this owner is lost together with the worker, the next
 // one counts the crash.
 func (c *Core) beginIsolation(r *run, now time.Time) {
-	r.trial = r.task.crashRisk()
-	if r.trial == job.CrashRiskNone {
+	r.trialRisk = r.task.crashRisk()
+	if r.trialRisk == job.CrashRiskNone {
 		return
 	}
 	c.counts.Trials++
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -122,26 +122,26 @@
 	p.State = job.Running
 	for _, s := range j.steps {
 		sp := job.StepProgress{Occurrence: s.occurrence, Step: s.index}
-		known := false
+		hasProgress := false
 		for _, t := range s.tasks {
 			if t.done {
 				sp.Done = sp.Done.With(t.index)
-				known = true
+				hasProgress = true
 			}
 			if len(t.failures) > 0 {
 				sp.Failed = setEntry(sp.Failed, t.index, t.failures)
-				known = true
+				hasProgress = true
 			}
 			if len(t.crashes) > 0 {
 				sp.Crashed = setEntry(sp.Crashed, t.index, slices.Clone(t.crashes))
-				known = true
+				hasProgress = true
 			}
 			if t.checkpoint != "" {
 				sp.Checkpoint = setEntry(sp.Checkpoint, t.index, t.checkpoint)
-				known = true
+				hasProgress = true
 			}
 		}
-		if known {
+		if hasProgress {
 			p.Steps = append(p.Steps, sp)
 		}
 	}
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -145,7 +145,7 @@
 	if r.StartedMs == 0 {
 		r.StartedMs = w.StartedMs // not reported
 	}
-	if w.StartedMs != r.StartedMs && len(c.openCrashes[w.incarnation()]) > 0 {
+	if w.StartedMs != r.StartedMs && len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
 		c.clearCrashes(w.incarnation(), "the worker's start time was unknown until now")
 	}
 	if r.Draining && !w.Draining {
@@ -180,7 +180,7 @@
 // forgetWorker removes a worker whose state is no longer needed.
 func (c *Core) forgetWorker(id WorkerID) {
 	w := c.workers[id]
-	if !w.ended && len(c.openCrashes[w.incarnation()]) > 0 {
+	if !w.ended && len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
 		c.clearCrashes(w.incarnation(), "the worker was removed before its fate was known")
 	}
 	delete(c.workers, id)
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -124,7 +124,7 @@
 	pool.waitingCores, pool.lateWaitingCores = 0, 0
 	pool.placedAt = now
 	pool.waitingJobs = len(claims)
-	slices.SortFunc(claims, func(a, b queueEntry) int { return a.compare(b, c.opt.JobOrder) })
+	slices.SortFunc(claims, func(a, b queueEntry) int { return a.compare(b, c.opt.SchedulingPolicy) })
 	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: claims}
 }
 
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -31,7 +31,7 @@
 	Weights            capacity.Weights
 	MaxMovesPerSec     float64 // moves that the platform accepts; 0: no limit
 	PoolPolicy         capacity.Policy
-	JobOrder           SchedulingPolicy
+	SchedulingPolicy   SchedulingPolicy
 }
 
 // runsPerTerm is the size of the run number range of one term.
@@ -51,7 +51,7 @@
 	progressAt          time.Time     // when percent last changed
 	stallWatched        bool          // queued in stallsDue
 	usage               int           // as in ActiveRun
-	trial               job.CrashRisk // suspicion under which the run was isolated, to see whether it crashes its worker
+	trialRisk           job.CrashRisk // suspicion under which the run was isolated, to see whether it crashes its worker
 	throttlePercent     int           // ordered percentage of full speed; initially 100
 	mayStartLate        bool          // a start went unanswered and may still arrive
 	fromPastIncarnation bool          // ordered on an earlier incarnation of the worker, not yet seen on this one
@@ -281,7 +281,7 @@
 	workersByService       serviceWorkers
 	silentWorkers          workerSet               // last hold unanswered
 	endedWorkers           workerSet               // incarnation ended
-	openCrashes            map[incarnation][]*task // tasks with a possible crash of the incarnation, not decided yet
+	unconfirmedCrashes     map[incarnation][]*task // tasks with a possible crash of the incarnation, not decided yet
 	workersWithUnknownJobs workerSet               // with runs or ends of jobs not known yet
 	colocatedWorkers       workerSet               // with fillers beside serving tasks
 	unlistedWorkers        workerSet               // missing from the registrations, still counted as registered
@@ -330,7 +330,7 @@
 
 	staleIndexWorkers []*worker // workers with indexStale set
 
-	callOutcomes      calls.LossDetector
+	lossDetector      calls.LossDetector
 	starvedSince      time.Time     // start of the current or last period in which timeouts prove nothing
 	starvedUntil      time.Time     // end of that period
 	meanAnswerLatency time.Duration // moving average
@@ -410,7 +410,7 @@
 		workersByService:       serviceWorkers{},
 		silentWorkers:          workerSet{},
 		endedWorkers:           workerSet{},
-		openCrashes:            map[incarnation][]*task{},
+		unconfirmedCrashes:     map[incarnation][]*task{},
 		workersWithUnknownJobs: workerSet{},
 		colocatedWorkers:       workerSet{},
 		unlistedWorkers:        workerSet{},
@@ -437,7 +437,7 @@
 		electedAt:              now,
 		unregisterFrom:         now,
 	}
-	c.callOutcomes.Policy = opt.CallPolicy
+	c.lossDetector.Policy = opt.CallPolicy
 	if !opt.ElectedAt.IsZero() {
 		c.electedAt = opt.ElectedAt
 	}
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -34,8 +34,8 @@
 }
 
 // stopUnexpectedRun stops a listed run that must not go on and has no entry in this core.
-func (c *Core) stopUnexpectedRun(w *worker, a ActiveRun, why string) {
-	c.note(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: why})
+func (c *Core) stopUnexpectedRun(w *worker, a ActiveRun, reason string) {
+	c.note(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: reason})
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
 }
 
@@ -101,11 +101,11 @@
 	}
 	c.takeoverDone[service] = true
 	c.accountTakeoverWait(service, now)
-	why := "every worker has answered"
+	reason := "every worker has answered"
 	if awaited != "" {
-		why = "all earlier leases have expired"
+		reason = "all earlier leases have expired"
 	}
-	c.note(Decision{Event: "inherited-tasks-go", Reason: service + ": " + why + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
+	c.note(Decision{Event: "inherited-tasks-go", Reason: service + ": " + reason + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
 	return true
 }
 
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -58,7 +58,7 @@
 			LeaseUntilMs: c.leaseEndFor(w, now),
 			AckThrough:   w.ackThrough(),
 			Wait:         c.holdWait(w),
-			Timeout:      c.callOutcomes.Timeout(holdTimeout),
+			Timeout:      c.lossDetector.Timeout(holdTimeout),
 		})
 	}
 }
@@ -79,7 +79,7 @@
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
-	case c.callOutcomes.Lossy():
+	case c.lossDetector.Lossy():
 		return min(c.opt.HoldWait, max(lossyHoldWait, c.minHoldWait()))
 	}
 	return c.opt.HoldWait
@@ -139,7 +139,7 @@
 // The next hold decides; otherwise tasks just started on the worker would be suspected of
 // having crashed it.
 func (c *Core) mayBeLostHold(w *worker, a Answer) bool {
-	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.callOutcomes.Lossy()
+	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.lossDetector.Lossy()
 }
 
 // recordCallOutcome counts answered and lost calls, by which the timeouts of later calls
@@ -148,13 +148,13 @@
 	switch {
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
-		c.callOutcomes.Answered()
+		c.lossDetector.Answered()
 		w.lossReported = false
 	case a.ConnFailed:
 	case w.lossReported:
-		c.callOutcomes.LostRepeatedly()
+		c.lossDetector.LostRepeatedly()
 	default:
-		c.callOutcomes.Lost()
+		c.lossDetector.Lost()
 		w.lossReported = true
 	}
 }
@@ -182,8 +182,8 @@
 
 // noteOrderUnanswered marks the worker as silent if it has not answered since an unanswered
 // order was sent.
-func (c *Core) noteOrderUnanswered(w *worker, sent time.Time) {
-	if w.lastAnswerAt.Before(sent) {
+func (c *Core) noteOrderUnanswered(w *worker, sentAt time.Time) {
+	if w.lastAnswerAt.Before(sentAt) {
 		w.orderUnanswered = true
 		c.markWorkerChanged(w)
 	}
@@ -264,7 +264,7 @@
 
 // retryPause returns the pause before the next hold after an unanswered one.
 func (c *Core) retryPause(w *worker, now time.Time) time.Duration {
-	if c.callOutcomes.Lossy() && w.silentSince.Equal(now) {
+	if c.lossDetector.Lossy() && w.silentSince.Equal(now) {
 		return 0 // only this hold may have been lost
 	}
 	if !c.instanceListAt.IsZero() && !c.isListedAsWorker(w) {
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -167,7 +167,7 @@
 		MaxPendingStarts: startsAtOnce,
 		Term:             s.term, TaskLease: taskLease, HoldWait: holdWait, StatusRetention: 2 * time.Minute,
 		DutyHandover: dutyHandover, PriorOrders: s.orderedOfLate(), ElectedAt: s.electedAt,
-		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.Size, JobOrder: s.scenario.Order, CallPolicy: s.scenario.Calls,
+		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.Size, SchedulingPolicy: s.scenario.Order, CallPolicy: s.scenario.Calls,
 	}, s.catalog, loaded, s.engine.now)
 	s.commits = false
 	s.listInstances()
