--- a/jobs/owner/attempts_test.go
+++ b/jobs/owner/attempts_test.go
@@ -10,9 +10,9 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// TestAFailedTaskGoesToAnotherWorker: attempts are few, and the fault may have been
+// TestFailedTaskRetriesOnAnotherWorker: attempts are few, and the fault may have been
 // the worker's. If the others have no room the task waits for a while.
-func TestAFailedTaskGoesToAnotherWorker(t *testing.T) {
+func TestFailedTaskRetriesOnAnotherWorker(t *testing.T) {
 	r := newRig(t, 1)
 	bad, good := r.worker("a"), r.worker("b")
 	r.answerHold(bad, nil)
@@ -50,9 +50,9 @@
 // a task in 0.6 s, and an accepted job was shown as failed. How: its pool had no other worker, so
 // that there was nowhere else to wait for, and the task went back at once.
 //
-// TestASecondFailureOnOneWorkerWaits: attempts on the only worker are spread over the time for
+// TestSecondFailureOnSameWorkerDelaysRetry: attempts on the only worker are spread over the time for
 // which a task that failed would wait for another one.
-func TestASecondFailureOnOneWorkerWaits(t *testing.T) {
+func TestSecondFailureOnSameWorkerDelaysRetry(t *testing.T) {
 	r := newRig(t, 1)
 	c := *r.core.catalog
 	c.Queues = []job.Queue{{Name: "q", Service: "s", MaxAttempts: 3}}
--- a/jobs/owner/backoff_test.go
+++ b/jobs/owner/backoff_test.go
@@ -33,7 +33,7 @@
 func TestRepeatedFailuresBackOff(t *testing.T) {
 	t.Run("a long-running task that fails at once", func(t *testing.T) {
 		r := newRig(t, 1)
-		r.workers("w0", "w1", "w2")
+		r.addWorkers("w0", "w1", "w2")
 		j := simpleJob(1, 1)
 		j.Steps[0].LongRunning = true
 		r.core.Submit(j, r.now)
@@ -54,12 +54,12 @@
 	})
 	t.Run("a task that makes no progress on any worker", func(t *testing.T) {
 		r := newRig(t, 1)
-		r.workers("w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8")
+		r.addWorkers("w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8")
 		r.submit(1, 1)
 		running, stops, avoided := r.confirmStarts(), 0, 0
 		ends := map[WorkerID]uint64{}
 		for range 600 {
-			r.keep(100*time.Millisecond, running)
+			r.answerHolds(100*time.Millisecond, running)
 			for _, s := range r.out.Stops {
 				stops++
 				ends[s.Worker]++
@@ -80,11 +80,11 @@
 	})
 	t.Run("a start that every worker refuses as invalid", func(t *testing.T) {
 		r := newRig(t, 1)
-		r.workers("w0", "w1", "w2")
+		r.addWorkers("w0", "w1", "w2")
 		r.submit(1, 1)
 		n := 0
 		for range 600 {
-			r.keep(100*time.Millisecond, nil)
+			r.answerHolds(100*time.Millisecond, nil)
 			n += len(r.answerStarts(Answer{Outcome: Invalid}))
 		}
 		assert.LessOrEqual(t, n, 12, "starts in a minute")
@@ -92,11 +92,11 @@
 	t.Run("refused tickets", func(t *testing.T) {
 		r := newRig(t, 1)
 		r.core.catalog.Queues[0].Advisor = &job.AdvisorTiming{TicketValidity: 2 * time.Second}
-		r.workers("w0", "w1", "w2")
+		r.addWorkers("w0", "w1", "w2")
 		r.submit(1, 1)
 		n := 0
 		for range 600 {
-			r.keep(100*time.Millisecond, nil)
+			r.answerHolds(100*time.Millisecond, nil)
 			questions := r.out.AdviceQueries
 			r.out.AdviceQueries = nil
 			for _, q := range questions {
@@ -115,15 +115,15 @@
 	})
 	t.Run("a worker that refuses starts for lack of capacity", func(t *testing.T) {
 		r := newRig(t, 1)
-		r.workers("w0")
+		r.addWorkers("w0")
 		j := r.submit(1, 1)
 		n := 0
 		for range 600 {
-			r.keep(100*time.Millisecond, nil)
+			r.answerHolds(100*time.Millisecond, nil)
 			n += len(r.answerStarts(Answer{Outcome: NoRoom}))
 		}
 		assert.LessOrEqual(t, n, 70, "starts in a minute")
-		r.keep(2*time.Second, nil)
+		r.answerHolds(2*time.Second, nil)
 		require.Len(t, r.confirmStarts(), 1, "accepted once there is capacity")
 		assert.Equal(t, job.Running, mustState(t, r, j))
 	})
--- a/jobs/owner/copies_test.go
+++ b/jobs/owner/copies_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCopiesGiveWayToWaitingTasks: a task that takes long gets a copy only where
+// TestWaitingTasksGoBeforeCopies: a task that takes long gets a copy only where
 // no task waits for room.
-func TestCopiesGiveWayToWaitingTasks(t *testing.T) {
+func TestWaitingTasksGoBeforeCopies(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
 	r.answerHold(a, nil)
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -12,15 +12,15 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// loseContact breaks the connections to a worker.
-func (r *rig) loseContact(id WorkerID) {
+// failConnection breaks the connections to a worker.
+func (r *rig) failConnection(id WorkerID) {
 	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("refused"), ConnFailed: true}}, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
 }
 
-// reborn lets a new life of the worker's instance answer.
-func (r *rig) reborn(id WorkerID, as string) WorkerID {
+// restartAs lets a new life of the worker's instance answer.
+func (r *rig) restartAs(id WorkerID, as string) WorkerID {
 	for n := range r.inst {
 		if r.inst[n].Worker == id {
 			r.inst[n].Worker = WorkerID(as)
@@ -36,36 +36,36 @@
 	return WorkerID(as)
 }
 
-// crash lets a worker go down and come back.
-func (r *rig) crash(id WorkerID, as string) WorkerID {
-	r.loseContact(id)
+// crashAndRestart lets a worker go down and come back.
+func (r *rig) crashAndRestart(id WorkerID, as string) WorkerID {
+	r.failConnection(id)
 	r.tick(100 * time.Millisecond)
-	return r.reborn(id, as)
+	return r.restartAs(id, as)
 }
 
-// workers registers workers that answer. Tasks go to the first one with room.
-func (r *rig) workers(names ...string) {
+// addWorkers registers addWorkers that answer. Tasks go to the first one with room.
+func (r *rig) addWorkers(names ...string) {
 	for _, n := range names {
 		r.answerHold(r.worker(n), nil)
 	}
 }
 
-// await lets all workers but some answer until something is started.
-func (r *rig) await(d time.Duration, but ...WorkerID) []Start {
+// awaitStarts lets all workers but some answer until something is started.
+func (r *rig) awaitStarts(d time.Duration, but ...WorkerID) []Start {
 	for range d / (100 * time.Millisecond) {
 		if out := r.confirmStarts(); len(out) > 0 {
 			return out
 		}
-		r.keep(100*time.Millisecond, nil, but...)
+		r.answerHolds(100*time.Millisecond, nil, but...)
 		for _, id := range but {
-			r.loseContact(id)
+			r.failConnection(id)
 		}
 	}
 	return r.confirmStarts()
 }
 
-// keep lets all workers but some answer, with what was started there, for a while.
-func (r *rig) keep(d time.Duration, running []Start, but ...WorkerID) {
+// answerHolds lets all workers but some answer, with what was started there, for a while.
+func (r *rig) answerHolds(d time.Duration, running []Start, but ...WorkerID) {
 	for range d / (100 * time.Millisecond) {
 		r.tick(100 * time.Millisecond)
 		for _, g := range r.regs {
@@ -83,7 +83,7 @@
 	}
 }
 
-func byJob(starts []Start, j *job.Job) []Start {
+func startsOf(starts []Start, j *job.Job) []Start {
 	var out []Start
 	for _, s := range starts {
 		if s.Task.Job == j.ID {
@@ -93,17 +93,17 @@
 	return out
 }
 
-// TestSuspectsAreKeptApart: what ran on a worker that crashed as they started goes to workers
+// TestSuspectsAreIsolated: what ran on a worker that crashed as they started goes to workers
 // of its own, and nothing else goes there until it has settled. A second crash convicts one
 // task; the other is cleared and its job is done.
-func TestSuspectsAreKeptApart(t *testing.T) {
+func TestSuspectsAreIsolated(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("w0", "w1", "w2", "w3", "w4")
+	r.addWorkers("w0", "w1", "w2", "w3", "w4")
 	bad, good := r.submit(1, 1), r.submit(2, 1)
 	first := r.confirmStarts()
 	require.Len(t, first, 2)
 	require.Equal(t, first[0].Worker, first[1].Worker, "the fullest worker is taken first")
-	r.crash(first[0].Worker, "again")
+	r.crashAndRestart(first[0].Worker, "again")
 
 	again := r.confirmStarts()
 	require.Len(t, again, 2)
@@ -114,8 +114,8 @@
 	require.Equal(t, third.ID, other[0].Task.Job)
 	assert.NotContains(t, []WorkerID{again[0].Worker, again[1].Worker}, other[0].Worker, "and from others")
 
-	r.crash(byJob(again, bad)[0].Worker, "once more")
-	r.keep(time.Second, append(byJob(again, good), other...))
+	r.crashAndRestart(startsOf(again, bad)[0].Worker, "once more")
+	r.answerHolds(time.Second, append(startsOf(again, good), other...))
 	state, _ := r.core.State(bad.ID)
 	assert.Equal(t, job.Running, state, "it is shown as failed once that is recorded")
 	assert.Equal(t, job.Failed, r.core.jobs[bad.ID].state)
@@ -124,62 +124,62 @@
 	assert.NotNil(t, r.core.jobs[good.ID].steps[0].tasks[0].activeRun(), "it runs on")
 }
 
-// TestLateNewsOfACrash: the lease of a silent worker ends, its task starts elsewhere, and only
+// TestCrashConfirmedAfterLeaseExpiry: the lease of a silent worker ends, its task starts elsewhere, and only
 // then it is known that it had crashed.
-func TestLateNewsOfACrash(t *testing.T) {
+func TestCrashConfirmedAfterLeaseExpiry(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("w0", "w1", "w2", "w3", "w4")
+	r.addWorkers("w0", "w1", "w2", "w3", "w4")
 	j := r.submit(1, 1)
 	first := r.confirmStarts()
 	require.Len(t, first, 1)
-	r.loseContact(first[0].Worker)
-	second := r.await(6*time.Second, first[0].Worker)
+	r.failConnection(first[0].Worker)
+	second := r.awaitStarts(6*time.Second, first[0].Worker)
 	require.Len(t, second, 1, "the lease is over")
-	r.reborn(first[0].Worker, "again")
-	r.crash(second[0].Worker, "once more")
-	r.keep(time.Second, nil)
+	r.restartAs(first[0].Worker, "again")
+	r.crashAndRestart(second[0].Worker, "once more")
+	r.answerHolds(time.Second, nil)
 	assert.Equal(t, job.Failed, r.core.jobs[j.ID].state)
 	assert.Empty(t, r.confirmStarts())
 }
 
-// TestOneStartTooManyIsNotMade: while the fate of two workers is open the task waits.
-func TestOneStartTooManyIsNotMade(t *testing.T) {
+// TestTaskWaitsWhileTwoLossesAreUndecided: while the fate of two workers is open the task waits.
+func TestTaskWaitsWhileTwoLossesAreUndecided(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("w0", "w1", "w2", "w3", "w4")
+	r.addWorkers("w0", "w1", "w2", "w3", "w4")
 	j := simpleJob(1, 1)
 	j.Steps[0].Speculative = true
 	r.core.Submit(j, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
 	first := r.confirmStarts()
-	r.loseContact(first[0].Worker)
+	r.failConnection(first[0].Worker)
 	r.tick(100 * time.Millisecond)
-	copied := r.confirmStarts()
-	require.Len(t, copied, 1, "a copy is started at once")
-	require.NotEqual(t, first[0].Worker, copied[0].Worker)
-	r.loseContact(copied[0].Worker)
-	r.keep(2*time.Second, nil, first[0].Worker, copied[0].Worker)
+	copies := r.confirmStarts()
+	require.Len(t, copies, 1, "a copy is started at once")
+	require.NotEqual(t, first[0].Worker, copies[0].Worker)
+	r.failConnection(copies[0].Worker)
+	r.answerHolds(2*time.Second, nil, first[0].Worker, copies[0].Worker)
 	assert.Empty(t, r.confirmStarts())
 }
 
-// TestLossesThatNoTaskHasCaused: a rack or a zone that fails, a worker that drains, one that is
+// TestLossesNotBlamedOnTasks: a rack or a zone that fails, a worker that drains, one that is
 // moved, and one that answers again hold nothing against the tasks that ran there.
-func TestLossesThatNoTaskHasCaused(t *testing.T) {
+func TestLossesNotBlamedOnTasks(t *testing.T) {
 	for name, lose := range map[string]func(r *rig, id WorkerID){
 		"a rack": func(r *rig, _ WorkerID) {
 			r.regs[0].Rack, r.regs[4].Rack = "r", "r"
-			r.loseTogether("w0", "w4")
+			r.crashTogether("w0", "w4")
 		},
 		"a zone": func(r *rig, _ WorkerID) {
 			r.regs[0].Zone, r.regs[2].Zone, r.regs[3].Zone, r.regs[4].Zone = "z", "z", "z", "z"
-			r.loseTogether("w0", "w3", "w4")
+			r.crashTogether("w0", "w3", "w4")
 		},
 		"a drain": func(r *rig, id WorkerID) {
 			for n := range r.regs {
 				r.regs[n].Draining = r.regs[n].Worker == id
 			}
 			r.publishLists()
-			r.crash(id, "again")
+			r.crashAndRestart(id, "again")
 		},
 		"a move": func(r *rig, id WorkerID) {
 			for n := range r.inst {
@@ -189,62 +189,62 @@
 			}
 			r.publishLists()
 		},
-		"a reset": func(r *rig, id WorkerID) { r.loseContact(id) },
+		"a reset": func(r *rig, id WorkerID) { r.failConnection(id) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 1)
-			r.workers("w0", "w1", "w2", "w3", "w4")
+			r.addWorkers("w0", "w1", "w2", "w3", "w4")
 			j := r.submit(1, 1)
 			first := r.confirmStarts()
 			require.Len(t, first, 1)
 			require.Equal(t, WorkerID("w0"), first[0].Worker)
 			lose(r, first[0].Worker)
-			r.keep(time.Second, append(first, r.confirmStarts()...))
+			r.answerHolds(time.Second, append(first, r.confirmStarts()...))
 			assert.Empty(t, r.core.jobs[j.ID].steps[0].tasks[0].crashes)
 			assert.Empty(t, r.core.unconfirmedCrashes)
 		})
 	}
 }
 
-// loseTogether lets workers go down at the same moment and come back.
-func (r *rig) loseTogether(lost ...WorkerID) {
+// crashTogether lets workers go down at the same moment and come back.
+func (r *rig) crashTogether(lost ...WorkerID) {
 	r.publishLists()
 	for _, w := range lost {
-		r.loseContact(w)
+		r.failConnection(w)
 	}
 	r.tick(50 * time.Millisecond)
 	for _, w := range lost {
-		r.reborn(w, string(w)+" again")
+		r.restartAs(w, string(w)+" again")
 	}
 }
 
-// TestANewOwnerKnowsOfCrashes: what was recorded as possible when contact was lost counts for
+// TestNewOwnerCountsRecordedCrashes: what was recorded as possible when contact was lost counts for
 // the next owner, whether it has ever heard of that worker or not.
-func TestANewOwnerKnowsOfCrashes(t *testing.T) {
+func TestNewOwnerCountsRecordedCrashes(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("w0", "w1", "w2")
+	r.addWorkers("w0", "w1", "w2")
 	j := r.submit(1, 1)
 	first := r.confirmStarts()
-	r.loseContact(first[0].Worker)
+	r.failConnection(first[0].Worker)
 	require.True(t, r.core.HasUrgentRecords())
 	records := r.core.PendingRecords(10)
 	require.Len(t, records, 1)
 	next := newRig(t, 2, Loaded{Job: j, Progress: &records[0].Progress})
-	next.workers("x0", "x1", "x2")
-	second := next.await(time.Second)
+	next.addWorkers("x0", "x1", "x2")
+	second := next.awaitStarts(time.Second)
 	require.Len(t, second, 1)
-	next.crash(second[0].Worker, "x again")
-	next.keep(4*time.Second, nil)
+	next.crashAndRestart(second[0].Worker, "x again")
+	next.answerHolds(4*time.Second, nil)
 	assert.Equal(t, job.Failed, next.core.jobs[j.ID].state)
 	assert.Empty(t, next.confirmStarts())
 }
 
-// TestSilenceIsNoFailureOfARack: a worker crashes while the way to all others is cut for a
+// TestNetworkCutIsNotRackFailure: a worker crashes while the way to all others is cut for a
 // while. They answer again, so that their rack has not failed, and the crash counts.
-func TestSilenceIsNoFailureOfARack(t *testing.T) {
+func TestNetworkCutIsNotRackFailure(t *testing.T) {
 	r := newRig(t, 1)
 	others := []WorkerID{"w1", "w2", "w3", "w4", "w5"}
-	r.workers("w0", "w1", "w2", "w3", "w4", "w5")
+	r.addWorkers("w0", "w1", "w2", "w3", "w4", "w5")
 	for n := range r.regs {
 		r.regs[n].Rack = []string{"r0", "r0", "r1", "r1", "r2", "r2"}[n]
 	}
@@ -254,27 +254,27 @@
 	require.Len(t, first, 1)
 	require.Equal(t, WorkerID("w0"), first[0].Worker)
 	for _, w := range append([]WorkerID{"w0"}, others...) {
-		r.loseContact(w)
+		r.failConnection(w)
 	}
 	r.tick(300 * time.Millisecond)
-	r.reborn("w0", "w0 again")
+	r.restartAs("w0", "w0 again")
 	for range 8 {
 		r.tick(100 * time.Millisecond)
 		for _, w := range others {
-			r.loseContact(w)
+			r.failConnection(w)
 		}
 	}
-	r.keep(time.Second, nil)
+	r.answerHolds(time.Second, nil)
 	crashes := r.core.jobs[j.ID].steps[0].tasks[0].crashes
 	assert.Equal(t, 1, crashes.Confirmed(), "%+v", crashes)
 }
 
-// TestALostOrderIsNoCrash: an order that gets no answer in time says nothing against its task
+// TestUnansweredOrderIsNoCrash: an order that gets no answer in time says nothing against its task
 // as long as the worker's hold is under way; one the connection of which is refused does.
-func TestALostOrderIsNoCrash(t *testing.T) {
+func TestUnansweredOrderIsNoCrash(t *testing.T) {
 	for broken, open := range map[bool]int{false: 0, true: 1} {
 		r := newRig(t, 1)
-		r.workers("w0", "w1")
+		r.addWorkers("w0", "w1")
 		j := r.submit(1, 1)
 		sent := r.out.Starts
 		require.Len(t, sent, 1)
@@ -287,21 +287,21 @@
 // started again on the only other one of its rack, and crashed that 0.15 s later; both crashes
 // were put down to the rack.
 //
-// TestATaskThatCrashesARack: workers that one task has run on, one after the other, are no sign
+// TestTaskCrashingItsRackIsBlamed: workers that one task has run on, one after the other, are no sign
 // of a failure of their rack.
-func TestATaskThatCrashesARack(t *testing.T) {
+func TestTaskCrashingItsRackIsBlamed(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("w0", "w1", "w2")
+	r.addWorkers("w0", "w1", "w2")
 	r.regs[0].Rack, r.regs[1].Rack, r.regs[2].Rack = "r", "r", "other"
 	r.publishLists()
 	j := r.submit(1, 1)
 	first := r.confirmStarts()
 	require.Len(t, first, 1)
-	r.crash(first[0].Worker, "again")
+	r.crashAndRestart(first[0].Worker, "again")
 	second := r.confirmStarts()
 	require.Len(t, second, 1)
 	require.Equal(t, WorkerID("w1"), second[0].Worker, "its rack mate")
-	r.crash(second[0].Worker, "again too")
-	r.keep(time.Second, nil)
+	r.crashAndRestart(second[0].Worker, "again too")
+	r.answerHolds(time.Second, nil)
 	assert.Equal(t, 2, r.core.jobs[j.ID].steps[0].tasks[0].crashes.Confirmed())
 }
--- a/jobs/owner/cutoff_test.go
+++ b/jobs/owner/cutoff_test.go
@@ -18,8 +18,8 @@
 // instance waits. Cause: the judgement has no limit in time and does not ask whether the owner
 // keeps up with those that do answer. Proved by the same rig with one worker less.
 
-// cutRig has five workers that are cut off, and three that are idle.
-func cutRig(t *testing.T, term uint64, loaded ...Loaded) (r *rig, cut, sound []WorkerID) {
+// partitionedRig has five workers that are cut off, and three that are idle.
+func partitionedRig(t *testing.T, term uint64, loaded ...Loaded) (r *rig, cut, sound []WorkerID) {
 	r = newRig(t, term, loaded...)
 	for i := range 5 {
 		cut = append(cut, r.worker(fmt.Sprint("cut", i)))
@@ -30,8 +30,8 @@
 	return r, cut, sound
 }
 
-// cutOff lets time pass in which the sound workers answer each hold at once.
-func (r *rig) cutOff(d time.Duration, cut, sound []WorkerID) {
+// runPartitioned lets time pass in which the sound workers answer each hold at once.
+func (r *rig) runPartitioned(d time.Duration, cut, sound []WorkerID) {
 	for range d / (100 * time.Millisecond) {
 		for _, w := range cut {
 			if r.core.workers[w].holdInFlight {
@@ -47,11 +47,11 @@
 	}
 }
 
-// TestMostOfASmallFleetIsCutOff: what ran there goes on elsewhere, some leases later at most.
-func TestMostOfASmallFleetIsCutOff(t *testing.T) {
+// TestMostOfSmallFleetPartitioned: what ran there goes on elsewhere, some leases later at most.
+func TestMostOfSmallFleetPartitioned(t *testing.T) {
 	const longEnough = 8 * rigLease
 	t.Run("what ran there", func(t *testing.T) {
-		r, cut, sound := cutRig(t, 1)
+		r, cut, sound := partitionedRig(t, 1)
 		for _, w := range cut {
 			r.answerHold(w, nil)
 		}
@@ -60,12 +60,12 @@
 		for _, w := range sound {
 			r.answerHold(w, nil)
 		}
-		r.cutOff(longEnough, cut, sound)
+		r.runPartitioned(longEnough, cut, sound)
 		assert.Len(t, r.out.Starts, 5)
 	})
 	t.Run("what a new owner inherits", func(t *testing.T) {
-		r, cut, sound := cutRig(t, 2, Loaded{Job: simpleJob(1, 5)})
-		r.cutOff(longEnough, cut, sound)
+		r, cut, sound := partitionedRig(t, 2, Loaded{Job: simpleJob(1, 5)})
+		r.runPartitioned(longEnough, cut, sound)
 		assert.Len(t, r.out.Starts, 5)
 	})
 }
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -27,7 +27,7 @@
 // there goes on, and counts as work that needs room.
 func TestInstancesOfAnEvacuatedZoneAreNoRoom(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("a", "b")
+	r.addWorkers("a", "b")
 	r.inZone("a", "z1")
 	r.inZone("b", "z2")
 	r.inst = append(r.inst, Instance{ID: "spare1", Pool: "spare", State: InstanceUp, Zone: "z1"})
--- a/jobs/owner/freeindex_test.go
+++ b/jobs/owner/freeindex_test.go
@@ -13,8 +13,8 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// someWorkers are workers of a service with tasks on them, of two sizes, in four racks.
-func someWorkers(r *rand.Rand, n int, now time.Time) []*worker {
+// randomWorkers are workers of a service with tasks on them, of two sizes, in four racks.
+func randomWorkers(r *rand.Rand, n int, now time.Time) []*worker {
 	out := make([]*worker, n)
 	for i := range out {
 		w := &worker{}
@@ -33,7 +33,7 @@
 	return out
 }
 
-func indexOf(workers []*worker) *freeIndex {
+func newIndex(workers []*worker) *freeIndex {
 	x := &freeIndex{}
 	for _, w := range workers {
 		x.add(w)
@@ -41,7 +41,7 @@
 	return x
 }
 
-func viewsOf(workers []*worker, now time.Time) []placement.Worker {
+func placementViews(workers []*worker, now time.Time) []placement.Worker {
 	out := make([]placement.Worker, len(workers))
 	for i, w := range workers {
 		out[i] = w.placementView(now)
@@ -49,13 +49,13 @@
 	return out
 }
 
-// TestTheIndexChoosesAsAScanDoes compares choices on random fleets with random requests.
-func TestTheIndexChoosesAsAScanDoes(t *testing.T) {
+// TestFreeIndexChoosesLikeScan compares choices on random fleets with random requests.
+func TestFreeIndexChoosesLikeScan(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 1))
-		workers := someWorkers(r, 1+r.IntN(40), now)
-		x, views := indexOf(workers), viewsOf(workers, now)
+		workers := randomWorkers(r, 1+r.IntN(40), now)
+		x, views := newIndex(workers), placementViews(workers, now)
 		for range 20 {
 			req := placement.Request{Need: job.Resources{CPUMilli: 1 + r.IntN(12000), MemMB: r.IntN(40000)}, MaxPerWorker: r.IntN(3)}
 			if r.IntN(3) == 0 {
@@ -79,13 +79,13 @@
 	}
 }
 
-// BenchmarkChoice compares a choice by the index with one that looks at all workers.
-func BenchmarkChoice(b *testing.B) {
+// BenchmarkChoose compares a choice by the index with one that looks at all workers.
+func BenchmarkChoose(b *testing.B) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	req := placement.Request{Need: job.Resources{CPUMilli: 4500, MemMB: 16000}}
 	for _, n := range []int{350, 3000} {
-		workers := someWorkers(rand.New(rand.NewPCG(1, 1)), n, now)
-		x, views := indexOf(workers), viewsOf(workers, now)
+		workers := randomWorkers(rand.New(rand.NewPCG(1, 1)), n, now)
+		x, views := newIndex(workers), placementViews(workers, now)
 		b.Run("index/"+strconv.Itoa(n), func(b *testing.B) {
 			for b.Loop() {
 				x.choose(&req, func(*worker) bool { return true }, nil, now)
--- a/jobs/owner/fulllink_test.go
+++ b/jobs/owner/fulllink_test.go
@@ -17,25 +17,25 @@
 // three quarters of its processor at most, 1,249 starts went unanswered, and all of it
 // ended as soon as lists took no part of the link any more.
 
-// narrowLink is how long an order takes to a worker that can be reached over a link that
+// fullLinkLatency is how long an order takes to a worker that can be reached over a link that
 // is full.
-const narrowLink = 300 * time.Millisecond
+const fullLinkLatency = 300 * time.Millisecond
 
-// slowlyStarted answers all starts so far, late.
-func (r *rig) slowlyStarted() []Start {
+// startedSlowly answers all starts so far, late.
+func (r *rig) startedSlowly() []Start {
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs(), Latency: narrowLink}, r.now)
+		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs(), Latency: fullLinkLatency}, r.now)
 	}
 	r.collectEffects()
 	return out
 }
 
-// TestAFullLinkIsNotSilence: while the answers that come have taken long, a third of the
+// TestFullLinkIsNotWorkerSilence: while the answers that come have taken long, a third of the
 // workers may seem silent though they work. Their leases are renewed, and what runs there is
 // not started again.
-func TestAFullLinkIsNotSilence(t *testing.T) {
+func TestFullLinkIsNotWorkerSilence(t *testing.T) {
 	const workers, silent = 30, 10
 	r := newRig(t, 1)
 	var all []WorkerID
@@ -45,7 +45,7 @@
 		all = append(all, w)
 	}
 	first := r.submit(1, 7*workers)
-	require.Len(t, r.slowlyStarted(), 7*workers)
+	require.Len(t, r.startedSlowly(), 7*workers)
 	r.out.Holds = nil
 	for n := range 60 { // 6 s
 		for i, w := range all {
@@ -59,7 +59,7 @@
 		}
 		if n%5 == 0 { // short work goes on elsewhere
 			r.submit(2+n, 1)
-			for _, s := range r.slowlyStarted() {
+			for _, s := range r.startedSlowly() {
 				require.NotEqual(t, first.ID, s.Task.Job, "what may run is not started again")
 			}
 		}
@@ -84,8 +84,8 @@
 // log has 51 and 24 workers silent and 33 and 40 starts unanswered in two seconds, and no
 // line on a full link.
 //
-// TestNoAnswerAtAllIsAFullLink: starts without any answer tell of it, too.
-func TestNoAnswerAtAllIsAFullLink(t *testing.T) {
+// TestUnansweredStartsIndicateFullLink: starts without any answer tell of it, too.
+func TestUnansweredStartsIndicateFullLink(t *testing.T) {
 	const workers, silent = 30, 12
 	r := newRig(t, 1)
 	var all []WorkerID
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestSilenceOverAFreeLink: the same silence counts if answers come at once.
-func TestSilenceOverAFreeLink(t *testing.T) {
+// TestSilenceOnFreeLinkEndsLeases: the same silence counts if answers come at once.
+func TestSilenceOnFreeLinkEndsLeases(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
 	r.answerHold(a, nil)
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -108,7 +108,7 @@
 // the tasks that may have crashed its old incarnation.
 func TestCrashCountsAfterARestart(t *testing.T) {
 	r := newRig(t, 1)
-	r.workers("b", "c", "d")
+	r.addWorkers("b", "c", "d")
 	a := r.worker("a")
 	r.answerHoldAs(r.setIncarnation(a, 500), 500, nil)
 	for _, id := range []WorkerID{"b", "c", "d"} {
@@ -119,9 +119,9 @@
 	starts := r.confirmStarts()
 	require.Len(t, starts, 1)
 	require.Equal(t, a, starts[0].Worker)
-	r.loseContact(a)
+	r.failConnection(a)
 	r.answerHoldAs(r.setIncarnation(a, 700), 700, nil)
-	r.keep(time.Second, nil, a)
+	r.answerHolds(time.Second, nil, a)
 	task := r.core.jobs[j.ID].steps[0].tasks[0]
 	assert.Equal(t, 1, task.crashes.Confirmed())
 }
--- a/jobs/owner/latestart_test.go
+++ b/jobs/owner/latestart_test.go
@@ -10,8 +10,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// stopsOf returns the orders to stop the task so far and forgets them.
-func (r *rig) stopsOf(id job.TaskID) []Stop {
+// takeStops returns the orders to stop the task so far and forgets them.
+func (r *rig) takeStops(id job.TaskID) []Stop {
 	var out []Stop
 	for _, s := range r.out.Stops {
 		if s.Task == id {
@@ -36,37 +36,37 @@
 	return j, first[0]
 }
 
-// TestALateStartOfACancelledJobIsStopped: the job is cancelled while the order for its
+// TestLateStartOfCancelledJobIsStopped: the job is cancelled while the order for its
 // task is on its way; the worker carries it out seconds later.
-func TestALateStartOfACancelledJobIsStopped(t *testing.T) {
+func TestLateStartOfCancelledJobIsStopped(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
 	r.answerHold(a, nil)
 	j, start := r.unansweredStart(1)
 	r.core.Cancel(j.ID, r.now)
 	r.collectEffects()
-	require.NotEmpty(t, r.stopsOf(start.Task), "the run is fenced off at once, whether it began or not")
+	require.NotEmpty(t, r.takeStops(start.Task), "the run is fenced off at once, whether it began or not")
 	for range 6 { // neither order arrives; the worker answers holds
 		r.tick(500 * time.Millisecond)
 		r.answerHold(a, nil)
 	}
-	r.stopsOf(start.Task)
+	r.takeStops(start.Task)
 	r.tick(time.Second)
-	assert.NotEmpty(t, r.stopsOf(start.Task), "a stop that was not answered is sent until it is")
+	assert.NotEmpty(t, r.takeStops(start.Task), "a stop that was not answered is sent until it is")
 
 	r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run}}) // the start came late
 	r.tick(time.Second)
-	require.NotEmpty(t, r.stopsOf(start.Task))
+	require.NotEmpty(t, r.takeStops(start.Task))
 	stop := Stop{Target: start.Target, Task: start.Task, Run: start.Run}
 	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: start.Task, Run: start.Run, Kind: EndStopped})
 	r.tick(2 * time.Second)
-	assert.Empty(t, r.stopsOf(start.Task), "it is gone")
+	assert.Empty(t, r.takeStops(start.Task), "it is gone")
 }
 
-// TestALateStartAfterTheStopWasForgotten: the run was given up for certain, its stop was
+// TestLateStartAfterAnsweredStopIsStopped: the run was given up for certain, its stop was
 // answered, and all the same the worker lists it later.
-func TestALateStartAfterTheStopWasForgotten(t *testing.T) {
+func TestLateStartAfterAnsweredStopIsStopped(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
 	r.answerHold(a, nil)
@@ -78,18 +78,18 @@
 		r.tick(500 * time.Millisecond)
 		r.answerHold(a, nil)
 	}
-	r.stopsOf(start.Task)
+	r.takeStops(start.Task)
 	for range 3 { // as often as it is listed
 		r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run}})
-		assert.NotEmpty(t, r.stopsOf(start.Task))
+		assert.NotEmpty(t, r.takeStops(start.Task))
 		r.tick(600 * time.Millisecond)
 	}
 }
 
-// TestALateStartOfARemovedOwnerIsStopped: the owner that sent the order is gone, the next
+// TestLateStartByPreviousOwnerIsStopped: the owner that sent the order is gone, the next
 // one knows the job as cancelled, and the worker, which has not heard of the new owner
 // when the order arrives, lists the run to it.
-func TestALateStartOfARemovedOwnerIsStopped(t *testing.T) {
+func TestLateStartByPreviousOwnerIsStopped(t *testing.T) {
 	for name, loaded := range map[string]Loaded{
 		"cancelled":          {Job: simpleJob(1, 1), Cancelled: true},
 		"recorded as ended":  {Job: simpleJob(1, 1), Progress: &job.Progress{State: job.Cancelled}},
@@ -102,24 +102,24 @@
 			r.answerHold(a, nil) // nothing runs there yet
 			r.tick(2 * time.Second)
 			r.answerHold(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
-			require.NotEmpty(t, r.stopsOf(task))
+			require.NotEmpty(t, r.takeStops(task))
 			r.tick(time.Second)
-			assert.NotEmpty(t, r.stopsOf(task), "until it is answered")
+			assert.NotEmpty(t, r.takeStops(task), "until it is answered")
 		})
 	}
 }
 
-// TestACancellationOverATakeover: the order is late, its sender removed, and the
+// TestCancellationAcrossTakeover: the order is late, its sender removed, and the
 // cancellation reaches the new owner only after the worker has listed the run.
-func TestACancellationOverATakeover(t *testing.T) {
+func TestCancellationAcrossTakeover(t *testing.T) {
 	r := newRig(t, 2, Loaded{Job: simpleJob(1, 1)})
 	a := r.worker("a")
 	task := job.TaskID{Job: simpleJob(1, 1).ID}
 	r.answerHold(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
-	require.Empty(t, r.stopsOf(task), "it is adopted")
+	require.Empty(t, r.takeStops(task), "it is adopted")
 	r.core.Cancel(task.Job, r.now)
 	r.collectEffects()
-	require.NotEmpty(t, r.stopsOf(task))
+	require.NotEmpty(t, r.takeStops(task))
 
 	// The job itself is not known yet: its run is a stranger's, and stopped as soon as
 	// the cancelled job is heard of.
@@ -129,5 +129,5 @@
 	r.core.Cancel(late.Job, r.now)
 	r.core.Submit(simpleJob(2, 1), r.now)
 	r.answerHold(b, []ActiveRun{{Task: late, Run: runsPerTerm + 2}})
-	assert.NotEmpty(t, r.stopsOf(late))
+	assert.NotEmpty(t, r.takeStops(late))
 }
--- a/jobs/owner/notsent_test.go
+++ b/jobs/owner/notsent_test.go
@@ -29,7 +29,7 @@
 	r.publishLists()
 	r.core.OnStarted(first, Answer{Outcome: NotSent}, r.now)
 	r.tick(25 * time.Millisecond)
-	assert.Empty(t, r.stopsOf(first.Task))
+	assert.Empty(t, r.takeStops(first.Task))
 	require.Len(t, r.out.Starts, 1)
 	assert.NotEqual(t, first.Worker, r.out.Starts[0].Worker)
 	assert.Greater(t, r.out.Starts[0].Run, first.Run)
@@ -49,7 +49,7 @@
 	r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 10}}) // answer to a hold sent before
 	r.tick(25 * time.Millisecond)
 	r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 20}})
-	assert.Empty(t, r.stopsOf(start.Task), "the run is working")
+	assert.Empty(t, r.takeStops(start.Task), "the run is working")
 	assert.Empty(t, r.out.Starts)
 	assert.Zero(t, r.core.PendingJobs("q"))
 }
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -174,7 +174,7 @@
 	for r.now.Sub(r.core.startedAt) <= r.core.maxLeaseDuration() {
 		require.Empty(t, r.confirmStarts(), "after %s", r.now.Sub(r.core.startedAt))
 		r.core.ReportTimerDelay(time.Second, r.now)
-		r.keep(100*time.Millisecond, nil, "unheard")
+		r.answerHolds(100*time.Millisecond, nil, "unheard")
 	}
 	r.core.ReportTimerDelay(time.Second, r.now)
 	r.tick(100 * time.Millisecond)
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -31,8 +31,8 @@
 	return r, a, active
 }
 
-// pass lets time pass while the worker answers, and its tasks go on.
-func (r *rig) pass(d time.Duration, id WorkerID, active []ActiveRun) {
+// advance lets time advance while the worker answers, and its tasks go on.
+func (r *rig) advance(d time.Duration, id WorkerID, active []ActiveRun) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.tick(100 * time.Millisecond)
 		for i := range active {
@@ -42,7 +42,7 @@
 	}
 }
 
-func without(active []ActiveRun, task job.TaskID) []ActiveRun {
+func withoutTask(active []ActiveRun, task job.TaskID) []ActiveRun {
 	var out []ActiveRun
 	for _, x := range active {
 		if x.Task != task {
@@ -52,42 +52,42 @@
 	return out
 }
 
-// TestALongRunningTaskTakesRoom: on a full worker it gets the room of one task
+// TestLongRunningTaskPreemptsOneTask: on a full worker it gets the room of one task
 // that ends by itself, and no other waiting task takes that room meanwhile.
-func TestALongRunningTaskTakesRoom(t *testing.T) {
+func TestLongRunningTaskPreemptsOneTask(t *testing.T) {
 	r, a, active := fullWorker(t, "q")
-	lasting := simpleJob(2, 1)
-	lasting.Steps[0].LongRunning = true
-	r.core.Submit(lasting, r.now)
+	longRunning := simpleJob(2, 1)
+	longRunning.Steps[0].LongRunning = true
+	r.core.Submit(longRunning, r.now)
 	r.core.Submit(simpleJob(3, 1), r.now)
-	r.pass(preemptDelayLongRunning/2, a, active)
+	r.advance(preemptDelayLongRunning/2, a, active)
 	require.Empty(t, r.out.Stops, "most get room sooner by themselves")
-	r.pass(preemptDelayLongRunning, a, active)
+	r.advance(preemptDelayLongRunning, a, active)
 	require.Len(t, r.out.Stops, 1, "one task is in the way")
 	stop := r.out.Stops[0]
 	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
-	r.answerHold(a, without(active, stop.Task), RunEnd{Seq: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
+	r.answerHold(a, withoutTask(active, stop.Task), RunEnd{Seq: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
 	r.tick(minScheduleInterval)
 	starts := r.confirmStarts()
 	require.Len(t, starts, 1)
-	assert.Equal(t, lasting.ID, starts[0].Task.Job)
+	assert.Equal(t, longRunning.ID, starts[0].Task.Job)
 }
 
-func TestUrgentTasksTakeTheRoomOfLessUrgentOnes(t *testing.T) {
+func TestHigherPriorityPreemptsLower(t *testing.T) {
 	r, a, active := fullWorker(t, "batch")
 	urgent := simpleJob(2, 1)
 	urgent.Steps[0].Need.CPUMilli = 2000
 	urgent.AcceptedAt = r.now
 	r.core.Submit(urgent, r.now)
-	r.pass(2*preemptDelay, a, active)
+	r.advance(2*preemptDelay, a, active)
 	require.Len(t, r.out.Stops, 2, "two tasks of a core each make room for two cores")
 }
 
-func TestEqualOnesAreLeftAlone(t *testing.T) {
+func TestEqualPriorityIsNotPreempted(t *testing.T) {
 	r, a, active := fullWorker(t, "q")
 	equal := simpleJob(2, 1)
 	equal.AcceptedAt = r.now
 	r.core.Submit(equal, r.now)
-	r.pass(5*preemptDelay, a, active)
+	r.advance(5*preemptDelay, a, active)
 	assert.Empty(t, r.out.Stops)
 }
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -10,8 +10,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// limit gives tenant t a limit of so many cores.
-func (r *rig) limit(cores int) {
+// setTenantLimit gives tenant t a setTenantLimit of so many cores.
+func (r *rig) setTenantLimit(cores int) {
 	c := *r.core.catalog
 	c.Tenants = []job.Tenant{{Name: "t", Limit: job.Resources{CPUMilli: 1000 * cores}}}
 	c.Services = append([]job.Service{{Name: "s"}, {Name: "other"}}, c.Services[1:]...)
@@ -19,8 +19,8 @@
 	r.core.Configure(&c)
 }
 
-// of returns a job of tenant t with so many tasks of a core.
-func of(n, count int, queue string) *job.Job {
+// tenantJob returns a job tenantJob tenant t with so many tasks tenantJob a core.
+func tenantJob(n, count int, queue string) *job.Job {
 	j := simpleJob(n, count)
 	j.Tenant, j.Queue = "t", queue
 	return j
@@ -34,22 +34,22 @@
 	r.collectEffects()
 }
 
-// TestATenantsLimit: it holds over all services, for starts without an answer, for copies, and
+// TestTenantLimit: it holds over all services, for starts without an answer, for copies, and
 // for runs that are being stopped; what ends lets the next one go at once, elsewhere too; and
 // others do not wait behind it.
-func TestATenantsLimit(t *testing.T) {
+func TestTenantLimit(t *testing.T) {
 	r := newRig(t, 1)
-	r.limit(3)
-	r.workers("w0", "w1")
+	r.setTenantLimit(3)
+	r.addWorkers("w0", "w1")
 	r.regs = append(r.regs, Registration{Worker: "o0", Service: "other", Addr: "o0", Capacity: job.Resources{CPUMilli: 8000, MemMB: 8000}})
 	r.inst = append(r.inst, Instance{ID: "i-o0", Pool: "other", State: InstanceUp, Worker: "o0"})
 	r.publishLists()
 	r.answerHold("o0", nil)
-	one, two := of(1, 2, "q"), of(2, 2, "o")
+	one, two := tenantJob(1, 2, "q"), tenantJob(2, 2, "o")
 	r.submitAll(one, two, simpleJob(3, 4))
 	starts := r.out.Starts
-	require.Len(t, byJob(starts, two), 2)
-	require.Len(t, byJob(starts, one), 1, "no start is answered yet, all count")
+	require.Len(t, startsOf(starts, two), 2)
+	require.Len(t, startsOf(starts, one), 1, "no start is answered yet, all count")
 	assert.Len(t, starts, 3+4, "others run")
 	assert.Zero(t, r.core.pool("s").waitingCores, "what its tenant may not run asks for no instances")
 	r.confirmStarts()
@@ -57,70 +57,70 @@
 	r.core.Cancel(two.ID, r.now)
 	r.tick(50 * time.Millisecond)
 	assert.Empty(t, r.confirmStarts(), "what is being stopped counts")
-	ended := byJob(starts, two)[0]
+	ended := startsOf(starts, two)[0]
 	r.answerHold(ended.Worker, nil, RunEnd{Seq: 1, Task: ended.Task, Run: ended.Run, Kind: EndStopped})
-	assert.Len(t, byJob(r.confirmStarts(), one), 1, "in the other service")
+	assert.Len(t, startsOf(r.confirmStarts(), one), 1, "in the other service")
 }
 
-// TestATenantsLimitOverLostWorkers: what ran on a worker that is silent counts until its lease
+// TestTenantLimitCountsLostWorkers: what ran on a worker that is silent counts until its lease
 // is over.
-func TestATenantsLimitOverLostWorkers(t *testing.T) {
+func TestTenantLimitCountsLostWorkers(t *testing.T) {
 	r := newRig(t, 1)
-	r.limit(2)
-	r.workers("w0", "w1", "w2", "w3", "w4", "w5")
-	r.submitAll(of(1, 2, "q"), of(2, 2, "q"))
+	r.setTenantLimit(2)
+	r.addWorkers("w0", "w1", "w2", "w3", "w4", "w5")
+	r.submitAll(tenantJob(1, 2, "q"), tenantJob(2, 2, "q"))
 	first := r.confirmStarts()
 	require.Len(t, first, 2)
 	require.Equal(t, first[0].Worker, first[1].Worker)
 	lost := first[0].Worker
-	r.loseContact(lost)
+	r.failConnection(lost)
 	for waited := time.Duration(0); waited < rigLease-200*time.Millisecond; waited += 100 * time.Millisecond {
-		r.keep(100*time.Millisecond, nil, lost)
-		r.loseContact(lost)
+		r.answerHolds(100*time.Millisecond, nil, lost)
+		r.failConnection(lost)
 		require.Empty(t, r.confirmStarts(), "after %s", waited)
 	}
-	again := r.await(2*time.Second, lost)
+	again := r.awaitStarts(2*time.Second, lost)
 	assert.Len(t, again, 2)
 }
 
-// TestATenantsLimitAfterATakeover: until it is known what an earlier owner started, all that
+// TestTenantLimitAfterTakeover: until it is known what an earlier owner started, all that
 // it may have counts. A tenant far below its limit does not wait for that.
-func TestATenantsLimitAfterATakeover(t *testing.T) {
+func TestTenantLimitAfterTakeover(t *testing.T) {
 	for cores, starts := range map[int]int{3: 1, 2: 0} {
-		old := of(1, 2, "q")
+		old := tenantJob(1, 2, "q")
 		r := newRig(t, 2, Loaded{Job: old})
-		r.limit(cores)
+		r.setTenantLimit(cores)
 		r.worker("w0")
-		r.workers("w1")
+		r.addWorkers("w1")
 		r.tick(submitHandoverWindow + 100*time.Millisecond) // from then on jobs are not inherited
-		r.submitAll(of(2, 1, "q"))
+		r.submitAll(tenantJob(2, 1, "q"))
 		running := r.confirmStarts()
 		require.Len(t, running, starts, "limit %d", cores)
 		r.answerHold("w0", []ActiveRun{{Task: job.TaskID{Job: old.ID}, Run: 7}, {Task: job.TaskID{Job: old.ID, Index: 1}, Run: 8}})
-		r.keep(300*time.Millisecond, running, "w0")
+		r.answerHolds(300*time.Millisecond, running, "w0")
 		assert.Empty(t, r.confirmStarts(), "both run, limit %d", cores)
 		used, _ := r.core.quotas.Used("t")
 		assert.Equal(t, 1000*(2+starts), used.CPUMilli)
 	}
 }
 
-// TestSharesWhenAllIsFull: a tenant that sends ten times its share does not make others late:
+// TestJobsOverShareComeLast: a tenant that sends ten times its share does not make others late:
 // what lies beyond it comes after all that is within, whoever came first, and takes no room
 // away from others.
-func TestSharesWhenAllIsFull(t *testing.T) {
+func TestJobsOverShareComeLast(t *testing.T) {
 	r := newRig(t, 1)
 	c := *r.core.catalog
 	c.Tenants = []job.Tenant{{Name: "t", Weight: 2}, {Name: "modest", Weight: 2}}
 	r.core.Configure(&c)
 	greedy := func(n int) *job.Job {
-		j := of(n, 1, "q")
+		j := tenantJob(n, 1, "q")
 		j.AcceptedAt = r.now
 		return j
 	}
 	for n := 1; n <= 20; n++ {
 		r.core.Submit(greedy(n), r.now)
 	}
-	modest := of(30, 2, "q")
+	modest := tenantJob(30, 2, "q")
 	modest.Tenant, modest.AcceptedAt = "modest", r.now.Add(100*time.Millisecond)
 	r.tick(100 * time.Millisecond)
 	r.core.Submit(modest, r.now)
@@ -129,5 +129,5 @@
 	r.tick(50 * time.Millisecond)
 	starts := r.confirmStarts()
 	require.Len(t, starts, 8)
-	assert.Len(t, byJob(starts[:4], modest), 2, "right after the two jobs that are the other's share")
+	assert.Len(t, startsOf(starts[:4], modest), 2, "right after the two jobs that are the other's share")
 }
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -45,7 +45,7 @@
 		r.answerHold(a, nil)
 		s := r.startLongRunning()
 		r.failStarts(s)
-		assert.Empty(t, r.stopsOf(s.Task), "it is not known whether the run started")
+		assert.Empty(t, r.takeStops(s.Task), "it is not known whether the run started")
 		return r, a, s
 	}
 	t.Run("does not stop a working task", func(t *testing.T) {
@@ -55,16 +55,16 @@
 			r.answerHold(a, active)
 			r.tick(500 * time.Millisecond)
 		}
-		assert.Empty(t, r.stopsOf(s.Task), "the run is working")
+		assert.Empty(t, r.takeStops(s.Task), "the run is working")
 		assert.Empty(t, r.out.Starts)
 	})
 	t.Run("is stopped if it has not arrived", func(t *testing.T) {
 		r, a, s := setUp(t)
 		r.answerHold(a, nil) // answer to a hold sent before, which proves nothing
-		assert.Empty(t, r.stopsOf(s.Task))
+		assert.Empty(t, r.takeStops(s.Task))
 		r.tick(25 * time.Millisecond)
 		r.answerHold(a, nil)
-		stops := r.stopsOf(s.Task)
+		stops := r.takeStops(s.Task)
 		require.Len(t, stops, 1, "the start may still arrive")
 		assert.Empty(t, r.out.Starts, "the task waits for the stop")
 		r.core.OnStopped(stops[0], Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
