--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -66,20 +66,20 @@
 	return slices.Sorted(maps.Keys(e.zones))
 }
 
-// applyEvacuation takes an operators' request to evacuate a zone, or that it was taken back.
-func (n *Node) applyEvacuation(e ledger.Event) {
+// applyEvacuationEntry takes an operators' request to evacuate a zone, or that it was taken back.
+func (n *Node) applyEvacuationEntry(e ledger.Event) {
 	zone := strings.TrimPrefix(e.Key, n.platform.Formats.EvacuationPrefix)
 	if zone == "" {
 		n.refusedEntries.add(e.Key, e.Revision, errors.New("it names no zone"))
 		return
 	}
 	if n.evacuations.set(zone, !e.Deleted) {
-		n.evacuationsChanged()
+		n.onEvacuationsChanged()
 	}
 }
 
-// evacuationsChanged tells the scheduler, if this daemon is the owner.
-func (n *Node) evacuationsChanged() {
+// onEvacuationsChanged tells the scheduler, if this daemon is the owner.
+func (n *Node) onEvacuationsChanged() {
 	zones := n.evacuations.list()
 	n.metrics.evacuatedZones(len(zones))
 	n.log.Info("evacuations", zap.Strings("zones", zones))
@@ -88,10 +88,10 @@
 	}
 }
 
-// operatorsListed takes note that all that the store told of the operators' keys is applied.
-func (n *Node) operatorsListed() {
+// onOperatorEntriesSynced takes note that all that the store told of the operators' keys is applied.
+func (n *Node) onOperatorEntriesSynced() {
 	if n.evacuations.endList() {
-		n.evacuationsChanged()
+		n.onEvacuationsChanged()
 	}
 	n.configConfirmedAt.Store(n.uptimeNanos())
 }
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -23,15 +23,15 @@
 		case !n.stopping.Load():
 			n.grantLease(ctx)
 		}
-		if !sleep.For(ctx, n.leasePause()) {
+		if !sleep.For(ctx, n.leaseInterval()) {
 			return
 		}
 	}
 }
 
-// leasePause returns the time until the lease is next asked for or renewed: soon
+// leaseInterval returns the time until the lease is next asked for or renewed: soon
 // if the last call failed, so that a lost answer does not cost the lease.
-func (n *Node) leasePause() time.Duration {
+func (n *Node) leaseInterval() time.Duration {
 	since := time.Duration(n.uptimeNanos() - n.leaseRenewedAt.Load())
 	if n.lease.Load() == 0 || since > renewInterval {
 		return retryPause
@@ -47,15 +47,15 @@
 	if err != nil {
 		return // logged by storeFailed; asked again at once
 	}
-	n.writeEntry(ctx, id)
+	n.writeMemberEntry(ctx, id)
 	n.leaseRenewedAt.Store(asked)
 	n.lease.Store(int64(id))
 	n.log.Info("lease-granted", zap.Int64("lease", int64(id)))
 	n.wakeElection()
 }
 
-// writeEntry writes this daemon's entry under its lease.
-func (n *Node) writeEntry(ctx context.Context, id ledger.LeaseID) {
+// writeMemberEntry writes this daemon's entry under its lease.
+func (n *Node) writeMemberEntry(ctx context.Context, id ledger.LeaseID) {
 	key := ledger.PrefixMembers + n.settings.Node
 	_, err := n.store.Commit(ctx, ledger.Txn{Puts: []ledger.Put{{Key: key, Value: ledger.EncodeMember(n.memberEntry()), Lease: id}}})
 	if err != nil {
@@ -76,31 +76,31 @@
 	default:
 		n.log.Warn("lease-ended", zap.Int64("lease", int64(id)))
 		n.lease.Store(0)
-		n.endTermOf(id)
+		n.endTermUnder(id)
 	}
 }
 
-// endTermOf ends the term under a lease that has ended: the lock went with it, whether
+// endTermUnder ends the term under a lease that has ended: the lock went with it, whether
 // or not the watch of the lock has told so.
-func (n *Node) endTermOf(id ledger.LeaseID) {
+func (n *Node) endTermUnder(id ledger.LeaseID) {
 	if t := n.term.Load(); t != nil && t.lease == id {
 		t.depose("its lease has ended")
 	}
 }
 
-// listMembers reads the list of live daemons from time to time.
-func (n *Node) listMembers(ctx context.Context) {
+// pollMembers reads the list of live daemons from time to time.
+func (n *Node) pollMembers(ctx context.Context) {
 	for ctx.Err() == nil {
-		n.listMembersOnce(ctx)
-		n.yield()
+		n.listMembers(ctx)
+		n.yieldToFasterPeer()
 		if !sleep.For(ctx, membersInterval) {
 			return
 		}
 	}
 }
 
-// listMembersOnce reads the list; it reports whether the store has told it.
-func (n *Node) listMembersOnce(ctx context.Context) bool {
+// listMembers reads the list; it reports whether the store has told it.
+func (n *Node) listMembers(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	items, _, err := ledger.RangeAll(ctx, n.store, ledger.PrefixMembers, true)
@@ -121,9 +121,9 @@
 	return true
 }
 
-// yield gives the lock to a stronger daemon, if this one is the owner and has nothing to
+// yieldToFasterPeer gives the lock to a stronger daemon, if this one is the owner and has nothing to
 // lose by it: no work, or so much, or so little of a processor, that it cannot keep up.
-func (n *Node) yield() {
+func (n *Node) yieldToFasterPeer() {
 	t := n.term.Load()
 	if t == nil || !n.hasPeerWithMoreCPU(electionCPUFactor) {
 		return
@@ -145,8 +145,8 @@
 	}
 }
 
-// yieldIfCut gives the lock to a daemon that the store serves, if this one's own way there is cut.
-func (n *Node) yieldIfCut(t *termRun) {
+// yieldIfDisconnected gives the lock to a daemon that the store serves, if this one's own way there is cut.
+func (n *Node) yieldIfDisconnected(t *termRun) {
 	cut := n.store.PartitionedFor()
 	if cut < disconnectedYieldAfter || t.isLeaving() {
 		return
@@ -155,48 +155,48 @@
 	go t.handOver()
 }
 
-// follower is what is done with the keys of a prefix.
-type follower struct {
-	prefix string
-	every  time.Duration      // least time between two watches that return with all changes there are
-	reset  func()             // called before the keys are read as a whole; nil: nothing is
-	apply  func(ledger.Event) // called for each key, then for each change
-	heard  func()             // called when all that the store has told is applied; nil: nothing is
+// prefixWatch is what is done with the keys of a prefix.
+type prefixWatch struct {
+	prefix      string
+	minInterval time.Duration      // least time between two watches that return with all changes there are
+	reset       func()             // called before the keys are read as a whole; nil: nothing is
+	apply       func(ledger.Event) // called for each key, then for each change
+	synced      func()             // called when all that the store has told is applied; nil: nothing is
 }
 
-// follow reads all keys of a prefix, then every change. It starts over when the store has
+// watchPrefix reads all keys of a prefix, then every change. It starts over when the store has
 // dropped the history in between.
-func (n *Node) follow(ctx context.Context, f follower) {
+func (n *Node) watchPrefix(ctx context.Context, f prefixWatch) {
 	for ctx.Err() == nil {
-		items, revision, err := n.readAll(ctx, f.prefix)
+		items, revision, err := n.listPrefix(ctx, f.prefix)
 		if err != nil {
 			sleep.For(ctx, retryPause)
 			continue
 		}
-		call(f.reset)
+		callIfSet(f.reset)
 		for _, i := range items {
 			f.apply(ledger.Event{Item: i})
 		}
-		call(f.heard)
-		n.followFrom(ctx, f, revision)
+		callIfSet(f.synced)
+		n.watchChanges(ctx, f, revision)
 	}
 }
 
-// call calls a function that may be nil.
-func call(f func()) {
+// callIfSet calls a function that may be nil.
+func callIfSet(f func()) {
 	if f != nil {
 		f()
 	}
 }
 
-func (n *Node) readAll(ctx context.Context, prefix string) ([]ledger.Item, int64, error) {
+func (n *Node) listPrefix(ctx context.Context, prefix string) ([]ledger.Item, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	return ledger.RangeAll(ctx, n.store, prefix, false)
 }
 
-// followFrom hands changes after a revision to the follower until the history is gone.
-func (n *Node) followFrom(ctx context.Context, f follower, revision int64) {
+// watchChanges hands changes after a revision to the follower until the history is gone.
+func (n *Node) watchChanges(ctx context.Context, f prefixWatch, revision int64) {
 	for ctx.Err() == nil {
 		known := n.store.LatestRevision()
 		ch, err := n.watchFor(ctx, f.prefix, revision, watchWait)
@@ -211,29 +211,29 @@
 		for _, e := range ch.Events {
 			f.apply(e)
 		}
-		call(f.heard)
+		callIfSet(f.synced)
 		revision = max(revision, ch.Revision)
 		current := ch.Revision >= known // else the return was cut short, and there is more to read
-		if current && len(ch.Events) > 0 && f.every > 0 {
-			sleep.For(ctx, f.every)
+		if current && len(ch.Events) > 0 && f.minInterval > 0 {
+			sleep.For(ctx, f.minInterval)
 		}
 	}
 }
 
 // watchOperators follows the configuration, the waves and the evacuations.
 func (n *Node) watchOperators(ctx context.Context) {
-	n.follow(ctx, follower{
+	n.watchPrefix(ctx, prefixWatch{
 		prefix: n.platform.Formats.OperatorPrefix,
 		reset:  n.evacuations.beginList,
-		apply:  n.applyOperators,
-		heard:  n.operatorsListed,
+		apply:  n.applyOperatorEntry,
+		synced: n.onOperatorEntriesSynced,
 	})
 }
 
-func (n *Node) applyOperators(e ledger.Event) {
+func (n *Node) applyOperatorEntry(e ledger.Event) {
 	switch {
 	case strings.HasPrefix(e.Key, n.platform.Formats.EvacuationPrefix):
-		n.applyEvacuation(e)
+		n.applyEvacuationEntry(e)
 	case e.Deleted:
 		n.refusedEntries.remove(e.Key)
 	case e.Key == n.platform.Formats.ConfigKey:
@@ -278,11 +278,11 @@
 	}
 }
 
-// elect follows who the owner is, and becomes it when nobody is.
-func (n *Node) elect(ctx context.Context) {
+// runElections follows who the owner is, and becomes it when nobody is.
+func (n *Node) runElections(ctx context.Context) {
 	var following sync.WaitGroup
 	defer following.Wait()
-	following.Go(func() { n.followOwner(ctx) })
+	following.Go(func() { n.watchOwnerLock(ctx) })
 	following.Go(func() { n.watchOwnerProcess(ctx) })
 	for {
 		select {
@@ -291,13 +291,13 @@
 		case <-n.electionWake:
 		case <-time.After(renewInterval):
 		}
-		n.considerTerm(ctx)
+		n.tryBecomeOwner(ctx)
 	}
 }
 
-// followOwner follows who the owner is.
-func (n *Node) followOwner(ctx context.Context) {
-	n.follow(ctx, follower{
+// watchOwnerLock follows who the owner is.
+func (n *Node) watchOwnerLock(ctx context.Context) {
+	n.watchPrefix(ctx, prefixWatch{
 		prefix: ledger.PrefixOwner,
 		reset:  func() { n.setLock(ledger.Lock{}, false, 0); n.wakeElection() },
 		apply:  n.applyLock,
@@ -347,9 +347,9 @@
 	}
 }
 
-// lockReleased takes note that this daemon has given up its lock, before the watch
+// onLockReleased takes note that this daemon has given up its lock, before the watch
 // says so: a stronger daemon is to have the first try.
-func (n *Node) lockReleased(term uint64) {
+func (n *Node) onLockReleased(term uint64) {
 	own := n.lock.Load()
 	if own == nil || own.Node != n.settings.Node || own.Term != term {
 		return // the watch was sooner
@@ -358,8 +358,8 @@
 	n.lock.CompareAndSwap(own, nil)
 }
 
-// considerTerm tries to become the owner if there is none.
-func (n *Node) considerTerm(ctx context.Context) {
+// tryBecomeOwner tries to become the owner if there is none.
+func (n *Node) tryBecomeOwner(ctx context.Context) {
 	if n.stopping.Load() || n.term.Load() != nil || n.lease.Load() == 0 || n.catalog.Load() == nil {
 		return
 	}
@@ -376,7 +376,7 @@
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
-	term, err := n.tryElect(ctx, lease)
+	term, err := n.acquireLock(ctx, lease)
 	if err != nil {
 		n.log.Warn("election-failed", zap.Error(err))
 		return
@@ -388,7 +388,7 @@
 	n.runTerm(ctx, term, lease)
 }
 
-func (n *Node) tryElect(ctx context.Context, lease ledger.LeaseID) (*ledger.Term, error) {
+func (n *Node) acquireLock(ctx context.Context, lease ledger.LeaseID) (*ledger.Term, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
 	l, revision, held, err := ledger.ReadLock(ctx, n.store)
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -26,14 +26,14 @@
 // Handler serves the metrics as text.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// buckets of latencies: 1 ms to 16 s.
-var buckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
+// latencyBuckets of latencies: 1 ms to 16 s.
+var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
 // Answered implements gateway.Observer.
 func (m *Metrics) Answered(kind string, status int, took time.Duration) {
 	s := m.scope.Tagged(map[string]string{"method": kind, "status": strconv.Itoa(status)})
 	s.Counter("answers").Inc(1)
-	m.scope.Tagged(map[string]string{"method": kind}).Histogram("answer_time", buckets).RecordDuration(took)
+	m.scope.Tagged(map[string]string{"method": kind}).Histogram("answer_time", latencyBuckets).RecordDuration(took)
 }
 
 func (m *Metrics) order(kind string, o owner.Outcome) {
@@ -46,7 +46,7 @@
 		outcome = string(verdict.CodeOf(err))
 	}
 	m.scope.Tagged(map[string]string{"outcome": outcome}).Counter("commits").Inc(1)
-	m.scope.Histogram("commit_time", buckets).RecordDuration(took)
+	m.scope.Histogram("commit_time", latencyBuckets).RecordDuration(took)
 }
 
 // refusedEntries tells how many entries of the store cannot be used at present.
@@ -55,8 +55,8 @@
 // evacuatedZones tells how many zones get no new tasks, as far as this daemon has heard.
 func (m *Metrics) evacuatedZones(n int) { m.scope.Gauge("evacuated_zones").Update(float64(n)) }
 
-// slowness tells how many times slower than usual the instance is.
-func (m *Metrics) slowness(by float64) { m.scope.Gauge("instance_slower_by").Update(by) }
+// slowdown tells how many times slower than usual the instance is.
+func (m *Metrics) slowdown(by float64) { m.scope.Gauge("instance_slower_by").Update(by) }
 
 // storeCall counts a call to the store that this daemon made itself, for a peer
 // too.
@@ -64,7 +64,7 @@
 	kind := map[string]string{"call": c.Kind, "stale": strconv.FormatBool(c.Stale)}
 	m.scope.Tagged(kind).Tagged(map[string]string{"outcome": c.Outcome}).Counter("store_calls").Inc(1)
 	if c.Kind != "watch" { // a watch takes as long as nothing happens
-		m.scope.Tagged(map[string]string{"call": c.Kind}).Histogram("store_time", buckets).RecordDuration(c.Took)
+		m.scope.Tagged(map[string]string{"call": c.Kind}).Histogram("store_time", latencyBuckets).RecordDuration(c.Took)
 	}
 }
 
@@ -72,9 +72,9 @@
 	m.scope.Tagged(map[string]string{"code": string(verdict.CodeOf(err)), "verdict": verdict.Of(err).String()}).Counter("store_failures").Inc(1)
 }
 
-// owner takes the figures of the owner. Those of a daemon that is the owner no
+// ownerStats takes the figures of the ownerStats. Those of a daemon that is the ownerStats no
 // more stay as they were; the newest term is the right one.
-func (m *Metrics) owner(s owner.Stats) {
+func (m *Metrics) ownerStats(s owner.Stats) {
 	for name, v := range map[string]float64{
 		"owner_open_jobs": float64(s.OpenJobs), "owner_unrecorded_jobs": float64(s.UnrecordedJobs),
 		"owner_workers": float64(s.Workers), "owner_workers_usable": float64(s.UsableWorkers), "owner_workers_silent": float64(s.SilentWorkers),
--- a/jobs/node/metrics_test.go
+++ b/jobs/node/metrics_test.go
@@ -22,7 +22,7 @@
 	n.Answered("POST", 200, 3*time.Millisecond)
 	n.order("start", owner.NoRoom)
 	n.commit(nil, 5*time.Millisecond)
-	n.owner(owner.Stats{
+	n.ownerStats(owner.Stats{
 		OpenJobs: 7, Counts: owner.Counts{Starts: 42, LongRunningLapsed: 5, JobsConsidered: 1400},
 		Pools: []owner.PoolStats{{Name: "orders", Instances: 5, Arriving: 1, BusyCores: 12.5, WaitingCores: 3, ArrivalRate: 20}},
 	})
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -98,7 +98,7 @@
 	configConfirmedAt atomic.Int64           // when the configuration was last certain to be the newest, in ns since start
 	lockGoneAt        atomic.Int64           // when the lock was last seen to be gone, in ns since start
 	clock             Clock
-	slowdown          slowness
+	slowdown          slowdownDetector
 	started           time.Time
 	stopping          atomic.Bool
 
@@ -165,7 +165,7 @@
 func (n *Node) RunBackground(ctx context.Context) {
 	n.acceptor.Run(ctx)
 	var wg sync.WaitGroup
-	for _, loop := range []func(context.Context){n.keepLease, n.watchOperators, n.listMembers, n.elect, n.watchSpeed} {
+	for _, loop := range []func(context.Context){n.keepLease, n.watchOperators, n.pollMembers, n.runElections, n.monitorSpeed} {
 		wg.Go(func() { loop(ctx) })
 	}
 	wg.Wait()
@@ -251,7 +251,7 @@
 
 // memberEntry is this daemon's entry in the store.
 func (n *Node) memberEntry() ledger.Member {
-	return ledger.Member{Node: n.settings.Node, Addr: n.settings.peerAddr(), Cores: n.speed()}
+	return ledger.Member{Node: n.settings.Node, Addr: n.settings.peerAddr(), Cores: n.currentCores()}
 }
 
 // hasPeerWithMoreCPU reports whether another live daemon has more than times what this one gets
@@ -261,7 +261,7 @@
 	if list == nil {
 		return false
 	}
-	own := n.speed()
+	own := n.currentCores()
 	return slices.ContainsFunc(*list, func(m ledger.Member) bool {
 		return m.Node != n.settings.Node && m.Cores > times*own
 	})
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -35,7 +35,7 @@
 func (t *termRun) watchRegistrations() {
 	prefix := t.n.platform.Formats.WorkerPrefix
 	for t.ctx.Err() == nil {
-		items, revision, err := t.n.readAll(t.ctx, prefix)
+		items, revision, err := t.n.listPrefix(t.ctx, prefix)
 		if err != nil {
 			sleep.For(t.ctx, retryPause)
 			continue
--- a/jobs/node/slowness.go
+++ b/jobs/node/slowness.go
@@ -19,118 +19,120 @@
 
 // Figures of the measurement.
 const (
-	// probeEvery is the time between two probes of an owner, and of another daemon once a
+	// probeInterval is the time between two probes of an owner, and of another daemon once a
 	// probe of it has taken long; otherwise that only has to know what is usual, and probes
 	// itself each probeRarely. A probe takes 10 µs and more, and a daemon's wake-up as much.
-	probeEvery  = 50 * time.Millisecond
-	probeRarely = time.Second
-	// probesKept are looked at together: the shortest of them leaves out those that another
+	probeInterval     = 50 * time.Millisecond
+	idleProbeInterval = time.Second
+	// probeWindow are looked at together: the shortest of them leaves out those that another
 	// thread interrupted, as one at the usual speed shows that it is still there.
-	probesKept = 5
-	// usualOver is how many seconds tell what is usual, by the median of their shortest
+	probeWindow = 5
+	// maxBaselineSamples is how many seconds tell what is usual, by the median of their shortest
 	// probes, and usualLeast how many have to be known: a process that has just started
 	// may run at two to three times its later speed. What is slow for usualAfter is what the
 	// instance has become; until then it tells nothing of what is usual.
-	usualOver  = 60
-	usualLeast = 10
-	usualAfter = 30 * time.Second
-	// slowBy is how many times slower than usual an owner has to be, for slowFor on end, to
+	maxBaselineSamples = 60
+	minBaselineSamples = 10
+	rebaselineAfter    = 30 * time.Second
+	// slowFactor is how many times slower than usual an owner has to be, for slowFor on end, to
 	// hand over: before it falls behind its queue, as a change of owner takes a third of a second.
-	slowBy  = 2.5
-	slowFor = 100 * time.Millisecond
-	// fasterBy is how much more of a processor another daemon has to get at present, by its
+	slowFactor = 2.5
+	slowAfter  = 100 * time.Millisecond
+	// slowYieldCPUFactor is how much more of a processor another daemon has to get at present, by its
 	// entry in the store, to take over: where all are slow a change only costs.
-	fasterBy = 2.0
-	// leastTerm is how long a term lasts at least: a takeover keeps a processor busy, and
+	slowYieldCPUFactor = 2.0
+	// minTermDuration is how long a term lasts at least: a takeover keeps a processor busy, and
 	// what it is then says little of the instance.
-	leastTerm = 2 * time.Second
+	minTermDuration = 2 * time.Second
 )
 
-// slowness tells how much slower than usual the instance is.
-type slowness struct {
-	mu        sync.Mutex
-	recent    []time.Duration
-	history   []time.Duration // the shortest of recent, once a second
-	noted     time.Time       // when that was last added to
-	usual     time.Duration   // zero: not known yet
-	slowSince time.Time       // zero: it is not slow
+// slowdownDetector tells how much slower than usual the instance is.
+type slowdownDetector struct {
+	mu              sync.Mutex
+	recent          []time.Duration
+	baselineSamples []time.Duration // the shortest of recent, once a second
+	sampledAt       time.Time       // when that was last added to
+	baseline        time.Duration   // zero: not known yet
+	slowSince       time.Time       // zero: it is not slow
 }
 
-// add takes a probe at now.
-func (s *slowness) add(took time.Duration, now time.Time) {
+// addProbe takes a probe at now.
+func (s *slowdownDetector) addProbe(took time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.recent = append(s.recent, took)
-	if len(s.recent) > probesKept {
+	if len(s.recent) > probeWindow {
 		s.recent = s.recent[1:]
 	}
-	if len(s.recent) < probesKept {
+	if len(s.recent) < probeWindow {
 		return
 	}
-	s.remember(now)
+	s.updateBaseline(now)
 	switch {
-	case s.by() < slowBy:
+	case s.currentFactor() < slowFactor:
 		s.slowSince = time.Time{}
 	case s.slowSince.IsZero():
 		s.slowSince = now
 	}
 }
 
-// remember adds to what is usual once a second.
-func (s *slowness) remember(now time.Time) {
-	if now.Sub(s.noted) < time.Second {
+// updateBaseline adds to what is usual once a second.
+func (s *slowdownDetector) updateBaseline(now time.Time) {
+	if now.Sub(s.sampledAt) < time.Second {
 		return
 	}
-	s.noted = now
-	if !s.slowSince.IsZero() && now.Sub(s.slowSince) < usualAfter {
+	s.sampledAt = now
+	if !s.slowSince.IsZero() && now.Sub(s.slowSince) < rebaselineAfter {
 		return
 	}
 	if !s.slowSince.IsZero() {
-		s.history, s.usual, s.slowSince = nil, 0, time.Time{}
+		s.baselineSamples, s.baseline, s.slowSince = nil, 0, time.Time{}
 	}
-	s.history = append(s.history, slices.Min(s.recent))
-	if len(s.history) > usualOver {
-		s.history = s.history[1:]
+	s.baselineSamples = append(s.baselineSamples, slices.Min(s.recent))
+	if len(s.baselineSamples) > maxBaselineSamples {
+		s.baselineSamples = s.baselineSamples[1:]
 	}
-	if len(s.history) >= usualLeast {
-		s.usual = slices.Sorted(slices.Values(s.history))[len(s.history)/2]
+	if len(s.baselineSamples) >= minBaselineSamples {
+		s.baseline = slices.Sorted(slices.Values(s.baselineSamples))[len(s.baselineSamples)/2]
 	}
 }
 
-// by returns how many times longer than usual a probe takes at present.
-func (s *slowness) by() float64 {
-	if s.usual == 0 {
+// currentFactor returns how many times longer than usual a probe takes at present.
+func (s *slowdownDetector) currentFactor() float64 {
+	if s.baseline == 0 {
 		return 1
 	}
-	return float64(slices.Min(s.recent)) / float64(s.usual)
+	return float64(slices.Min(s.recent)) / float64(s.baseline)
 }
 
-// at returns how many times slower than usual the instance is: 1 unless that has lasted.
-func (s *slowness) at(now time.Time) float64 {
+// sustainedFactor returns how many times slower than usual the instance is: 1 unless that has lasted.
+func (s *slowdownDetector) sustainedFactor(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.slowSince.IsZero() || now.Sub(s.slowSince) < slowFor {
+	if s.slowSince.IsZero() || now.Sub(s.slowSince) < slowAfter {
 		return 1
 	}
-	return s.by()
+	return s.currentFactor()
 }
 
-// speed is what this daemon gets of a processor at present, in cores.
-func (n *Node) speed() float64 { return n.settings.Cores / n.slowdown.at(n.clock.Now()) }
+// currentCores is what this daemon gets of a processor at present, in cores.
+func (n *Node) currentCores() float64 {
+	return n.settings.Cores / n.slowdown.sustainedFactor(n.clock.Now())
+}
 
-// watchSpeed measures the instance's speed, and hands over if it is the owner and slow.
-func (n *Node) watchSpeed(ctx context.Context) {
+// monitorSpeed measures the instance's speed, and hands over if it is the owner and slow.
+func (n *Node) monitorSpeed(ctx context.Context) {
 	was := 1.0
 	for sleep.For(ctx, n.probePause()) {
 		now := n.clock.Now()
-		n.slowdown.add(n.platform.CPUProbe(), now)
-		by := n.slowdown.at(now)
+		n.slowdown.addProbe(n.platform.CPUProbe(), now)
+		by := n.slowdown.sustainedFactor(now)
 		if (by > 1) != (was > 1) {
 			n.log.Warn("instance-speed", zap.Float64("slower-by", by))
-			go n.tellSpeed(ctx)
+			go n.publishSpeed(ctx)
 		}
 		was = by
-		n.metrics.slowness(by)
+		n.metrics.slowdown(by)
 		if by > 1 {
 			n.yieldIfSlow(ctx, by)
 		}
@@ -139,33 +141,33 @@
 
 // probePause returns the time until the next probe.
 func (n *Node) probePause() time.Duration {
-	if n.term.Load() != nil || n.slowdown.mayBe() {
-		return probeEvery
+	if n.term.Load() != nil || n.slowdown.suspected() {
+		return probeInterval
 	}
-	return probeRarely
+	return idleProbeInterval
 }
 
-// mayBe reports whether the newest probe took long, or too few are known.
-func (s *slowness) mayBe() bool {
+// suspected reports whether the newest probe took long, or too few are known.
+func (s *slowdownDetector) suspected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.recent) < probesKept {
+	if len(s.recent) < probeWindow {
 		return true
 	}
 	newest := s.recent[len(s.recent)-1]
-	return s.usual > 0 && float64(newest) >= slowBy*float64(s.usual)
+	return s.baseline > 0 && float64(newest) >= slowFactor*float64(s.baseline)
 }
 
-// tellSpeed writes what this daemon gets of a processor to its entry in the store: nobody is
+// publishSpeed writes what this daemon gets of a processor to its entry in the store: nobody is
 // to hand over to a slow one.
-func (n *Node) tellSpeed(ctx context.Context) {
+func (n *Node) publishSpeed(ctx context.Context) {
 	id := ledger.LeaseID(n.lease.Load())
 	if id == 0 {
 		return // it is told when the lease is granted
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	n.writeEntry(ctx, id)
+	n.writeMemberEntry(ctx, id)
 }
 
 // yieldIfSlow hands the lock over if another daemon gets more of a processor at present. The
@@ -173,10 +175,10 @@
 // the store nobody can take over.
 func (n *Node) yieldIfSlow(ctx context.Context, by float64) {
 	t := n.term.Load()
-	if t == nil || n.stopping.Load() || n.store.Unavailable() || n.clock.Now().Sub(t.startedAt) < leastTerm || !n.hasPeerWithMoreCPU(fasterBy) {
+	if t == nil || n.stopping.Load() || n.store.Unavailable() || n.clock.Now().Sub(t.startedAt) < minTermDuration || !n.hasPeerWithMoreCPU(slowYieldCPUFactor) {
 		return
 	}
-	if !n.listMembersOnce(ctx) || !n.hasPeerWithMoreCPU(fasterBy) {
+	if !n.listMembers(ctx) || !n.hasPeerWithMoreCPU(slowYieldCPUFactor) {
 		return
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "its instance is slow, and that of another daemon is not"))
--- a/jobs/node/slowness_test.go
+++ b/jobs/node/slowness_test.go
@@ -9,18 +9,18 @@
 
 // probes hands probes of an instance to the measurement: so many, each so many times longer
 // than usual. It returns the greatest slowness that was told.
-func (s *slowness) probes(at *time.Time, n int, by float64) float64 {
+func (s *slowdownDetector) probes(at *time.Time, n int, by float64) float64 {
 	most := 0.0
 	for range n {
-		*at = at.Add(probeEvery)
-		s.add(time.Duration(by*float64(40*time.Microsecond)), *at)
-		most = max(most, s.at(*at))
+		*at = at.Add(probeInterval)
+		s.addProbe(time.Duration(by*float64(40*time.Microsecond)), *at)
+		most = max(most, s.sustainedFactor(*at))
 	}
 	return most
 }
 
 func TestSlownessIsToldOnceItLasts(t *testing.T) {
-	s, at := &slowness{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	assert.Equal(t, 1.0, s.probes(&at, 20, 0.3), "a process that has just started runs faster")
 	assert.Equal(t, 1.0, s.probes(&at, 400, 1))
 	for range 20 { // threads that interrupt, and an instance that is a little slower
@@ -30,22 +30,22 @@
 	assert.Equal(t, 1.0, s.probes(&at, 5, 5), "too short")
 	assert.Equal(t, 1.0, s.probes(&at, 20, 1))
 	began := at
-	for s.at(at) == 1 {
+	for s.sustainedFactor(at) == 1 {
 		s.probes(&at, 1, 5)
 	}
 	assert.Less(t, at.Sub(began), 500*time.Millisecond)
 	assert.Greater(t, s.probes(&at, 100, 5), 3.0, "it does not get used to it within seconds")
-	s.probes(&at, probesKept, 1)
-	assert.Equal(t, 1.0, s.at(at), "it is over")
+	s.probes(&at, probeWindow, 1)
+	assert.Equal(t, 1.0, s.sustainedFactor(at), "it is over")
 }
 
 // TestWhatIsUsualFollows: a processor that becomes twice as slow for good, as one does that was
 // idle, and one that stays five times slower.
 func TestWhatIsUsualFollows(t *testing.T) {
-	s, at := &slowness{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
+	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	s.probes(&at, 40, 1)
 	assert.Equal(t, 1.0, s.probes(&at, 300, 2))
 	assert.Equal(t, 1.0, s.probes(&at, 200, 4), "twice as slow as it has become")
-	s.probes(&at, usualOver*int(time.Second/probeEvery)+2*probesKept, 20)
-	assert.Equal(t, 1.0, s.at(at), "slow for a minute is what it has become")
+	s.probes(&at, maxBaselineSamples*int(time.Second/probeInterval)+2*probeWindow, 20)
+	assert.Equal(t, 1.0, s.sustainedFactor(at), "slow for a minute is what it has become")
 }
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -185,7 +185,7 @@
 			t.core.SetStoreLease(t.n.mayOrderInstances(), now)
 			t.core.Tick(now)
 			t.updateStats(now)
-			t.n.yieldIfCut(t)
+			t.n.yieldIfDisconnected(t)
 		case <-leaving:
 			leaving = nil
 		}
@@ -250,7 +250,7 @@
 	t.idle.Store(stats.OpenJobs == 0 && stats.UnrecordedJobs == 0)
 	t.behind.Store(t.core.IsBacklogged(now))
 	t.cpuStarved.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
-	t.n.metrics.owner(stats)
+	t.n.metrics.ownerStats(stats)
 }
 
 // applyQueued applies the events that wait, so that their effects are computed once. Each has
@@ -300,7 +300,7 @@
 		t.n.log.Warn("lock-not-released", zap.Error(err))
 		return false
 	}
-	t.n.lockReleased(t.term.Number)
+	t.n.onLockReleased(t.term.Number)
 	close(t.released)
 	return true
 }
--- a/jobs/node/termsources.go
+++ b/jobs/node/termsources.go
@@ -37,9 +37,9 @@
 			}
 		})
 	}
-	jobs := follower{prefix: ledger.PrefixJobs, every: jobsInterval, apply: apply}
-	t.n.followFrom(t.ctx, jobs, revision)
-	t.n.follow(t.ctx, jobs)
+	jobs := prefixWatch{prefix: ledger.PrefixJobs, minInterval: jobsInterval, apply: apply}
+	t.n.watchChanges(t.ctx, jobs, revision)
+	t.n.watchPrefix(t.ctx, jobs)
 }
 
 // awaitLease waits until this daemon's lease is held for certain, or the term is
