--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -17,35 +17,35 @@
 // Conn is a connection to a peer, held for one call.
 type Conn struct {
 	*rpc.Client
-	addr  string
-	ended *endNoter
+	addr string
+	conn *trackedConn
 
-	underway int  // calls; under the pool's mu
-	left     bool // it is for the calls under way alone; likewise
+	inFlight int  // calls; under the pool's mu
+	retired  bool // it is for the calls under way alone; likewise
 }
 
-// endNoter is a connection that remembers that reading from it has ended.
-type endNoter struct {
+// trackedConn is a connection that remembers that reading from it has ended.
+type trackedConn struct {
 	net.Conn
-	ended atomic.Bool
+	broken atomic.Bool
 }
 
 // Read implements net.Conn.
-func (e *endNoter) Read(p []byte) (int, error) {
+func (e *trackedConn) Read(p []byte) (int, error) {
 	n, err := e.Conn.Read(p)
 	if err != nil {
-		e.ended.Store(true)
+		e.broken.Store(true)
 	}
 	return n, err
 }
 
 // Broken reports whether the other side, or the network, has ended the connection.
-func (c *Conn) Broken() bool { return c.ended.ended.Load() }
+func (c *Conn) Broken() bool { return c.conn.broken.Load() }
 
 // Get returns the kept connection to addr, or one that dial opens if there is none or it
 // has ended. The call that it is for ends with Release.
 func (p *Pool) Get(addr string, dial func() (net.Conn, error)) (*Conn, error) {
-	if kept := p.take(addr); kept != nil {
+	if kept := p.acquire(addr); kept != nil {
 		if !kept.Broken() {
 			return kept, nil
 		}
@@ -56,34 +56,34 @@
 	if err != nil {
 		return nil, err
 	}
-	return p.keep(addr, raw), nil
+	return p.add(addr, raw), nil
 }
 
-// take returns the kept connection to addr for a call, nil if there is none.
-func (p *Pool) take(addr string) *Conn {
+// acquire returns the kept connection to addr for a call, nil if there is none.
+func (p *Pool) acquire(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kept := p.conns[addr]
 	if kept != nil {
-		kept.underway++
+		kept.inFlight++
 	}
 	return kept
 }
 
-// keep stores a new connection, or closes it if another call was faster.
-func (p *Pool) keep(addr string, raw net.Conn) *Conn {
+// add stores a new connection, or closes it if another call was faster.
+func (p *Pool) add(addr string, raw net.Conn) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if other := p.conns[addr]; other != nil {
 		_ = raw.Close() // nothing was sent on it
-		other.underway++
+		other.inFlight++
 		return other
 	}
 	if p.conns == nil {
 		p.conns = map[string]*Conn{}
 	}
-	noter := &endNoter{Conn: raw}
-	c := &Conn{Client: rpc.NewClient(noter), addr: addr, ended: noter, underway: 1}
+	noter := &trackedConn{Conn: raw}
+	c := &Conn{Client: rpc.NewClient(noter), addr: addr, conn: noter, inFlight: 1}
 	p.conns[addr] = c
 	return c
 }
@@ -91,8 +91,8 @@
 // Release ends a call. The last one closes a connection that was left.
 func (p *Pool) Release(c *Conn) {
 	p.mu.Lock()
-	c.underway--
-	over := c.left && c.underway == 0
+	c.inFlight--
+	over := c.retired && c.inFlight == 0
 	p.mu.Unlock()
 	if over {
 		_ = c.Close() // it may have ended by itself
@@ -105,20 +105,20 @@
 func (p *Pool) Retire(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.left = true
-	p.forget(c)
+	c.retired = true
+	p.remove(c)
 }
 
 // Discard closes a connection that failed.
 func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
-	p.forget(c)
+	p.remove(c)
 	p.mu.Unlock()
 	_ = c.Close() // it may have ended by itself
 }
 
-// forget takes a connection out of those that are kept.
-func (p *Pool) forget(c *Conn) {
+// remove takes a connection out of those that are kept.
+func (p *Pool) remove(c *Conn) {
 	if p.conns[c.addr] == c {
 		delete(p.conns, c.addr)
 	}
--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -50,15 +50,15 @@
 const (
 	// defaultDeadline is for callers that do not say how long they wait.
 	defaultDeadline = 3 * time.Second
-	// answerMargin is left of a caller's deadline for the way back.
-	answerMargin = 250 * time.Millisecond
-	// shortestWork is the least time given to a request whose deadline is close.
-	shortestWork = 50 * time.Millisecond
-	// retryAfter is what a refused caller is told: the time in which another
+	// responseMargin is left of a caller's deadline for the way back.
+	responseMargin = 250 * time.Millisecond
+	// minHandlerTimeout is the least time given to a request whose deadline is close.
+	minHandlerTimeout = 50 * time.Millisecond
+	// defaultRetryAfter is what a refused caller is told: the time in which another
 	// daemon takes over, or the store is back after a short outage.
-	retryAfter = 1 * time.Second
-	// defaultBody bounds a body until the configuration says.
-	defaultBody = 256 << 10
+	defaultRetryAfter = 1 * time.Second
+	// defaultBodyLimit bounds a body until the configuration says.
+	defaultBodyLimit = 256 << 10
 )
 
 // deadlineHeader says how many milliseconds the caller waits.
@@ -67,7 +67,7 @@
 // Gateway is an http.Handler.
 type Gateway struct {
 	jobs     JobService
-	key      KeyReader
+	readKey  KeyReader
 	decode   JobDecoder
 	observe  Observer
 	log      *zap.Logger
@@ -76,7 +76,7 @@
 
 // New returns a gateway.
 func New(jobs JobService, key KeyReader, decode JobDecoder, observe Observer, log *zap.Logger) *Gateway {
-	return &Gateway{jobs: jobs, key: key, decode: decode, observe: observe, log: log}
+	return &Gateway{jobs: jobs, readKey: key, decode: decode, observe: observe, log: log}
 }
 
 // DisableKeepAlives makes each answer the last one on its connection.
@@ -84,10 +84,10 @@
 
 // reply is what is answered to a caller.
 type reply struct {
-	status  int
-	body    any
-	problem string        // why a request was refused
-	retry   time.Duration // when to come back; 0: it is not said
+	status     int
+	body       any
+	problem    string        // why a request was refused
+	retryAfter time.Duration // when to come back; 0: it is not said
 }
 
 // OverloadedError says that a job was refused because it could not be done in time, and after
@@ -115,7 +115,7 @@
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	began := time.Now()
-	ctx, cancel := context.WithTimeout(r.Context(), workTime(r))
+	ctx, cancel := context.WithTimeout(r.Context(), handlerTimeout(r))
 	defer cancel()
 	rep, id := g.route(ctx, r)
 	g.write(w, rep)
@@ -127,18 +127,18 @@
 	}
 }
 
-func workTime(r *http.Request) time.Duration {
+func handlerTimeout(r *http.Request) time.Duration {
 	d := defaultDeadline
 	if n, err := strconv.Atoi(r.Header.Get(deadlineHeader)); err == nil && n > 0 {
 		d = time.Duration(n) * time.Millisecond
 	}
-	return max(shortestWork, d-answerMargin)
+	return max(minHandlerTimeout, d-responseMargin)
 }
 
 func (g *Gateway) route(ctx context.Context, r *http.Request) (reply, string) {
 	catalog := g.jobs.Catalog()
 	if catalog == nil {
-		return reply{status: http.StatusServiceUnavailable, problem: "no configuration yet", retry: retryAfter}, ""
+		return reply{status: http.StatusServiceUnavailable, problem: "no configuration yet", retryAfter: defaultRetryAfter}, ""
 	}
 	queue, rest := catalog.Match(r.Host, r.URL.Path)
 	if queue == nil {
@@ -173,13 +173,13 @@
 	if queue.Public {
 		return "", nil
 	}
-	key := g.key(r.Header)
+	key := g.readKey(r.Header)
 	tenant, ok := catalog.Keys.Tenant(key)
 	switch {
 	case ok && g.jobs.ConfigConfirmed():
 		return tenant, nil
 	case ok:
-		return "", &reply{status: http.StatusServiceUnavailable, problem: "whether the key is still good is not known at present", retry: retryAfter}
+		return "", &reply{status: http.StatusServiceUnavailable, problem: "whether the key is still good is not known at present", retryAfter: defaultRetryAfter}
 	case key == "":
 		return "", &reply{status: http.StatusUnauthorized, problem: fmt.Sprintf("the call carries no key, configuration %d wants one", catalog.Version)}
 	}
@@ -189,7 +189,7 @@
 func (g *Gateway) submit(ctx context.Context, r *http.Request, catalog *job.Catalog, queue *job.Queue, tenant string, id job.ID) reply {
 	limit := catalog.Limits.BodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultBodyLimit
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, int64(limit)+1))
 	if err != nil {
@@ -211,21 +211,21 @@
 		return reply{status: http.StatusTooManyRequests, problem: err.Error()}
 	}
 	if err := g.jobs.Accept(ctx, j); err != nil {
-		return refusal(err)
+		return errorReply(err)
 	}
 	g.log.Info("job-accepted", zap.String("job", string(id)), zap.String("queue", queue.Name), zap.Int64("configuration", catalog.Version))
 	return reply{status: http.StatusOK, body: struct{}{}}
 }
 
 func (g *Gateway) state(ctx context.Context, id job.ID, tenant string) reply {
-	state, of, known, err := g.jobs.State(ctx, id)
+	state, jobTenant, known, err := g.jobs.State(ctx, id)
 	switch {
 	case err != nil:
-		return refusal(err)
+		return errorReply(err)
 	case !known:
 		return reply{status: http.StatusGone, problem: "no such job"}
-	case !job.MayAccess(tenant, of):
-		return refusal(ledger.ErrOtherTenant(id))
+	case !job.MayAccess(tenant, jobTenant):
+		return errorReply(ledger.ErrOtherTenant(id))
 	}
 	return reply{status: http.StatusOK, body: stateBody{state}}
 }
@@ -234,7 +234,7 @@
 	known, err := g.jobs.Cancel(ctx, id, tenant)
 	switch {
 	case err != nil:
-		return refusal(err)
+		return errorReply(err)
 	case !known:
 		return reply{status: http.StatusGone, problem: "no such job"}
 	}
@@ -245,30 +245,30 @@
 func (g *Gateway) pending(ctx context.Context, queue *job.Queue) reply {
 	n, err := g.jobs.Pending(ctx, queue.Name)
 	if err != nil {
-		return refusal(err)
+		return errorReply(err)
 	}
 	return reply{status: http.StatusOK, body: pendingBody{n}}
 }
 
-// refusal turns an error into an answer by its verdict: 503 says that the
+// errorReply turns an error into an answer by its verdict: 503 says that the
 // request has not run, 504 that it may have.
-func refusal(err error) reply {
+func errorReply(err error) reply {
 	if verdict.CodeOf(err) == ledger.CodeOtherTenant {
 		return reply{status: http.StatusForbidden, problem: err.Error()}
 	}
 	if verdict.Of(err) == verdict.NotRun {
-		return reply{status: http.StatusServiceUnavailable, problem: err.Error(), retry: retryOf(err)}
+		return reply{status: http.StatusServiceUnavailable, problem: err.Error(), retryAfter: retryAfterFor(err)}
 	}
-	return reply{status: http.StatusGatewayTimeout, problem: err.Error(), retry: retryAfter}
+	return reply{status: http.StatusGatewayTimeout, problem: err.Error(), retryAfter: defaultRetryAfter}
 }
 
-// retryOf returns when a caller should come back whose request has not run.
-func retryOf(err error) time.Duration {
+// retryAfterFor returns when a caller should come back whose request has not run.
+func retryAfterFor(err error) time.Duration {
 	var overloaded *OverloadedError
 	if errors.As(err, &overloaded) {
-		return max(retryAfter, overloaded.RetryAfter)
+		return max(defaultRetryAfter, overloaded.RetryAfter)
 	}
-	return retryAfter
+	return defaultRetryAfter
 }
 
 func (g *Gateway) write(w http.ResponseWriter, rep reply) {
@@ -277,8 +277,8 @@
 	if g.stopping.Load() {
 		h.Set("Connection", "close")
 	}
-	if rep.retry > 0 {
-		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(rep.retry.Seconds()))))
+	if rep.retryAfter > 0 {
+		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(rep.retryAfter.Seconds()))))
 	}
 	if rep.status == http.StatusUnauthorized {
 		h.Set("WWW-Authenticate", "Bearer")
--- a/jobs/gateway/gateway_test.go
+++ b/jobs/gateway/gateway_test.go
@@ -23,15 +23,15 @@
 
 // fakeJobs answers as it is told.
 type fakeJobs struct {
-	catalog  *job.Catalog
-	err      error
-	known    bool
-	of       string // tenant of every job
-	stale    bool   // the configuration may not be the newest
-	accepted []*job.Job
+	catalog     *job.Catalog
+	err         error
+	known       bool
+	jobTenant   string // tenant of every job
+	configStale bool   // the configuration may not be the newest
+	accepted    []*job.Job
 }
 
-func (f *fakeJobs) ConfigConfirmed() bool { return !f.stale }
+func (f *fakeJobs) ConfigConfirmed() bool { return !f.configStale }
 
 func (f *fakeJobs) Catalog() *job.Catalog { return f.catalog }
 
@@ -41,20 +41,20 @@
 }
 
 func (f *fakeJobs) Cancel(_ context.Context, id job.ID, tenant string) (bool, error) {
-	if !job.MayAccess(tenant, f.of) {
+	if !job.MayAccess(tenant, f.jobTenant) {
 		return true, ledger.ErrOtherTenant(id)
 	}
 	return f.known, f.err
 }
 
 func (f *fakeJobs) State(context.Context, job.ID) (job.State, string, bool, error) {
-	return job.Running, f.of, f.known, f.err
+	return job.Running, f.jobTenant, f.known, f.err
 }
 
 func (f *fakeJobs) Pending(context.Context, string) (int, error) { return 12, f.err }
 
-// keyOf reads the key where the tests put it.
-func keyOf(h http.Header) string { return h.Get("Key") }
+// readTestKey reads the key where the tests put it.
+func readTestKey(h http.Header) string { return h.Get("Key") }
 
 type noObserver struct{}
 
@@ -81,11 +81,11 @@
 const id = "5c0e7a21d94b36f8"
 
 var (
-	notRun  = verdict.New(verdict.NotRun, "down", "the store is away")
-	mayHave = verdict.New(verdict.MayHaveRun, "lost", "the answer was lost")
+	notRun     = verdict.New(verdict.NotRun, "down", "the store is away")
+	mayHaveRun = verdict.New(verdict.MayHaveRun, "lost", "the answer was lost")
 )
 
-func TestAnswers(t *testing.T) {
+func TestStatusCodes(t *testing.T) {
 	known := &fakeJobs{catalog: catalog(), known: true}
 	for _, c := range []struct {
 		name, method, host, path, body string
@@ -108,10 +108,10 @@
 		{"length of a queue", "GET", "h.example", "/a/", "", known, 200, `{"pending":12}`},
 		{"before the first configuration", "POST", "h.example", "/a/" + id, "good", &fakeJobs{}, 503, `not-run`},
 		{"certainly not stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: notRun}, 503, `not-run`},
-		{"perhaps stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: mayHave}, 504, `may-have-run`},
-		{"perhaps cancelled", "DELETE", "h.example", "/a/" + id, "", &fakeJobs{catalog: catalog(), err: mayHave}, 504, `may-have-run`},
+		{"perhaps stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: mayHaveRun}, 504, `may-have-run`},
+		{"perhaps cancelled", "DELETE", "h.example", "/a/" + id, "", &fakeJobs{catalog: catalog(), err: mayHaveRun}, 504, `may-have-run`},
 	} {
-		g := New(c.jobs, keyOf, decode, noObserver{}, zap.NewNop())
+		g := New(c.jobs, readTestKey, decode, noObserver{}, zap.NewNop())
 		r := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
 		r.Host = c.host
 		w := httptest.NewRecorder()
@@ -123,9 +123,9 @@
 	}
 }
 
-func TestAcceptedJobNamesItsQueue(t *testing.T) {
+func TestSubmittedJobHasQueueAndService(t *testing.T) {
 	f := &fakeJobs{catalog: catalog()}
-	g := New(f, keyOf, decode, noObserver{}, zap.NewNop())
+	g := New(f, readTestKey, decode, noObserver{}, zap.NewNop())
 	r := httptest.NewRequest(http.MethodPost, "/a/b/"+id, strings.NewReader("good"))
 	r.Host = "h.example"
 	g.ServeHTTP(httptest.NewRecorder(), r)
@@ -135,8 +135,8 @@
 	assert.EqualValues(t, id, f.accepted[0].ID)
 }
 
-func TestStoppingGatewayEndsConnections(t *testing.T) {
-	g := New(&fakeJobs{catalog: catalog(), known: true}, keyOf, decode, noObserver{}, zap.NewNop())
+func TestDisableKeepAlivesClosesConnections(t *testing.T) {
+	g := New(&fakeJobs{catalog: catalog(), known: true}, readTestKey, decode, noObserver{}, zap.NewNop())
 	g.DisableKeepAlives()
 	r := httptest.NewRequest(http.MethodGet, "/a/"+id, nil)
 	r.Host = "h.example"
@@ -146,19 +146,19 @@
 	assert.Equal(t, "close", w.Header().Get("Connection"))
 }
 
-// TestWhenToComeBack: a caller whose job would be late is told when it would not be, in
+// TestRetryAfter: a caller whose job would be late is told when it would not be, in
 // whole seconds as HTTP has it.
-func TestWhenToComeBack(t *testing.T) {
+func TestRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		err  error
 		want string
 	}{
 		{notRun, "1"},
-		{mayHave, "1"},
+		{mayHaveRun, "1"},
 		{verdict.Wrap(&OverloadedError{RetryAfter: 2300 * time.Millisecond}, verdict.NotRun, "overloaded", "job"), "3"},
 		{verdict.Wrap(&OverloadedError{RetryAfter: time.Millisecond}, verdict.NotRun, "overloaded", "job"), "1"},
 	} {
-		g := New(&fakeJobs{catalog: catalog(), err: c.err}, keyOf, decode, noObserver{}, zap.NewNop())
+		g := New(&fakeJobs{catalog: catalog(), err: c.err}, readTestKey, decode, noObserver{}, zap.NewNop())
 		r := httptest.NewRequest(http.MethodPost, "http://h.example/a/"+id, strings.NewReader("good"))
 		w := httptest.NewRecorder()
 		g.ServeHTTP(w, r)
@@ -167,18 +167,18 @@
 	}
 }
 
-// unread is a body that must not be read.
-type unread struct{ t *testing.T }
+// unreadableBody is a body that must not be read.
+type unreadableBody struct{ t *testing.T }
 
-func (u unread) Read([]byte) (int, error) {
+func (u unreadableBody) Read([]byte) (int, error) {
 	u.t.Error("the body of a call without a key was read")
 	return 0, io.EOF
 }
 
-// TestKeys: a queue that is not public wants a key of the configuration in force, on each
+// TestAuthentication: a queue that is not public wants a key of the configuration in force, on each
 // method; a job of one tenant is not shown to another, nor through a public queue; and no
 // answer or log line shows a key.
-func TestKeys(t *testing.T) {
+func TestAuthentication(t *testing.T) {
 	c := catalog()
 	c.Queues = append(c.Queues, job.Queue{Name: "kept", Host: "h.example", Prefix: "/k/", Service: "s"})
 	require.NoError(t, c.SetTenants([]job.Tenant{{Name: "one"}, {Name: "two"}, {Name: "none"}}, [][]string{{"secret-1", "secret-1b"}, {"secret-2"}, nil}))
@@ -194,19 +194,19 @@
 		{"an unknown key, count", "GET", "/k/", "secret-9", fakeJobs{}, 401},
 		{"an unknown key, no such queue", "GET", "/z/" + id, "secret-9", fakeJobs{}, 404},
 		{"a good key, count", "GET", "/k/", "secret-1", fakeJobs{}, 200},
-		{"its other key", "GET", "/k/" + id, "secret-1b", fakeJobs{known: true, of: "one"}, 200},
-		{"another tenant, state", "GET", "/k/" + id, "secret-2", fakeJobs{known: true, of: "one"}, 403},
-		{"another tenant, cancel", "DELETE", "/k/" + id, "secret-2", fakeJobs{known: true, of: "one"}, 403},
-		{"a public queue, job of a tenant", "GET", "/a/" + id, "", fakeJobs{known: true, of: "one"}, 403},
-		{"a public queue, cancel", "DELETE", "/a/" + id, "", fakeJobs{known: true, of: "one"}, 403},
+		{"its other key", "GET", "/k/" + id, "secret-1b", fakeJobs{known: true, jobTenant: "one"}, 200},
+		{"another tenant, state", "GET", "/k/" + id, "secret-2", fakeJobs{known: true, jobTenant: "one"}, 403},
+		{"another tenant, cancel", "DELETE", "/k/" + id, "secret-2", fakeJobs{known: true, jobTenant: "one"}, 403},
+		{"a public queue, job of a tenant", "GET", "/a/" + id, "", fakeJobs{known: true, jobTenant: "one"}, 403},
+		{"a public queue, cancel", "DELETE", "/a/" + id, "", fakeJobs{known: true, jobTenant: "one"}, 403},
 		{"a job of a public queue", "GET", "/k/" + id, "secret-2", fakeJobs{known: true}, 200},
-		{"a good key that may be revoked", "POST", "/k/" + id, "secret-1", fakeJobs{stale: true}, 503},
-		{"a public queue meanwhile", "GET", "/a/" + id, "", fakeJobs{stale: true, known: true}, 200},
+		{"a good key that may be revoked", "POST", "/k/" + id, "secret-1", fakeJobs{configStale: true}, 503},
+		{"a public queue meanwhile", "GET", "/a/" + id, "", fakeJobs{configStale: true, known: true}, 200},
 	} {
 		call.jobs.catalog = c
 		lines, logged := observer.New(zap.DebugLevel)
-		g := New(&call.jobs, keyOf, decode, noObserver{}, zap.New(lines))
-		r := httptest.NewRequest(call.method, call.path, unread{t})
+		g := New(&call.jobs, readTestKey, decode, noObserver{}, zap.New(lines))
+		r := httptest.NewRequest(call.method, call.path, unreadableBody{t})
 		r.Host = "h.example"
 		r.Header.Set("Key", call.key)
 		w := httptest.NewRecorder()
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestAnAcceptedJobNamesItsTenant(t *testing.T) {
+func TestSubmittedJobHasTenant(t *testing.T) {
 	c := catalog()
 	c.Queues[0].Public = false
 	require.NoError(t, c.SetTenants([]job.Tenant{{Name: "one"}}, [][]string{{"secret-1"}}))
@@ -226,7 +226,7 @@
 	r := httptest.NewRequest(http.MethodPost, "/a/"+id, strings.NewReader("good"))
 	r.Host = "h.example"
 	r.Header.Set("Key", "secret-1")
-	New(f, keyOf, decode, noObserver{}, zap.NewNop()).ServeHTTP(httptest.NewRecorder(), r)
+	New(f, readTestKey, decode, noObserver{}, zap.NewNop()).ServeHTTP(httptest.NewRecorder(), r)
 	require.Len(t, f.accepted, 1)
 	assert.Equal(t, "one", f.accepted[0].Tenant)
 }
--- a/jobs/peer/late_test.go
+++ b/jobs/peer/late_test.go
@@ -12,30 +12,30 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// gated answers when it is let.
-type gated struct {
+// blockingHandler answers when it is let.
+type blockingHandler struct {
 	Handler
-	asked   chan struct{} // one token for each job told
-	release chan struct{}
+	received chan struct{} // one token for each job told
+	release  chan struct{}
 }
 
-func (g gated) Submitted(SubmitRequest) SubmitReply {
-	g.asked <- struct{}{}
+func (g blockingHandler) Submitted(SubmitRequest) SubmitReply {
+	g.received <- struct{}{}
 	<-g.release
 	return SubmitReply{}
 }
 
-func (g gated) State(StateRequest) StateReply { <-g.release; return StateReply{Owner: true} }
+func (g blockingHandler) State(StateRequest) StateReply { <-g.release; return StateReply{Owner: true} }
 
-// TestALateAnswerEndsNoOtherCall: with an owner short of processor time one question that
+// TestLateAnswerDoesNotFailOtherCalls: with an owner short of processor time one question that
 // was answered late closed the one connection to it, and with it failed every other call
 // that was under way there: jobs told to the owner, questions, calls to the store by way
 // of it, all of which were then made again on a new connection. The owner had done their
 // work already, and did it twice. Each of them must get its answer all the same.
-func TestALateAnswerEndsNoOtherCall(t *testing.T) {
+func TestLateAnswerDoesNotFailOtherCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	h := gated{asked: make(chan struct{}, 1), release: make(chan struct{})}
+	h := blockingHandler{received: make(chan struct{}, 1), release: make(chan struct{})}
 	go func() { _ = Serve(l, h) }()
 	t.Cleanup(func() { l.Close() })
 	addr := l.Addr().String()
@@ -46,7 +46,7 @@
 		_, err := c.Submitted(context.Background(), addr, &job.Job{ID: "a"})
 		told <- err
 	}()
-	<-h.asked
+	<-h.received
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	_, err = c.State(ctx, addr, "b")
--- a/jobs/peer/peer.go
+++ b/jobs/peer/peer.go
@@ -193,11 +193,11 @@
 	return verdict.Wrap(pending.Error, verdict.MayHaveRun, CodePeerUnreachable, "peer %s %s", addr, method)
 }
 
-// ask puts a question that may be repeated. A first try has half the time until
+// callRepeatable puts a question that may be repeated. A first try has half the time until
 // the deadline: its connection may have gone silent, and the second opens another.
-func ask[R any](ctx context.Context, c *Client, addr, method string, question any) (R, error) {
+func callRepeatable[R any](ctx context.Context, c *Client, addr, method string, question any) (R, error) {
 	var first, second R
-	half, cancel := halfOf(ctx)
+	half, cancel := withHalfTimeout(ctx)
 	defer cancel()
 	if err := c.call(half, addr, method, question, &first); err == nil || ctx.Err() != nil {
 		return first, err
@@ -206,8 +206,8 @@
 	return second, err
 }
 
-// halfOf returns a context with half of the time that ctx has.
-func halfOf(ctx context.Context) (context.Context, context.CancelFunc) {
+// withHalfTimeout returns a context with half of the time that ctx has.
+func withHalfTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	end, bounded := ctx.Deadline()
 	if !bounded {
 		return context.WithCancel(ctx)
@@ -217,12 +217,12 @@
 
 // State asks the peer at addr for the state of a job.
 func (c *Client) State(ctx context.Context, addr string, id job.ID) (StateReply, error) {
-	return ask[StateReply](ctx, c, addr, "State", StateRequest{id})
+	return callRepeatable[StateReply](ctx, c, addr, "State", StateRequest{id})
 }
 
 // Pending asks the peer at addr for the length of a queue.
 func (c *Client) Pending(ctx context.Context, addr, queue string) (PendingReply, error) {
-	return ask[PendingReply](ctx, c, addr, "Pending", PendingRequest{queue})
+	return callRepeatable[PendingReply](ctx, c, addr, "Pending", PendingRequest{queue})
 }
 
 // Cancelled tells the peer at addr of a cancellation.
--- a/jobs/peer/peer_test.go
+++ b/jobs/peer/peer_test.go
@@ -10,18 +10,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// states answers every question for a state.
-type states struct{ Handler }
+// stateHandler answers every question for a state.
+type stateHandler struct{ Handler }
 
-func (states) State(StateRequest) StateReply { return StateReply{Owner: true} }
+func (stateHandler) State(StateRequest) StateReply { return StateReply{Owner: true} }
 
-// TestAnEndedConnectionIsReplaced: the next call after a connection ended goes
+// TestBrokenConnectionIsReplaced: the next call after a connection ended goes
 // to a new one instead of failing.
-func TestAnEndedConnectionIsReplaced(t *testing.T) {
+func TestBrokenConnectionIsReplaced(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	accepted := make(chan net.Conn, 2)
-	go func() { _ = Serve(&tapped{l, accepted}, states{}) }()
+	go func() { _ = Serve(&recordingListener{l, accepted}, stateHandler{}) }()
 	t.Cleanup(func() { l.Close() })
 	addr := l.Addr().String()
 	c := NewClient()
@@ -39,13 +39,13 @@
 	assert.True(t, reply.Owner)
 }
 
-// tapped hands accepted connections to a test, too.
-type tapped struct {
+// recordingListener hands accepted connections to a test, too.
+type recordingListener struct {
 	net.Listener
 	accepted chan net.Conn
 }
 
-func (l *tapped) Accept() (net.Conn, error) {
+func (l *recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err == nil {
 		l.accepted <- conn
--- a/jobs/peer/presence.go
+++ b/jobs/peer/presence.go
@@ -21,8 +21,8 @@
 	Absent
 )
 
-// stayFor is how long one question to stay takes; it is put again after that.
-const stayFor = 10 * time.Second
+// maxStay is how long one question to stay takes; it is put again after that.
+const maxStay = 10 * time.Second
 
 // StayRequest asks a peer to answer when Wait is over: an answer that breaks off
 // before tells at once that the connection, and perhaps the process, has ended.
@@ -35,7 +35,7 @@
 type LookReply struct{ Presence Presence }
 
 func (s *server) Stay(r StayRequest, _ *Empty) error {
-	time.Sleep(min(r.Wait, stayFor))
+	time.Sleep(min(r.Wait, maxStay))
 	return nil
 }
 
@@ -50,7 +50,7 @@
 	own := NewClient()
 	defer own.conns.Close()
 	for ctx.Err() == nil {
-		if err := own.call(ctx, addr, "Stay", StayRequest{stayFor}, &Empty{}); err != nil && ctx.Err() == nil {
+		if err := own.call(ctx, addr, "Stay", StayRequest{maxStay}, &Empty{}); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
--- a/jobs/peer/relay.go
+++ b/jobs/peer/relay.go
@@ -17,23 +17,23 @@
 }
 
 // StoreVia returns the store as the peer at addr reaches it.
-func StoreVia(client Relayer, addr string) ledger.Store { return &relayed{client, addr} }
+func StoreVia(client Relayer, addr string) ledger.Store { return &relayedStore{client, addr} }
 
 // RelayAddr returns the peer that a store of StoreVia goes by, "" for other stores.
 func RelayAddr(s ledger.Store) string {
-	if r, ok := s.(*relayed); ok {
+	if r, ok := s.(*relayedStore); ok {
 		return r.addr
 	}
 	return ""
 }
 
-// relayed is the store by way of a peer.
-type relayed struct {
+// relayedStore is the store by way of a peer.
+type relayedStore struct {
 	client Relayer
 	addr   string
 }
 
-func (s *relayed) do(ctx context.Context, r RelayRequest) (RelayReply, error) {
+func (s *relayedStore) do(ctx context.Context, r RelayRequest) (RelayReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout+r.Wait)
 	defer cancel()
 	out, err := s.client.Relay(ctx, s.addr, r)
@@ -46,37 +46,37 @@
 	return out, nil
 }
 
-func (s *relayed) Get(ctx context.Context, key string, stale bool) (ledger.Item, bool, error) {
+func (s *relayedStore) Get(ctx context.Context, key string, stale bool) (ledger.Item, bool, error) {
 	out, err := s.do(ctx, RelayRequest{Op: OpGet, Key: key, Stale: stale})
 	return out.Item, out.Found, err
 }
 
-func (s *relayed) Range(ctx context.Context, prefix, after string, stale bool) (ledger.Page, error) {
+func (s *relayedStore) Range(ctx context.Context, prefix, after string, stale bool) (ledger.Page, error) {
 	out, err := s.do(ctx, RelayRequest{Op: OpRange, Key: prefix, After: after, Stale: stale})
 	return out.Page, err
 }
 
-func (s *relayed) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (ledger.Changes, error) {
+func (s *relayedStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (ledger.Changes, error) {
 	out, err := s.do(ctx, RelayRequest{Op: OpWatch, Key: prefix, Revision: after, Wait: wait})
 	return out.Changes, err
 }
 
-func (s *relayed) Commit(ctx context.Context, t ledger.Txn) (ledger.TxnResult, error) {
+func (s *relayedStore) Commit(ctx context.Context, t ledger.Txn) (ledger.TxnResult, error) {
 	out, err := s.do(ctx, RelayRequest{Op: OpCommit, Txn: t})
 	return out.Result, err
 }
 
-func (s *relayed) GrantLease(ctx context.Context, ttl time.Duration) (ledger.LeaseID, error) {
+func (s *relayedStore) GrantLease(ctx context.Context, ttl time.Duration) (ledger.LeaseID, error) {
 	out, err := s.do(ctx, RelayRequest{Op: OpGrant, Wait: ttl})
 	return out.Lease, err
 }
 
-func (s *relayed) KeepAlive(ctx context.Context, id ledger.LeaseID) (bool, error) {
+func (s *relayedStore) KeepAlive(ctx context.Context, id ledger.LeaseID) (bool, error) {
 	out, err := s.do(ctx, RelayRequest{Op: OpKeepAlive, Lease: id})
 	return out.Found, err
 }
 
-func (s *relayed) EndLease(ctx context.Context, id ledger.LeaseID) error {
+func (s *relayedStore) EndLease(ctx context.Context, id ledger.LeaseID) error {
 	_, err := s.do(ctx, RelayRequest{Op: OpEndLease, Lease: id})
 	return err
 }
@@ -90,14 +90,14 @@
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	var out RelayReply
-	err := answer(ctx, s, r, &out)
+	err := executeRelay(ctx, s, r, &out)
 	if err != nil {
 		out.Message, out.Verdict, out.Code = err.Error(), verdict.Of(err), verdict.CodeOf(err)
 	}
 	return out
 }
 
-func answer(ctx context.Context, s ledger.Store, r RelayRequest, out *RelayReply) (err error) {
+func executeRelay(ctx context.Context, s ledger.Store, r RelayRequest, out *RelayReply) (err error) {
 	switch r.Op {
 	case OpGet:
 		out.Item, out.Found, err = s.Get(ctx, r.Key, r.Stale)
