--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -140,8 +140,8 @@
 	}
 }
 
-// provenNotStarted reports whether an answer to a hold sent at asked that does not list the
-// run proves that no start of it has arrived so far.
+// provenNotStarted reports whether no start of the run has arrived so far, given that the
+// answer to a hold sent at holdSentAt does not list it.
 func (r *run) provenNotStarted(holdSentAt time.Time) bool {
 	return r.phase == starting && !r.startAbandonedAt.IsZero() && !holdSentAt.Before(r.startAbandonedAt)
 }
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -32,9 +32,9 @@
 }
 
 // failHoldsExcept simulates a time in which all workers but the first few seem silent.
-func (r *rig) failHoldsExcept(d time.Duration, all []WorkerID, answering int) {
+func (r *rig) failHoldsExcept(d time.Duration, workers []WorkerID, answering int) {
 	for range d / (100 * time.Millisecond) {
-		for i, w := range all {
+		for i, w := range workers {
 			switch {
 			case !r.core.workers[w].holdInFlight:
 			case i < answering:
@@ -169,12 +169,12 @@
 	longRunning, other := simpleJob(1, 1), simpleJob(2, 1)
 	longRunning.Steps[0].LongRunning = true
 	r := newRig(t, 2, Loaded{Job: longRunning}, Loaded{Job: other})
-	r.worker("unheard")
+	r.worker("silent")
 	r.answerHold(r.worker("a"), nil)
 	for r.now.Sub(r.core.startedAt) <= r.core.maxLeaseDuration() {
 		require.Empty(t, r.confirmStarts(), "after %s", r.now.Sub(r.core.startedAt))
 		r.core.ReportTimerDelay(time.Second, r.now)
-		r.answerHolds(100*time.Millisecond, nil, "unheard")
+		r.answerHolds(100*time.Millisecond, nil, "silent")
 	}
 	r.core.ReportTimerDelay(time.Second, r.now)
 	r.tick(100 * time.Millisecond)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -13,7 +13,7 @@
 type Options struct {
 	Term           uint64        // term of this ownership; higher for each new owner
 	TaskLease      time.Duration // lease of a worker's tasks, renewed by each hold
-	MaxWorkerLease time.Duration // longest lease that a worker grants, whatever it is told; 0: TaskLease
+	MaxWorkerLease time.Duration // longest lease that a worker grants, whatever the order says; 0: TaskLease
 	HoldWait       time.Duration // long-poll time of a hold for a worker with tasks
 	IdleHoldWait   time.Duration // the same for a worker without tasks; 0: HoldWait
 	CallPolicy     calls.Policy  // policy for call timeouts; "": adaptive
@@ -45,13 +45,13 @@
 	phase               phase
 	sentAt              time.Time // last start or stop sent
 	firstSentAt         time.Time // first start sent; zero: an earlier owner started the run
-	sends               int       // orders sent without an answer
+	sends               int       // starts sent, plus stops that failed
 	confirmedAt         time.Time // when the worker confirmed the start or the stop
 	percent             int
 	progressAt          time.Time     // when percent last changed
 	stallWatched        bool          // queued in stallsDue
 	usage               int           // as in ActiveRun
-	trialRisk           job.CrashRisk // suspicion under which the run was isolated, to see whether it crashes its worker
+	trialRisk           job.CrashRisk // risk for which the run was isolated, to see whether it crashes its worker
 	throttlePercent     int           // ordered percentage of full speed; initially 100
 	mayStartLate        bool          // a start went unanswered and may still arrive
 	fromPastIncarnation bool          // ordered on an earlier incarnation of the worker, not yet seen on this one
@@ -158,7 +158,7 @@
 	started          bool // a worker confirmed that a task of it started
 	waitLogged       bool // a job-waits line was logged
 	endedAt          time.Time
-	stepsDropped     bool          // steps were freed: the job is over and recorded, and has no runs
+	stepsDropped     bool          // steps were freed: the end is stored and the job has no runs
 	inherited        bool          // an earlier owner may have started tasks of it
 	loadedFromStore  bool          // loaded when this term began
 	version          uint64        // incremented by each change that has to be stored
@@ -206,7 +206,7 @@
 	lastAnswerAt        time.Time   // latest answer to any order
 	orderUnanswered     bool        // an order sent after lastAnswerAt went unanswered
 	crashSuspects       []*task     // tasks that may have crashed it, set when it ends
-	lossReported        bool        // callOutcomes was told of an unanswered call, and none was answered since
+	lossReported        bool        // a lost call was counted in lossDetector, and none was answered since
 	contactLoss         contactLoss // zero: in contact
 	runs                map[job.TaskID]*run
 	allocated           job.Resources             // by runs
@@ -294,7 +294,7 @@
 	rejectedMoves          map[rejectedMove]bool
 	evacuatedZones         map[string]bool // zones that get no new tasks
 	nextSizingAt           time.Time
-	returnBudget           float64 // instances that may be given back at present
+	returnBudget           float64 // instances that may be given back now
 	returnRefilledAt       time.Time
 	nextWaveCheckAt        time.Time
 	adviceInFlight         int // unanswered advisor queries
@@ -325,7 +325,7 @@
 	stallsDue         timerQueue[*run]      // runs to check for lack of progress
 	occurrencesDue    timerQueue[*jobState] // jobs with later occurrences
 	recentlyEnded     []*worker             // incarnations kept for crash decisions
-	crashDecisionsDue timerQueue[*worker]   // incarnations whose end is to be attributed
+	crashDecisionsDue timerQueue[*worker]   // ended incarnations, to decide whether a task crashed them
 	avoidedDue        timerQueue[*worker]   // workers to index again when avoidUntil has passed
 
 	staleIndexWorkers []*worker // workers with indexStale set
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -251,8 +251,8 @@
 		f.core.OnHoldAnswer(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clockMs(now)}}, now)
 		f.core.React(now)
 	}
-	looks := f.core.counts.JobsConsidered / busyJobs
-	assert.LessOrEqual(t, looks, int64(now.Sub(f.startedAt)/daemonTick), "scans of the whole queue, at most one per tick")
+	scans := f.core.counts.JobsConsidered / busyJobs
+	assert.LessOrEqual(t, scans, int64(now.Sub(f.startedAt)/daemonTick), "scans of the whole queue, at most one per tick")
 }
 
 // BenchmarkTakeover measures the core's processor time for the first second of such a
@@ -271,17 +271,17 @@
 func TestEndedWorkersAreHeldLessOften(t *testing.T) {
 	r := newRig(t, 2)
 	r.worker("a")
-	r.regs = append(r.regs, Registration{Worker: "over", Service: "s", Addr: "over"})
+	r.regs = append(r.regs, Registration{Worker: "ended", Service: "s", Addr: "ended"})
 	r.publishLists()
-	asked := map[WorkerID]int{}
+	holds := map[WorkerID]int{}
 	for range 3 * time.Second / (25 * time.Millisecond) {
 		for _, h := range r.out.Holds {
-			asked[h.Worker]++
+			holds[h.Worker]++
 			r.failHold(h.Worker)
 		}
 		r.out.Holds = nil
 		r.tick(25 * time.Millisecond)
 	}
-	assert.LessOrEqual(t, asked["over"], 5)
-	assert.GreaterOrEqual(t, asked["a"], 12, "a listed worker is retried at once")
+	assert.LessOrEqual(t, holds["ended"], 5)
+	assert.GreaterOrEqual(t, holds["a"], 12, "a listed worker is retried at once")
 }
