--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -9,68 +9,67 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// AdviceQuery asks the advisor which workers may run a step.
+// AdviceQuery asks the advisor which of the workers may run a step.
 type AdviceQuery struct {
 	Step    StepID
 	Workers []WorkerID
 }
 
-// StepID names a step of one occurrence of a job.
+// StepID identifies a step of one occurrence of a job.
 type StepID struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
 }
 
-// String returns the step's name, JOB.OCCURRENCE.STEP.
+// String formats the ID as JOB.OCCURRENCE.STEP.
 func (s StepID) String() string {
 	return string(s.Job) + "." + strconv.Itoa(s.Occurrence) + "." + strconv.Itoa(s.Step)
 }
 
-// Permit is the advisor's word that a worker may run a step.
+// Permit allows a worker to run a step; the start has to carry the ticket.
 type Permit struct {
 	Worker WorkerID
 	Ticket string
 }
 
-// Advice is the advisor's answer. A nil error means that workers that are not
-// named may not run the step.
+// Advice is the answer to an AdviceQuery. If Err is nil, queried workers without a permit may
+// never run the step.
 type Advice struct {
 	Permits  []Permit
-	Validity time.Duration // 0: not told
+	Validity time.Duration // of the tickets; 0: unknown
 	Err      error
 }
 
-// Advisor says which workers may run the steps of some queues.
+// Advisor decides which workers may run the steps of queues that need advice.
 type Advisor interface {
 	Advise(ctx context.Context, q AdviceQuery) Advice
 }
 
-// Figures of advice.
+// Parameters of advice.
 const (
-	// maxWorkersPerQuery is how many workers one question names: the advisor's time
-	// grows with each.
+	// maxWorkersPerQuery limits a query, since the advisor's time grows with each worker.
 	maxWorkersPerQuery = 30
-	// maxOpenQueries is how many may be under way: the advisor takes one at a time
-	// and refuses beyond 32.
+	// maxOpenQueries limits the queries in flight: the advisor handles one at a time and
+	// refuses queries beyond 32.
 	maxOpenQueries = 8
-	// ticketMargin of a ticket's validity is left for the start to arrive.
+	// ticketMargin is the part of a ticket's validity that is left for the start to arrive.
 	ticketMargin = 250 * time.Millisecond
-	// adviceRetryDelay is the pause after a question without an answer.
+	// adviceRetryDelay is the pause after a query that failed.
 	adviceRetryDelay = 300 * time.Millisecond
-	// AdviceTimeout bounds a question: some queued ones, each of a second at most.
+	// AdviceTimeout bounds a query; some may be queued before it, and each takes up to 1 s.
 	AdviceTimeout = 5 * time.Second
 )
 
-// permits is what is known of the workers that may run a step.
+// permits holds the advice received for a step.
 type permits struct {
 	tickets   map[WorkerID]ticket
-	denied    map[WorkerID]bool // may not run it, which does not change
+	denied    map[WorkerID]bool // workers that may never run the step
 	queryOpen bool
 	askedAt   time.Time
 	retryAt   time.Time
 
-	rejectedTickets int // tickets that workers refused on end
+	rejectedTickets int // consecutive tickets rejected by workers
 }
 
 type ticket struct {
@@ -80,15 +79,16 @@
 
 func (s *stepState) id() StepID { return StepID{s.job.spec.ID, s.occurrence, s.index} }
 
-// needsPermits reports whether the step may only run where the advisor says.
+// needsPermits reports whether the step may run only on workers that the advisor permits.
 func (s *stepState) needsPermits() bool { return s.job.queue.Advisor != nil }
 
-// hasValidTicket reports whether the step has a valid ticket for the worker.
+// hasValidTicket reports whether the step has a ticket for the worker that is valid for
+// longer than ticketMargin.
 func (s *stepState) hasValidTicket(w *worker, now time.Time) bool {
 	return s.permits != nil && now.Add(ticketMargin).Before(s.permits.tickets[w.Worker].validUntil)
 }
 
-// ticketFor returns the ticket of a start, "" if it needs none.
+// ticketFor returns the ticket for a start on the worker; "" if it needs none.
 func (s *stepState) ticketFor(w *worker) string {
 	if s.permits == nil {
 		return ""
@@ -96,7 +96,8 @@
 	return s.permits.tickets[w.Worker].text
 }
 
-// queryAdvisor asks the advisor about usable workers, those with the most room first.
+// queryAdvisor queries the advisor about workers without a ticket, those with the most free
+// processors first.
 func (c *Core) queryAdvisor(s *stepState, view *workerView, now time.Time) {
 	if s.permits == nil {
 		s.permits = &permits{tickets: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
@@ -125,8 +126,8 @@
 	c.effects.AdviceQueries = append(c.effects.AdviceQueries, q)
 }
 
-// OnAdvice takes the advisor's answer. Tickets count from the question on, as
-// it is not known when they were written.
+// OnAdvice handles the advisor's answer. Tickets are taken as valid from the time of the query
+// on, since the time of issue is unknown.
 func (c *Core) OnAdvice(q AdviceQuery, a Advice, now time.Time) {
 	c.adviceInFlight--
 	j := c.jobs[q.Step.Job]
@@ -140,7 +141,7 @@
 	p := s.permits
 	p.queryOpen = false
 	c.changedServices[j.service] = true
-	c.pool(j.service).placedAt = time.Time{} // tickets last for a short time: place at once
+	c.pool(j.service).placedAt = time.Time{} // place at once, as tickets expire soon
 	if a.Err != nil {
 		p.retryAt = now.Add(adviceRetryDelay)
 		c.note(Decision{Event: "advice-failed", Job: j.spec.ID, Reason: a.Err.Error()})
@@ -162,7 +163,8 @@
 	}
 }
 
-// dropTicket forgets a ticket that a worker refused.
+// dropTicket drops a ticket that a worker has rejected. After repeated rejections the next
+// query is delayed.
 func (s *stepState) dropTicket(w *worker, now time.Time) {
 	p := s.permits
 	if p == nil {
--- a/jobs/owner/backoff.go
+++ b/jobs/owner/backoff.go
@@ -2,11 +2,10 @@
 
 import "time"
 
-// backoff are those between tries that fail one after the other: each is twice as long as the
-// one before, up to the longest.
+// backoff is the delay between consecutive failed attempts: it doubles each time, up to max.
 type backoff struct{ initial, max time.Duration }
 
-// delay returns the pause delay so many tries that failed.
+// delay returns the delay after the given number of consecutive failures.
 func (p backoff) delay(failed int) time.Duration {
 	d := p.initial
 	for range failed - 1 {
@@ -17,19 +16,21 @@
 	return d
 }
 
-// Pauses of what may fail each time it is tried.
+// Backoffs of operations that may fail every time.
 var (
-	// longRunningBackoff are for a long-running task that fails: it has to be tried again within
-	// three seconds, as it serves users.
+	// longRunningBackoff is for a long-running task that fails; it serves users and has to be
+	// tried again within 3 s.
 	longRunningBackoff = backoff{failureBackoff, 2 * time.Second}
-	// invalidOrderBackoff are for an order that a worker calls invalid, as all of them will.
+	// invalidOrderBackoff is for an order that a worker calls invalid: every worker will.
 	invalidOrderBackoff = backoff{time.Second, 30 * time.Second}
-	// capacityBackoff are for a worker that refuses for want of room: its ends are known by the
-	// first one, and more than that means that it has less room than it says.
+	// capacityBackoff is for a worker that refuses a start for lack of capacity. After the
+	// first delay the owner knows which runs have ended there; further refusals mean that the
+	// worker has less capacity than it registered.
 	capacityBackoff = backoff{100 * time.Millisecond, 1600 * time.Millisecond}
-	// ticketBackoff are for a step of which tickets are refused: two may have been too old.
+	// ticketBackoff is for a step whose tickets are rejected repeatedly.
 	ticketBackoff = backoff{adviceRetryDelay, 3 * time.Second}
 )
 
-// ticketRejectionsBeforeBackoff is how many tickets of a step may be refused on end before pauses begin.
+// ticketRejectionsBeforeBackoff is the number of consecutive rejected tickets of a step without
+// a delay: two tickets may just have been too old.
 const ticketRejectionsBeforeBackoff = 2
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// maxRunListAge is how old a worker's list of runs may be for a decision that ends
-// tasks: the hold that brought it was sent two holds ago at most. An owner that was
-// frozen, or that is short of processor time, knows less than it seems.
+// maxRunListAge is how old a worker's run list may be for decisions that end tasks: it was
+// requested two holds ago at most. An owner that was suspended or is short of processor time
+// acts on outdated state otherwise.
 const maxRunListAge = 2500 * time.Millisecond
 
-// hasFreshRunList reports whether what runs on the worker is hasFreshRunList well enough to count on.
+// hasFreshRunList reports whether the worker answers and its run list is recent.
 func (w *worker) hasFreshRunList(now time.Time) bool {
 	return !w.isSilent() && now.Sub(w.answeredHoldSentAt) <= maxRunListAge
 }
 
-// longRunningOn counts the long-running tasks on a worker by their step.
+// longRunningOn counts the worker's long-running tasks by step.
 func longRunningOn(w *worker) map[*stepState]int {
 	counts := map[*stepState]int{}
 	for _, r := range w.runs {
@@ -23,8 +23,8 @@
 	return counts
 }
 
-// unavailableElsewhere counts the tasks of a step that are away beside those on w. A task
-// on a worker that was ordered away is.
+// unavailableElsewhere counts the step's tasks that are not on w and do not serve. Tasks on
+// workers whose end was ordered do not count as serving.
 func unavailableElsewhere(s *stepState, w *worker, now time.Time) int {
 	unavailable := 0
 	for _, t := range s.tasks {
@@ -35,8 +35,8 @@
 	return unavailable
 }
 
-// canTakeDown reports whether the budgets of the long-running tasks on the worker
-// allow to take it away now: of each step at most MayMiss tasks are away.
+// canTakeDown reports whether the worker may be taken down now: of each step with
+// long-running tasks there, at most MayMiss tasks would be unavailable.
 func canTakeDown(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
@@ -46,8 +46,8 @@
 	return true
 }
 
-// canThinOut reports whether tasks can be moved away from the worker one by one,
-// because it has more of a step than may be away at once.
+// canThinOut reports whether the worker's long-running tasks can be moved away one by one,
+// because it has more of a step than may be unavailable at once.
 func canThinOut(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
@@ -57,8 +57,8 @@
 	return true
 }
 
-// thinOut stops one task of each step of which a reserved worker has more than
-// may be away at once; it comes back on another worker.
+// thinOut stops one task of each step of which a reserved worker has more than may be
+// unavailable at once. The task is started again on another worker.
 func (c *Core) thinOut(w *worker, now time.Time) {
 	for s, n := range longRunningOn(w) {
 		if n <= s.spec.MayMiss || unavailableElsewhere(s, w, now) > 0 || hasRunNotServing(s, w) {
@@ -73,6 +73,7 @@
 	}
 }
 
+// hasRunNotServing reports whether a run of the step on w starts up or is being stopped.
 func hasRunNotServing(s *stepState, w *worker) bool {
 	for _, r := range w.runs {
 		if r.task.step == s && (r.phase != running || r.percent < 100) {
@@ -82,7 +83,7 @@
 	return false
 }
 
-// runsOn reports whether the task runs runsOn w.
+// runsOn reports whether the task has a run on w.
 func (t *task) runsOn(w *worker) bool {
 	for _, r := range t.runs {
 		if r.worker == w {
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -6,42 +6,42 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// What a tenant has running is counted from the order of a start until its run is over for
-// certain: answered or not, while it is being stopped, and while its worker is lost. A new
-// owner does not know at first what runs; until it does, all that an earlier one may have
-// started counts as well.
+// A tenant's usage includes a run from the order of its start until it has certainly ended:
+// also while the start is unanswered, while the run is being stopped and while its worker is
+// lost. A new owner does not know at first what runs. Until it does, everything that an earlier
+// owner may have started counts too.
 
-// setTenants takes the limits and the shares of a newer configuration.
+// setTenants applies the limits and weights of a new configuration.
 func (c *Core) setTenants(tenants []job.Tenant) {
 	c.quotas.SetLimits(tenants)
 	c.shares.SetWeights(tenants)
 }
 
-// chargeShare finds out whether the job lies within its tenant's share. One that does not takes
-// no room that jobs within theirs could use in time.
+// chargeShare charges the job to its tenant's share and records whether it exceeds the share.
+// Jobs over their share get no capacity that jobs within theirs could use in time.
 func (c *Core) chargeShare(j *jobState) {
 	if !j.isLongRunning() {
 		j.overShare = !c.shares.Take(j.spec.Tenant, j.spec.AcceptedAt)
 	}
 }
 
-// presumedUsage is what may run of each tenant beside the runs that are known.
+// presumedUsage is what each tenant may have running besides the known runs.
 type presumedUsage struct {
 	byTenant   map[string]job.Resources
 	computedAt time.Time // when it was summed up
 }
 
-// presumedUsageTTL is how long a sum serves: each goes over all open jobs. What becomes known
-// meanwhile counts twice, which is on the safe side.
+// presumedUsageTTL is how long a computed presumedUsage is used, since computing it visits all
+// open jobs. Runs that become known meanwhile count twice, which is the safe side.
 const presumedUsageTTL = 50 * time.Millisecond
 
-// addRun accounts for a run that was ordered, or that a worker lists.
+// addRun adds a run that was ordered, or that a worker lists, to its task, worker and tenant.
 func (c *Core) addRun(r *run) {
 	r.task.addRun(r)
 	c.quotas.Add(r.task.step.job.spec.Tenant, r.task.step.spec.Need)
 }
 
-// removeRun is its inverse. Work that waited for the tenant's limit may go on.
+// removeRun undoes addRun. Services that waited for the tenant's limit are scheduled again.
 func (c *Core) removeRun(r *run) {
 	if !r.task.removeRun(r) {
 		return
@@ -51,7 +51,7 @@
 	}
 }
 
-// quotaAllows reports whether the tenant of a job may start n tasks of a step more.
+// quotaAllows reports whether the job's tenant may start n more tasks of the step.
 func (c *Core) quotaAllows(spec *job.Job, s *job.Step, n int, now time.Time) bool {
 	if !c.quotas.Limited(spec.Tenant) {
 		return true
@@ -59,8 +59,8 @@
 	return c.quotas.Allows(spec.Tenant, s.Need, n, c.presumedRunning(spec.Tenant, now))
 }
 
-// presumedRunning returns what an earlier owner may have started for the tenant and is not known
-// yet: of its inherited jobs every task that is not done and has no known run.
+// presumedRunning returns what an earlier owner may have started for the tenant: all tasks of
+// its inherited jobs that are not done and have no known run.
 func (c *Core) presumedRunning(tenant string, now time.Time) job.Resources {
 	if c.knowsAllRuns(now) {
 		return job.Resources{}
@@ -71,7 +71,7 @@
 	return c.presumedUsage.byTenant[tenant]
 }
 
-// knowsAllRuns reports whether all that an earlier owner started is known, for every service.
+// knowsAllRuns reports whether everything that an earlier owner started is known.
 func (c *Core) knowsAllRuns(now time.Time) bool {
 	for _, s := range c.catalog.Services {
 		if !s.Spare && !c.earlierRunsKnown(s.Name, now) {
@@ -81,6 +81,7 @@
 	return true
 }
 
+// sumInheritedUsage computes presumedUsage for the tenants with a limit.
 func (c *Core) sumInheritedUsage() map[string]job.Resources {
 	out := map[string]job.Resources{}
 	for _, j := range c.openJobs {
@@ -94,8 +95,8 @@
 	return out
 }
 
-// withinTenantLimit reports whether n tasks more of the step may start, and takes note if not. What
-// its tenant may not run asks for no instances, and pushes nothing aside.
+// withinTenantLimit reports whether n more tasks of the step may start. If not, their wait is
+// recorded, but they cause neither a larger pool nor preemption.
 func (p *schedulingPass) withinTenantLimit(s *stepState, n int) bool {
 	spec := s.job.spec
 	if p.core.quotaAllows(spec, s.spec, n, p.now) {
@@ -107,7 +108,7 @@
 	return false
 }
 
-// logTenantLimit says once for each job that a task of it waits for its tenant's limit.
+// logTenantLimit logs once per job that a task of it waits for its tenant's limit.
 func (c *Core) logTenantLimit(s *stepState) {
 	j := s.job
 	if j.waitLogged {
--- a/jobs/owner/timerqueue.go
+++ b/jobs/owner/timerqueue.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// timerQueue says what has to be looked at when. Entries are not taken out early: whoever
-// takes one looks whether it still applies. Adding one, and taking the next, cost the
-// logarithm of how many there are.
+// timerQueue is a queue of values by due time, first in, first out for equal times. Entries are
+// never removed early: whoever pops one checks whether it still applies. Both add and popDue
+// take logarithmic time.
 type timerQueue[T any] struct {
 	entries timerHeap[T]
 	lastSeq uint64
@@ -18,7 +18,7 @@
 	heap.Push(&q.entries, timerEntry[T]{at, q.lastSeq, what})
 }
 
-// popDue takes the earliest entry that is due by now; ok is false if none is.
+// popDue removes the earliest entry if it is due by now; ok is false otherwise.
 func (q *timerQueue[T]) popDue(now time.Time) (what T, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].at.After(now) {
 		return what, false
@@ -26,7 +26,7 @@
 	return heap.Pop(&q.entries).(timerEntry[T]).value, true
 }
 
-// popAllDue takes all entries that are popAllDue by now.
+// popAllDue removes and returns all entries due by now.
 func (q *timerQueue[T]) popAllDue(now time.Time) []T {
 	var out []T
 	for what, ok := q.popDue(now); ok; what, ok = q.popDue(now) {
@@ -37,7 +37,7 @@
 
 type timerEntry[T any] struct {
 	at    time.Time
-	seq   uint64 // among those of one time
+	seq   uint64 // order of entries with equal times
 	value T
 }
 
@@ -56,7 +56,7 @@
 	old := *h
 	last := len(old) - 1
 	e := old[last]
-	old[last] = timerEntry[T]{} // what it held may be freed
+	old[last] = timerEntry[T]{} // lets the garbage collector free the value
 	*h = old[:last]
 	return e
 }
