--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -20,32 +20,32 @@
 
 // Figures of the plan.
 const (
-	// fill is the share of an instance's processors that tasks of mixed sizes
-	// fill.
-	fill = 0.9
-	// headroom is how much more work than there is, or comes, a pool is sized for: tasks of
+	// usableShare is the share of an instance's processors that tasks of mixed sizes
+	// usableShare.
+	usableShare = 0.9
+	// headroomFactor is how much more work than there is, or comes, a pool is sized for: tasks of
 	// mixed sizes leave gaps, and the next steps of running jobs come.
-	headroom = 1.15
-	// giveBackMoves is how many moves an instance's idle time must have cost
+	headroomFactor = 1.15
+	// releaseCostMoves is how many moves an instance's idle time must have cost
 	// before it is given back: away, and back at the pool's next turn.
-	giveBackMoves = 2
-	// smallest is how many instances a pool keeps without any work: with none, the
+	releaseCostMoves = 2
+	// minInstances is how many instances a pool keeps without any work: with none, the
 	// size of its instances is not known, and the next job waits for a move.
-	smallest = 1
+	minInstances = 1
 	// stuckAfter is how long tasks wait before a pool gets one more instance
 	// though it has cores enough: they may need other workers than those that run
 	// tasks of their step already.
 	stuckAfter = 500 * time.Millisecond
-	// lateShare is how much the work of jobs that are late already counts while another
+	// lateWorkWeight is how much the work of jobs that are late already counts while another
 	// pool is short of room for jobs that can still be in time: a late job is worth a
 	// fourteenth of one in time on the users' sheets, and must not wait for ever.
-	lateShare = 0.25
-	// perPlan is how many instances a plan takes at least from a pool that has too many, and
+	lateWorkWeight = 0.25
+	// minReleasesPerPlan is how many instances a plan takes at least from a pool that has too many, and
 	// sharePerPlan the share of the pool above that. With ten plans a second a large pool loses half
 	// of what idles in 17 s, whatever its size: for some turns of traffic it has room for one, and
 	// none waits for instances on their way.
-	perPlan      = 2
-	sharePerPlan = 0.004
+	minReleasesPerPlan  = 2
+	releaseSharePerPlan = 0.004
 )
 
 // Instance is one that could be moved.
@@ -83,45 +83,45 @@
 // Size returns how many instances are up.
 func (p *Pool) Size() int { return len(p.Instances) + p.BusyInstances }
 
-// urgency says which work counts.
-type urgency int
+// lateWork says which work counts.
+type lateWork int
 
 const (
-	allWork urgency = iota
-	inTime          // work of jobs that are late already counts lateShare
+	lateWorkFull    lateWork = iota
+	lateWorkReduced          // work of jobs that are late already counts lateShare
 )
 
-// waiting returns the cores that tasks wait for, as far as they count.
-func (p *Pool) waiting(u urgency) float64 {
-	if u == allWork {
+// weightedWaiting returns the cores that tasks wait for, as far as they count.
+func (p *Pool) weightedWaiting(late lateWork) float64 {
+	if late == lateWorkFull {
 		return p.WaitingCores
 	}
-	return p.WaitingCores - (1-lateShare)*p.LateWaitingCores
+	return p.WaitingCores - (1-lateWorkWeight)*p.LateWaitingCores
 }
 
-// need is how many instances the pool's work fills: what there is now, or what
+// neededInstances is how many instances the pool's work fills: what there is now, or what
 // the rate of arrivals will keep busy, whichever is more.
-func (p *Pool) need(u urgency) int {
+func (p *Pool) neededInstances(late lateWork) int {
 	if p.CoresPerInstance <= 0 {
 		return 0
 	}
-	present := headroom*p.BusyCores + p.waiting(u)
-	coming := p.LongRunningCores + headroom*p.ArrivalRate
-	return int(math.Ceil(max(present, coming)/(p.CoresPerInstance*fill) + p.MissingCores/p.CoresPerInstance))
+	present := headroomFactor*p.BusyCores + p.weightedWaiting(late)
+	coming := p.LongRunningCores + headroomFactor*p.ArrivalRate
+	return int(math.Ceil(max(present, coming)/(p.CoresPerInstance*usableShare) + p.MissingCores/p.CoresPerInstance))
 }
 
 // surplus is how many instances the pool can do without. A pool with tasks that count
 // in full and wait has none to spare.
-func (p *Pool) surplus(u urgency) int {
-	if u == allWork && p.WaitingCores > 0 || p.WaitingCores > p.LateWaitingCores {
+func (p *Pool) surplus(late lateWork) int {
+	if late == lateWorkFull && p.WaitingCores > 0 || p.WaitingCores > p.LateWaitingCores {
 		return 0
 	}
-	return p.Size() + p.Arriving - max(smallest, p.need(u))
+	return p.Size() + p.Arriving - max(minInstances, p.neededInstances(late))
 }
 
 // shortage is how many instances the pool lacks.
-func (p *Pool) shortage(u urgency) int {
-	short := max(0, p.need(u)-p.Size()-p.Arriving)
+func (p *Pool) shortage(late lateWork) int {
+	short := max(0, p.neededInstances(late)-p.Size()-p.Arriving)
 	if short == 0 && p.WaitingFor > stuckAfter && p.Arriving <= 0 {
 		return 1
 	}
@@ -140,12 +140,12 @@
 
 // planner is a plan in the making.
 type planner struct {
-	w     Weights
-	pools []Pool
-	spare Pool
-	moves []Move
-	taken map[string]bool
-	left  int // instances that may still be given back
+	weights      Weights
+	pools        []Pool
+	spare        Pool
+	moves        []Move
+	taken        map[string]bool
+	releasesLeft int // instances that may still be given back
 
 	threshold bool // the baseline that looks at no more than queues and idleness
 }
@@ -153,75 +153,75 @@
 // Plan returns the moves that the pools' demand calls for. spare holds
 // instances that cost nothing; the others are paid for, of which mayGiveBack may be
 // given back at most.
-func Plan(policy Policy, w Weights, pools []Pool, spare Pool, mayGiveBack int) []Move {
+func Plan(policy Policy, w Weights, pools []Pool, spare Pool, maxReleases int) []Move {
 	if policy == Fixed {
 		return nil
 	}
-	p := &planner{threshold: policy == Threshold, w: w, pools: append([]Pool(nil), pools...), spare: spare, taken: map[string]bool{}, left: mayGiveBack}
-	for _, u := range []urgency{inTime, allWork} {
-		sort.SliceStable(p.pools, func(a, b int) bool { return p.pools[a].waiting(u) > p.pools[b].waiting(u) })
+	p := &planner{threshold: policy == Threshold, weights: w, pools: append([]Pool(nil), pools...), spare: spare, taken: map[string]bool{}, releasesLeft: maxReleases}
+	for _, late := range []lateWork{lateWorkReduced, lateWorkFull} {
+		sort.SliceStable(p.pools, func(a, b int) bool { return p.pools[a].weightedWaiting(late) > p.pools[b].weightedWaiting(late) })
 		for i := range p.pools {
-			p.supply(&p.pools[i], u)
+			p.coverShortage(&p.pools[i], late)
 		}
 	}
 	for i := range p.pools {
-		p.giveBack(&p.pools[i])
+		p.releaseIdle(&p.pools[i])
 	}
 	return p.moves
 }
 
-func (p *planner) shortage(to *Pool, u urgency) int {
+func (p *planner) shortage(to *Pool, late lateWork) int {
 	switch {
 	case !p.threshold:
-		return to.shortage(u)
+		return to.shortage(late)
 	case to.WaitingCores > 0 && to.Arriving <= 0:
 		return 1
 	}
 	return 0
 }
 
-func (p *planner) surplus(from *Pool, u urgency) int {
+func (p *planner) surplus(from *Pool, late lateWork) int {
 	switch {
 	case !p.threshold:
-		return from.surplus(u)
+		return from.surplus(late)
 	case from.WaitingCores > 0:
 		return 0
 	}
-	return from.Size() + from.Arriving - smallest
+	return from.Size() + from.Arriving - minInstances
 }
 
-// supply brings instances to a pool whose tasks wait: those first that other pools are about to
+// coverShortage brings instances to a pool whose tasks wait: those first that other pools are about to
 // give back, which saves a move, then spare ones, then others that idle in pools that can do
 // without them.
-func (p *planner) supply(to *Pool, u urgency) {
-	short := p.shortage(to, u)
-	if short > 0 && p.spare.Name != "" && p.w.InstanceSecond > 0 {
-		short = p.fetch(to, short, u, p.patience())
+func (p *planner) coverShortage(to *Pool, late lateWork) {
+	short := p.shortage(to, late)
+	if short > 0 && p.spare.Name != "" && p.weights.InstanceSecond > 0 {
+		short = p.takeFromDonors(to, short, late, p.minIdleForRelease())
 	}
 	for _, i := range p.spare.Instances {
 		if short == 0 {
 			return
 		}
-		if p.take(&p.spare, to, i, "tasks wait") {
+		if p.addMove(&p.spare, to, i, "tasks wait") {
 			short--
 		}
 	}
-	p.fetch(to, short, u, 0)
+	p.takeFromDonors(to, short, late, 0)
 }
 
-// fetch brings instances that have idled for so long at least in pools that can do without them,
+// takeFromDonors brings instances that have idled for so long at least in pools that can do without them,
 // and returns how many are still short.
-func (p *planner) fetch(to *Pool, short int, u urgency, idle time.Duration) int {
+func (p *planner) takeFromDonors(to *Pool, short int, late lateWork, minIdle time.Duration) int {
 	for d := range p.pools {
 		donor := &p.pools[d]
-		if donor.Name == to.Name || short == 0 || p.surplus(donor, u) <= 0 {
+		if donor.Name == to.Name || short == 0 || p.surplus(donor, late) <= 0 {
 			continue
 		}
-		for _, i := range byIdleTime(donor.Instances, idle) {
-			if short == 0 || p.surplus(donor, u) <= 0 {
+		for _, i := range longestIdle(donor.Instances, minIdle) {
+			if short == 0 || p.surplus(donor, late) <= 0 {
 				break
 			}
-			if p.take(donor, to, i, "tasks wait, and it idles elsewhere") {
+			if p.addMove(donor, to, i, "tasks wait, and it idles elsewhere") {
 				short--
 			}
 		}
@@ -229,44 +229,44 @@
 	return short
 }
 
-// patience is how long an instance has to idle to be given back: longer than it costs to move it
+// minIdleForRelease is how long an instance has to idle to be given back: longer than it costs to move it
 // away and back.
-func (p *planner) patience() time.Duration {
-	return time.Duration(giveBackMoves * p.w.Move / p.w.InstanceSecond * float64(time.Second))
+func (p *planner) minIdleForRelease() time.Duration {
+	return time.Duration(releaseCostMoves * p.weights.Move / p.weights.InstanceSecond * float64(time.Second))
 }
 
-// giveBack makes instances spare that have idled for long enough.
-func (p *planner) giveBack(from *Pool) {
-	if p.spare.Name == "" || p.w.InstanceSecond <= 0 {
+// releaseIdle makes instances spare that have idled for long enough.
+func (p *planner) releaseIdle(from *Pool) {
+	if p.spare.Name == "" || p.weights.InstanceSecond <= 0 {
 		return
 	}
-	for _, i := range byIdleTime(from.EvacuatedIdle, p.patience()) {
-		if p.left > 0 && p.take(from, &p.spare, i, "its zone is evacuated") {
+	for _, i := range longestIdle(from.EvacuatedIdle, p.minIdleForRelease()) {
+		if p.releasesLeft > 0 && p.addMove(from, &p.spare, i, "its zone is evacuated") {
 			from.Arriving++ // it did not count in its pool
-			p.left--
+			p.releasesLeft--
 		}
 	}
-	if p.surplus(from, allWork) <= 0 {
+	if p.surplus(from, lateWorkFull) <= 0 {
 		return
 	}
-	most := min(p.left, max(perPlan, int(sharePerPlan*float64(from.Size()))))
-	for _, i := range byIdleTime(from.Instances, p.patience()) {
-		if most == 0 || p.surplus(from, allWork) <= 0 {
+	most := min(p.releasesLeft, max(minReleasesPerPlan, int(releaseSharePerPlan*float64(from.Size()))))
+	for _, i := range longestIdle(from.Instances, p.minIdleForRelease()) {
+		if most == 0 || p.surplus(from, lateWorkFull) <= 0 {
 			return
 		}
-		if p.take(from, &p.spare, i, "it idles") {
+		if p.addMove(from, &p.spare, i, "it idles") {
 			most--
-			p.left--
+			p.releasesLeft--
 		}
 	}
 }
 
-// byIdleTime returns the instances that can be moved and have idled for so long at least,
+// longestIdle returns the instances that can be moved and have idled for so long at least,
 // those first that have longest.
-func byIdleTime(list []Instance, least time.Duration) []Instance {
+func longestIdle(list []Instance, minIdle time.Duration) []Instance {
 	var out []Instance
 	for _, i := range list {
-		if i.Movable && i.IdleFor >= least {
+		if i.Movable && i.IdleFor >= minIdle {
 			out = append(out, i)
 		}
 	}
@@ -274,7 +274,7 @@
 	return out
 }
 
-func (p *planner) take(from, to *Pool, i Instance, reason string) bool {
+func (p *planner) addMove(from, to *Pool, i Instance, reason string) bool {
 	if !i.Movable || p.taken[i.ID] {
 		return false
 	}
--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -51,14 +51,14 @@
 func TestRate(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var r Rate
-	assert.Zero(t, r.Cores(0, now))
-	for i := range leastArrivals {
-		assert.Zero(t, r.Cores(0, now), "after %d arrivals there is too little to tell", i)
+	assert.Zero(t, r.WorkPerSecond(0, now))
+	for i := range minArrivals {
+		assert.Zero(t, r.WorkPerSecond(0, now), "after %d arrivals there is too little to tell", i)
 		r.Add(10, now)
 		now = now.Add(100 * time.Millisecond)
 	}
-	assert.InDelta(t, 100, r.Cores(0, now), 1e-6, "10 core-seconds each 100 ms")
-	assert.InDelta(t, 50, r.Cores(0, now.Add(500*time.Millisecond)), 1e-6, "it falls while nothing comes")
+	assert.InDelta(t, 100, r.WorkPerSecond(0, now), 1e-6, "10 core-seconds each 100 ms")
+	assert.InDelta(t, 50, r.WorkPerSecond(0, now.Add(500*time.Millisecond)), 1e-6, "it falls while nothing comes")
 }
 
 // TestTheRateIsBetterKnownForALargePool: jobs that come in bursts within a steady stream.
@@ -66,15 +66,15 @@
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var r Rate
 	for range 100 { // five at once, each 50 ms: 1,000 cores
-		for range leastArrivals {
+		for range minArrivals {
 			now = now.Add(100 * time.Microsecond)
 			r.Add(10, now)
 		}
-		now = now.Add(50*time.Millisecond - leastArrivals*100*time.Microsecond)
+		now = now.Add(50*time.Millisecond - minArrivals*100*time.Microsecond)
 	}
-	now = now.Add(leastArrivals*100*time.Microsecond - 50*time.Millisecond)
-	assert.Greater(t, r.Cores(0, now), 10_000.0, "the newest five alone")
-	assert.InDelta(t, 1000, r.Cores(2000, now), 150)
+	now = now.Add(minArrivals*100*time.Microsecond - 50*time.Millisecond)
+	assert.Greater(t, r.WorkPerSecond(0, now), 10_000.0, "the newest five alone")
+	assert.InDelta(t, 1000, r.WorkPerSecond(2000, now), 150)
 }
 
 func TestInstancesOnTheirWayCount(t *testing.T) {
@@ -103,7 +103,7 @@
 func TestIdleInstancesAreGivenBack(t *testing.T) {
 	idle := pool("a", 5, 5, time.Minute)
 	moves := Plan(Demand, DefaultWeights, []Pool{idle}, spare(1), 100)
-	assert.Len(t, moves, perPlan)
+	assert.Len(t, moves, minReleasesPerPlan)
 	assert.Equal(t, "spare", moves[0].To)
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{pool("a", 5, 5, time.Second)}, spare(1), 100), "not before a move away and back has paid")
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{pool("a", 1, 1, time.Minute)}, spare(1), 100), "the reserve stays")
@@ -113,7 +113,7 @@
 func TestGiveBacksGrowWithThePool(t *testing.T) {
 	for _, size := range []int{100, 2000, 12000} {
 		large := pool("a", size, size, time.Minute)
-		assert.Len(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), size), max(perPlan, int(sharePerPlan*float64(size))))
+		assert.Len(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), size), max(minReleasesPerPlan, int(releaseSharePerPlan*float64(size))))
 		assert.Len(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), 1), 1)
 		assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), 0))
 	}
@@ -180,7 +180,7 @@
 	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{a}, spare(8), 100), 1, "one at a time")
 	a.Arriving = 1
 	assert.Empty(t, Plan(Threshold, DefaultWeights, []Pool{a}, spare(8), 100))
-	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{pool("b", 5, 5, time.Minute)}, spare(1), 100), perPlan)
+	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{pool("b", 5, 5, time.Minute)}, spare(1), 100), minReleasesPerPlan)
 }
 
 // TestRoomIsSharedByWhatCanStillBeInTime: where all pools are short, one whose tasks are
--- a/jobs/owner/handover_test.go
+++ b/jobs/owner/handover_test.go
@@ -60,7 +60,7 @@
 		loaded = append(loaded, Loaded{Job: j, Progress: &job.Progress{State: job.Completed}})
 	}
 	c := New(r.core.opt, r.core.catalog, loaded, r.now)
-	assert.InDelta(t, 80, c.pool("s").arrivalRate.Cores(0, r.now), 10)
+	assert.InDelta(t, 80, c.pool("s").arrivalRate.WorkPerSecond(0, r.now), 10)
 }
 
 // TestAnEndedJobsRunIsStopped: an owner knows only the state of a job that ended before its
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -125,7 +125,7 @@
 	views := map[string]*capacity.Pool{}
 	for _, s := range c.catalog.Services {
 		p := c.pool(s.Name)
-		views[s.Name] = &capacity.Pool{Name: s.Name, WaitingCores: p.waitingCores, LateWaitingCores: p.lateWaitingCores, WaitingFor: p.waitingFor(now), ArrivalRate: p.arrivalRate.Cores(p.supply.instances+p.arrivingInstances, now) * p.estimateRatio.factor()}
+		views[s.Name] = &capacity.Pool{Name: s.Name, WaitingCores: p.waitingCores, LateWaitingCores: p.lateWaitingCores, WaitingFor: p.waitingFor(now), ArrivalRate: p.arrivalRate.WorkPerSecond(p.supply.instances+p.arrivingInstances, now) * p.estimateRatio.factor()}
 	}
 	c.updateIndexes(now)
 	for name, v := range views {
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -38,7 +38,7 @@
 // addRun adds a run that was ordered, or that a worker lists, to its task, worker and tenant.
 func (c *Core) addRun(r *run) {
 	r.task.addRun(r)
-	c.quotas.Add(r.task.step.job.spec.Tenant, r.task.step.spec.Need)
+	c.quotas.AddRun(r.task.step.job.spec.Tenant, r.task.step.spec.Need)
 }
 
 // removeRun undoes addRun. Services that waited for the tenant's limit are scheduled again.
@@ -46,14 +46,14 @@
 	if !r.task.removeRun(r) {
 		return
 	}
-	for _, service := range c.quotas.Remove(r.task.step.job.spec.Tenant, r.task.step.spec.Need) {
+	for _, service := range c.quotas.RemoveRun(r.task.step.job.spec.Tenant, r.task.step.spec.Need) {
 		c.changedServices[service] = true
 	}
 }
 
 // quotaAllows reports whether the job's tenant may start n more tasks of the step.
 func (c *Core) quotaAllows(spec *job.Job, s *job.Step, n int, now time.Time) bool {
-	if !c.quotas.Limited(spec.Tenant) {
+	if !c.quotas.HasLimit(spec.Tenant) {
 		return true
 	}
 	return c.quotas.Allows(spec.Tenant, s.Need, n, c.presumedRunning(spec.Tenant, now))
@@ -85,7 +85,7 @@
 func (c *Core) sumInheritedUsage() map[string]job.Resources {
 	out := map[string]job.Resources{}
 	for _, j := range c.openJobs {
-		if !j.inherited || !c.quotas.Limited(j.spec.Tenant) {
+		if !j.inherited || !c.quotas.HasLimit(j.spec.Tenant) {
 			continue
 		}
 		for _, s := range j.steps {
@@ -102,7 +102,7 @@
 	if p.core.quotaAllows(spec, s.spec, n, p.now) {
 		return true
 	}
-	p.core.quotas.Wait(spec.Tenant, p.service)
+	p.core.quotas.AddWaiter(spec.Tenant, p.service)
 	s.addWaitTime(CauseTenantLimit, p.now)
 	p.core.logTenantLimit(s)
 	return false
@@ -115,7 +115,7 @@
 		return
 	}
 	j.waitLogged = true
-	used, limit := c.quotas.Used(j.spec.Tenant)
+	used, limit := c.quotas.Usage(j.spec.Tenant)
 	c.note(Decision{Event: "job-waits", Job: j.spec.ID,
 		Reason: "tenant " + j.spec.Tenant + " has " + used.String() + " running, its limit is " + limit.String()})
 }
--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -43,17 +43,17 @@
 	// rackBonus prefers the rack of the task's data, where it takes half the
 	// time: any worker there that fits goes before any elsewhere.
 	rackBonus = 2.0
-	// suspectMalus puts suspect workers behind all others.
-	suspectMalus = 8.0
-	// sharingMalus keeps fillers and serving tasks apart where there is a
+	// unreliablePenalty puts suspect workers behind all others.
+	unreliablePenalty = 8.0
+	// sharingPenalty keeps fillers and serving tasks apart where there is a
 	// choice: one of the other kind weighs as a quarter of the worker.
-	sharingMalus = 0.25
-	// spreadMalus puts a long-running task on another worker while maintenance
+	sharingPenalty = 0.25
+	// spreadPenalty puts a long-running task on another worker while maintenance
 	// could not take this one away any more.
-	spreadMalus = 4.0
-	// lastingBonus keeps long-running tasks of different steps together, so
+	spreadPenalty = 4.0
+	// longRunningBonus keeps long-running tasks of different steps together, so
 	// that the other instances can be moved when they idle.
-	lastingBonus = 1.0
+	longRunningBonus = 1.0
 )
 
 // Feasible reports whether the worker could ever take the request.
@@ -86,23 +86,23 @@
 	if r.LongRunning {
 		s = left
 		if w.LongRunning > 0 {
-			s += lastingBonus
+			s += longRunningBonus
 		}
 		if r.PreferredMaxPerWorker > 0 && w.SameStep >= r.PreferredMaxPerWorker {
-			s -= spreadMalus
+			s -= spreadPenalty
 		}
 	}
 	if r.PreferredRack != "" && w.Rack == r.PreferredRack {
 		s += rackBonus
 	}
 	if w.Unreliable {
-		s -= suspectMalus
+		s -= unreliablePenalty
 	}
 	if r.Filler {
-		s -= sharingMalus * float64(w.Serving+w.Fillers)
+		s -= sharingPenalty * float64(w.Serving+w.Fillers)
 	}
 	if r.Serving {
-		s -= sharingMalus * float64(w.Fillers)
+		s -= sharingPenalty * float64(w.Fillers)
 	}
 	return s
 }
@@ -160,14 +160,14 @@
 // do not all fit. sameRack keeps them on one rack if there is one with room.
 func ChooseGang(workers []Worker, r Request, n int, sameRack bool) []int {
 	if !sameRack {
-		return chooseAll(slices.Clone(workers), r, n, "")
+		return assignAll(slices.Clone(workers), r, n, "")
 	}
 	for _, rack := range racks(workers) {
-		if out := chooseAll(slices.Clone(workers), r, n, rack); out != nil {
+		if out := assignAll(slices.Clone(workers), r, n, rack); out != nil {
 			return out
 		}
 	}
-	return chooseAll(slices.Clone(workers), r, n, "")
+	return assignAll(slices.Clone(workers), r, n, "")
 }
 
 func racks(workers []Worker) []string {
@@ -180,8 +180,8 @@
 	return out
 }
 
-// chooseAll changes workers.
-func chooseAll(workers []Worker, r Request, n int, rack string) []int {
+// assignAll changes workers.
+func assignAll(workers []Worker, r Request, n int, rack string) []int {
 	if rack != "" {
 		for i := range workers {
 			if workers[i].Rack != rack {
--- a/jobs/placement/preempt.go
+++ b/jobs/placement/preempt.go
@@ -24,7 +24,7 @@
 func Preempt(workers []Worker, occupants [][]Occupant, r Request) (best Preemption, ok bool) {
 	var least float64
 	for i := range workers {
-		victims, lost, fit := cheapest(workers[i], occupants[i], &r)
+		victims, lost, fit := cheapestVictims(workers[i], occupants[i], &r)
 		if !fit || ok && lost >= least {
 			continue
 		}
@@ -33,9 +33,9 @@
 	return best, ok
 }
 
-// cheapest chooses occupants of one worker: those with the least loss for each
+// cheapestVictims chooses occupants of one worker: those with the least loss for each
 // core first, and then none that turns out not to be needed.
-func cheapest(w Worker, occupants []Occupant, r *Request) (victims []int, lost float64, fit bool) {
+func cheapestVictims(w Worker, occupants []Occupant, r *Request) (victims []int, lost float64, fit bool) {
 	order := make([]int, len(occupants))
 	for i := range order {
 		order[i] = i
@@ -53,16 +53,16 @@
 	if !fits(&w, r) {
 		return nil, 0, false
 	}
-	victims = dropNeedless(w, occupants, victims, r)
+	victims = dropUnneeded(w, occupants, victims, r)
 	for _, i := range victims {
 		lost += occupants[i].LostWork
 	}
 	return victims, lost, true
 }
 
-// dropNeedless takes out occupants without which the request fits all the same,
+// dropUnneeded takes out occupants without which the request fits all the same,
 // the dearest first.
-func dropNeedless(w Worker, occupants []Occupant, victims []int, r *Request) []int {
+func dropUnneeded(w Worker, occupants []Occupant, victims []int, r *Request) []int {
 	for n := len(victims) - 1; n >= 0; n-- {
 		without := w
 		without.Free = w.Free.Sub(occupants[victims[n]].Need)
--- a/jobs/quota/quota.go
+++ b/jobs/quota/quota.go
@@ -6,11 +6,11 @@
 
 // Ledger is the account of all tenants. Jobs of public queues have no tenant and no limit.
 type Ledger struct {
-	tenants map[string]*account
+	tenants map[string]*tenantUsage
 }
 
-// account is that of one tenant.
-type account struct {
+// tenantUsage is that of one tenant.
+type tenantUsage struct {
 	limit   job.Resources   // 0: no limit of that resource
 	used    job.Resources   // of all runs that are not over for certain
 	runs    int             // how many these are
@@ -18,12 +18,12 @@
 }
 
 // New returns a ledger without limits.
-func New() *Ledger { return &Ledger{tenants: map[string]*account{}} }
+func New() *Ledger { return &Ledger{tenants: map[string]*tenantUsage{}} }
 
-func (l *Ledger) account(tenant string) *account {
+func (l *Ledger) tenant(tenant string) *tenantUsage {
 	a := l.tenants[tenant]
 	if a == nil {
-		a = &account{waiting: map[string]bool{}}
+		a = &tenantUsage{waiting: map[string]bool{}}
 		l.tenants[tenant] = a
 	}
 	return a
@@ -33,27 +33,27 @@
 // keeps its last one: what it was accepted for is still run.
 func (l *Ledger) SetLimits(tenants []job.Tenant) {
 	for _, t := range tenants {
-		l.account(t.Name).limit = t.Limit
+		l.tenant(t.Name).limit = t.Limit
 	}
 }
 
-// Add accounts for a run. It counts from its order on, whether that was answered or not.
-func (l *Ledger) Add(tenant string, need job.Resources) {
+// AddRun accounts for a run. It counts from its order on, whether that was answered or not.
+func (l *Ledger) AddRun(tenant string, need job.Resources) {
 	if tenant == "" {
 		return
 	}
-	a := l.account(tenant)
+	a := l.tenant(tenant)
 	a.used = a.used.Add(need)
 	a.runs++
 }
 
-// Remove accounts for the end of a run, once it is certain. It returns the services in which
+// RemoveRun accounts for the end of a run, once it is certain. It returns the services in which
 // work of the tenant has waited for that.
-func (l *Ledger) Remove(tenant string, need job.Resources) []string {
+func (l *Ledger) RemoveRun(tenant string, need job.Resources) []string {
 	if tenant == "" {
 		return nil
 	}
-	a := l.account(tenant)
+	a := l.tenant(tenant)
 	a.used = a.used.Sub(need)
 	a.runs--
 	var wake []string
@@ -64,31 +64,31 @@
 	return wake
 }
 
-// Limited reports whether the tenant has any limit.
-func (l *Ledger) Limited(tenant string) bool {
-	return tenant != "" && l.account(tenant).limit != job.Resources{}
+// HasLimit reports whether the tenant has any limit.
+func (l *Ledger) HasLimit(tenant string) bool {
+	return tenant != "" && l.tenant(tenant).limit != job.Resources{}
 }
 
 // Allows reports whether the tenant may start n tasks that need so much each, all at once,
 // while perhaps may run without being known. A single task larger than the limit runs when
 // nothing else of the tenant does, and would else never run; platforms allow one task beyond
 // the limit.
-func (l *Ledger) Allows(tenant string, need job.Resources, n int, perhaps job.Resources) bool {
-	if !l.Limited(tenant) {
+func (l *Ledger) Allows(tenant string, need job.Resources, n int, possible job.Resources) bool {
+	if !l.HasLimit(tenant) {
 		return true
 	}
-	a := l.account(tenant)
-	if n == 1 && a.runs == 0 && perhaps == (job.Resources{}) {
+	a := l.tenant(tenant)
+	if n == 1 && a.runs == 0 && possible == (job.Resources{}) {
 		return true
 	}
-	return a.used.Add(perhaps).Add(need.Times(n)).Within(a.limit)
+	return a.used.Add(possible).Add(need.Times(n)).Within(a.limit)
 }
 
-// Wait takes note that work of the tenant waits in a service for its limit.
-func (l *Ledger) Wait(tenant, service string) { l.account(tenant).waiting[service] = true }
+// AddWaiter takes note that work of the tenant waits in a service for its limit.
+func (l *Ledger) AddWaiter(tenant, service string) { l.tenant(tenant).waiting[service] = true }
 
-// Used returns what the tenant has running, and its limit.
-func (l *Ledger) Used(tenant string) (used, limit job.Resources) {
-	a := l.account(tenant)
+// Usage returns what the tenant has running, and its limit.
+func (l *Ledger) Usage(tenant string) (used, limit job.Resources) {
+	a := l.tenant(tenant)
 	return a.used, a.limit
 }
--- a/jobs/quota/quota_test.go
+++ b/jobs/quota/quota_test.go
@@ -17,7 +17,7 @@
 	l.SetLimits([]job.Tenant{{Name: "t", Limit: job.Resources{CPUMilli: 4000, MemMB: 100}}, {Name: "free"}})
 	assert.True(t, l.Allows("t", cores(9), 1, none), "a task larger than the limit runs alone")
 	assert.False(t, l.Allows("t", cores(9), 1, cores(1)), "but not if something may run")
-	l.Add("t", cores(3))
+	l.AddRun("t", cores(3))
 	assert.True(t, l.Allows("t", cores(1), 1, none))
 	assert.False(t, l.Allows("t", cores(1), 2, none), "all tasks of a gang count")
 	assert.False(t, l.Allows("t", cores(1), 1, cores(1)))
@@ -26,13 +26,13 @@
 		assert.True(t, l.Allows(tenant, cores(1000), 9, cores(9)), tenant)
 	}
 
-	l.Wait("t", "s1")
-	assert.Equal(t, []string{"s1"}, l.Remove("t", cores(3)))
-	l.Add("t", none)
-	assert.Empty(t, l.Remove("t", none), "each service is woken once")
+	l.AddWaiter("t", "s1")
+	assert.Equal(t, []string{"s1"}, l.RemoveRun("t", cores(3)))
+	l.AddRun("t", none)
+	assert.Empty(t, l.RemoveRun("t", none), "each service is woken once")
 
 	l.SetLimits([]job.Tenant{{Name: "other"}})
-	l.Add("t", cores(4))
+	l.AddRun("t", cores(4))
 	assert.False(t, l.Allows("t", cores(1), 1, none), "a tenant that is not named keeps its limit")
 	l.SetLimits([]job.Tenant{{Name: "t", Limit: cores(8)}})
 	assert.True(t, l.Allows("t", cores(4), 1, none), "a raised limit is used at once")
@@ -52,7 +52,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "events") {
 			if len(runs) > 0 && rapid.Bool().Draw(t, "end") {
 				i := rapid.IntRange(0, len(runs)-1).Draw(t, "which")
-				l.Remove("t", cores(runs[i]))
+				l.RemoveRun("t", cores(runs[i]))
 				runs = append(runs[:i], runs[i+1:]...)
 				continue
 			}
@@ -66,7 +66,7 @@
 				t.Fatalf("%d beside %v of %d: allowed %t", need, runs, limit, allowed)
 			}
 			if allowed {
-				l.Add("t", cores(need))
+				l.AddRun("t", cores(need))
 				runs = append(runs, need)
 			}
 		}
