--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -26,9 +26,9 @@
 	// headroomFactor is how much more work than there is, or comes, a pool is sized for: tasks of
 	// mixed sizes leave gaps, and the next steps of running jobs come.
 	headroomFactor = 1.15
-	// releaseCostMoves is how many moves an instance's idle time must have cost
+	// movesPerReturn is how many moves an instance's idle time must have cost
 	// before it is given back: away, and back at the pool's next turn.
-	releaseCostMoves = 2
+	movesPerReturn = 2
 	// minInstances is how many instances a pool keeps without any work: with none, the
 	// size of its instances is not known, and the next job waits for a move.
 	minInstances = 1
@@ -40,12 +40,12 @@
 	// pool is short of room for jobs that can still be in time: a late job is worth a
 	// fourteenth of one in time on the users' sheets, and must not wait for ever.
 	lateWorkWeight = 0.25
-	// minReleasesPerPlan is how many instances a plan takes at least from a pool that has too many, and
+	// minReturnsPerPlan is how many instances a plan takes at least from a pool that has too many, and
 	// sharePerPlan the share of the pool above that. With ten plans a second a large pool loses half
 	// of what idles in 17 s, whatever its size: for some turns of traffic it has room for one, and
 	// none waits for instances on their way.
-	minReleasesPerPlan  = 2
-	releaseSharePerPlan = 0.004
+	minReturnsPerPlan  = 2
+	returnSharePerPlan = 0.004
 )
 
 // Instance is one that could be moved.
@@ -140,12 +140,12 @@
 
 // planner is a plan in the making.
 type planner struct {
-	weights      Weights
-	pools        []Pool
-	spare        Pool
-	moves        []Move
-	taken        map[string]bool
-	releasesLeft int // instances that may still be given back
+	weights     Weights
+	pools       []Pool
+	spare       Pool
+	moves       []Move
+	taken       map[string]bool
+	returnsLeft int // instances that may still be given back
 
 	threshold bool // the baseline that looks at no more than queues and idleness
 }
@@ -153,11 +153,11 @@
 // Plan returns the moves that the pools' demand calls for. spare holds
 // instances that cost nothing; the others are paid for, of which mayGiveBack may be
 // given back at most.
-func Plan(policy Policy, w Weights, pools []Pool, spare Pool, maxReleases int) []Move {
+func Plan(policy Policy, w Weights, pools []Pool, spare Pool, maxReturns int) []Move {
 	if policy == Fixed {
 		return nil
 	}
-	p := &planner{threshold: policy == Threshold, weights: w, pools: append([]Pool(nil), pools...), spare: spare, taken: map[string]bool{}, releasesLeft: maxReleases}
+	p := &planner{threshold: policy == Threshold, weights: w, pools: append([]Pool(nil), pools...), spare: spare, taken: map[string]bool{}, returnsLeft: maxReturns}
 	for _, late := range []lateWork{lateWorkReduced, lateWorkFull} {
 		sort.SliceStable(p.pools, func(a, b int) bool { return p.pools[a].weightedWaiting(late) > p.pools[b].weightedWaiting(late) })
 		for i := range p.pools {
@@ -165,7 +165,7 @@
 		}
 	}
 	for i := range p.pools {
-		p.releaseIdle(&p.pools[i])
+		p.returnIdle(&p.pools[i])
 	}
 	return p.moves
 }
@@ -196,7 +196,7 @@
 func (p *planner) coverShortage(to *Pool, late lateWork) {
 	short := p.shortage(to, late)
 	if short > 0 && p.spare.Name != "" && p.weights.InstanceSecond > 0 {
-		short = p.takeFromDonors(to, short, late, p.minIdleForRelease())
+		short = p.takeFromDonors(to, short, late, p.minIdleBeforeReturn())
 	}
 	for _, i := range p.spare.Instances {
 		if short == 0 {
@@ -229,34 +229,34 @@
 	return short
 }
 
-// minIdleForRelease is how long an instance has to idle to be given back: longer than it costs to move it
+// minIdleBeforeReturn is how long an instance has to idle to be given back: longer than it costs to move it
 // away and back.
-func (p *planner) minIdleForRelease() time.Duration {
-	return time.Duration(releaseCostMoves * p.weights.Move / p.weights.InstanceSecond * float64(time.Second))
+func (p *planner) minIdleBeforeReturn() time.Duration {
+	return time.Duration(movesPerReturn * p.weights.Move / p.weights.InstanceSecond * float64(time.Second))
 }
 
-// releaseIdle makes instances spare that have idled for long enough.
-func (p *planner) releaseIdle(from *Pool) {
+// returnIdle makes instances spare that have idled for long enough.
+func (p *planner) returnIdle(from *Pool) {
 	if p.spare.Name == "" || p.weights.InstanceSecond <= 0 {
 		return
 	}
-	for _, i := range longestIdle(from.EvacuatedIdle, p.minIdleForRelease()) {
-		if p.releasesLeft > 0 && p.addMove(from, &p.spare, i, "its zone is evacuated") {
+	for _, i := range longestIdle(from.EvacuatedIdle, p.minIdleBeforeReturn()) {
+		if p.returnsLeft > 0 && p.addMove(from, &p.spare, i, "its zone is evacuated") {
 			from.Arriving++ // it did not count in its pool
-			p.releasesLeft--
+			p.returnsLeft--
 		}
 	}
 	if p.surplus(from, lateWorkFull) <= 0 {
 		return
 	}
-	most := min(p.releasesLeft, max(minReleasesPerPlan, int(releaseSharePerPlan*float64(from.Size()))))
-	for _, i := range longestIdle(from.Instances, p.minIdleForRelease()) {
+	most := min(p.returnsLeft, max(minReturnsPerPlan, int(returnSharePerPlan*float64(from.Size()))))
+	for _, i := range longestIdle(from.Instances, p.minIdleBeforeReturn()) {
 		if most == 0 || p.surplus(from, lateWorkFull) <= 0 {
 			return
 		}
 		if p.addMove(from, &p.spare, i, "it idles") {
 			most--
-			p.releasesLeft--
+			p.returnsLeft--
 		}
 	}
 }
--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -103,7 +103,7 @@
 func TestIdleInstancesAreGivenBack(t *testing.T) {
 	idle := pool("a", 5, 5, time.Minute)
 	moves := Plan(Demand, DefaultWeights, []Pool{idle}, spare(1), 100)
-	assert.Len(t, moves, minReleasesPerPlan)
+	assert.Len(t, moves, minReturnsPerPlan)
 	assert.Equal(t, "spare", moves[0].To)
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{pool("a", 5, 5, time.Second)}, spare(1), 100), "not before a move away and back has paid")
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{pool("a", 1, 1, time.Minute)}, spare(1), 100), "the reserve stays")
@@ -113,7 +113,7 @@
 func TestGiveBacksGrowWithThePool(t *testing.T) {
 	for _, size := range []int{100, 2000, 12000} {
 		large := pool("a", size, size, time.Minute)
-		assert.Len(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), size), max(minReleasesPerPlan, int(releaseSharePerPlan*float64(size))))
+		assert.Len(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), size), max(minReturnsPerPlan, int(returnSharePerPlan*float64(size))))
 		assert.Len(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), 1), 1)
 		assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{large}, spare(1), 0))
 	}
@@ -180,7 +180,7 @@
 	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{a}, spare(8), 100), 1, "one at a time")
 	a.Arriving = 1
 	assert.Empty(t, Plan(Threshold, DefaultWeights, []Pool{a}, spare(8), 100))
-	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{pool("b", 5, 5, time.Minute)}, spare(1), 100), minReleasesPerPlan)
+	assert.Len(t, Plan(Threshold, DefaultWeights, []Pool{pool("b", 5, 5, time.Minute)}, spare(1), 100), minReturnsPerPlan)
 }
 
 // TestRoomIsSharedByWhatCanStillBeInTime: where all pools are short, one whose tasks are
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -67,13 +67,13 @@
 	r := newRig(t, 1)
 	c := r.core
 	c.opt.MaxMovesPerSec = 10
-	assert.Equal(t, 5, c.releaseAllowance(r.now), "half of a second's")
+	assert.Equal(t, 5, c.returnAllowance(r.now), "half of a second's")
 	c.returnBudget -= 12 // ordered at once for tasks that wait
-	assert.Zero(t, c.releaseAllowance(r.now))
+	assert.Zero(t, c.returnAllowance(r.now))
 	r.now = r.now.Add(time.Second)
-	assert.Zero(t, c.releaseAllowance(r.now))
+	assert.Zero(t, c.returnAllowance(r.now))
 	r.now = r.now.Add(time.Second)
-	assert.Equal(t, 3, c.releaseAllowance(r.now))
+	assert.Equal(t, 3, c.returnAllowance(r.now))
 	r.now = r.now.Add(time.Hour)
-	assert.Equal(t, 5, c.releaseAllowance(r.now))
+	assert.Equal(t, 5, c.returnAllowance(r.now))
 }
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -7,7 +7,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// loadJob takes over a job from the store.
+// loadJob adds a job that was in the store when this term began.
 func (c *Core) loadJob(l Loaded, now time.Time) {
 	j := c.addJob(l.Job, now)
 	j.inherited = true
@@ -21,6 +21,7 @@
 	}
 }
 
+// restoreProgress applies the progress of a job that is stored in p.
 func (c *Core) restoreProgress(j *jobState, p *job.Progress, now time.Time) {
 	j.version, j.storedVersion = 1, 1
 	for _, sp := range p.Steps {
@@ -52,8 +53,8 @@
 	c.updatePendingCount(j)
 }
 
-// replayArrivals lets the pools know of the newest arrivals in the store, so that a new
-// owner sizes them by the rate from the first moment on.
+// replayArrivals replays the arrivals of the stored jobs in order of acceptance, so that a
+// new owner knows the pools' arrival rates from the start.
 func (c *Core) replayArrivals(loaded []Loaded, now time.Time) {
 	list := slices.Clone(loaded)
 	slices.SortStableFunc(list, func(a, b Loaded) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
@@ -63,30 +64,30 @@
 	}
 }
 
-// recordArrival takes note of the work of a job that runs once and is accepted to be
-// done at once.
+// recordArrival adds the work of a job to the arrival rate of its pool, unless the job is
+// scheduled for later, long-running or over its tenant's quota.
 func (c *Core) recordArrival(j *jobState, at, now time.Time) {
 	if len(j.spec.Steps) == 0 || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning || at.After(now) {
 		return
 	}
 	if !c.quotaAllows(j.spec, &j.spec.Steps[0], 1, now) {
-		return // what its tenant may not run is no demand
+		return // the tenant may not run it, so it is no demand
 	}
 	c.pool(j.service).arrivalRate.Add(j.work, at)
 }
 
 // submitHandoverWindow is how long after a change of owner jobs may still reach the
-// earlier one. It holds each worker twice a second, and ends at the first that
-// has seen the new fencing token.
+// previous owner. That owner sends each worker two holds a second and stops at the first
+// answer from a worker that has seen the new fencing token.
 const submitHandoverWindow = time.Second
 
-// Submit adds a job that was accepted.
+// Submit adds an accepted job.
 func (c *Core) Submit(spec *job.Job, now time.Time) {
 	if c.jobs[spec.ID] != nil {
 		return
 	}
 	j := c.addJob(spec, now)
-	// An earlier owner that does not know yet that it is none may have started it.
+	// The previous owner may not know yet that it was replaced, and may have started it.
 	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < submitHandoverWindow
 	c.note(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
 	c.chargeShare(j)
@@ -103,14 +104,14 @@
 	c.jobs[spec.ID] = j
 	c.openJobs[spec.ID] = j
 	c.refreshQueue(j)
-	j.criticalPath, j.work = estimateChainAndWork(spec)
+	j.criticalPath, j.work = estimateCriticalPathAndWork(spec)
 	c.updatePendingCount(j)
 	c.createDueOccurrences(j, now)
 	return j
 }
 
-// isLongRunning reports whether the job runs until it is cancelled. Its tasks are never done, so that
-// the end of every lease that they can have proves that they run nowhere.
+// isLongRunning reports whether the job runs until it is cancelled. Its tasks are never
+// done, so once every lease that they can have has expired, they run nowhere.
 func (j *jobState) isLongRunning() bool {
 	for _, s := range j.spec.Steps {
 		if !s.LongRunning {
@@ -120,8 +121,8 @@
 	return true
 }
 
-// refreshQueue takes the newest settings of the job's queue. A queue that is no
-// longer configured keeps its last ones.
+// refreshQueue applies the current settings of the job's queue. A queue that is no
+// longer configured keeps its last settings.
 func (c *Core) refreshQueue(j *jobState) {
 	if c.catalog == nil {
 		return
@@ -129,12 +130,12 @@
 	before := j.service
 	j.applyQueueSettings(c.catalog)
 	if j.service != before {
-		j.queuedForPlacement = false // it leaves the queue of the service before
+		j.queuedForPlacement = false // no longer in the placement queue of the previous service
 	}
 	c.queueForPlacement(j)
 }
 
-// applyQueueSettings takes the settings of the job's queue.
+// applyQueueSettings copies the settings of the job's queue from the catalog.
 func (j *jobState) applyQueueSettings(catalog *job.Catalog) {
 	if q := catalog.Queue(j.spec.Queue); q != nil {
 		j.queue = *q
@@ -142,9 +143,9 @@
 	}
 }
 
-// estimateChainAndWork returns the longest chain of steps by the estimates, and the
-// core-seconds of one occurrence.
-func estimateChainAndWork(spec *job.Job) (chain time.Duration, work float64) {
+// estimateCriticalPathAndWork returns the estimated duration of the longest chain of
+// dependent steps, and the estimated core-seconds of one occurrence.
+func estimateCriticalPathAndWork(spec *job.Job) (criticalPath time.Duration, work float64) {
 	ends := make([]time.Duration, len(spec.Steps))
 	for i, s := range spec.Steps {
 		var from time.Duration
@@ -152,14 +153,14 @@
 			from = max(from, ends[a])
 		}
 		ends[i] = from + s.Estimate
-		chain = max(chain, ends[i])
+		criticalPath = max(criticalPath, ends[i])
 		work += float64(s.Count) * float64(s.Need.CPUMilli) / 1000 * s.Estimate.Seconds()
 	}
-	return chain, work
+	return criticalPath, work
 }
 
-// createDueOccurrences begins the occurrences whose time has come, and looks again when that of the
-// next one has.
+// createDueOccurrences creates the occurrences of the job that are due, and schedules the
+// check for the next one.
 func (c *Core) createDueOccurrences(j *jobState, now time.Time) {
 	for j.nextOccurrence < j.spec.Occurrences() && !j.spec.Due(j.nextOccurrence).After(now) {
 		c.createOccurrences(j, j.nextOccurrence)
@@ -169,7 +170,7 @@
 	}
 }
 
-// createAllDueOccurrences begins the occurrences of all jobs whose time has come.
+// createAllDueOccurrences creates the due occurrences of all jobs.
 func (c *Core) createAllDueOccurrences(now time.Time) {
 	for _, j := range c.occurrencesDue.popAllDue(now) {
 		if c.openJobs[j.spec.ID] == j && !j.state.Final() {
@@ -178,7 +179,7 @@
 	}
 }
 
-// createOccurrences creates the steps of all occurrences up to k.
+// createOccurrences creates the steps of all occurrences up to and including k.
 func (c *Core) createOccurrences(j *jobState, k int) {
 	if k >= j.spec.Occurrences() {
 		return
@@ -198,7 +199,8 @@
 	c.queueForPlacement(j)
 }
 
-// completeTask marks a task as done and unblocks what waits for its step.
+// completeTask marks a task as done. If it was the last one of its step, the steps that
+// depend on it are unblocked.
 func (c *Core) completeTask(t *task) {
 	if t.done {
 		return
@@ -226,7 +228,7 @@
 	c.queueForPlacement(j)
 }
 
-// finishIfDone moves a job to completed once all its occurrences are done.
+// finishIfDone completes a job once all its occurrences are done.
 func (c *Core) finishIfDone(j *jobState, now time.Time) {
 	if j.state.Final() || j.nextOccurrence < j.spec.Occurrences() {
 		return
@@ -239,12 +241,13 @@
 	c.finishJob(j, job.Completed, now)
 }
 
+// finishJob moves a job to a final state and stops its remaining runs.
 func (c *Core) finishJob(j *jobState, state job.State, now time.Time) {
 	j.state = state
 	j.endedAt = now
 	c.updatePendingCount(j)
 	c.markDirty(j)
-	c.toWrite.add(j) // among those that ended
+	c.toWrite.add(j) // moves it to the jobs that ended, which are written first
 	c.note(Decision{Event: "job-" + string(state), Job: j.spec.ID})
 	c.noteLateJob(j, now)
 	for _, s := range j.steps {
@@ -256,8 +259,8 @@
 	}
 }
 
-// Cancel ends a job for its caller. The cancellation may be heard of before the
-// job itself is.
+// Cancel cancels a job. The cancellation of a job that is not known yet is kept for
+// earlyCancellationTTL.
 func (c *Core) Cancel(id job.ID, now time.Time) {
 	j := c.jobs[id]
 	if j == nil {
@@ -269,7 +272,7 @@
 	}
 }
 
-// earlyCancellationTTL is how long the cancellation of a job that stays unknown is kept.
+// earlyCancellationTTL is how long the cancellation of an unknown job is kept.
 const earlyCancellationTTL = time.Minute
 
 func (c *Core) expireEarlyCancellations(now time.Time) {
@@ -280,15 +283,15 @@
 	}
 }
 
-// State returns what the caller of a job may be told: a final state only once
-// it is in the store.
+// State returns the state of a job as shown to its caller. A final state is shown only
+// once it is in the store. The result is false for an unknown job.
 func (c *Core) State(id job.ID) (job.State, bool) {
 	j := c.jobs[id]
 	if j == nil {
 		return "", false
 	}
 	if j.state == job.Cancelled {
-		return job.Cancelled, true // the caller's request is in the store
+		return job.Cancelled, true // the cancellation itself is in the store
 	}
 	if j.state.Final() && j.storedVersion == j.version {
 		return j.state, true
@@ -299,7 +302,7 @@
 	return job.Queued, true
 }
 
-// TenantOf returns whose job it is, "" for one that came by a public queue or is not known.
+// TenantOf returns the tenant of a job, "" if it came through a public queue or is not known.
 func (c *Core) TenantOf(id job.ID) string {
 	if j := c.jobs[id]; j != nil {
 		return j.spec.Tenant
@@ -307,10 +310,11 @@
 	return ""
 }
 
-// PendingJobs counts the jobs of a queue of which no task is known to have started.
+// PendingJobs returns the number of jobs of a queue without a task known to have started.
 func (c *Core) PendingJobs(queue string) int { return c.pendingPerQueue[queue] }
 
-// updatePendingCount counts the job among the pending ones, or no longer, after a change of its state.
+// updatePendingCount updates the number of pending jobs of the job's queue after a change
+// of the job's state.
 func (c *Core) updatePendingCount(j *jobState) {
 	pending := !j.started && !j.state.Final()
 	switch {
@@ -322,7 +326,7 @@
 	j.countedPending = pending
 }
 
-// Configure takes a newer configuration.
+// Configure applies a newer catalog.
 func (c *Core) Configure(catalog *job.Catalog) {
 	c.catalog = catalog
 	c.setTenants(catalog.Tenants)
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -6,18 +6,19 @@
 	"github.com/postmount/postmount/jobs/capacity"
 )
 
-// poolMove is an instance on its way to another pool.
+// poolMove is a move of an instance to another pool.
 type poolMove struct {
 	toPool      string
 	incarnation incarnation // before the move
 	orderedAt   time.Time
-	accepted    bool
+	accepted    bool // by the platform
 }
 
-// moveTimeout is when a move that was accepted is no longer counted on.
+// moveTimeout is how long after its order an accepted move is still expected to succeed.
 const moveTimeout = 6 * time.Second
 
-// removeFinishedMoves forgets moves that are over.
+// removeFinishedMoves removes accepted moves that are complete or timed out, and moves of
+// instances that are gone from the instance list.
 func (c *Core) removeFinishedMoves(now time.Time) {
 	for id, m := range c.moves {
 		i := c.instances[id]
@@ -32,7 +33,7 @@
 	}
 }
 
-// removeMove forgets a move that is over, or was not begun.
+// removeMove removes a move that is over or was refused.
 func (c *Core) removeMove(id InstanceID, m *poolMove) {
 	delete(c.moves, id)
 	if w := c.currentWorker(m.incarnation); w != nil && !w.ended {
@@ -43,7 +44,8 @@
 	}
 }
 
-// ExpectsWorkers reports whether workers are about to register.
+// ExpectsWorkers reports whether instances are moving to a pool with workers, which will
+// register soon.
 func (c *Core) ExpectsWorkers() bool {
 	for _, m := range c.moves {
 		if s := c.catalog.Service(m.toPool); s == nil || !s.Spare {
@@ -53,6 +55,7 @@
 	return false
 }
 
+// orderMove orders a planned move, unless the pool has rejected the instance before.
 func (c *Core) orderMove(m capacity.Move, now time.Time) {
 	id := InstanceID(m.Instance)
 	if c.rejectedMoves[rejectedMove{id, m.To}] {
@@ -64,17 +67,18 @@
 	if w := c.currentWorker(ms.incarnation); w != nil {
 		c.reserve(w, reservedMove, now)
 	}
-	c.returnBudget-- // each order takes a turn at the platform
+	c.returnBudget-- // every order counts against the platform's rate limit
 	c.note(Decision{Event: "move-ordered", Worker: ms.incarnation.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
 	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
 }
 
-// rejectedMove is an instance that a pool does not take.
+// rejectedMove is an instance and a pool for which the platform answered DutyInvalid.
 type rejectedMove struct {
 	instance InstanceID
 	pool     string
 }
 
+// onMoveOutcome handles the platform's answer to a move order.
 func (c *Core) onMoveOutcome(o InstanceOrder, outcome DutyOutcome, now time.Time) {
 	m := c.moves[o.Instance]
 	if m == nil {
@@ -86,7 +90,7 @@
 		m.accepted = true
 		return
 	case DutyUnanswered:
-		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o) // it may have been done
+		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o) // it may have been carried out: ask again
 		return
 	case DutyFenced:
 		c.fenced = true
@@ -97,22 +101,23 @@
 	c.removeMove(o.Instance, m)
 }
 
-// Moves that the platform accepts are shared: instances that are given back leave room for
-// those that are waited for.
+// The platform limits the rate of moves. Returns to the spare pool use only a part of it, so
+// that moves to pools with waiting tasks aren't delayed.
 const (
-	// releaseShare is the share of them that instances may take that are given back.
-	releaseShare = 0.5
-	// unlimitedReleases stands for any number.
-	unlimitedReleases = 1 << 20
+	// returnShare is the fraction of the move rate that returns may use.
+	returnShare = 0.5
+	// unlimitedReturns is the allowance without a rate limit.
+	unlimitedReturns = 1 << 20
 )
 
-// releaseAllowance returns how many instances may be given back now: no more than their share of what
-// the platform accepts, less what has been ordered besides.
-func (c *Core) releaseAllowance(now time.Time) int {
+// returnAllowance returns how many instances may be returned to the spare pool now. The
+// budget is refilled at returnShare of the move rate, holds at most one second's worth, and
+// every ordered move reduces it.
+func (c *Core) returnAllowance(now time.Time) int {
 	if c.opt.MaxMovesPerSec <= 0 {
-		return unlimitedReleases
+		return unlimitedReturns
 	}
-	c.returnBudget = min(c.returnBudget+releaseShare*c.opt.MaxMovesPerSec*now.Sub(c.returnRefilledAt).Seconds(), releaseShare*c.opt.MaxMovesPerSec)
+	c.returnBudget = min(c.returnBudget+returnShare*c.opt.MaxMovesPerSec*now.Sub(c.returnRefilledAt).Seconds(), returnShare*c.opt.MaxMovesPerSec)
 	c.returnRefilledAt = now
 	return max(0, int(c.returnBudget))
 }
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -6,28 +6,29 @@
 	"github.com/postmount/postmount/jobs/capacity"
 )
 
-// poolState is what is known of the demand of a service.
+// poolState is the demand and supply of the pool of one service.
 type poolState struct {
-	waitingCores          float64   // cores that tasks wait for, at the last placement
-	lateWaitingCores      float64   // of these, for jobs that are late already
-	waitingSince          time.Time // when the first of them began to; zero: none waits
-	placedAt              time.Time // the last placement
-	waitingJobs           int       // that waited then
-	lowestStartedPriority int       // greatest number of a priority of which a task was started
+	waitingCores          float64   // cores that tasks wait for, as of the last placement
+	lateWaitingCores      float64   // of these, for jobs that are late or over their tenant's share
+	waitingSince          time.Time // since when tasks have waited without a break; zero: none waits
+	placedAt              time.Time // time of the last placement
+	waitingJobs           int       // jobs that waited after it
+	lowestStartedPriority int       // highest priority number, so the least urgent, of a started task
 	arrivalRate           capacity.Rate
-	arrivingInstances     int // instances on their way to it, at the last sizing
-	reservedForWave       int // its instances that are kept for a wave, likewise
+	arrivingInstances     int // instances moving to it, as of the last sizing
+	reservedForWave       int // workers reserved for maintenance, as of the last sizing
 	estimateRatio         estimateRatio
 
-	queue  []*jobState  // that may have tasks to place
-	claims []queueEntry // the memory of the last placement's, to be used again
-	free   freeIndex    // workers that may get tasks
-	supply poolSupply   // its instances
+	queue  []*jobState  // jobs that may have tasks to place
+	claims []queueEntry // buffer reused by each placement
+	free   freeIndex    // index of usable workers by free capacity
+	supply poolSupply   // totals over its instances
 }
 
-// sizingInterval is how often pools are sized: short against the time of a move.
+// sizingInterval is the interval between two sizings, short compared to a move.
 const sizingInterval = 100 * time.Millisecond
 
+// pool returns the state of a service's pool and creates it on first use.
 func (c *Core) pool(service string) *poolState {
 	p := c.pools[service]
 	if p == nil {
@@ -37,7 +38,7 @@
 	return p
 }
 
-// addWaiting adds n tasks of a step that found no room.
+// addWaiting counts n tasks of a step that found no free capacity.
 func (p *poolState) addWaiting(s *stepState, n int) {
 	cores := float64(n) * float64(s.spec.ReservedResources().CPUMilli) / 1000
 	p.waitingCores += cores
@@ -46,7 +47,7 @@
 	}
 }
 
-// updateWaitingSince notes since when tasks have waited, after a placement.
+// updateWaitingSince sets or clears waitingSince after a placement.
 func (p *poolState) updateWaitingSince(now time.Time) {
 	if p.waitingCores == 0 {
 		p.waitingSince = time.Time{}
@@ -55,6 +56,7 @@
 	}
 }
 
+// waitingFor returns how long tasks have waited without a break.
 func (p *poolState) waitingFor(now time.Time) time.Duration {
 	if p.waitingCores == 0 {
 		return 0
@@ -62,14 +64,15 @@
 	return now.Sub(p.waitingSince)
 }
 
-// estimateRatio compares how long tasks took with their estimates.
-type estimateRatio struct{ took, estimated float64 } // core-seconds of tasks that are done
+// estimateRatio compares the measured and the estimated core-seconds of completed tasks,
+// as exponentially decaying sums.
+type estimateRatio struct{ took, estimated float64 }
 
-// ratioDecay is the share of what is known that each end leaves: the last hundred
-// or so count.
+// ratioDecay is the factor applied to the sums at each completed task. About the last 100
+// tasks count.
 const ratioDecay = 0.99
 
-// maxEstimateRatio bounds the correction by a few odd tasks, either way.
+// maxEstimateRatio limits the ratio and its inverse, so that a few outliers can't distort it.
 const maxEstimateRatio = 4
 
 func (e *estimateRatio) add(took, estimated float64) {
@@ -77,7 +80,7 @@
 	e.estimated = e.estimated*ratioDecay + estimated
 }
 
-// factor returns how many times its estimate a core-second of work takes.
+// factor returns the ratio of measured to estimated work; 1 without data.
 func (e *estimateRatio) factor() float64 {
 	if e.estimated <= 0 || e.took <= 0 {
 		return 1
@@ -85,7 +88,7 @@
 	return min(maxEstimateRatio, max(1.0/maxEstimateRatio, e.took/e.estimated))
 }
 
-// resizePools moves instances between pools by demand.
+// resizePools orders the moves of instances between pools that demand calls for.
 func (c *Core) resizePools(now time.Time) {
 	if !c.canSendInstanceOrders(now) || now.Before(c.nextSizingAt) {
 		return
@@ -94,12 +97,12 @@
 	c.removeFinishedMoves(now)
 	pools, spare := c.poolSnapshots(now)
 	c.updateSupplyCounts(pools)
-	for _, m := range capacity.Plan(c.opt.PoolPolicy, c.opt.Weights, pools, spare, c.releaseAllowance(now)) {
+	for _, m := range capacity.Plan(c.opt.PoolPolicy, c.opt.Weights, pools, spare, c.returnAllowance(now)) {
 		c.orderMove(m, now)
 	}
 }
 
-// updateSupplyCounts keeps what explains why tasks of a pool wait.
+// updateSupplyCounts updates the counts that explain why tasks of a pool wait.
 func (c *Core) updateSupplyCounts(pools []capacity.Pool) {
 	for _, p := range pools {
 		s := c.pool(p.Name)
@@ -110,8 +113,8 @@
 	}
 }
 
-// hasJoinedPool reports whether the instance's worker takes tasks; one of a spare
-// pool has none.
+// hasJoinedPool reports whether the instance's worker takes tasks. An instance of a spare
+// pool needs no worker.
 func (c *Core) hasJoinedPool(i *Instance) bool {
 	if s := c.catalog.Service(i.Pool); s != nil && s.Spare {
 		return true
@@ -120,15 +123,15 @@
 	return w != nil && w.heldByUs
 }
 
-// poolSnapshots returns the pools as the plan sees them.
+// poolSnapshots returns the pools as input for capacity.Plan, the spare pool separately.
 func (c *Core) poolSnapshots(now time.Time) (pools []capacity.Pool, spare capacity.Pool) {
-	views := map[string]*capacity.Pool{}
+	snapshots := map[string]*capacity.Pool{}
 	for _, s := range c.catalog.Services {
 		p := c.pool(s.Name)
-		views[s.Name] = &capacity.Pool{Name: s.Name, WaitingCores: p.waitingCores, LateWaitingCores: p.lateWaitingCores, WaitingFor: p.waitingFor(now), ArrivalRate: p.arrivalRate.WorkPerSecond(p.supply.instances+p.arrivingInstances, now) * p.estimateRatio.factor()}
+		snapshots[s.Name] = &capacity.Pool{Name: s.Name, WaitingCores: p.waitingCores, LateWaitingCores: p.lateWaitingCores, WaitingFor: p.waitingFor(now), ArrivalRate: p.arrivalRate.WorkPerSecond(p.supply.instances+p.arrivingInstances, now) * p.estimateRatio.factor()}
 	}
 	c.updateIndexes(now)
-	for name, v := range views {
+	for name, v := range snapshots {
 		c.pool(name).supply.fillSnapshot(v)
 		for _, i := range c.pool(name).supply.idle {
 			v.Instances = append(v.Instances, c.idleSnapshot(i, now))
@@ -138,21 +141,21 @@
 		}
 	}
 	for _, m := range c.moves {
-		if v := views[m.toPool]; v != nil {
+		if v := snapshots[m.toPool]; v != nil {
 			v.Arriving++
 		}
 	}
 	for _, s := range c.catalog.Services {
 		if s.Spare {
-			spare = *views[s.Name]
+			spare = *snapshots[s.Name]
 			continue
 		}
-		pools = append(pools, *views[s.Name])
+		pools = append(pools, *snapshots[s.Name])
 	}
 	return pools, spare
 }
 
-// isUnderMaintenance reports whether a wave has the instance down.
+// isUnderMaintenance reports whether a wave has taken the instance down.
 func (c *Core) isUnderMaintenance(id InstanceID) bool {
 	for _, ws := range c.waves {
 		if _, down := ws.down[id]; down {
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -145,7 +145,7 @@
 	if !c.startWindow.deferred[j.service] {
 		return 0
 	}
-	j.criticalPath, j.workLeft = estimateChainAndWork(spec)
+	j.criticalPath, j.workLeft = estimateCriticalPathAndWork(spec)
 	j.criticalPathLeft = j.criticalPath
 	ahead := len(c.startWindow.outstanding) + countTasksAhead(c.pool(j.service).claims, c.queueEntryOf(j, now), c.opt.SchedulingPolicy)
 	wait := time.Duration(float64(ahead) / c.startWindow.outcomeRate * float64(time.Second))
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -9,41 +9,43 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// instanceState is an instance of the platform's list, and what its pool counts of it.
+// instanceState is an instance of the platform's list and its contribution to its pool.
 type instanceState struct {
 	Instance
-	counted supplyContribution
-	worker  *worker // its worker when it was counted; nil: it has none that is known
+	counted supplyContribution // included in the totals of the pool
+	worker  *worker            // its worker when it was counted; nil: none is known
 
 	crashedAt time.Time // newest crash that a task may have caused
-	suspects  []*task   // that ran there then
+	suspects  []*task   // tasks that ran on it then
 }
 
-// supplyContribution is what an instance adds to the sums of its pool; those that are away or
-// about to leave add nothing.
+// supplyContribution is what an instance adds to the totals of its pool. Instances that are
+// away or about to leave add nothing. Sizes are in thousandths of a core.
 type supplyContribution struct {
 	pool             string // "": it is not counted
-	cpuMilli         int    // thousandths of a core of the instance
-	missingMilli     int    // of these, what its worker has lost for a while
-	busyMilli        int    // of these, in use
-	longRunningMilli int    // of these, by long-running tasks
+	cpuMilli         int    // size of the instance
+	missingMilli     int    // of these, not offered by its worker at present
+	busyMilli        int    // in use
+	longRunningMilli int    // of these, in use by long-running tasks
 	idle             bool   // nothing runs on it
-	evacuated        bool   // its zone is evacuated: it is no room for what comes
+	evacuated        bool   // its zone is evacuated, so it takes no new tasks
 }
 
-// poolSupply sums up the instances of a pool. It is kept as they change, so that sizing a
-// pool costs what idles in it, not what there is.
+// poolSupply holds totals over the instances of a pool. It is updated with each change of an
+// instance, so that the cost of sizing depends on the idle instances only. Sizes are in
+// thousandths of a core.
 type poolSupply struct {
-	instances                   int
-	busyMilli, longRunningMilli int // thousandths of a core
-	missingMilli                int // likewise, of workers that have shrunk
+	instances                   int // outside evacuated zones
+	busyMilli, longRunningMilli int
+	missingMilli                int // of undersized workers
 	undersized                  map[InstanceID]*instanceState
-	sizes                       map[int]int      // instances by what they have, likewise
-	idle                        []*instanceState // in the order of their ids
-	evacuated                   int              // instances of evacuated zones, which are not among instances
-	evacuatedIdle               []*instanceState // of these, those on which nothing runs, likewise
+	sizes                       map[int]int      // number of instances by size
+	idle                        []*instanceState // outside evacuated zones, ordered by ID
+	evacuated                   int              // instances in evacuated zones
+	evacuatedIdle               []*instanceState // of these, the idle ones, ordered by ID
 }
 
+// add adds n times the contribution k of the instance; n is 1 or -1.
 func (s *poolSupply) add(i *instanceState, k *supplyContribution, n int) {
 	s.busyMilli += n * k.busyMilli
 	s.longRunningMilli += n * k.longRunningMilli
@@ -68,7 +70,7 @@
 	}
 }
 
-// insertOrRemove returns a list in the order of ids with the instance in it, or without.
+// insertOrRemove inserts the instance into a list ordered by ID, or removes it.
 func insertOrRemove(list []*instanceState, i *instanceState, in bool) []*instanceState {
 	at, found := slices.BinarySearchFunc(list, i, func(a, b *instanceState) int { return cmp.Compare(a.ID, b.ID) })
 	switch {
@@ -91,8 +93,8 @@
 	s.undersized[i.ID] = i
 }
 
-// couldFitAtFullSize reports whether a worker that has shrunk could take as much once it has grown
-// again.
+// couldFitAtFullSize reports whether an undersized worker could take a task with this need
+// once it offers its instance's full size again.
 func (s *poolSupply) couldFitAtFullSize(need job.Resources) bool {
 	for _, i := range s.undersized {
 		if i.Capacity.Fits(need) {
@@ -102,7 +104,7 @@
 	return false
 }
 
-// fillSnapshot sets what the plan has to know of the pool as a whole.
+// fillSnapshot sets the totals of the pool in the input for capacity.Plan.
 func (s *poolSupply) fillSnapshot(v *capacity.Pool) {
 	v.BusyInstances = s.instances - len(s.idle)
 	v.BusyCores = float64(s.busyMilli) / 1000
@@ -113,7 +115,7 @@
 	}
 }
 
-// updateSupply brings the sums of the instance's pool up to date.
+// updateSupply updates the totals of the instance's pool.
 func (c *Core) updateSupply(i *instanceState) {
 	i.worker = c.workers[i.Worker]
 	k := c.contributionOf(i)
@@ -127,7 +129,7 @@
 	i.counted = k
 }
 
-// removeFromSupply takes the instance out of the sums.
+// removeFromSupply removes the instance from the totals of its pool.
 func (c *Core) removeFromSupply(i *instanceState) {
 	if i.counted.pool != "" {
 		c.pool(i.counted.pool).supply.add(i, &i.counted, -1)
@@ -135,23 +137,24 @@
 	i.counted = supplyContribution{}
 }
 
-// updateSupplyOfWorker does what count does for the instance that the worker is the life of.
+// updateSupplyOfWorker calls updateSupply for the instance that the worker runs on.
 func (c *Core) updateSupplyOfWorker(w *worker) {
 	if i := c.instances[c.instanceOfWorker[w.Worker]]; i != nil && i.Worker == w.Worker {
 		c.updateSupply(i)
 	}
 }
 
+// contributionOf returns what the instance adds to the totals of its pool now.
 func (c *Core) contributionOf(i *instanceState) supplyContribution {
 	if i.State != InstanceUp || c.moves[i.ID] != nil {
 		return supplyContribution{}
 	}
 	w := i.worker
-	closed := c.evacuatedZones[i.Zone]
+	evacuated := c.evacuatedZones[i.Zone]
 	if w == nil {
-		return supplyContribution{pool: i.Pool, idle: i.Worker == "", evacuated: closed}
+		return supplyContribution{pool: i.Pool, idle: i.Worker == "", evacuated: evacuated}
 	}
-	k := supplyContribution{evacuated: closed, pool: i.Pool, busyMilli: w.allocated.CPUMilli, longRunningMilli: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
+	k := supplyContribution{evacuated: evacuated, pool: i.Pool, busyMilli: w.allocated.CPUMilli, longRunningMilli: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
 	k.cpuMilli, k.missingMilli = i.sizeWith(w)
 	if !k.idle {
 		w.idleSince = time.Time{}
@@ -159,13 +162,13 @@
 	return k
 }
 
-// undersizedBelow is the share of its instance's processors below which a worker counts as one
-// that has shrunk: those of one kind differ by a few hundredths.
+// undersizedBelow is the fraction of its instance's cores below which a worker counts as
+// undersized. Instances of one type differ by a few percent.
 const undersizedBelow = 0.9
 
-// sizeWith returns the thousandths of a core that the instance has, and how many of them its
-// worker lacks at present.
-func (i *instanceState) sizeWith(w *worker) (room, missing int) {
+// sizeWith returns the size of the instance in thousandths of a core, and how many of them
+// its worker w doesn't offer at present.
+func (i *instanceState) sizeWith(w *worker) (cpuMilli, missingMilli int) {
 	has, whole := w.Capacity.CPUMilli, i.Capacity.CPUMilli
 	if float64(has) >= undersizedBelow*float64(whole) {
 		return has, 0
@@ -173,7 +176,7 @@
 	return whole, whole - has
 }
 
-// idleSnapshot returns an instance on which nothing runs as the plan sees it.
+// idleSnapshot returns an idle instance as input for capacity.Plan.
 func (c *Core) idleSnapshot(i *instanceState, now time.Time) capacity.Instance {
 	out := capacity.Instance{ID: string(i.ID)}
 	w := i.worker
