--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -51,13 +51,13 @@
 }
 
 // awaitStarts lets all workers but some answer until something is started.
-func (r *rig) awaitStarts(d time.Duration, but ...WorkerID) []Start {
+func (r *rig) awaitStarts(d time.Duration, except ...WorkerID) []Start {
 	for range d / (100 * time.Millisecond) {
 		if out := r.confirmStarts(); len(out) > 0 {
 			return out
 		}
-		r.answerHolds(100*time.Millisecond, nil, but...)
-		for _, id := range but {
+		r.answerHolds(100*time.Millisecond, nil, except...)
+		for _, id := range except {
 			r.failConnection(id)
 		}
 	}
@@ -65,11 +65,11 @@
 }
 
 // answerHolds lets all workers but some answer, with what was started there, for a while.
-func (r *rig) answerHolds(d time.Duration, running []Start, but ...WorkerID) {
+func (r *rig) answerHolds(d time.Duration, running []Start, except ...WorkerID) {
 	for range d / (100 * time.Millisecond) {
 		r.tick(100 * time.Millisecond)
 		for _, g := range r.regs {
-			if slices.Contains(but, g.Worker) {
+			if slices.Contains(except, g.Worker) {
 				continue
 			}
 			var list []ActiveRun
--- a/jobs/owner/cutoff_test.go
+++ b/jobs/owner/cutoff_test.go
@@ -19,26 +19,26 @@
 // keeps up with those that do answer. Proved by the same rig with one worker less.
 
 // partitionedRig has five workers that are cut off, and three that are idle.
-func partitionedRig(t *testing.T, term uint64, loaded ...Loaded) (r *rig, cut, sound []WorkerID) {
+func partitionedRig(t *testing.T, term uint64, loaded ...Loaded) (r *rig, partitioned, healthy []WorkerID) {
 	r = newRig(t, term, loaded...)
 	for i := range 5 {
-		cut = append(cut, r.worker(fmt.Sprint("cut", i)))
+		partitioned = append(partitioned, r.worker(fmt.Sprint("cut", i)))
 	}
 	for i := range 3 {
-		sound = append(sound, r.worker(fmt.Sprint("sound", i)))
+		healthy = append(healthy, r.worker(fmt.Sprint("sound", i)))
 	}
-	return r, cut, sound
+	return r, partitioned, healthy
 }
 
 // runPartitioned lets time pass in which the sound workers answer each hold at once.
-func (r *rig) runPartitioned(d time.Duration, cut, sound []WorkerID) {
+func (r *rig) runPartitioned(d time.Duration, partitioned, healthy []WorkerID) {
 	for range d / (100 * time.Millisecond) {
-		for _, w := range cut {
+		for _, w := range partitioned {
 			if r.core.workers[w].holdInFlight {
 				r.failHold(w)
 			}
 		}
-		for _, w := range sound {
+		for _, w := range healthy {
 			if r.core.workers[w].holdInFlight {
 				r.answerHold(w, r.runsOn(w))
 			}
@@ -51,21 +51,21 @@
 func TestMostOfSmallFleetPartitioned(t *testing.T) {
 	const longEnough = 8 * rigLease
 	t.Run("what ran there", func(t *testing.T) {
-		r, cut, sound := partitionedRig(t, 1)
-		for _, w := range cut {
+		r, partitioned, healthy := partitionedRig(t, 1)
+		for _, w := range partitioned {
 			r.answerHold(w, nil)
 		}
 		r.submit(1, 5)
 		require.Len(t, r.confirmStarts(), 5)
-		for _, w := range sound {
+		for _, w := range healthy {
 			r.answerHold(w, nil)
 		}
-		r.runPartitioned(longEnough, cut, sound)
+		r.runPartitioned(longEnough, partitioned, healthy)
 		assert.Len(t, r.out.Starts, 5)
 	})
 	t.Run("what a new owner inherits", func(t *testing.T) {
-		r, cut, sound := partitionedRig(t, 2, Loaded{Job: simpleJob(1, 5)})
-		r.runPartitioned(longEnough, cut, sound)
+		r, partitioned, healthy := partitionedRig(t, 2, Loaded{Job: simpleJob(1, 5)})
+		r.runPartitioned(longEnough, partitioned, healthy)
 		assert.Len(t, r.out.Starts, 5)
 	})
 }
