--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -20,7 +20,7 @@
 // keeps up it is not asked. One that is in the store already is accepted again: callers
 // repeat what they got no answer to.
 func (n *Node) checkAdmission(ctx context.Context, j *job.Job) error {
-	if !n.ownerBehind.Load() {
+	if !n.ownerBacklogged.Load() {
 		return nil
 	}
 	late := n.estimateLateness(ctx, j)
@@ -53,7 +53,7 @@
 		return 0
 	}
 	if !r.Owner || r.LateBy == 0 {
-		n.ownerBehind.Store(false) // the next job that it is told of shows it anew
+		n.ownerBacklogged.Store(false) // the next job that it is told of shows it anew
 	}
 	return r.LateBy
 }
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -21,12 +21,13 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Formats is how the platform spells what others write into its store.
+// Formats holds the platform's store keys and the encodings of entries, submissions and
+// callers' keys.
 type Formats struct {
 	ConfigKey        string
-	OperatorPrefix   string // prefix of ConfigKey and of the waves
+	OperatorPrefix   string // of ConfigKey, WavePrefix and EvacuationPrefix
 	WavePrefix       string
-	EvacuationPrefix string // before the name of a zone that gets no new tasks
+	EvacuationPrefix string // followed by the name of a zone that gets no new tasks
 	WorkerPrefix     string
 	CallerKey        gateway.KeyReader
 	DecodeJob        gateway.JobDecoder
@@ -36,7 +37,7 @@
 	EncodeWaveStatus func(wave int, done bool) (key string, value []byte)
 }
 
-// Peers reaches other daemons by the addresses of their peer listeners.
+// Peers calls other daemons at the addresses of their peer listeners.
 type Peers interface {
 	peer.Relayer
 	State(ctx context.Context, addr string, id job.ID) (peer.StateReply, error)
@@ -44,26 +45,27 @@
 	Cancelled(ctx context.Context, addr string, id job.ID) error
 	Submitted(ctx context.Context, addr string, j *job.Job) (peer.SubmitReply, error)
 	Admit(ctx context.Context, addr string, j *job.Job) (peer.AdmitReply, error)
-	// AwaitDisconnect returns when a connection to a daemon has ended.
+	// AwaitDisconnect blocks until a connection to the daemon at addr breaks.
 	AwaitDisconnect(ctx context.Context, addr string) error
-	// CheckPresence tells whether a process listens there, CheckPresenceVia what another daemon says.
+	// CheckPresence reports whether a process listens at addr.
 	CheckPresence(ctx context.Context, addr string) peer.Presence
+	// CheckPresenceVia asks the daemon at by whether a process listens at addr.
 	CheckPresenceVia(ctx context.Context, by, addr string) (peer.Presence, error)
 }
 
-// Clock is the time of an instance.
+// Clock reads the clocks of an instance.
 type Clock interface {
-	// Now returns the time of day, with the steady clock, which stands still while the
-	// instance is suspended.
+	// Now returns the wall clock time with a monotonic reading. The monotonic clock stops
+	// while the instance is suspended.
 	Now() time.Time
-	// Suspended returns how long it was suspended since some moment.
+	// Suspended returns the total time of suspension since a fixed point in time.
 	Suspended() time.Duration
 }
 
-// Platform is what a daemon reaches outside of itself.
+// Platform holds the external dependencies of a daemon.
 type Platform struct {
 	Clock    Clock
-	CPUProbe func() time.Duration // times a fixed piece of work on the instance's processor
+	CPUProbe func() time.Duration // returns how long a fixed amount of CPU work takes
 	Store    ledger.Store
 	Workers  owner.WorkerClient
 	Manager  owner.InstanceManager
@@ -85,24 +87,24 @@
 	gateway        *gateway.Gateway
 
 	catalog           atomic.Pointer[job.Catalog]
-	lock              atomic.Pointer[ledger.Lock] // nil: nobody is known to be the owner
+	lock              atomic.Pointer[ledger.Lock] // the owner's lock; nil: no owner is known
 	term              atomic.Pointer[termRun]     // nil: this daemon is not the owner
 	members           atomic.Pointer[[]ledger.Member]
 	rng               *lockedRand
-	ownerBehind       atomic.Bool            // it has said so with the newest job that it was told of
-	lastRelay         atomic.Pointer[string] // address of the peer asked last
-	failedRelays      sync.Map               // address of a peer to until when it is not asked for the store
+	ownerBacklogged   atomic.Bool            // the owner's last reply said that it cannot keep up
+	lastRelay         atomic.Pointer[string] // address of the relay in use
+	failedRelays      sync.Map               // peer address to the time.Time until which it is not used as a relay
 	lease             atomic.Int64           // ledger.LeaseID; 0: none
-	leaseRenewedAt    atomic.Int64           // when the lease was last renewed, in ns since start
-	electionWake      chan struct{}          // wakes the election
-	configConfirmedAt atomic.Int64           // when the configuration was last certain to be the newest, in ns since start
-	lockGoneAt        atomic.Int64           // when the lock was last seen to be gone, in ns since start
+	leaseRenewedAt    atomic.Int64           // start of the last successful renewal, as uptimeNanos
+	electionWake      chan struct{}          // wakes runElections
+	configConfirmedAt atomic.Int64           // when the configuration was last known to be the newest, as uptimeNanos
+	lockGoneAt        atomic.Int64           // when the lock was last seen to be free, as uptimeNanos
 	clock             Clock
 	slowdown          slowdownDetector
 	started           time.Time
 	stopping          atomic.Bool
 
-	suspendedAtStart time.Duration // when it started
+	suspendedAtStart time.Duration // clock.Suspended() at the start
 
 	evacuations evacuations
 
@@ -110,11 +112,11 @@
 	waves   map[int]owner.WaveRequest
 }
 
-// New returns a daemon that does not run yet.
-func New(set Settings, p Platform, log *zap.Logger, m *Metrics) *Node {
+// New returns a daemon. Run or RunBackground starts it.
+func New(settings Settings, p Platform, log *zap.Logger, m *Metrics) *Node {
 	n := &Node{
-		settings: set, platform: p, log: log, metrics: m,
-		peers: p.Peers, clock: p.Clock, started: p.Clock.Now(), suspendedAtStart: p.Clock.Suspended(), rng: newLockedRand(set.Node),
+		settings: settings, platform: p, log: log, metrics: m,
+		peers: p.Peers, clock: p.Clock, started: p.Clock.Now(), suspendedAtStart: p.Clock.Suspended(), rng: newLockedRand(settings.Node),
 		waves: map[int]owner.WaveRequest{}, electionWake: make(chan struct{}, 1),
 	}
 	n.refusedEntries = newRefusedEntries(log, m)
@@ -130,38 +132,37 @@
 	n.log.Warn("store-call-failed", zap.Error(err))
 }
 
-// Run listens and works until ctx ends, then stops gracefully.
+// Run opens the listeners and serves until ctx ends, then shuts down gracefully.
 func (n *Node) Run(ctx context.Context) error {
 	listeners, err := n.listen()
 	if err != nil {
 		return err
 	}
-	requests, endRequests := context.WithCancel(context.Background())
-	defer endRequests()
+	requestCtx, cancelRequests := context.WithCancel(context.Background())
+	defer cancelRequests()
 	callers := &http.Server{
 		Handler: n.gateway, ReadHeaderTimeout: defaultHeaderTimeout, IdleTimeout: defaultIdleTimeout,
-		BaseContext: func(net.Listener) context.Context { return requests },
+		BaseContext: func(net.Listener) context.Context { return requestCtx },
 	}
-	work, stopWork := context.WithCancel(context.Background())
+	workCtx, stopWork := context.WithCancel(context.Background())
 	defer stopWork()
 	done := make(chan struct{})
-	go func() { defer close(done); n.RunBackground(work) }()
+	go func() { defer close(done); n.RunBackground(workCtx) }()
 	go n.serve(callers, listeners.callers)
 	go n.serve(&http.Server{Handler: n.readyHandler()}, listeners.ready)
 	go n.serve(&http.Server{Handler: n.metrics.Handler()}, listeners.metrics)
 	go n.servePeers(listeners.peers)
 	n.log.Info("start", zap.String("node", n.settings.Node), zap.String("zone", n.settings.Zone), zap.String("callers", n.settings.CallersAddr))
 	<-ctx.Done()
-	n.stop(callers, endRequests)
+	n.stop(callers, cancelRequests)
 	stopWork()
 	<-done
 	n.log.Info("stop")
 	return nil
 }
 
-// RunBackground does all that a daemon does beside listening, until ctx ends. It ends
-// at once, as a process that is killed does; HandOver is what a planned stop
-// does before.
+// RunBackground runs everything but the listeners until ctx ends. It then stops at once, as
+// a killed process does; a planned stop calls HandOver first.
 func (n *Node) RunBackground(ctx context.Context) {
 	n.acceptor.Run(ctx)
 	var wg sync.WaitGroup
@@ -171,17 +172,17 @@
 	wg.Wait()
 }
 
-// CallerHandler returns the handler of callers' requests.
+// CallerHandler returns the HTTP handler for callers' requests.
 func (n *Node) CallerHandler() http.Handler { return n.gateway }
 
-// PeerHandler returns what answers other daemons.
+// PeerHandler returns the handler for calls of other daemons.
 func (n *Node) PeerHandler() peer.Handler { return peerHandler{n} }
 
-// IsOwner reports whether this daemon schedules the jobs at present.
+// IsOwner reports whether this daemon is the owner, which schedules all jobs.
 func (n *Node) IsOwner() bool { return n.term.Load() != nil }
 
-// Bounds of callers' connections. They are wider than those of the operators'
-// configuration, which comes only after the listeners are open.
+// Timeouts of callers' connections. They are longer than those of the operators'
+// configuration, which is read only after the listeners are open.
 const (
 	defaultHeaderTimeout = 5 * time.Second
 	defaultIdleTimeout   = 60 * time.Second
@@ -218,7 +219,8 @@
 	}
 }
 
-// readyHandler answers every path: the balancer's question is the only one.
+// readyHandler answers the load balancer's health check on any path. The daemon is ready
+// from its first configuration until it stops.
 func (n *Node) readyHandler() http.Handler {
 	r := chi.NewRouter()
 	r.HandleFunc("/*", func(w http.ResponseWriter, _ *http.Request) {
@@ -231,31 +233,31 @@
 	return r
 }
 
-// uptimeNanos returns the time since this daemon started, in ns. Time in which its instance
-// was suspended counts: leases run on meanwhile.
+// uptimeNanos returns the time since this daemon started, in ns. It includes time of
+// suspension, during which leases go on expiring.
 func (n *Node) uptimeNanos() int64 {
 	return int64(n.clock.Now().Sub(n.started) + n.clock.Suspended() - n.suspendedAtStart)
 }
 
-// leaseHeld reports whether the lease in the store is held for certain, with
-// some time left.
+// leaseHeld reports whether the lease in the store certainly lasts for at least
+// leaseSafetyMargin.
 func (n *Node) leaseHeld() bool {
 	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < storeLease-leaseSafetyMargin
 }
 
-// mayOrderInstances reports whether the lease was renewed so lately that an owner that has
-// taken over since, because the lease was revoked, still leaves instances alone.
+// mayOrderInstances reports whether orders for instances may be sent: the lease was renewed
+// so recently that a new owner, elected after the lease was revoked, does not send any yet.
 func (n *Node) mayOrderInstances() bool {
 	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < owner.MaxDutyLeaseAge
 }
 
-// memberEntry is this daemon's entry in the store.
+// memberEntry returns this daemon's entry in the store.
 func (n *Node) memberEntry() ledger.Member {
 	return ledger.Member{Node: n.settings.Node, Addr: n.settings.peerAddr(), Cores: n.currentCores()}
 }
 
-// hasPeerWithMoreCPU reports whether another live daemon has more than times what this one gets
-// of a processor: scheduling all jobs is the heaviest work there is.
+// hasPeerWithMoreCPU reports whether another live daemon has more than times as many cores
+// as this one gets at present. Scheduling, the owner's work, needs the most CPU.
 func (n *Node) hasPeerWithMoreCPU(times float64) bool {
 	list := n.members.Load()
 	if list == nil {
@@ -267,15 +269,15 @@
 	})
 }
 
-// Catalog implements gateway.Jobs.
+// Catalog implements gateway.JobService.
 func (n *Node) Catalog() *job.Catalog { return n.catalog.Load() }
 
-// ConfigConfirmed implements gateway.Jobs.
+// ConfigConfirmed implements gateway.JobService.
 func (n *Node) ConfigConfirmed() bool {
 	return n.settings.MaxConfigAge == 0 || time.Duration(n.uptimeNanos()-n.configConfirmedAt.Load()) <= n.settings.MaxConfigAge
 }
 
-// Accept implements gateway.Jobs.
+// Accept implements gateway.JobService.
 func (n *Node) Accept(ctx context.Context, j *job.Job) error {
 	if err := n.checkAdmission(ctx, j); err != nil {
 		return err
@@ -286,14 +288,14 @@
 	go n.notifyOwner(j.ID, func(ctx context.Context, addr string) error {
 		out, err := n.peers.Submitted(ctx, addr, j)
 		if err == nil {
-			n.ownerBehind.Store(out.Behind)
+			n.ownerBacklogged.Store(out.Behind)
 		}
 		return err
 	})
 	return nil
 }
 
-// Cancel implements gateway.Jobs.
+// Cancel implements gateway.JobService.
 func (n *Node) Cancel(ctx context.Context, id job.ID, tenant string) (bool, error) {
 	known, err := ledger.Cancel(ctx, n.store, id, tenant)
 	if err != nil || !known {
@@ -303,8 +305,8 @@
 	return true, nil
 }
 
-// notifyOwner tells the owner of what is in the store, sooner than its watch
-// does. If that fails, the watch does it.
+// notifyOwner tells the owner of a change in the store before its watch delivers it. If the
+// call fails the watch does so.
 func (n *Node) notifyOwner(id job.ID, tell func(ctx context.Context, addr string) error) {
 	lock := n.lock.Load()
 	if lock == nil {
@@ -317,8 +319,8 @@
 	}
 }
 
-// State implements gateway.Jobs: from the owner, or from the store while there
-// is none, or if it has not heard of the job.
+// State implements gateway.JobService. It asks the owner, and reads the store if there is no
+// owner or the owner does not know the job.
 func (n *Node) State(ctx context.Context, id job.ID) (job.State, string, bool, error) {
 	if r, err := n.askOwnerState(ctx, id); err == nil && r.Owner && r.Known {
 		return r.State, r.Tenant, true, nil
@@ -339,10 +341,10 @@
 	return n.peers.State(ctx, lock.Addr, id)
 }
 
-// CodeNoOwner says that no daemon owns the jobs at present.
+// CodeNoOwner means that no owner is elected at present.
 const CodeNoOwner verdict.Code = "no-owner"
 
-// Pending implements gateway.Jobs.
+// Pending implements gateway.JobService.
 func (n *Node) Pending(ctx context.Context, queue string) (int, error) {
 	if t := n.term.Load(); t != nil {
 		if r := t.pending(queue); r.Owner {
@@ -351,16 +353,16 @@
 	}
 	lock := n.lock.Load()
 	if lock == nil {
-		return 0, verdict.New(verdict.NotRun, CodeNoOwner, "no daemon owns the jobs at present")
+		return 0, verdict.New(verdict.NotRun, CodeNoOwner, "no owner is elected at present")
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	r, err := n.peers.Pending(ctx, lock.Addr, queue)
 	if err != nil {
-		return 0, verdict.Wrap(err, verdict.NotRun, CodeNoOwner, "count of %s", queue)
+		return 0, verdict.Wrap(err, verdict.NotRun, CodeNoOwner, "ask the owner for the pending jobs of queue %s", queue)
 	}
 	if !r.Owner {
-		return 0, verdict.New(verdict.NotRun, CodeNoOwner, "the owner is changing")
+		return 0, verdict.New(verdict.NotRun, CodeNoOwner, "the daemon at %s is not the owner at present", lock.Addr)
 	}
 	return r.Count, nil
 }
--- a/jobs/node/peerhandler.go
+++ b/jobs/node/peerhandler.go
@@ -37,7 +37,7 @@
 		return peer.SubmitReply{}
 	}
 	t.onSubmitted(&r.Job)
-	return peer.SubmitReply{Behind: t.behind.Load()}
+	return peer.SubmitReply{Behind: t.backlogged.Load()}
 }
 
 // Admit implements peer.Handler.
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -23,14 +23,14 @@
 // stop hands over what this daemon owns, waits until the balancer has noticed, and
 // finishes what is in flight. Requests that take too long get their final answer
 // while there is time to send it.
-func (n *Node) stop(callers *http.Server, endRequests func()) {
+func (n *Node) stop(callers *http.Server, cancelRequests func()) {
 	n.log.Info("stopping")
 	end := n.clock.Now().Add(n.settings.StopGrace - exitReserve)
 	n.HandOver()
 	time.Sleep(min(balancerReactionTime, n.settings.StopGrace/2))
 	if err := shutdown(callers, time.Until(end)-answerReserve); err != nil {
 		n.log.Warn("callers-cut-off", zap.Error(err))
-		endRequests()
+		cancelRequests()
 		if err := shutdown(callers, answerReserve); err != nil {
 			n.log.Warn("callers-unanswered", zap.Error(err))
 		}
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -15,53 +15,52 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// event is something that happened, applied to the core on its goroutine.
+// event applies an external event to the core, on the core's goroutine.
 type event func(c *owner.Core, now time.Time)
 
-// eventQueueLen is how many events may wait for the core's goroutine. Those who
-// bring them wait beyond.
+// eventQueueLen is the capacity of the event queue. Senders block while it is full.
 const eventQueueLen = 1024
 
-// termRun is this daemon's time as the owner. One goroutine owns the core; all
-// else talks to it by events.
+// termRun runs the scheduler while this daemon is the owner. One goroutine owns the core;
+// all others send it events.
 type termRun struct {
 	n      *Node
 	term   *ledger.Term
-	lease  ledger.LeaseID // of its lock
+	lease  ledger.LeaseID // that the owner's lock is attached to
 	core   *owner.Core
 	events chan event
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	deposeOnce sync.Once
-	leaving    chan struct{} // closed when a planned stop begins
+	leaving    chan struct{} // closed when the hand-over begins
 	released   chan struct{} // closed when the lock is released
 	leaveOnce  sync.Once
 
-	relist chan struct{} // holds one token while a reading of the instance list is wanted
+	relist chan struct{} // holds one token while a read of the instance list is requested
 
 	expectingWorkers    atomic.Bool   // workers are about to register
 	idle                atomic.Bool   // no job is open
-	cpuStarved          atomic.Bool   // it cannot keep up
-	suspensionSeen      time.Duration // of the instance, when the core was last told
-	suspensionCheckedAt time.Time     // when that was last looked at
-	behind              atomic.Bool   // work waits for its orders to be sent
+	cpuStarved          atomic.Bool   // short of CPU for more than cpuStarvedAfter
+	suspensionSeen      time.Duration // Clock.Suspended() when the core was last told of a suspension
+	suspensionCheckedAt time.Time     // last call of Clock.Suspended()
+	backlogged          atomic.Bool   // tasks wait for their start orders to be sent
 	committing          bool
 	lastCommit          time.Time
 	lastStats           time.Time
 	lastExpire          time.Time
 	startedAt           time.Time
-	leavingSince        time.Time    // when a planned stop began
-	releaseTriedAt      time.Time    // when the lock was last to be released
-	pendingPuts         []ledger.Put // puts beside the records
+	leavingSince        time.Time    // when the hand-over began
+	releaseTriedAt      time.Time    // last attempt to release the lock
+	pendingPuts         []ledger.Put // puts for the next transaction, besides the records
 	orders              instanceOrders
-	startCalls          callLimiter // calls to workers that start tasks
-	holdCalls           callLimiter
-	otherCalls          callLimiter // all other calls to workers
+	startCalls          callLimiter // start orders to workers
+	holdCalls           callLimiter // holds
+	otherCalls          callLimiter // all other orders to workers
 	stopsInFlight       stopSet
 }
 
-// runTerm is the owner until another daemon is, or ctx ends.
+// runTerm loads all jobs and schedules them until the term or ctx ends.
 func (n *Node) runTerm(ctx context.Context, term *ledger.Term, lease ledger.LeaseID) {
 	began := n.clock.Now()
 	snap, err := ledger.Load(ctx, n.store)
@@ -96,7 +95,7 @@
 	n.term.Store(t)
 	defer n.term.Store(nil)
 	if ledger.LeaseID(n.lease.Load()) != lease {
-		t.depose("its lease has ended")
+		t.depose("the lease of its lock expired while the jobs were loaded")
 		return
 	}
 	t.startWaves(snap)
@@ -123,12 +122,13 @@
 	}
 }
 
-// updateEvacuations hands the evacuated zones of the moment at which it is applied to the core.
+// updateEvacuations passes the evacuated zones to the core, as they are when the event is
+// applied.
 func (t *termRun) updateEvacuations() {
 	t.enqueue(func(c *owner.Core, _ time.Time) { c.Evacuate(t.n.evacuations.list()) })
 }
 
-// enqueue hands an event to the core's goroutine.
+// enqueue sends an event to the core's goroutine. It drops the event if the term is over.
 func (t *termRun) enqueue(e event) {
 	select {
 	case t.events <- e:
@@ -136,7 +136,7 @@
 	}
 }
 
-// depose ends the term: another daemon is, or may become, the owner.
+// depose ends the term, as another daemon is or may become the owner.
 func (t *termRun) depose(reason string) {
 	t.deposeOnce.Do(func() {
 		t.n.log.Warn("deposed", zap.Uint64("term", t.term.Number), zap.String("why", reason))
@@ -144,10 +144,9 @@
 	})
 }
 
-// handOver releases the lock. It returns when that is done or has taken too long; it
-// reports whether the lock is released. While the store is away nobody can take over:
-// the term goes on then, and releases the lock when the store is back, if this daemon
-// is still there.
+// handOver releases the lock and reports whether that succeeded within handOverTimeout.
+// While the store is unavailable no other daemon can take over: the term then continues,
+// and releases the lock once the store is back if this daemon still runs.
 func (t *termRun) handOver() bool {
 	t.leaveOnce.Do(func() { close(t.leaving) })
 	select {
@@ -156,7 +155,7 @@
 	case <-t.ctx.Done():
 	case <-time.After(handOverTimeout):
 		if !t.n.store.Unavailable() {
-			t.depose("the lock could not be released in time")
+			t.depose("the lock was not released in time")
 		}
 	}
 	return false
@@ -199,9 +198,10 @@
 				return
 			}
 			if !t.n.store.Unavailable() {
-				// Nothing new is ordered while the lock is being released. It is kept, as
-				// the core counts on its being sent if the store goes away meanwhile. Leases
-				// are renewed, as they have to outlast the next owner's takeover.
+				// No new orders are sent while the lock is being released. They stay in the
+				// core, which expects them to be sent if the store becomes unavailable
+				// meanwhile. Task leases are still renewed, as they must outlast the next
+				// owner's takeover.
 				t.dispatch(owner.Effects{Holds: t.core.TakeHolds()})
 				continue
 			}
@@ -211,17 +211,18 @@
 	}
 }
 
-// minSuspension is the shortest suspension that is told: what differs less lies in the
-// accuracy of the clocks, and no lease is as short.
+// minSuspension is the shortest suspension that is reported to the core. Smaller differences
+// are within the accuracy of the clocks, and every lease is longer.
 const minSuspension = 50 * time.Millisecond
 
-// suspensionCheckInterval is the least time between two looks, each of which costs a system call: an
-// event in between is at most so much older than it seems, and what is ordered by a lease
-// looks for itself.
+// suspensionCheckInterval is the minimum time between two checks, each of which costs a
+// system call. An event in between is older than it seems by at most that; orders that
+// depend on a lease check for themselves.
 const suspensionCheckInterval = 5 * time.Millisecond
 
-// checkSuspension tells the core if the instance was suspended since it was last looked at:
-// what it knows is older than the steady clock says. It comes before all that is decided by it.
+// checkSuspension tells the core if the instance was suspended since the last check: the
+// core's state is then older than the monotonic clock shows. It runs before any decision
+// that depends on that.
 func (t *termRun) checkSuspension() {
 	now := t.n.clock.Now()
 	if now.Sub(t.suspensionCheckedAt) < suspensionCheckInterval {
@@ -238,7 +239,7 @@
 	t.core.ReportSuspension(d, now)
 }
 
-// statsInterval is how often the owner's figures are handed to the metrics.
+// statsInterval is how often the owner's metrics are updated.
 const statsInterval = time.Second
 
 func (t *termRun) updateStats(now time.Time) {
@@ -248,14 +249,14 @@
 	t.lastStats = now
 	stats := t.core.Stats(now)
 	t.idle.Store(stats.OpenJobs == 0 && stats.UnrecordedJobs == 0)
-	t.behind.Store(t.core.IsBacklogged(now))
+	t.backlogged.Store(t.core.IsBacklogged(now))
 	t.cpuStarved.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
 	t.n.metrics.ownerStats(stats)
 }
 
-// applyQueued applies the events that wait, so that their effects are computed once. Each has
-// a time of its own: more come meanwhile, and a lease whose end is reckoned from a time
-// before its worker's answer counts as over too soon.
+// applyQueued applies all queued events, so that their effects are computed once. The clock
+// is read for each: more events arrive meanwhile, and with a time before a worker's answer
+// was received its lease would count as expired too early.
 func (t *termRun) applyQueued() {
 	for range eventQueueLen {
 		select {
@@ -276,9 +277,9 @@
 	}
 }
 
-// tryRelease stops sending orders and releases the lock; it reports whether the term is
-// over. Some records go with the lock. The others need not be written: workers list
-// ends that were not recorded to the next owner, too.
+// tryRelease tries to release the lock and reports whether the term is over. The transaction
+// also writes as many pending records as fit. The others need not be written: workers report
+// ends that were not recorded to the next owner as well.
 func (t *termRun) tryRelease() bool {
 	now := t.n.clock.Now()
 	if t.leavingSince.IsZero() {
@@ -305,7 +306,7 @@
 	return true
 }
 
-// finalWrites returns what goes with the lock.
+// finalWrites returns the writes that are committed together with the release of the lock.
 func (t *termRun) finalWrites() (puts []ledger.Put, deletes []string) {
 	puts = latestPutPerKey(t.pendingPuts)
 	puts = puts[:min(len(puts), ledger.MaxWriteEntries)]
@@ -341,13 +342,13 @@
 		out = append(out, zap.String("why", d.Reason))
 	}
 	if d.Account != nil {
-		out = append(out, accountFields(d.Account)...)
+		out = append(out, breakdownFields(d.Account)...)
 	}
 	return out
 }
 
-// accountFields returns what a late job's time was spent on, in milliseconds.
-func accountFields(a *owner.TimeBreakdown) []zap.Field {
+// breakdownFields returns log fields with what a late job's time was spent on, in milliseconds.
+func breakdownFields(a *owner.TimeBreakdown) []zap.Field {
 	out := []zap.Field{zap.Int64("total", a.Total.Milliseconds()), zap.Int64("allowed", a.Allowed.Milliseconds())}
 	for c, d := range a.Spent {
 		if d >= time.Millisecond {
@@ -357,19 +358,19 @@
 	return out
 }
 
-// queryCore runs a question on the core's goroutine, unless its turn comes after the asker has
-// given up.
-func queryCore[T any](t *termRun, question func(c *owner.Core) T) (answer T, ok bool) {
+// queryCore runs a query on the core's goroutine. It gives up after peerTimeout; the query
+// is then skipped when its turn comes.
+func queryCore[T any](t *termRun, query func(c *owner.Core) T) (answer T, ok bool) {
 	ctx, cancel := context.WithTimeout(t.ctx, peerTimeout)
 	defer cancel()
 	out := make(chan T, 1)
-	asked := func(c *owner.Core, _ time.Time) {
+	run := func(c *owner.Core, _ time.Time) {
 		if ctx.Err() == nil {
-			out <- question(c)
+			out <- query(c)
 		}
 	}
 	select {
-	case t.events <- asked:
+	case t.events <- run:
 	case <-ctx.Done():
 		return answer, false
 	}
@@ -389,15 +390,15 @@
 	return r
 }
 
-// leaseHeld reports whether the lease of the lock is held for certain: no other daemon
-// can be the owner. The daemon may have been granted another one since.
+// leaseHeld reports whether the lease of the lock is certainly held, so that no other daemon
+// can be the owner. The daemon's current lease may be a newer one.
 func (t *termRun) leaseHeld() bool {
 	return t.n.leaseHeld() && ledger.LeaseID(t.n.lease.Load()) == t.lease
 }
 
-// pending counts only while no other daemon can be the owner: one that has taken
-// over knows of jobs that this daemon was not told of. The lease may run out while the
-// question waits for the core, above all in a process that was frozen.
+// pending returns a count only while no other daemon can be the owner: a new owner knows of
+// jobs that this daemon was not told of. The lease is checked again afterwards, as it may
+// expire while the query is queued, above all in a process that was suspended.
 func (t *termRun) pending(queue string) peer.PendingReply {
 	if !t.leaseHeld() {
 		return peer.PendingReply{}
@@ -411,7 +412,7 @@
 	return r
 }
 
-// admit tells by how much a job would be late if it was accepted now.
+// admit returns by how much a job would be late if it were accepted now.
 func (t *termRun) admit(j *job.Job) peer.AdmitReply {
 	r, _ := queryCore(t, func(c *owner.Core) peer.AdmitReply {
 		return peer.AdmitReply{Owner: true, LateBy: c.ExpectedLateness(j, t.n.clock.Now())}
