--- a/internal/strictoml/strictoml.go
+++ b/internal/strictoml/strictoml.go
@@ -41,13 +41,13 @@
 	}
 	s, problems := Parse(data, defaults, rules)
 	if len(problems) > 0 {
-		return s, &Invalid{File: path, Problems: problems}
+		return s, &InvalidFileError{File: path, Problems: problems}
 	}
 	return s, nil
 }
 
-// Invalid lists the mistakes in a file.
-type Invalid struct {
+// InvalidFileError lists the mistakes in a file.
+type InvalidFileError struct {
 	File     string
 	Problems []Problem
 }
@@ -72,7 +72,7 @@
 }
 
 // Error implements error.
-func (e *Invalid) Error() string {
+func (e *InvalidFileError) Error() string {
 	lines := make([]string, 0, len(e.Problems))
 	for _, p := range e.Problems {
 		lines = append(lines, e.File+": "+p.String())
--- a/jobs/policy/policy_test.go
+++ b/jobs/policy/policy_test.go
@@ -35,7 +35,7 @@
 
 func TestEveryMistakeIsReportedAtOnce(t *testing.T) {
 	_, err := Load(write(t, "[jobs]\norder = \"best\"\n[pools]\nmove = -1.0\nsise = \"demand\"\n"))
-	var invalid *strictoml.Invalid
+	var invalid *strictoml.InvalidFileError
 	require.ErrorAs(t, err, &invalid)
 	var keys []string
 	for _, p := range invalid.Problems {
--- a/requests/settings/settings.go
+++ b/requests/settings/settings.go
@@ -12,7 +12,7 @@
 type (
 	Duration = strictoml.Duration
 	Problem  = strictoml.Problem
-	Invalid  = strictoml.Invalid
+	Invalid  = strictoml.InvalidFileError
 )
 
 // Settings are everything that a daemon reads at its start.
