--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -2,21 +2,21 @@
 
 import "slices"
 
-// Crash is a run of a task that was on a worker when it crashed, or when contact to it was
-// lost and nobody knows yet why.
+// Crash records a run that was on a worker when the worker crashed, or when contact with it
+// was lost for a reason that is not known yet.
 type Crash struct {
 	Run         uint64 `json:"R"`
-	Worker      string `json:"W,omitempty"` // life of the worker, while its fate is open; "" once it has crashed
-	AtStart     bool   `json:"E,omitempty"` // it happened as soon as the run began
-	TimeKnown   bool   `json:"X,omitempty"` // the moment is known, not only the last sign of life before it
-	SoleSuspect bool   `json:"A,omitempty"` // nothing else that ran there explains it as well
+	Worker      string `json:"W,omitempty"` // incarnation of the worker while the crash is unconfirmed; "" once confirmed
+	AtStart     bool   `json:"E,omitempty"` // right after the run started
+	TimeKnown   bool   `json:"X,omitempty"` // the time of the crash is known, not just the last contact before it
+	SoleSuspect bool   `json:"A,omitempty"` // no other run on the worker is as likely to be the cause
 }
 
-// Unconfirmed reports whether it is not known yet whether the worker has crashed.
+// Unconfirmed reports whether it is not known yet whether the worker crashed.
 func (c *Crash) Unconfirmed() bool { return c.Worker != "" }
 
-// Crashes are those of one task. As with failures the runs are kept, not their number: news
-// of one may come again, to the next owner.
+// Crashes are the crashes of one task. Like Failures it lists the runs instead of counting
+// them, as the same crash may be reported again, to the next owner.
 type Crashes []Crash
 
 // Find returns the crash of a run, nil if there is none.
@@ -28,43 +28,44 @@
 	return &c[i]
 }
 
-// Without returns the crashes that gone does not hold for.
-func (c Crashes) Without(gone func(k Crash) bool) Crashes {
-	return slices.DeleteFunc(c, gone)
+// Without returns the crashes for which remove is false. It reuses c.
+func (c Crashes) Without(remove func(k Crash) bool) Crashes {
+	return slices.DeleteFunc(c, remove)
 }
 
-// count returns how many crashes hold.
-func (c Crashes) count(holds func(k Crash) bool) int {
+// count returns the number of crashes for which match is true.
+func (c Crashes) count(match func(k Crash) bool) int {
 	n := 0
 	for _, k := range c {
-		if holds(k) {
+		if match(k) {
 			n++
 		}
 	}
 	return n
 }
 
-// Confirmed returns how many workers have crashed under the task for certain.
+// Confirmed returns the number of confirmed crashes.
 func (c Crashes) Confirmed() int { return c.count(func(k Crash) bool { return !k.Unconfirmed() }) }
 
-// CrashRisk is what a task has to put up with for crashes under it.
+// CrashRisk says when a task may crash its worker, which determines how its runs are isolated.
+// Higher values are worse.
 type CrashRisk int
 
-// The suspicions.
+// The risks.
 const (
 	CrashRiskNone    CrashRisk = iota
-	CrashRiskAtStart           // it may crash its worker as soon as it starts there
-	CrashRiskAnytime           // it may do so at any time
+	CrashRiskAtStart           // right after its start
+	CrashRiskAnytime           // at any time of its run
 )
 
-// certainForAlways is how many crashes make a task suspect whenever in its runs they were: a
-// worker that crashes late in a run is no sign, two are.
-const certainForAlways = 2
+// minCrashesForAnytime is the number of confirmed crashes, at whatever time of a run, that
+// make a task CrashRiskAnytime. A single crash late in a run is no evidence against the task.
+const minCrashesForAnytime = 2
 
-// Risk returns what the crashes make of the task.
+// Risk returns the task's risk according to its crashes.
 func (c Crashes) Risk() CrashRisk {
 	switch {
-	case c.Confirmed() >= certainForAlways:
+	case c.Confirmed() >= minCrashesForAnytime:
 		return CrashRiskAnytime
 	case c.count(func(k Crash) bool { return k.AtStart }) > 0:
 		return CrashRiskAtStart
@@ -72,26 +73,26 @@
 	return CrashRiskNone
 }
 
-// Figures of the proof that a task crashes its workers. A caller is told that its job has
-// failed, so that chance has to be ruled out: workers that go down by turns take a task with
-// them at the moment of its start once in some hundred times, and twice hardly ever.
+// Numbers of crashes that prove that a task crashes its workers. The proof fails the caller's
+// job, so coincidence has to be ruled out: when workers go down one after another, one start
+// in some hundred coincides with a crash, and hardly ever two starts of the same task do.
 const (
-	proofByMoment = 2 // crashes at the moment of the start
-	proofByNumber = 3 // crashes at any time
-	// proofInDark is how many crashes prove it if no moment of any is known, as when
-	// instances lose power. Two starts more than three crashes are what a task is allowed.
-	proofInDark = 4
+	minCrashesAtStart = 2 // right after the start, at a known time
+	minCrashesTimed   = 3 // at any time, if one is timed and has no other suspect
+	// minCrashesUntimed applies if no crash is timed, as when instances lose power. A task is
+	// allowed two starts more than three crashes.
+	minCrashesUntimed = 4
 )
 
-// Conclusive reports whether the task crashes its workers beyond doubt: starting it again would
-// cost one more. At least one of the crashes had no other cause that ran there.
+// Conclusive reports whether the task has been proven to crash its workers, so that starting
+// it again would cost another one. At least one of the crashes must have no other suspect.
 func (c Crashes) Conclusive() bool {
-	alone := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect })
-	certain := c.Confirmed()
-	if alone > 0 && certain >= proofInDark {
+	soleSuspect := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect })
+	confirmed := c.Confirmed()
+	if soleSuspect > 0 && confirmed >= minCrashesUntimed {
 		return true
 	}
-	exact := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect && k.TimeKnown })
+	timedSoleSuspect := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect && k.TimeKnown })
 	atStart := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.AtStart && k.TimeKnown })
-	return exact > 0 && (atStart >= proofByMoment || certain >= proofByNumber)
+	return timedSoleSuspect > 0 && (atStart >= minCrashesAtStart || confirmed >= minCrashesTimed)
 }
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -6,31 +6,31 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestProofThatATaskCrashesItsWorkers(t *testing.T) {
-	prompt := Crash{AtStart: true, TimeKnown: true, SoleSuspect: true}
-	beside := Crash{AtStart: true, TimeKnown: true}
-	late := Crash{TimeKnown: true}
+func TestCrashesConclusiveAndRisk(t *testing.T) {
+	atStart := Crash{AtStart: true, TimeKnown: true, SoleSuspect: true}
+	atStartShared := Crash{AtStart: true, TimeKnown: true}
+	lateShared := Crash{TimeKnown: true}
 	lateAlone := Crash{TimeKnown: true, SoleSuspect: true}
-	dark := Crash{AtStart: true, SoleSuspect: true}
-	open := Crash{Worker: "w", AtStart: true, TimeKnown: true, SoleSuspect: true}
+	atStartUntimed := Crash{AtStart: true, SoleSuspect: true}
+	unconfirmed := Crash{Worker: "w", AtStart: true, TimeKnown: true, SoleSuspect: true}
 	for name, c := range map[string]struct {
-		crashes   Crashes
-		proven    bool
-		suspicion CrashRisk
+		crashes    Crashes
+		conclusive bool
+		risk       CrashRisk
 	}{
-		"none":                                  {nil, false, CrashRiskNone},
-		"one":                                   {Crashes{prompt}, false, CrashRiskAtStart},
-		"one late in the run":                   {Crashes{late}, false, CrashRiskNone},
-		"two at the start, one alone":           {Crashes{beside, prompt}, true, CrashRiskAnytime},
-		"two at the start, others beside":       {Crashes{beside, beside}, false, CrashRiskAnytime},
-		"many, always beside others":            {Crashes{beside, late, beside, late, late}, false, CrashRiskAnytime},
-		"two late in the run":                   {Crashes{late, late}, false, CrashRiskAnytime},
-		"three, the last alone":                 {Crashes{late, late, lateAlone}, true, CrashRiskAnytime},
-		"two, the fate of one is open":          {Crashes{prompt, open}, false, CrashRiskAtStart},
-		"three without a moment, as in outages": {Crashes{dark, dark, dark}, false, CrashRiskAnytime},
-		"four without a moment":                 {Crashes{dark, dark, dark, dark}, true, CrashRiskAnytime},
+		"none":                               {nil, false, CrashRiskNone},
+		"one":                                {Crashes{atStart}, false, CrashRiskAtStart},
+		"one late in a run":                  {Crashes{lateShared}, false, CrashRiskNone},
+		"two at start, one sole suspect":     {Crashes{atStartShared, atStart}, true, CrashRiskAnytime},
+		"two at start, other suspects":       {Crashes{atStartShared, atStartShared}, false, CrashRiskAnytime},
+		"many, always other suspects":        {Crashes{atStartShared, lateShared, atStartShared, lateShared, lateShared}, false, CrashRiskAnytime},
+		"two late in a run":                  {Crashes{lateShared, lateShared}, false, CrashRiskAnytime},
+		"three, last is sole suspect":        {Crashes{lateShared, lateShared, lateAlone}, true, CrashRiskAnytime},
+		"two, one unconfirmed":               {Crashes{atStart, unconfirmed}, false, CrashRiskAtStart},
+		"three untimed, as in power outages": {Crashes{atStartUntimed, atStartUntimed, atStartUntimed}, false, CrashRiskAnytime},
+		"four untimed":                       {Crashes{atStartUntimed, atStartUntimed, atStartUntimed, atStartUntimed}, true, CrashRiskAnytime},
 	} {
-		assert.Equal(t, c.proven, c.crashes.Conclusive(), name)
-		assert.Equal(t, c.suspicion, c.crashes.Risk(), name)
+		assert.Equal(t, c.conclusive, c.crashes.Conclusive(), name)
+		assert.Equal(t, c.risk, c.crashes.Risk(), name)
 	}
 }
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -1,5 +1,5 @@
-// Package job holds the types of the job subsystem: queues, jobs, steps,
-// tasks and what is kept of them in the store.
+// Package job defines the types of the job subsystem: queues, jobs, steps, tasks and the job
+// state that is kept in the store.
 package job
 
 import (
@@ -11,13 +11,13 @@
 	"github.com/postmount/postmount/jobs/apikey"
 )
 
-// ID is the caller's name of a job, 16 hexadecimal digits.
+// ID is a job's ID, chosen by its caller: 16 hexadecimal digits.
 type ID string
 
-// idLength is the number of digits of an ID.
+// idLength is the length of an ID in hexadecimal digits.
 const idLength = 16
 
-// ValidID reports whether s has the form of an ID.
+// ValidID reports whether s is a well-formed ID.
 func ValidID(s string) bool {
 	if len(s) != idLength {
 		return false
@@ -31,9 +31,9 @@
 	return true
 }
 
-// Resources are what a task asks for, or what a worker has.
+// Resources are the resources that a task requests or a worker offers.
 type Resources struct {
-	CPUMilli int `json:",omitempty"` // thousandths of a core
+	CPUMilli int `json:",omitempty"` // millicores
 	MemMB    int `json:",omitempty"`
 	GPU      int `json:",omitempty"`
 }
@@ -43,15 +43,16 @@
 	return fmt.Sprintf("%.1f cores, %d MB, %d GPUs", float64(r.CPUMilli)/1000, r.MemMB, r.GPU)
 }
 
-// Fits reports whether need is within r.
+// Fits reports whether need fits into r.
 func (r Resources) Fits(need Resources) bool {
 	return need.CPUMilli <= r.CPUMilli && need.MemMB <= r.MemMB && need.GPU <= r.GPU
 }
 
-// Within reports whether r keeps to a limit, of which 0 means that there is none.
+// Within reports whether r stays within limit. A limit of 0 means that the resource is not
+// limited.
 func (r Resources) Within(limit Resources) bool {
-	keeps := func(n, limit int) bool { return limit == 0 || n <= limit }
-	return keeps(r.CPUMilli, limit.CPUMilli) && keeps(r.MemMB, limit.MemMB) && keeps(r.GPU, limit.GPU)
+	within := func(n, limit int) bool { return limit == 0 || n <= limit }
+	return within(r.CPUMilli, limit.CPUMilli) && within(r.MemMB, limit.MemMB) && within(r.GPU, limit.GPU)
 }
 
 // Times returns n times r.
@@ -59,7 +60,7 @@
 	return Resources{n * r.CPUMilli, n * r.MemMB, n * r.GPU}
 }
 
-// Sub returns r less o.
+// Sub returns r minus o.
 func (r Resources) Sub(o Resources) Resources {
 	return Resources{r.CPUMilli - o.CPUMilli, r.MemMB - o.MemMB, r.GPU - o.GPU}
 }
@@ -69,28 +70,29 @@
 	return Resources{r.CPUMilli + o.CPUMilli, r.MemMB + o.MemMB, r.GPU + o.GPU}
 }
 
-// Step is a group of equal tasks of a job. What it leaves out takes no room in the
-// store, from which a new owner reads all jobs.
+// Step is a group of identical tasks of a job. Zero values are omitted from its JSON form to
+// keep it small: a new owner reads all jobs from the store.
 type Step struct {
 	Count         int
 	Need          Resources
-	Estimate      time.Duration `json:",omitempty"` // a rough guess of one task's duration
-	After         []int         `json:",omitempty"` // numbers of earlier steps that must be done first
-	Checkpoints   bool          `json:",omitempty"` // its tasks can resume from a checkpoint
-	Gang          bool          `json:",omitempty"` // its tasks work only together
-	SameRack      bool          `json:",omitempty"` // a gang that is slower on more than one rack
+	Estimate      time.Duration `json:",omitempty"` // rough estimate of one task's duration
+	After         []int         `json:",omitempty"` // indexes of earlier steps that must be done first
+	Checkpoints   bool          `json:",omitempty"` // tasks can resume from a checkpoint
+	Gang          bool          `json:",omitempty"` // tasks must run at the same time
+	SameRack      bool          `json:",omitempty"` // the gang is slower on more than one rack
 	RequiredLabel string        `json:",omitempty"` // label that the worker must have
 	PreferredRack string        `json:",omitempty"` // rack on which the task is faster
 	MaxPerWorker  int           `json:",omitempty"` // 0: no limit
-	Speculative   bool          `json:",omitempty"` // copies may run in parallel
+	Speculative   bool          `json:",omitempty"` // copies of a task may run in parallel
 	LongRunning   bool          `json:",omitempty"` // runs until the job is cancelled
-	Image         string        `json:",omitempty"` // tasks of one image behave alike
-	LatencyTarget time.Duration `json:",omitempty"` // a serving task's tail must stay below; 0: none
-	Filler        bool          `json:",omitempty"` // uses only processor time that others leave
-	MayMiss       int           `json:",omitempty"` // how many of its tasks maintenance may take away at once
+	Image         string        `json:",omitempty"` // tasks with the same image behave alike
+	LatencyTarget time.Duration `json:",omitempty"` // upper bound of a serving task's tail latency; 0: none
+	Filler        bool          `json:",omitempty"` // uses only processor time that other tasks leave idle
+	MayMiss       int           `json:",omitempty"` // how many of its tasks maintenance may take down at once
 }
 
-// ReservedResources returns what a task of the step takes of a worker's room.
+// ReservedResources returns the part of a worker's capacity that a task of the step reserves.
+// A filler reserves no processor time.
 func (s *Step) ReservedResources() Resources {
 	need := s.Need
 	if s.Filler {
@@ -99,24 +101,25 @@
 	return need
 }
 
-// Job is what a caller submitted. It never changes.
+// Job is a submitted job. It is immutable.
 type Job struct {
 	ID         ID
-	Queue      string // name of the route it came by
-	Service    string // service of the queue when it was accepted
-	Tenant     string `json:",omitempty"` // whose job it is; "": it came by a public queue
-	Payload    string `json:",omitempty"` // handed to the workers as it came
+	Queue      string // name of the queue it was submitted to
+	Service    string // service of the queue when the job was accepted
+	Tenant     string `json:",omitempty"` // "": submitted to a public queue
+	Payload    string `json:",omitempty"` // passed to the workers unchanged
 	Steps      []Step
-	Repeat     int           `json:",omitempty"` // occurrences; 0: the job runs once, at once
+	Repeat     int           `json:",omitempty"` // number of occurrences; 0: the job runs once, immediately
 	StartAt    time.Time     `json:",omitzero"`  // due time of the first occurrence
 	Interval   time.Duration `json:",omitempty"` // between due times of occurrences
 	AcceptedAt time.Time     // wall clock of the accepting daemon
 }
 
-// Occurrences returns how often the steps run.
+// Occurrences returns how many times the steps run.
 func (j *Job) Occurrences() int { return max(1, j.Repeat) }
 
-// Due returns when occurrence k may start.
+// Due returns the earliest start of occurrence k, counted from 0; the zero time for a job
+// that does not repeat.
 func (j *Job) Due(k int) time.Time {
 	if j.Repeat == 0 {
 		return time.Time{}
@@ -124,7 +127,7 @@
 	return j.StartAt.Add(time.Duration(k) * j.Interval)
 }
 
-// TaskID names one task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job        ID
 	Occurrence int
@@ -132,7 +135,7 @@
 	Index      int
 }
 
-// String returns the task's name, JOB.OCCURRENCE.STEP.INDEX.
+// String returns the ID in the form JOB.OCCURRENCE.STEP.INDEX.
 func (t TaskID) String() string {
 	b := make([]byte, 0, idLength+len(".0.0.00")+8)
 	b = append(b, t.Job...)
@@ -142,10 +145,10 @@
 	return string(b)
 }
 
-// ParseTaskID is the inverse of String.
+// ParseTaskID parses the form that String returns.
 func ParseTaskID(s string) (TaskID, error) {
 	if dots := strings.Count(s, "."); dots != 3 {
-		return TaskID{}, fmt.Errorf("task name %q has %d parts, want 4", s, dots+1)
+		return TaskID{}, fmt.Errorf("task ID %q has %d parts, want 4", s, dots+1)
 	}
 	id, rest, _ := strings.Cut(s, ".")
 	var n [3]int
@@ -154,14 +157,14 @@
 		part, rest, _ = strings.Cut(rest, ".")
 		v, err := strconv.Atoi(part)
 		if err != nil {
-			return TaskID{}, fmt.Errorf("task name %q: %w", s, err)
+			return TaskID{}, fmt.Errorf("task ID %q: %w", s, err)
 		}
 		n[i] = v
 	}
 	return TaskID{ID(id), n[0], n[1], n[2]}, nil
 }
 
-// State is a job's state as its caller sees it.
+// State is a job's state as reported to its caller.
 type State string
 
 // The states of a job.
@@ -173,37 +176,38 @@
 	Cancelled State = "cancelled"
 )
 
-// Final reports whether a job in state s does not change any more.
+// Final reports whether s is a terminal state.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Queue is a route of the configuration: where jobs are submitted and which
+// Queue is a route of the operators' configuration: where jobs are submitted and which
 // service runs them.
 type Queue struct {
 	Name            string
 	Host            string
-	Prefix          string // of the path; ends with a slash
+	Prefix          string // path prefix; ends with a slash
 	Service         string
-	Public          bool           // its callers need no key
-	Priority        int            // 0 comes first
-	MaxAttempts     int            // a task that failed so often fails its job
-	ObjectiveFactor float64        // objective: Stretch times the longest chain of work ...
-	ObjectiveOffset time.Duration  // ... and this much more
+	Public          bool           // callers need no key
+	Priority        int            // 0 is the highest
+	MaxAttempts     int            // a task that fails this many times fails its job
+	ObjectiveFactor float64        // duration objective: ObjectiveFactor times the critical path ...
+	ObjectiveOffset time.Duration  // ... plus ObjectiveOffset
 	Timeout         time.Duration  // of a caller's request
 	Advisor         *AdvisorTiming // nil: every worker of the service may run its steps
 }
 
-// AdvisorTiming describes the service that says which workers may run a step.
+// AdvisorTiming holds the timing of the advisor, the service that decides which workers may
+// run a step.
 type AdvisorTiming struct {
-	DecisionTime   time.Duration // of one call
-	TimePerWorker  time.Duration // more for each worker asked about
-	TicketValidity time.Duration // of a ticket
+	DecisionTime   time.Duration // base duration of one call
+	TimePerWorker  time.Duration // added for each worker in the call
+	TicketValidity time.Duration // how long a ticket is valid
 }
 
 // Service is a pool of workers.
 type Service struct {
 	Name             string
-	EnforcesCapacity bool // its workers reject what does not fit
-	Spare            bool // its instances are off and cost nothing
+	EnforcesCapacity bool // its workers reject tasks that don't fit
+	Spare            bool // its instances are powered off and cost nothing
 }
 
 // Catalog is one version of the operators' configuration.
@@ -216,7 +220,7 @@
 	Limits   Limits
 }
 
-// Limits bound callers' requests.
+// Limits bounds callers' requests.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -224,8 +228,8 @@
 	IdleTimeout   time.Duration
 }
 
-// Match returns the queue with the longest prefix for a request, and the rest
-// of the path.
+// Match returns the queue with the longest matching prefix, nil if there is none, and the
+// rest of the path.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
--- a/jobs/job/progress.go
+++ b/jobs/job/progress.go
@@ -5,33 +5,32 @@
 	"time"
 )
 
-// Progress is what is kept of a job beside its submission. Only the owner
-// writes it.
+// Progress is the stored state of a job apart from its submission. Only the owner writes it.
 type Progress struct {
 	State State
-	// Steps holds what is known of each step of each occurrence, in the order
-	// occurrence, step. A missing entry means that nothing has ended.
+	// Steps is sorted by occurrence, then step. A missing entry means that none of the step's
+	// tasks has ended.
 	Steps []StepProgress `json:",omitempty"`
-	// EndedAt is when the state became final, for the removal of the record.
+	// EndedAt is when the state became final; the record is removed some time later.
 	EndedAt time.Time `json:",omitzero"`
 }
 
-// StepProgress counts the ends of the tasks of a step in one occurrence.
+// StepProgress records how the tasks of a step in one occurrence ended.
 type StepProgress struct {
 	Occurrence int              `json:"O,omitempty"`
 	Step       int              `json:"S,omitempty"`
 	Done       Bitset           `json:"D,omitempty"`
-	Failed     map[int]Failures `json:"F,omitempty"` // by index
-	Checkpoint map[int]string   `json:"C,omitempty"` // newest one, by index
-	Crashed    map[int]Crashes  `json:"K,omitempty"` // by index
+	Failed     map[int]Failures `json:"F,omitempty"` // by task index
+	Checkpoint map[int]string   `json:"C,omitempty"` // latest one, by task index
+	Crashed    map[int]Crashes  `json:"K,omitempty"` // by task index
 }
 
-// Failures are the runs of a task that failed. An end that is listed again, to
-// the next owner, must not count twice, and ends of several workers come in any
-// order: so the runs are kept, not their number. A queue allows few attempts.
+// Failures lists the failed runs of a task. It lists the runs instead of counting them, as
+// workers may report a failure again to the next owner, and reports from several workers
+// arrive in any order. The list stays short: a queue allows few attempts.
 type Failures []uint64
 
-// With returns the failures with a run added.
+// With returns the failures with run added, if it isn't among them. It may change f.
 func (f Failures) With(run uint64) Failures {
 	if slices.Contains(f, run) {
 		return f
@@ -39,7 +38,7 @@
 	return append(f, run)
 }
 
-// Bitset is a set of small numbers.
+// Bitset is a set of small non-negative integers.
 type Bitset []byte
 
 // Has reports whether i is in the set.
--- a/jobs/job/tenant.go
+++ b/jobs/job/tenant.go
@@ -6,29 +6,30 @@
 	"github.com/postmount/postmount/jobs/apikey"
 )
 
-// Tenant is an organisation whose callers submit jobs.
+// Tenant is an organization whose callers submit jobs.
 type Tenant struct {
 	Name string
-	// Weight is its share when all is full, against those of the others: so many jobs a second
-	// are its due.
+	// Weight is the tenant's share under overload relative to the other tenants, in jobs per
+	// second.
 	Weight float64
-	// Limit is what it may have running over all workers; 0: no limit of that resource.
+	// Limit bounds the resources of its running tasks over all workers; 0: the resource is not
+	// limited.
 	Limit Resources
 }
 
-// SetTenants takes over the tenants and the ring of their keys, or says what is wrong. An
-// error names the place, never a key.
+// SetTenants sets the tenants and their keys: keys[n] are those of tenants[n]. Errors give the
+// index of the invalid entry and never contain a key.
 func (c *Catalog) SetTenants(tenants []Tenant, keys [][]string) error {
 	ring := apikey.Ring{}
 	names := map[string]bool{}
 	for n, t := range tenants {
 		switch {
 		case t.Name == "" || names[t.Name]:
-			return fmt.Errorf("tenants[%d]: its name %q is empty, or another's", n, t.Name)
+			return fmt.Errorf("tenants[%d]: name %q is empty or not unique", n, t.Name)
 		case t.Weight < 0:
-			return fmt.Errorf("tenants[%d]: its weight is %v", n, t.Weight)
+			return fmt.Errorf("tenants[%d]: weight %v is negative", n, t.Weight)
 		case t.Limit.CPUMilli < 0 || t.Limit.MemMB < 0 || t.Limit.GPU < 0:
-			return fmt.Errorf("tenants[%d]: its limit is less than nothing: %s", n, t.Limit)
+			return fmt.Errorf("tenants[%d]: limit is negative: %s", n, t.Limit)
 		}
 		names[t.Name] = true
 		for k, key := range keys[n] {
@@ -41,8 +42,9 @@
 	return nil
 }
 
-// CheckTenantLimit returns why the tenant's limit never lets the job run, nil if it may. Only the tasks
-// of a gang need room at the same time; a single task larger than the limit runs alone.
+// CheckTenantLimit returns an error if the limit of the job's tenant can never admit the job.
+// Only gangs are checked, as their tasks need their resources at the same time; a single task
+// larger than the limit runs alone.
 func (c *Catalog) CheckTenantLimit(j *Job) error {
 	for _, t := range c.Tenants {
 		if t.Name != j.Tenant {
@@ -50,13 +52,13 @@
 		}
 		for n, s := range j.Steps {
 			if all := s.Need.Times(s.Count); s.Gang && s.Count > 1 && !all.Within(t.Limit) {
-				return fmt.Errorf("the gang of step %d needs %s at once, its tenant may have %s running", n, all, t.Limit)
+				return fmt.Errorf("the gang of step %d needs %s at once, the limit of tenant %q is %s", n, all, t.Name, t.Limit)
 			}
 		}
 	}
 	return nil
 }
 
-// MayAccess reports whether a call with a key of one tenant, "" if it came by a public queue,
-// may see and cancel a job of another. A job that came by a public queue is anybody's.
-func MayAccess(caller, of string) bool { return of == "" || of == caller }
+// MayAccess reports whether a caller of one tenant may read and cancel a job of jobTenant. A
+// tenant is "" if the call or job came by a public queue; such a job is accessible to everybody.
+func MayAccess(caller, jobTenant string) bool { return jobTenant == "" || jobTenant == caller }
--- a/jobs/job/validate.go
+++ b/jobs/job/validate.go
@@ -8,20 +8,20 @@
 
 // Bounds of a job.
 const (
-	// maxTasks bounds the tasks of one occurrence. A daemon keeps some hundred bytes of each,
-	// of 64 MB in all.
+	// maxTasks bounds the tasks of one occurrence. A daemon has 64 MB in all and keeps some
+	// hundred bytes for each task.
 	maxTasks = 10_000
-	// minInterval keeps the occurrences of a job apart.
+	// minInterval is the shortest time between the occurrences of a job.
 	minInterval = time.Millisecond
 )
 
-// Validate returns why the job cannot be run by anybody, naming the field; nil if it can.
+// Validate returns an error that names the invalid field if no worker could ever run the job.
 func (j *Job) Validate() error {
 	if len(j.Steps) == 0 {
-		return errors.New("it has no steps")
+		return errors.New("job has no steps")
 	}
 	if j.Repeat > 1 && j.Interval < minInterval {
-		return fmt.Errorf("its interval is %s, want %s or more", j.Interval, minInterval)
+		return fmt.Errorf("interval is %s, want at least %s", j.Interval, minInterval)
 	}
 	tasks := 0
 	for n := range j.Steps {
@@ -31,32 +31,32 @@
 		}
 		tasks += s.Count
 		if tasks > maxTasks {
-			return fmt.Errorf("its steps have %d tasks and more, at most %d are taken", tasks, maxTasks)
+			return fmt.Errorf("job has %d tasks or more, want at most %d", tasks, maxTasks)
 		}
 	}
 	return nil
 }
 
-// validate checks the step with the given number.
+// validate checks the step with the given index.
 func (s *Step) validate(number int) error {
 	if s.Count < 1 || s.Count > maxTasks {
-		return fmt.Errorf("its count is %d, want 1 to %d", s.Count, maxTasks)
+		return fmt.Errorf("count is %d, want 1 to %d", s.Count, maxTasks)
 	}
 	if s.Need.CPUMilli < 0 || s.Need.MemMB < 0 || s.Need.GPU < 0 {
-		return fmt.Errorf("it needs less than nothing: %s", s.Need)
+		return fmt.Errorf("requested resources are negative: %s", s.Need)
 	}
 	if s.Estimate < 0 {
-		return fmt.Errorf("its estimate is %s", s.Estimate)
+		return fmt.Errorf("estimate %s is negative", s.Estimate)
 	}
 	for _, a := range s.After {
 		if a < 0 || a >= number {
-			return fmt.Errorf("it comes after step %d, want an earlier one", a)
+			return fmt.Errorf("depends on step %d, want an earlier step", a)
 		}
 	}
 	return nil
 }
 
-// Validate returns why this cannot be the progress of the job.
+// Validate returns an error if p cannot be the progress of j.
 func (p *Progress) Validate(j *Job) error {
 	switch p.State {
 	case Queued, Running, Completed, Failed, Cancelled:
@@ -65,7 +65,7 @@
 	}
 	for _, s := range p.Steps {
 		if s.Occurrence < 0 || s.Occurrence >= j.Occurrences() || s.Step < 0 || s.Step >= len(j.Steps) {
-			return fmt.Errorf("it names step %d of occurrence %d, which the job does not have", s.Step, s.Occurrence)
+			return fmt.Errorf("progress of step %d in occurrence %d, which the job does not have", s.Step, s.Occurrence)
 		}
 	}
 	return nil
