--- a/jobs/ledger/accept.go
+++ b/jobs/ledger/accept.go
@@ -18,17 +18,17 @@
 	// acceptWorkers is how many transactions are under way at the same time, so
 	// that one slow answer does not hold up the others.
 	acceptWorkers = 4
-	// acceptQueue is how many submissions may wait; more are refused at once.
-	acceptQueue = 512
+	// acceptQueueLen is how many submissions may wait; more are refused at once.
+	acceptQueueLen = 512
 	// acceptTimeout bounds one try: the store answers in 4 ms, and in 300 ms in
 	// its slow hours.
 	acceptTimeout = 900 * time.Millisecond
-	// acceptPatience is how long a transaction whose answer was lost is tried again: its
+	// acceptRetryWindow is how long a transaction whose answer was lost is tried again: its
 	// condition lets it happen once, and its callers need to know whether it did. Callers
 	// wait for 3 s, and use what is left for tries of their own.
-	acceptPatience = time.Second
-	// acceptPause is the time between two such tries.
-	acceptPause = 60 * time.Millisecond
+	acceptRetryWindow = time.Second
+	// acceptRetryInterval is the time between two such tries.
+	acceptRetryInterval = 60 * time.Millisecond
 )
 
 // CodeTooManySubmissions says that too many submissions wait.
@@ -43,10 +43,10 @@
 // Acceptor writes submissions, several at a time.
 type Acceptor struct {
 	store AcceptorStore
-	queue chan pending
+	queue chan pendingSubmission
 }
 
-type pending struct {
+type pendingSubmission struct {
 	key    string
 	tenant string
 	value  []byte
@@ -55,7 +55,7 @@
 
 // NewAcceptor returns an acceptor that does nothing before Run.
 func NewAcceptor(s AcceptorStore) *Acceptor {
-	return &Acceptor{store: s, queue: make(chan pending, acceptQueue)}
+	return &Acceptor{store: s, queue: make(chan pendingSubmission, acceptQueueLen)}
 }
 
 // Run starts the acceptor's goroutines, which end with ctx.
@@ -71,13 +71,13 @@
 // callers come back after a pause instead of spending their tries at once.
 func (a *Acceptor) Accept(ctx context.Context, j *job.Job) error {
 	if a.store.Unavailable() {
-		return errAway()
+		return errStoreUnavailable()
 	}
-	s := pending{key: prefixSubmitted + string(j.ID), tenant: j.Tenant, value: encode(j), done: make(chan error, 1)}
+	s := pendingSubmission{key: prefixSubmitted + string(j.ID), tenant: j.Tenant, value: encode(j), done: make(chan error, 1)}
 	select {
 	case a.queue <- s:
 	default:
-		return verdict.New(verdict.NotRun, CodeTooManySubmissions, "%d submissions wait for the store", acceptQueue)
+		return verdict.New(verdict.NotRun, CodeTooManySubmissions, "%d submissions wait for the store", acceptQueueLen)
 	}
 	select {
 	case err := <-s.done:
@@ -87,7 +87,7 @@
 	}
 }
 
-func errAway() error {
+func errStoreUnavailable() error {
 	return verdict.New(verdict.NotRun, CodeStoreUnavailable, "the store does not answer")
 }
 
@@ -97,15 +97,15 @@
 		case <-ctx.Done():
 			return
 		case first := <-a.queue:
-			a.storeBatch(ctx, a.gather(first))
+			a.storeBatch(ctx, a.collectBatch(first))
 		}
 	}
 }
 
-// gather takes what else waits, up to a full transaction. Two submissions of
+// collectBatch takes what else waits, up to a full transaction. Two submissions of
 // one job must not share it.
-func (a *Acceptor) gather(first pending) map[string][]pending {
-	batch := map[string][]pending{first.key: {first}}
+func (a *Acceptor) collectBatch(first pendingSubmission) map[string][]pendingSubmission {
+	batch := map[string][]pendingSubmission{first.key: {first}}
 	for len(batch) < acceptBatch {
 		select {
 		case s := <-a.queue:
@@ -119,38 +119,38 @@
 
 // storeBatch writes a batch. Jobs that are in the store already are taken out of
 // it, and the rest is sent again.
-func (a *Acceptor) storeBatch(ctx context.Context, batch map[string][]pending) {
+func (a *Acceptor) storeBatch(ctx context.Context, batch map[string][]pendingSubmission) {
 	if a.store.Unavailable() {
-		finish(batch, errAway())
+		completeBatch(batch, errStoreUnavailable())
 		return
 	}
 	began := time.Now()
-	sent := false // an earlier try may still take effect
+	mayHaveCommitted := false // an earlier try may still take effect
 	for len(batch) > 0 {
 		res, err := a.commit(ctx, batch)
 		switch {
 		case err != nil:
-			sent = sent || verdict.Of(err) != verdict.NotRun
-			if sent && time.Since(began) < acceptPatience && sleep.For(ctx, acceptPause) {
+			mayHaveCommitted = mayHaveCommitted || verdict.Of(err) != verdict.NotRun
+			if mayHaveCommitted && time.Since(began) < acceptRetryWindow && sleep.For(ctx, acceptRetryInterval) {
 				continue
 			}
-			if sent {
+			if mayHaveCommitted {
 				err = verdict.Wrap(err, verdict.MayHaveRun, CodeStoreUnavailable, "tried for %s", time.Since(began).Round(time.Millisecond))
 			}
-			finish(batch, err)
+			completeBatch(batch, err)
 			return
 		case res.Committed:
-			finish(batch, nil)
+			completeBatch(batch, nil)
 			return
 		}
 		if a.dropExisting(batch, res) == 0 {
-			finish(batch, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "the store refused a batch and named no existing key"))
+			completeBatch(batch, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "the store refused a batch and named no existing key"))
 			return
 		}
 	}
 }
 
-func (a *Acceptor) commit(ctx context.Context, batch map[string][]pending) (TxnResult, error) {
+func (a *Acceptor) commit(ctx context.Context, batch map[string][]pendingSubmission) (TxnResult, error) {
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	var t Txn
@@ -161,7 +161,7 @@
 	return a.store.Commit(ctx, t)
 }
 
-func (a *Acceptor) dropExisting(batch map[string][]pending, res TxnResult) int {
+func (a *Acceptor) dropExisting(batch map[string][]pendingSubmission, res TxnResult) int {
 	n := 0
 	for _, i := range res.Current {
 		s, ok := batch[i.Key]
@@ -171,7 +171,7 @@
 		n++
 		delete(batch, i.Key)
 		for _, p := range s {
-			p.done <- accessTo(i, p.tenant)
+			p.done <- checkAccess(i, p.tenant)
 		}
 	}
 	return n
@@ -185,9 +185,9 @@
 	return verdict.New(verdict.NotRun, CodeOtherTenant, "job %s is another tenant's", id)
 }
 
-// accessTo returns an error if the job of a submission that is in the store is not the
+// checkAccess returns an error if the job of a submission that is in the store is not the
 // tenant's. One that cannot be read is nobody's.
-func accessTo(i Item, tenant string) error {
+func checkAccess(i Item, tenant string) error {
 	sub, err := decodeSubmission(i)
 	if err == nil && !job.MayAccess(tenant, sub.Tenant) {
 		return ErrOtherTenant(idOf(i.Key, prefixSubmitted))
@@ -195,7 +195,7 @@
 	return nil
 }
 
-func finish(batch map[string][]pending, err error) {
+func completeBatch(batch map[string][]pendingSubmission, err error) {
 	for _, ss := range batch {
 		for _, s := range ss {
 			s.done <- err
@@ -216,7 +216,7 @@
 	if err != nil || !known {
 		return known, err
 	}
-	if err := accessTo(item, tenant); err != nil {
+	if err := checkAccess(item, tenant); err != nil {
 		return true, err
 	}
 	t := Txn{
--- a/jobs/ledger/accept_test.go
+++ b/jobs/ledger/accept_test.go
@@ -62,8 +62,8 @@
 		first := accept(1)
 		require.Error(t, first)
 		assert.Equal(t, verdict.MayHaveRun, verdict.Of(first))
-		assert.GreaterOrEqual(t, time.Since(began), acceptPatience)
-		assert.Less(t, time.Since(began), acceptPatience+100*time.Millisecond)
+		assert.GreaterOrEqual(t, time.Since(began), acceptRetryWindow)
+		assert.Less(t, time.Since(began), acceptRetryWindow+100*time.Millisecond)
 
 		sent := s.commits
 		for n := range 20 {
--- a/jobs/ledger/counted.go
+++ b/jobs/ledger/counted.go
@@ -16,15 +16,15 @@
 }
 
 // Observed returns a store that tells observe each call.
-func Observed(s Store, observe func(StoreCall)) Store { return &counted{s, observe} }
+func Observed(s Store, observe func(StoreCall)) Store { return &observedStore{s, observe} }
 
-type counted struct {
+type observedStore struct {
 	store   Store
 	observe func(StoreCall)
 }
 
-// note tells a call that began at began.
-func (c *counted) note(kind string, stale bool, began time.Time, err error) {
+// report tells a call that began at began.
+func (c *observedStore) report(kind string, stale bool, began time.Time, err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = string(verdict.CodeOf(err))
@@ -33,57 +33,57 @@
 }
 
 // Get implements Store.
-func (c *counted) Get(ctx context.Context, key string, stale bool) (Item, bool, error) {
+func (c *observedStore) Get(ctx context.Context, key string, stale bool) (Item, bool, error) {
 	began := time.Now()
 	item, found, err := c.store.Get(ctx, key, stale)
-	c.note("get", stale, began, err)
+	c.report("get", stale, began, err)
 	return item, found, err
 }
 
 // Range implements Store.
-func (c *counted) Range(ctx context.Context, prefix, after string, stale bool) (Page, error) {
+func (c *observedStore) Range(ctx context.Context, prefix, after string, stale bool) (Page, error) {
 	began := time.Now()
 	page, err := c.store.Range(ctx, prefix, after, stale)
-	c.note("range", stale, began, err)
+	c.report("range", stale, began, err)
 	return page, err
 }
 
 // Watch implements Store.
-func (c *counted) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error) {
+func (c *observedStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error) {
 	began := time.Now()
 	ch, err := c.store.Watch(ctx, prefix, after, wait)
-	c.note("watch", false, began, err)
+	c.report("watch", false, began, err)
 	return ch, err
 }
 
 // Commit implements Store.
-func (c *counted) Commit(ctx context.Context, t Txn) (TxnResult, error) {
+func (c *observedStore) Commit(ctx context.Context, t Txn) (TxnResult, error) {
 	began := time.Now()
 	res, err := c.store.Commit(ctx, t)
-	c.note("commit", false, began, err)
+	c.report("commit", false, began, err)
 	return res, err
 }
 
 // GrantLease implements Store.
-func (c *counted) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
+func (c *observedStore) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	began := time.Now()
 	id, err := c.store.GrantLease(ctx, ttl)
-	c.note("grant", false, began, err)
+	c.report("grant", false, began, err)
 	return id, err
 }
 
 // KeepAlive implements Store.
-func (c *counted) KeepAlive(ctx context.Context, id LeaseID) (bool, error) {
+func (c *observedStore) KeepAlive(ctx context.Context, id LeaseID) (bool, error) {
 	began := time.Now()
 	alive, err := c.store.KeepAlive(ctx, id)
-	c.note("keep", false, began, err)
+	c.report("keep", false, began, err)
 	return alive, err
 }
 
 // EndLease implements Store.
-func (c *counted) EndLease(ctx context.Context, id LeaseID) error {
+func (c *observedStore) EndLease(ctx context.Context, id LeaseID) error {
 	began := time.Now()
 	err := c.store.EndLease(ctx, id)
-	c.note("end", false, began, err)
+	c.report("end", false, began, err)
 	return err
 }
--- a/jobs/ledger/failover_test.go
+++ b/jobs/ledger/failover_test.go
@@ -111,7 +111,7 @@
 	}
 	assert.Equal(t, 4, during(8*time.Second), "after 0, 0.7, 2.1 and 4.9 s")
 	direct.get = answers
-	assert.Positive(t, during(2*maxAvoidDirect))
+	assert.Positive(t, during(2*maxDirectBackoff))
 	direct.get = refused
 	assert.Equal(t, 2, during(time.Second), "the backoff starts anew")
 }
@@ -160,7 +160,7 @@
 		assert.LessOrEqual(t, direct.calls, 30, "20 s, a try each 0.7 s")
 
 		direct.get = answers
-		time.Sleep(maxAvoidDirect)
+		time.Sleep(maxDirectBackoff)
 		_, err = call(get)
 		require.NoError(t, err)
 		_, err = call(commit)
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -28,11 +28,11 @@
 	// PreviousOrdersUnknown says that these cannot be known.
 	PreviousOrdersUnknown bool
 
-	store    Store
-	lock     Condition
-	sequence int64 // revision of keySequence that the next transaction holds on
-	unsure   bool  // the last transaction's answer was lost
-	writes   uint64
+	store            Store
+	lock             Condition
+	sequence         int64 // revision of keySequence that the next transaction holds on
+	lastWriteUnknown bool  // the last transaction's answer was lost
+	writes           uint64
 }
 
 // sequenceValue tells a lost transaction's outcome: who wrote the key last. Orders are
@@ -167,20 +167,20 @@
 	return l, true, true, err
 }
 
-// entriesOfTerm of a transaction are conditions on the lock and the sequence,
+// termEntries of a transaction are conditions on the lock and the sequence,
 // and the put of the sequence.
-const entriesOfTerm = 3
+const termEntries = 3
 
 // MaxWriteEntries is how many puts and deletes one Write takes.
-const MaxWriteEntries = MaxTxnEntries - entriesOfTerm
+const MaxWriteEntries = MaxTxnEntries - termEntries
 
 // Write stores puts and deletes if this daemon still is the owner, and orders, the
 // instances for which it may have sent an order of late or is about to. After an
 // error the caller calls again, with the same or newer values, until it gets
 // nil or CodeDeposed.
 func (t *Term) Write(ctx context.Context, puts []Put, deletes []string, orders []owner.RecentOrder) error {
-	if t.unsure {
-		if err := t.settle(ctx); err != nil {
+	if t.lastWriteUnknown {
+		if err := t.readSequence(ctx); err != nil {
 			return err
 		}
 	}
@@ -191,19 +191,19 @@
 	}
 	res, err := t.store.Commit(ctx, txn)
 	if err != nil {
-		t.unsure = verdict.Of(err) != verdict.NotRun
+		t.lastWriteUnknown = verdict.Of(err) != verdict.NotRun
 		return err
 	}
 	if res.Committed {
 		t.sequence = res.Revision
 		return nil
 	}
-	return t.refused(res)
+	return t.explainRefusal(res)
 }
 
-// refused finds out why a transaction did not hold: another owner, or an
+// explainRefusal finds out why a transaction did not hold: another owner, or an
 // earlier transaction of ours that was carried out late.
-func (t *Term) refused(res TxnResult) error {
+func (t *Term) explainRefusal(res TxnResult) error {
 	lockHeld := false
 	for _, i := range res.Current {
 		switch i.Key {
@@ -219,15 +219,15 @@
 	return verdict.New(verdict.NotRun, CodeStoreUnavailable, "an earlier write of this term came late")
 }
 
-// settle reads the sequence after a lost answer. A transaction that is still
+// readSequence reads the sequence after a lost answer. A transaction that is still
 // on its way holds on a revision that the next write replaces.
-func (t *Term) settle(ctx context.Context) error {
+func (t *Term) readSequence(ctx context.Context) error {
 	item, _, err := t.store.Get(ctx, keySequence, false)
 	if err != nil {
 		return err
 	}
 	t.sequence = item.Revision
-	t.unsure = false
+	t.lastWriteUnknown = false
 	return nil
 }
 
@@ -299,7 +299,7 @@
 	defer cancel()
 	snap := Snapshot{Waves: map[int]WaveProgress{}}
 	var items, progress, waves []Item
-	err := together(
+	err := runConcurrently(
 		func() (err error) { items, snap.Revision, err = RangeAll(ctx, s, PrefixJobs, false); return err },
 		func() (err error) { progress, _, err = RangeAll(ctx, s, prefixProgress, false); return err },
 		func() (err error) { waves, _, err = RangeAll(ctx, s, prefixWaves, false); return err },
@@ -311,12 +311,12 @@
 	for _, i := range waves {
 		n, err := strconv.Atoi(i.Key[len(prefixWaves):])
 		if err != nil {
-			snap.refuse(i, fmt.Errorf("key %s: %w", i.Key, err))
+			snap.addRefused(i, fmt.Errorf("key %s: %w", i.Key, err))
 			continue
 		}
 		p, err := decode[WaveProgress](i)
 		if err != nil {
-			snap.refuse(i, err)
+			snap.addRefused(i, err)
 			continue
 		}
 		snap.Waves[n] = p
@@ -324,12 +324,12 @@
 	return snap, nil
 }
 
-func (s *Snapshot) refuse(i Item, err error) {
+func (s *Snapshot) addRefused(i Item, err error) {
 	s.Refused = append(s.Refused, RefusedEntry{i.Key, i.Revision, err})
 }
 
-// together calls functions at the same time and returns their errors.
-func together(calls ...func() error) error {
+// runConcurrently calls functions at the same time and returns their errors.
+func runConcurrently(calls ...func() error) error {
 	errs := make([]error, len(calls))
 	var wg sync.WaitGroup
 	for i, call := range calls {
@@ -343,21 +343,21 @@
 // these cannot be read is left out: what of it was done is not known, and nothing may run
 // twice.
 func (s *Snapshot) assemble(items, progress []Item) {
-	kept := map[job.ID]Item{}
+	progressByJob := map[job.ID]Item{}
 	for _, i := range progress {
-		kept[idOf(i.Key, prefixProgress)] = i
+		progressByJob[idOf(i.Key, prefixProgress)] = i
 	}
 	cancelled := map[job.ID]bool{}
 	for _, i := range items {
 		ch, ok, err := DecodeChange(i)
 		switch {
 		case err != nil:
-			s.refuse(i, err)
+			s.addRefused(i, err)
 		case !ok:
 		case ch.Submitted == nil:
 			cancelled[ch.Cancelled] = true
 		default:
-			s.addJob(&ch, kept)
+			s.addJob(&ch, progressByJob)
 		}
 	}
 	for n := range s.Jobs {
@@ -365,17 +365,17 @@
 	}
 }
 
-func (s *Snapshot) addJob(ch *Change, kept map[job.ID]Item) {
+func (s *Snapshot) addJob(ch *Change, progressByJob map[job.ID]Item) {
 	l := owner.Loaded{Job: ch.Submitted}
 	if ch.Ended != nil {
 		l.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
-	} else if i, found := kept[ch.Submitted.ID]; found {
+	} else if i, found := progressByJob[ch.Submitted.ID]; found {
 		p, err := decode[job.Progress](i)
 		if err == nil {
 			err = p.Validate(ch.Submitted)
 		}
 		if err != nil {
-			s.refuse(i, err)
+			s.addRefused(i, err)
 			return
 		}
 		l.Progress = &p
