--- a/jobs/owner/attempts_test.go
+++ b/jobs/owner/attempts_test.go
@@ -10,13 +10,13 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// TestFailedTaskRetriesOnAnotherWorker: attempts are few, and the fault may have been
-// the worker's. If the others have no room the task waits for a while.
+// TestFailedTaskRetriesOnAnotherWorker checks that a failed task waits a while for capacity on
+// another worker: attempts are limited, and the fault may be the worker's.
 func TestFailedTaskRetriesOnAnotherWorker(t *testing.T) {
 	r := newRig(t, 1)
 	bad, good := r.worker("a"), r.worker("b")
 	r.answerHold(bad, nil)
-	j := r.submit(1, 1) // goes to a, the only one that was heard of
+	j := r.submit(1, 1) // placed on a, the only worker known so far
 	first := r.confirmStarts()
 	require.Len(t, first, 1)
 	require.Equal(t, bad, first[0].Worker)
@@ -37,7 +37,7 @@
 		r.answerHold(bad, nil)
 		r.answerHold(good, busy)
 	}
-	require.Empty(t, r.confirmStarts(), "it would fail again on the same worker")
+	require.Empty(t, r.confirmStarts(), "not started again on the worker where it failed")
 	r.answerHold(good, nil, RunEnd{Seq: 1, Task: filling[0].Task, Run: filling[0].Run, Kind: EndDone})
 	r.tick(100 * time.Millisecond)
 	again := r.confirmStarts()
@@ -46,12 +46,10 @@
 	assert.Equal(t, good, again[0].Worker)
 }
 
-// Seen: in the soak (seed 41001) a worker that failed all for 0.7 s used up the three attempts of
-// a task in 0.6 s, and an accepted job was shown as failed. How: its pool had no other worker, so
-// that there was nowhere else to wait for, and the task went back at once.
-//
-// TestSecondFailureOnSameWorkerDelaysRetry: attempts on the only worker are spread over the time for
-// which a task that failed would wait for another one.
+// TestSecondFailureOnSameWorkerDelaysRetry guards against using up all attempts on one faulty
+// worker: in a pool with a single worker that failed everything for 0.7 s, a task used up its
+// three attempts within 0.6 s and its job failed (soak, seed 41001). There was no other worker
+// to wait for, so the task was started again at once.
 func TestSecondFailureOnSameWorkerDelaysRetry(t *testing.T) {
 	r := newRig(t, 1)
 	c := *r.core.catalog
@@ -67,7 +65,7 @@
 		r.tick(100 * time.Millisecond)
 	}
 	r.tick(otherWorkerWait - 200*time.Millisecond)
-	assert.Empty(t, r.confirmStarts(), "the last attempt is not spent at once")
+	assert.Empty(t, r.confirmStarts(), "the last attempt is delayed")
 	r.tick(200 * time.Millisecond)
 	assert.Len(t, r.confirmStarts(), 1)
 }
--- a/jobs/owner/copies_test.go
+++ b/jobs/owner/copies_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWaitingTasksGoBeforeCopies: a task that takes long gets a copy only where
-// no task waits for room.
+// TestWaitingTasksGoBeforeCopies checks that a slow task gets no copy while another task waits
+// for capacity.
 func TestWaitingTasksGoBeforeCopies(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
@@ -27,14 +27,14 @@
 	if first[0].Worker == b {
 		other = a
 	}
-	filling := simpleJob(2, 15) // all the room that is left, 15 of 16 cores
+	filling := simpleJob(2, 15) // the remaining 15 of 16 cores
 	r.core.Submit(filling, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
 	running := r.confirmStarts()
 	require.Len(t, running, 15)
 	waiting := simpleJob(3, 1)
-	waiting.Steps[0].Need.CPUMilli = 8000 // needs a whole worker
+	waiting.Steps[0].Need.CPUMilli = 8000 // needs an empty worker
 	r.core.Submit(waiting, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
@@ -49,7 +49,7 @@
 		}
 		return out
 	}
-	for i := range 50 { // 5 s: the first task lags; no task stands still
+	for i := range 50 { // 5 s: the first task is slow, but no task stalls
 		r.tick(100 * time.Millisecond)
 		r.answerHold(a, on(a, Start{}, 10+i))
 		r.answerHold(b, on(b, Start{}, 10+i))
@@ -62,5 +62,5 @@
 	}
 	r.answerHold(other, on(other, ended, 90), RunEnd{Seq: 1, Task: ended.Task, Run: ended.Run, Kind: EndDone})
 	r.tick(100 * time.Millisecond)
-	assert.Empty(t, r.confirmStarts(), "one core is free, and a task waits for eight")
+	assert.Empty(t, r.confirmStarts(), "one core is free, but a task waits for eight")
 }
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -12,14 +12,14 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// failConnection breaks the connections to a worker.
+// failConnection fails the hold of a worker with a broken connection.
 func (r *rig) failConnection(id WorkerID) {
 	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Unanswered, Err: errors.New("refused"), ConnFailed: true}}, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
 }
 
-// restartAs lets a new life of the worker's instance answer.
+// restartAs has the worker's instance answer as a new worker with the given id.
 func (r *rig) restartAs(id WorkerID, as string) WorkerID {
 	for n := range r.inst {
 		if r.inst[n].Worker == id {
@@ -36,21 +36,22 @@
 	return WorkerID(as)
 }
 
-// crashAndRestart lets a worker go down and come back.
+// crashAndRestart has a worker crash and come back under a new id.
 func (r *rig) crashAndRestart(id WorkerID, as string) WorkerID {
 	r.failConnection(id)
 	r.tick(100 * time.Millisecond)
 	return r.restartAs(id, as)
 }
 
-// addWorkers registers addWorkers that answer. Tasks go to the first one with room.
+// addWorkers registers workers that answer. Tasks go to the first one with capacity.
 func (r *rig) addWorkers(names ...string) {
 	for _, n := range names {
 		r.answerHold(r.worker(n), nil)
 	}
 }
 
-// awaitStarts lets all workers but some answer until something is started.
+// awaitStarts advances the time until something is started, for d at most. All workers answer
+// except those in except, whose connections fail.
 func (r *rig) awaitStarts(d time.Duration, except ...WorkerID) []Start {
 	for range d / (100 * time.Millisecond) {
 		if out := r.confirmStarts(); len(out) > 0 {
@@ -64,7 +65,8 @@
 	return r.confirmStarts()
 }
 
-// answerHolds lets all workers but some answer, with what was started there, for a while.
+// answerHolds advances the time by d. All workers except those in except answer holds and list
+// their runs among running.
 func (r *rig) answerHolds(d time.Duration, running []Start, except ...WorkerID) {
 	for range d / (100 * time.Millisecond) {
 		r.tick(100 * time.Millisecond)
@@ -83,6 +85,7 @@
 	}
 }
 
+// startsOf returns the starts of the job's tasks.
 func startsOf(starts []Start, j *job.Job) []Start {
 	var out []Start
 	for _, s := range starts {
@@ -93,9 +96,9 @@
 	return out
 }
 
-// TestSuspectsAreIsolated: what ran on a worker that crashed as they started goes to workers
-// of its own, and nothing else goes there until it has settled. A second crash convicts one
-// task; the other is cleared and its job is done.
+// TestSuspectsAreIsolated checks that two tasks on a worker that crashed at their start are
+// started on separate workers, and that nothing else is placed there. After a second crash one
+// task is given up and its job fails; the other goes on.
 func TestSuspectsAreIsolated(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
@@ -107,25 +110,25 @@
 
 	again := r.confirmStarts()
 	require.Len(t, again, 2)
-	assert.NotEqual(t, again[0].Worker, again[1].Worker, "suspects are kept apart from each other")
+	assert.NotEqual(t, again[0].Worker, again[1].Worker, "suspects are isolated from each other")
 	third := r.submit(3, 1)
 	other := r.confirmStarts()
 	require.Len(t, other, 1)
 	require.Equal(t, third.ID, other[0].Task.Job)
-	assert.NotContains(t, []WorkerID{again[0].Worker, again[1].Worker}, other[0].Worker, "and from others")
+	assert.NotContains(t, []WorkerID{again[0].Worker, again[1].Worker}, other[0].Worker, "suspects are isolated from other jobs")
 
 	r.crashAndRestart(startsOf(again, bad)[0].Worker, "once more")
 	r.answerHolds(time.Second, append(startsOf(again, good), other...))
 	state, _ := r.core.State(bad.ID)
-	assert.Equal(t, job.Running, state, "it is shown as failed once that is recorded")
+	assert.Equal(t, job.Running, state, "the failure is reported only once it is stored")
 	assert.Equal(t, job.Failed, r.core.jobs[bad.ID].state)
 	assert.Empty(t, r.confirmStarts(), "nothing is started again")
-	assert.Equal(t, job.Queued, r.core.jobs[good.ID].state, "the other is not given up")
-	assert.NotNil(t, r.core.jobs[good.ID].steps[0].tasks[0].activeRun(), "it runs on")
+	assert.Equal(t, job.Queued, r.core.jobs[good.ID].state, "the other job has not failed")
+	assert.NotNil(t, r.core.jobs[good.ID].steps[0].tasks[0].activeRun(), "its task goes on")
 }
 
-// TestCrashConfirmedAfterLeaseExpiry: the lease of a silent worker ends, its task starts elsewhere, and only
-// then it is known that it had crashed.
+// TestCrashConfirmedAfterLeaseExpiry: the lease of a silent worker expires and its task starts
+// elsewhere before it is known that the worker had crashed. The crash has to count all the same.
 func TestCrashConfirmedAfterLeaseExpiry(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
@@ -134,7 +137,7 @@
 	require.Len(t, first, 1)
 	r.failConnection(first[0].Worker)
 	second := r.awaitStarts(6*time.Second, first[0].Worker)
-	require.Len(t, second, 1, "the lease is over")
+	require.Len(t, second, 1, "started again after the lease has expired")
 	r.restartAs(first[0].Worker, "again")
 	r.crashAndRestart(second[0].Worker, "once more")
 	r.answerHolds(time.Second, nil)
@@ -142,7 +145,8 @@
 	assert.Empty(t, r.confirmStarts())
 }
 
-// TestTaskWaitsWhileTwoLossesAreUndecided: while the fate of two workers is open the task waits.
+// TestTaskWaitsWhileTwoLossesAreUndecided: a task that may have crashed two workers is not
+// started a third time until it is known what became of them.
 func TestTaskWaitsWhileTwoLossesAreUndecided(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
@@ -162,8 +166,8 @@
 	assert.Empty(t, r.confirmStarts())
 }
 
-// TestLossesNotBlamedOnTasks: a rack or a zone that fails, a worker that drains, one that is
-// moved, and one that answers again hold nothing against the tasks that ran there.
+// TestLossesNotBlamedOnTasks checks that no crash is recorded if a rack or zone fails, a worker
+// drains, is moved, or answers again.
 func TestLossesNotBlamedOnTasks(t *testing.T) {
 	for name, lose := range map[string]func(r *rig, id WorkerID){
 		"a rack": func(r *rig, _ WorkerID) {
@@ -206,7 +210,7 @@
 	}
 }
 
-// crashTogether lets workers go down at the same moment and come back.
+// crashTogether has workers crash at the same time and come back under new ids.
 func (r *rig) crashTogether(lost ...WorkerID) {
 	r.publishLists()
 	for _, w := range lost {
@@ -218,8 +222,8 @@
 	}
 }
 
-// TestNewOwnerCountsRecordedCrashes: what was recorded as possible when contact was lost counts for
-// the next owner, whether it has ever heard of that worker or not.
+// TestNewOwnerCountsRecordedCrashes: a possible crash that was stored when contact was lost
+// counts for the next owner, even if that owner never hears of the worker.
 func TestNewOwnerCountsRecordedCrashes(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2")
@@ -239,8 +243,8 @@
 	assert.Empty(t, next.confirmStarts())
 }
 
-// TestNetworkCutIsNotRackFailure: a worker crashes while the way to all others is cut for a
-// while. They answer again, so that their rack has not failed, and the crash counts.
+// TestNetworkCutIsNotRackFailure: a worker crashes while the network to all others is cut. The
+// others answer again, so their racks have not failed and the crash counts.
 func TestNetworkCutIsNotRackFailure(t *testing.T) {
 	r := newRig(t, 1)
 	others := []WorkerID{"w1", "w2", "w3", "w4", "w5"}
@@ -269,8 +273,8 @@
 	assert.Equal(t, 1, crashes.Confirmed(), "%+v", crashes)
 }
 
-// TestUnansweredOrderIsNoCrash: an order that gets no answer in time says nothing against its task
-// as long as the worker's hold is under way; one the connection of which is refused does.
+// TestUnansweredOrderIsNoCrash: an order that times out while the worker's hold is in flight is
+// no possible crash of its task; an order whose connection fails is.
 func TestUnansweredOrderIsNoCrash(t *testing.T) {
 	for broken, open := range map[bool]int{false: 0, true: 1} {
 		r := newRig(t, 1)
@@ -283,12 +287,10 @@
 	}
 }
 
-// Seen: six workers crashed under one task (soak, seed 41017). How: the task crashed a worker, was
-// started again on the only other one of its rack, and crashed that 0.15 s later; both crashes
-// were put down to the rack.
-//
-// TestTaskCrashingItsRackIsBlamed: workers that one task has run on, one after the other, are no sign
-// of a failure of their rack.
+// TestTaskCrashingItsRackIsBlamed guards against blaming a rack for crashes by one task: a task
+// crashed a worker, was started again on the only other worker of the rack and crashed that one
+// 0.15 s later. Both crashes were taken for a rack failure, and the task crashed six workers
+// (soak, seed 41017).
 func TestTaskCrashingItsRackIsBlamed(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2")
@@ -300,7 +302,7 @@
 	r.crashAndRestart(first[0].Worker, "again")
 	second := r.confirmStarts()
 	require.Len(t, second, 1)
-	require.Equal(t, WorkerID("w1"), second[0].Worker, "its rack mate")
+	require.Equal(t, WorkerID("w1"), second[0].Worker, "in the same rack")
 	r.crashAndRestart(second[0].Worker, "again too")
 	r.answerHolds(time.Second, nil)
 	assert.Equal(t, 2, r.core.jobs[j.ID].steps[0].tasks[0].crashes.Confirmed())
--- a/jobs/owner/cutoff_test.go
+++ b/jobs/owner/cutoff_test.go
@@ -9,16 +9,15 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen: five of eight workers are cut off for good and stay registered; their tasks are never
-// started elsewhere, though the other three answer each hold at once and are idle. With four
-// of seven they are, after 4.3 s. A new owner likewise never starts what it inherits. How: as
-// over half of the workers, and five, are silent, the owner takes itself for overloaded at each
-// tick, without an end; while it does no lease counts as over, each hold that is sent into the
-// cut extends the lease that has to end, and the takeover of a service with an unheard
-// instance waits. Cause: the judgement has no limit in time and does not ask whether the owner
-// keeps up with those that do answer. Proved by the same rig with one worker less.
+// Guards against an owner that takes itself for overloaded for ever. Five of eight workers were
+// partitioned for good but stayed registered; the other three answered at once. Since more than
+// half of the workers, and at least five, were silent, the owner counted the silence as its own
+// overload at each tick: no lease expired, each hold sent into the partition extended a lease,
+// and a new owner's takeover waited for instances that never answered. The judgement had no time
+// limit and ignored that the owner kept up with the workers that did answer. With four of seven
+// workers silent the tasks started elsewhere after 4.3 s.
 
-// partitionedRig has five workers that are cut off, and three that are idle.
+// partitionedRig returns a rig with five partitioned and three idle workers.
 func partitionedRig(t *testing.T, term uint64, loaded ...Loaded) (r *rig, partitioned, healthy []WorkerID) {
 	r = newRig(t, term, loaded...)
 	for i := range 5 {
@@ -30,7 +29,8 @@
 	return r, partitioned, healthy
 }
 
-// runPartitioned lets time pass in which the sound workers answer each hold at once.
+// runPartitioned advances the time by d while the healthy workers answer each hold at once and
+// the holds of the partitioned ones fail.
 func (r *rig) runPartitioned(d time.Duration, partitioned, healthy []WorkerID) {
 	for range d / (100 * time.Millisecond) {
 		for _, w := range partitioned {
@@ -47,7 +47,8 @@
 	}
 }
 
-// TestMostOfSmallFleetPartitioned: what ran there goes on elsewhere, some leases later at most.
+// TestMostOfSmallFleetPartitioned checks that the tasks of partitioned workers start elsewhere
+// within some lease times.
 func TestMostOfSmallFleetPartitioned(t *testing.T) {
 	const longEnough = 8 * rigLease
 	t.Run("what ran there", func(t *testing.T) {
--- a/jobs/owner/freeindex_test.go
+++ b/jobs/owner/freeindex_test.go
@@ -13,7 +13,7 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// randomWorkers are workers of a service with tasks on them, of two sizes, in four racks.
+// randomWorkers returns workers of one service with random load, of two sizes and in four racks.
 func randomWorkers(r *rand.Rand, n int, now time.Time) []*worker {
 	out := make([]*worker, n)
 	for i := range out {
@@ -33,6 +33,7 @@
 	return out
 }
 
+// newIndex returns a free index of the workers.
 func newIndex(workers []*worker) *freeIndex {
 	x := &freeIndex{}
 	for _, w := range workers {
@@ -41,6 +42,7 @@
 	return x
 }
 
+// placementViews returns the workers as the placement package sees them.
 func placementViews(workers []*worker, now time.Time) []placement.Worker {
 	out := make([]placement.Worker, len(workers))
 	for i, w := range workers {
@@ -49,7 +51,8 @@
 	return out
 }
 
-// TestFreeIndexChoosesLikeScan compares choices on random fleets with random requests.
+// TestFreeIndexChoosesLikeScan checks on random fleets and requests that the free index chooses
+// the same worker as placement.Choose over all workers.
 func TestFreeIndexChoosesLikeScan(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	for seed := range uint64(300) {
@@ -79,7 +82,7 @@
 	}
 }
 
-// BenchmarkChoose compares a choice by the index with one that looks at all workers.
+// BenchmarkChoose compares choosing by the free index with scanning all workers.
 func BenchmarkChoose(b *testing.B) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	req := placement.Request{Need: job.Resources{CPUMilli: 4500, MemMB: 16000}}
--- a/jobs/owner/fulllink_test.go
+++ b/jobs/owner/fulllink_test.go
@@ -9,19 +9,18 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Seen: of an owner's 132 workers, 30 to 45 of 100 seem silent at a time for half a minute,
-// 476 leases lapse, long-running tasks end with them beyond what may be away, and others
-// start a second time. How: the owner's link of 2 Mbit/s is full. What it sends and reads
-// waits for over a second; holds are given up, and as fewer than half of the workers seem
-// silent at once the owner takes each by itself for gone. What proved it: the owner used
-// three quarters of its processor at most, 1,249 starts went unanswered, and all of it
-// ended as soon as lists took no part of the link any more.
+// Guards against treating a full network link as worker failures. When an owner's link of
+// 2 Mbit/s was full, sends and reads waited for over a second and holds timed out: for half a
+// minute 30 to 45% of its 132 workers seemed silent at a time. As these were fewer than half, the
+// owner took each one for lost: 476 leases lapsed, long-running tasks ended beyond their
+// disruption budgets and other tasks were started twice. The processor was not the cause: at most
+// three quarters of it were used while 1,249 starts went unanswered, and all of this ended once
+// run lists no longer used the link.
 
-// fullLinkLatency is how long an order takes to a worker that can be reached over a link that
-// is full.
+// fullLinkLatency is the latency of an order over a full link.
 const fullLinkLatency = 300 * time.Millisecond
 
-// startedSlowly answers all starts so far, late.
+// startedSlowly confirms all starts sent so far with the latency of a full link.
 func (r *rig) startedSlowly() []Start {
 	out := r.out.Starts
 	r.out.Starts = nil
@@ -32,9 +31,8 @@
 	return out
 }
 
-// TestFullLinkIsNotWorkerSilence: while the answers that come have taken long, a third of the
-// workers may seem silent though they work. Their leases are renewed, and what runs there is
-// not started again.
+// TestFullLinkIsNotWorkerSilence checks that while answers are slow the leases of silent workers
+// are renewed, if they are a third of all, and their tasks are not started again.
 func TestFullLinkIsNotWorkerSilence(t *testing.T) {
 	const workers, silent = 30, 10
 	r := newRig(t, 1)
@@ -57,10 +55,10 @@
 				r.answerHold(w, r.runsOn(w))
 			}
 		}
-		if n%5 == 0 { // short work goes on elsewhere
+		if n%5 == 0 { // short jobs run on the other workers
 			r.submit(2+n, 1)
 			for _, s := range r.startedSlowly() {
-				require.NotEqual(t, first.ID, s.Task.Job, "what may run is not started again")
+				require.NotEqual(t, first.ID, s.Task.Job, "tasks that may still run are not started again")
 			}
 		}
 		r.tick(100 * time.Millisecond)
@@ -76,15 +74,13 @@
 	}
 }
 
-// Seen: after the lists had left the link, 28 and 54 leases lapsed in two of three plays of the
-// same day (AVAIL 17 and 16). How: for three seconds no answer at all came over the owner's
-// link, so that no answer told that it was full; 92 of 132 workers seemed silent, 32 of them
-// lives that were over. When the link was free again the holds that it sent did not renew
-// the leases of silent workers, which ended half a second later. What proved it: the owner's
-// log has 51 and 24 workers silent and 33 and 40 starts unanswered in two seconds, and no
-// line on a full link.
-//
-// TestUnansweredStartsIndicateFullLink: starts without any answer tell of it, too.
+// TestUnansweredStartsIndicateFullLink checks that starts without any answer indicate a full
+// link too. For three seconds no answer arrived over an owner's link, so no slow answer showed
+// that the link was full; 92 of 132 workers seemed silent, 32 of them incarnations that had
+// ended. Once the link was free, holds did not renew the leases of silent workers, and 28 and 54
+// of them lapsed half a second later in two of three runs of the same day (AVAIL 17 and 16). The
+// owner's log showed 51 and 24 silent workers, 33 and 40 unanswered starts within two seconds, and
+// no line about a full link.
 func TestUnansweredStartsIndicateFullLink(t *testing.T) {
 	const workers, silent = 30, 12
 	r := newRig(t, 1)
@@ -96,7 +92,7 @@
 	}
 	first := r.submit(1, 7*workers)
 	require.Len(t, r.confirmStarts(), 7*workers)
-	r.submit(2, 24) // on its way when the link fills
+	r.submit(2, 24) // in flight when the link becomes full
 	lost := r.out.Starts
 	r.out.Starts = nil
 	r.tick(OrderTimeout)
@@ -122,7 +118,8 @@
 	}
 }
 
-// TestSilenceOnFreeLinkEndsLeases: the same silence counts if answers come at once.
+// TestSilenceOnFreeLinkEndsLeases checks that a silent worker's leases expire if other answers
+// arrive without delay.
 func TestSilenceOnFreeLinkEndsLeases(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
@@ -139,5 +136,5 @@
 		}
 		r.tick(100 * time.Millisecond)
 	}
-	assert.Empty(t, r.core.workers[a].runs, "the leases there have ended")
+	assert.Empty(t, r.core.workers[a].runs, "the lease has expired")
 }
--- a/jobs/owner/latestart_test.go
+++ b/jobs/owner/latestart_test.go
@@ -10,7 +10,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// takeStops returns the orders to stop the task so far and forgets them.
+// takeStops returns the stops ordered for the task so far and discards all stops.
 func (r *rig) takeStops(id job.TaskID) []Stop {
 	var out []Stop
 	for _, s := range r.out.Stops {
@@ -22,8 +22,8 @@
 	return out
 }
 
-// unansweredStart submits a job and lets both tries of its start go unanswered; the
-// worker carries the order out when the test says so.
+// unansweredStart submits a job whose start and its retry go unanswered. The worker may still
+// receive the order later.
 func (r *rig) unansweredStart(n int) (*job.Job, Start) {
 	j := r.submit(n, 1)
 	first := r.out.Starts
@@ -31,13 +31,13 @@
 	r.out.Starts = nil
 	r.core.OnStarted(first[0], Answer{Outcome: Unanswered}, r.now)
 	r.collectEffects()
-	require.Len(r.t, r.out.Starts, 1, "it is sent again with the same run")
+	require.Len(r.t, r.out.Starts, 1, "the start is retried with the same run number")
 	r.out.Starts = nil
 	return j, first[0]
 }
 
-// TestLateStartOfCancelledJobIsStopped: the job is cancelled while the order for its
-// task is on its way; the worker carries it out seconds later.
+// TestLateStartOfCancelledJobIsStopped: a job is cancelled while the start of its task is in
+// flight, and the worker executes the start seconds later.
 func TestLateStartOfCancelledJobIsStopped(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
@@ -45,27 +45,27 @@
 	j, start := r.unansweredStart(1)
 	r.core.Cancel(j.ID, r.now)
 	r.collectEffects()
-	require.NotEmpty(t, r.takeStops(start.Task), "the run is fenced off at once, whether it began or not")
-	for range 6 { // neither order arrives; the worker answers holds
+	require.NotEmpty(t, r.takeStops(start.Task), "the run is stopped at once, whether it has started or not")
+	for range 6 { // neither start nor stop arrives; the worker answers holds
 		r.tick(500 * time.Millisecond)
 		r.answerHold(a, nil)
 	}
 	r.takeStops(start.Task)
 	r.tick(time.Second)
-	assert.NotEmpty(t, r.takeStops(start.Task), "a stop that was not answered is sent until it is")
+	assert.NotEmpty(t, r.takeStops(start.Task), "an unanswered stop is sent again")
 
-	r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run}}) // the start came late
+	r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run}}) // the start arrived late
 	r.tick(time.Second)
 	require.NotEmpty(t, r.takeStops(start.Task))
 	stop := Stop{Target: start.Target, Task: start.Task, Run: start.Run}
 	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: start.Task, Run: start.Run, Kind: EndStopped})
 	r.tick(2 * time.Second)
-	assert.Empty(t, r.takeStops(start.Task), "it is gone")
+	assert.Empty(t, r.takeStops(start.Task), "no stop after the run has ended")
 }
 
-// TestLateStartAfterAnsweredStopIsStopped: the run was given up for certain, its stop was
-// answered, and all the same the worker lists it later.
+// TestLateStartAfterAnsweredStopIsStopped: the run's stop was answered and the run dropped, but
+// the worker lists it later.
 func TestLateStartAfterAnsweredStopIsStopped(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
@@ -79,16 +79,16 @@
 		r.answerHold(a, nil)
 	}
 	r.takeStops(start.Task)
-	for range 3 { // as often as it is listed
+	for range 3 { // a stop each time it is listed
 		r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run}})
 		assert.NotEmpty(t, r.takeStops(start.Task))
 		r.tick(600 * time.Millisecond)
 	}
 }
 
-// TestLateStartByPreviousOwnerIsStopped: the owner that sent the order is gone, the next
-// one knows the job as cancelled, and the worker, which has not heard of the new owner
-// when the order arrives, lists the run to it.
+// TestLateStartByPreviousOwnerIsStopped: a start of the previous owner reaches the worker before
+// it has heard of the new owner, which knows the job as cancelled or ended. The worker then
+// lists the run to the new owner.
 func TestLateStartByPreviousOwnerIsStopped(t *testing.T) {
 	for name, loaded := range map[string]Loaded{
 		"cancelled":          {Job: simpleJob(1, 1), Cancelled: true},
@@ -99,30 +99,30 @@
 			r := newRig(t, 2, loaded)
 			a := r.worker("a")
 			task := job.TaskID{Job: loaded.Job.ID}
-			r.answerHold(a, nil) // nothing runs there yet
+			r.answerHold(a, nil) // nothing runs yet
 			r.tick(2 * time.Second)
 			r.answerHold(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
 			require.NotEmpty(t, r.takeStops(task))
 			r.tick(time.Second)
-			assert.NotEmpty(t, r.takeStops(task), "until it is answered")
+			assert.NotEmpty(t, r.takeStops(task), "sent again until it is answered")
 		})
 	}
 }
 
-// TestCancellationAcrossTakeover: the order is late, its sender removed, and the
+// TestCancellationAcrossTakeover: a start of the previous owner arrives late, and the
 // cancellation reaches the new owner only after the worker has listed the run.
 func TestCancellationAcrossTakeover(t *testing.T) {
 	r := newRig(t, 2, Loaded{Job: simpleJob(1, 1)})
 	a := r.worker("a")
 	task := job.TaskID{Job: simpleJob(1, 1).ID}
 	r.answerHold(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
-	require.Empty(t, r.takeStops(task), "it is adopted")
+	require.Empty(t, r.takeStops(task), "the run is adopted")
 	r.core.Cancel(task.Job, r.now)
 	r.collectEffects()
 	require.NotEmpty(t, r.takeStops(task))
 
-	// The job itself is not known yet: its run is a stranger's, and stopped as soon as
-	// the cancelled job is heard of.
+	// The job is not known yet, so its run is unknown too; it is stopped once the cancelled
+	// job becomes known.
 	b := r.worker("b")
 	late := job.TaskID{Job: simpleJob(2, 1).ID}
 	r.answerHold(b, []ActiveRun{{Task: late, Run: runsPerTerm + 2}})
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -10,8 +10,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// fullWorker returns a rig with one worker of 8 cores that a job's eight tasks
-// fill, and the worker's list of them.
+// fullWorker returns a rig with one worker of 8 cores, filled by eight tasks of a job in the
+// given queue, and the worker's list of their runs.
 func fullWorker(t *testing.T, queue string) (*rig, WorkerID, []ActiveRun) {
 	r := newRig(t, 1)
 	r.core.catalog.Queues = append(r.core.catalog.Queues,
@@ -31,7 +31,7 @@
 	return r, a, active
 }
 
-// advance lets time advance while the worker answers, and its tasks go on.
+// advance advances the time while the worker answers holds and its tasks make progress.
 func (r *rig) advance(d time.Duration, id WorkerID, active []ActiveRun) {
 	for end := r.now.Add(d); r.now.Before(end); {
 		r.tick(100 * time.Millisecond)
@@ -42,6 +42,7 @@
 	}
 }
 
+// withoutTask returns the list without the runs of the task.
 func withoutTask(active []ActiveRun, task job.TaskID) []ActiveRun {
 	var out []ActiveRun
 	for _, x := range active {
@@ -52,8 +53,8 @@
 	return out
 }
 
-// TestLongRunningTaskPreemptsOneTask: on a full worker it gets the room of one task
-// that ends by itself, and no other waiting task takes that room meanwhile.
+// TestLongRunningTaskPreemptsOneTask checks that a long-running task on a full worker preempts
+// exactly one task that ends by itself, and that no other waiting task gets the capacity.
 func TestLongRunningTaskPreemptsOneTask(t *testing.T) {
 	r, a, active := fullWorker(t, "q")
 	longRunning := simpleJob(2, 1)
@@ -61,9 +62,9 @@
 	r.core.Submit(longRunning, r.now)
 	r.core.Submit(simpleJob(3, 1), r.now)
 	r.advance(preemptDelayLongRunning/2, a, active)
-	require.Empty(t, r.out.Stops, "most get room sooner by themselves")
+	require.Empty(t, r.out.Stops, "no preemption before preemptDelayLongRunning")
 	r.advance(preemptDelayLongRunning, a, active)
-	require.Len(t, r.out.Stops, 1, "one task is in the way")
+	require.Len(t, r.out.Stops, 1, "one task is enough")
 	stop := r.out.Stops[0]
 	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
 	r.answerHold(a, withoutTask(active, stop.Task), RunEnd{Seq: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
@@ -73,6 +74,8 @@
 	assert.Equal(t, longRunning.ID, starts[0].Task.Job)
 }
 
+// TestHigherPriorityPreemptsLower checks that as many tasks of lower priority are stopped as the
+// task needs.
 func TestHigherPriorityPreemptsLower(t *testing.T) {
 	r, a, active := fullWorker(t, "batch")
 	urgent := simpleJob(2, 1)
@@ -80,7 +83,7 @@
 	urgent.AcceptedAt = r.now
 	r.core.Submit(urgent, r.now)
 	r.advance(2*preemptDelay, a, active)
-	require.Len(t, r.out.Stops, 2, "two tasks of a core each make room for two cores")
+	require.Len(t, r.out.Stops, 2, "two tasks of one core each are stopped for a task of two cores")
 }
 
 func TestEqualPriorityIsNotPreempted(t *testing.T) {
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -10,7 +10,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// setTenantLimit gives tenant t a setTenantLimit of so many cores.
+// setTenantLimit configures tenant t with a limit in cores, and a second service.
 func (r *rig) setTenantLimit(cores int) {
 	c := *r.core.catalog
 	c.Tenants = []job.Tenant{{Name: "t", Limit: job.Resources{CPUMilli: 1000 * cores}}}
@@ -19,13 +19,14 @@
 	r.core.Configure(&c)
 }
 
-// tenantJob returns a job tenantJob tenant t with so many tasks tenantJob a core.
+// tenantJob returns a job of tenant t with count tasks of one core.
 func tenantJob(n, count int, queue string) *job.Job {
 	j := simpleJob(n, count)
 	j.Tenant, j.Queue = "t", queue
 	return j
 }
 
+// submitAll submits the jobs and collects the effects.
 func (r *rig) submitAll(list ...*job.Job) {
 	for _, j := range list {
 		r.core.Submit(j, r.now)
@@ -34,9 +35,9 @@
 	r.collectEffects()
 }
 
-// TestTenantLimit: it holds over all services, for starts without an answer, for copies, and
-// for runs that are being stopped; what ends lets the next one go at once, elsewhere too; and
-// others do not wait behind it.
+// TestTenantLimit checks that the limit spans services and counts unanswered starts and runs
+// that are being stopped, that the end of a run lets a task start at once in another service,
+// and that jobs without a limit do not wait.
 func TestTenantLimit(t *testing.T) {
 	r := newRig(t, 1)
 	r.setTenantLimit(3)
@@ -49,21 +50,21 @@
 	r.submitAll(one, two, simpleJob(3, 4))
 	starts := r.out.Starts
 	require.Len(t, startsOf(starts, two), 2)
-	require.Len(t, startsOf(starts, one), 1, "no start is answered yet, all count")
-	assert.Len(t, starts, 3+4, "others run")
-	assert.Zero(t, r.core.pool("s").waitingCores, "what its tenant may not run asks for no instances")
+	require.Len(t, startsOf(starts, one), 1, "unanswered starts count")
+	assert.Len(t, starts, 3+4, "jobs of other tenants run")
+	assert.Zero(t, r.core.pool("s").waitingCores, "tasks beyond the limit are no demand for instances")
 	r.confirmStarts()
 
 	r.core.Cancel(two.ID, r.now)
 	r.tick(50 * time.Millisecond)
-	assert.Empty(t, r.confirmStarts(), "what is being stopped counts")
+	assert.Empty(t, r.confirmStarts(), "runs that are being stopped count")
 	ended := startsOf(starts, two)[0]
 	r.answerHold(ended.Worker, nil, RunEnd{Seq: 1, Task: ended.Task, Run: ended.Run, Kind: EndStopped})
-	assert.Len(t, startsOf(r.confirmStarts(), one), 1, "in the other service")
+	assert.Len(t, startsOf(r.confirmStarts(), one), 1, "started in the other service")
 }
 
-// TestTenantLimitCountsLostWorkers: what ran on a worker that is silent counts until its lease
-// is over.
+// TestTenantLimitCountsLostWorkers checks that runs on a silent worker count until its lease has
+// expired.
 func TestTenantLimitCountsLostWorkers(t *testing.T) {
 	r := newRig(t, 1)
 	r.setTenantLimit(2)
@@ -83,8 +84,8 @@
 	assert.Len(t, again, 2)
 }
 
-// TestTenantLimitAfterTakeover: until it is known what an earlier owner started, all that
-// it may have counts. A tenant far below its limit does not wait for that.
+// TestTenantLimitAfterTakeover checks that everything an earlier owner may have started counts
+// until it is known what runs, and that a tenant far below its limit does not wait for that.
 func TestTenantLimitAfterTakeover(t *testing.T) {
 	for cores, starts := range map[int]int{3: 1, 2: 0} {
 		old := tenantJob(1, 2, "q")
@@ -92,7 +93,7 @@
 		r.setTenantLimit(cores)
 		r.worker("w0")
 		r.addWorkers("w1")
-		r.tick(submitHandoverWindow + 100*time.Millisecond) // from then on jobs are not inherited
+		r.tick(submitHandoverWindow + 100*time.Millisecond) // jobs accepted later are not inherited
 		r.submitAll(tenantJob(2, 1, "q"))
 		running := r.confirmStarts()
 		require.Len(t, running, starts, "limit %d", cores)
@@ -104,9 +105,8 @@
 	}
 }
 
-// TestJobsOverShareComeLast: a tenant that sends ten times its share does not make others late:
-// what lies beyond it comes after all that is within, whoever came first, and takes no room
-// away from others.
+// TestJobsOverShareComeLast: a tenant sends ten times its share while all workers are full. Its
+// jobs over the share are placed after all jobs within a share, although they came first.
 func TestJobsOverShareComeLast(t *testing.T) {
 	r := newRig(t, 1)
 	c := *r.core.catalog
@@ -124,10 +124,10 @@
 	modest.Tenant, modest.AcceptedAt = "modest", r.now.Add(100*time.Millisecond)
 	r.tick(100 * time.Millisecond)
 	r.core.Submit(modest, r.now)
-	w := r.worker("w0") // of eight cores
+	w := r.worker("w0") // eight cores
 	r.answerHold(w, nil)
 	r.tick(50 * time.Millisecond)
 	starts := r.confirmStarts()
 	require.Len(t, starts, 8)
-	assert.Len(t, startsOf(starts[:4], modest), 2, "right after the two jobs that are the other's share")
+	assert.Len(t, startsOf(starts[:4], modest), 2, "placed after the two jobs within the greedy tenant's share")
 }
