--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -14,7 +14,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// keepLease holds a lease in the store, and this daemon's entry under it.
+// keepLease holds a lease in the store, and this daemon's member entry attached to it.
 func (n *Node) keepLease(ctx context.Context) {
 	for ctx.Err() == nil {
 		switch {
@@ -29,8 +29,8 @@
 	}
 }
 
-// leaseInterval returns the time until the lease is next asked for or renewed: soon
-// if the last call failed, so that a lost answer does not cost the lease.
+// leaseInterval returns the time until the next attempt to get or renew the lease. It is
+// short after a failed call, so that one lost answer does not let the lease expire.
 func (n *Node) leaseInterval() time.Duration {
 	since := time.Duration(n.uptimeNanos() - n.leaseRenewedAt.Load())
 	if n.lease.Load() == 0 || since > renewInterval {
@@ -45,7 +45,7 @@
 	asked := n.uptimeNanos()
 	id, err := n.store.GrantLease(ctx, max(storeLease, n.settings.MinStoreLease))
 	if err != nil {
-		return // logged by storeFailed; asked again at once
+		return // logged by onStoreFailure; keepLease retries
 	}
 	n.writeMemberEntry(ctx, id)
 	n.leaseRenewedAt.Store(asked)
@@ -54,7 +54,7 @@
 	n.wakeElection()
 }
 
-// writeMemberEntry writes this daemon's entry under its lease.
+// writeMemberEntry writes this daemon's entry to the store, attached to its lease.
 func (n *Node) writeMemberEntry(ctx context.Context, id ledger.LeaseID) {
 	key := ledger.PrefixMembers + n.settings.Node
 	_, err := n.store.Commit(ctx, ledger.Txn{Puts: []ledger.Put{{Key: key, Value: ledger.EncodeMember(n.memberEntry()), Lease: id}}})
@@ -70,7 +70,7 @@
 	asked := n.uptimeNanos()
 	alive, err := n.store.KeepAlive(ctx, id)
 	switch {
-	case err != nil: // logged by storeFailed
+	case err != nil: // logged by onStoreFailure
 	case alive:
 		n.leaseRenewedAt.Store(asked)
 	default:
@@ -80,15 +80,15 @@
 	}
 }
 
-// endTermUnder ends the term under a lease that has ended: the lock went with it, whether
-// or not the watch of the lock has told so.
+// endTermUnder ends the term whose lock is attached to an expired lease. The store has
+// removed the lock with the lease, even if the watch has not reported that yet.
 func (n *Node) endTermUnder(id ledger.LeaseID) {
 	if t := n.term.Load(); t != nil && t.lease == id {
-		t.depose("its lease has ended")
+		t.depose("the lease of its lock has expired")
 	}
 }
 
-// pollMembers reads the list of live daemons from time to time.
+// pollMembers reads the list of live daemons every membersInterval.
 func (n *Node) pollMembers(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.listMembers(ctx)
@@ -99,13 +99,13 @@
 	}
 }
 
-// listMembers reads the list; it reports whether the store has told it.
+// listMembers reads the list of live daemons and reports whether that succeeded.
 func (n *Node) listMembers(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	items, _, err := ledger.RangeAll(ctx, n.store, ledger.PrefixMembers, true)
 	if err != nil || len(items) == 0 {
-		return false // logged by storeFailed; the old list is better than none
+		return false // logged by onStoreFailure; the old list stays in use
 	}
 	var list []ledger.Member
 	for _, i := range items {
@@ -121,8 +121,9 @@
 	return true
 }
 
-// yieldToFasterPeer gives the lock to a stronger daemon, if this one is the owner and has nothing to
-// lose by it: no work, or so much, or so little of a processor, that it cannot keep up.
+// yieldToFasterPeer releases the lock if this daemon is the owner, another one has more CPU,
+// and a change of owner pays off: no job is open, this daemon is short of CPU, or it has far
+// less CPU than the other.
 func (n *Node) yieldToFasterPeer() {
 	t := n.term.Load()
 	if t == nil || !n.hasPeerWithMoreCPU(electionCPUFactor) {
@@ -133,39 +134,40 @@
 	case t.idle.Load():
 		why = "no job is open"
 	case t.cpuStarved.Load():
-		why = "it cannot keep up"
+		why = "the owner is short of CPU"
 	case n.hasPeerWithMoreCPU(yieldCPUFactor):
-		why = "it has much less of a processor"
+		why = "the owner has far less CPU"
 	default:
 		return
 	}
-	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", why+", and a stronger daemon is there"))
+	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", why+", and another daemon has more CPU"))
 	if !t.handOver() && !t.idle.Load() && !n.store.Unavailable() {
 		n.revokeLease() // the lock goes with it
 	}
 }
 
-// yieldIfDisconnected gives the lock to a daemon that the store serves, if this one's own way there is cut.
-func (n *Node) yieldIfDisconnected(t *termRun) {
-	cut := n.store.PartitionedFor()
-	if cut < disconnectedYieldAfter || t.isLeaving() {
+// yieldIfPartitioned releases the lock if this daemon has been partitioned from the
+// store for partitionedYieldAfter while other daemons reach it.
+func (n *Node) yieldIfPartitioned(t *termRun) {
+	partitioned := n.store.PartitionedFor()
+	if partitioned < partitionedYieldAfter || t.isLeaving() {
 		return
 	}
-	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", "its way to the store is cut, and others reach it"), zap.Duration("cut-for", cut))
+	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", "the owner is partitioned from the store, and other daemons reach it"), zap.Duration("cut-for", partitioned))
 	go t.handOver()
 }
 
-// prefixWatch is what is done with the keys of a prefix.
+// prefixWatch holds the callbacks of a watch of all keys with a prefix.
 type prefixWatch struct {
 	prefix      string
-	minInterval time.Duration      // least time between two watches that return with all changes there are
-	reset       func()             // called before the keys are read as a whole; nil: nothing is
+	minInterval time.Duration      // minimum time between two watch calls that return all changes
+	reset       func()             // if set, called before all keys are applied
 	apply       func(ledger.Event) // called for each key, then for each change
-	synced      func()             // called when all that the store has told is applied; nil: nothing is
+	synced      func()             // if set, called when all keys or changes of a reply are applied
 }
 
-// watchPrefix reads all keys of a prefix, then every change. It starts over when the store has
-// dropped the history in between.
+// watchPrefix reads all keys with a prefix, then every change. It starts over if the store has
+// compacted changes that were not read.
 func (n *Node) watchPrefix(ctx context.Context, f prefixWatch) {
 	for ctx.Err() == nil {
 		items, revision, err := n.listPrefix(ctx, f.prefix)
@@ -182,7 +184,7 @@
 	}
 }
 
-// callIfSet calls a function that may be nil.
+// callIfSet calls f unless it is nil.
 func callIfSet(f func()) {
 	if f != nil {
 		f()
@@ -195,7 +197,8 @@
 	return ledger.RangeAll(ctx, n.store, prefix, false)
 }
 
-// watchChanges hands changes after a revision to the follower until the history is gone.
+// watchChanges applies the changes after a revision. It returns when ctx ends or the store has
+// compacted changes that were not read.
 func (n *Node) watchChanges(ctx context.Context, f prefixWatch, revision int64) {
 	for ctx.Err() == nil {
 		known := n.store.LatestRevision()
@@ -213,14 +216,14 @@
 		}
 		callIfSet(f.synced)
 		revision = max(revision, ch.Revision)
-		current := ch.Revision >= known // else the return was cut short, and there is more to read
+		current := ch.Revision >= known // otherwise the reply was truncated, and more changes are ready
 		if current && len(ch.Events) > 0 && f.minInterval > 0 {
 			sleep.For(ctx, f.minInterval)
 		}
 	}
 }
 
-// watchOperators follows the configuration, the waves and the evacuations.
+// watchOperators watches the operators' entries: the configuration, waves and evacuations.
 func (n *Node) watchOperators(ctx context.Context) {
 	n.watchPrefix(ctx, prefixWatch{
 		prefix: n.platform.Formats.OperatorPrefix,
@@ -243,8 +246,8 @@
 	}
 }
 
-// configure applies a configuration, unless a newer one is in force. One that cannot be
-// used leaves the one before in force.
+// configure applies a configuration unless it is older than the current one. An invalid one
+// leaves the current one in force.
 func (n *Node) configure(i ledger.Item) {
 	c, err := n.platform.Formats.DecodeCatalog(i.Value)
 	if err != nil {
@@ -278,12 +281,12 @@
 	}
 }
 
-// runElections follows who the owner is, and becomes it when nobody is.
+// runElections watches who the owner is, and tries to become the owner when there is none.
 func (n *Node) runElections(ctx context.Context) {
-	var following sync.WaitGroup
-	defer following.Wait()
-	following.Go(func() { n.watchOwnerLock(ctx) })
-	following.Go(func() { n.watchOwnerProcess(ctx) })
+	var watches sync.WaitGroup
+	defer watches.Wait()
+	watches.Go(func() { n.watchOwnerLock(ctx) })
+	watches.Go(func() { n.watchOwnerProcess(ctx) })
 	for {
 		select {
 		case <-ctx.Done():
@@ -295,7 +298,7 @@
 	}
 }
 
-// watchOwnerLock follows who the owner is.
+// watchOwnerLock watches the owner's lock.
 func (n *Node) watchOwnerLock(ctx context.Context) {
 	n.watchPrefix(ctx, prefixWatch{
 		prefix: ledger.PrefixOwner,
@@ -307,7 +310,7 @@
 func (n *Node) applyLock(e ledger.Event) {
 	l, held, ok, err := ledger.LockOf(e)
 	switch {
-	case err != nil: // nobody holds it: an election replaces it
+	case err != nil: // an invalid lock has no holder; an election replaces it
 		n.refusedEntries.add(e.Key, e.Revision, err)
 		n.setLock(ledger.Lock{}, false, e.Revision)
 	case ok:
@@ -319,7 +322,7 @@
 	n.wakeElection()
 }
 
-// wakeElection makes the election look again: what it waits for may have come.
+// wakeElection makes runElections check again whether this daemon can become the owner.
 func (n *Node) wakeElection() {
 	select {
 	case n.electionWake <- struct{}{}:
@@ -327,7 +330,8 @@
 	}
 }
 
-// setLock takes who the owner is, and ends this daemon's term if it is another.
+// setLock records the owner's lock, and ends this daemon's term if the lock is gone or held in
+// a newer term. revision is that of the change, 0 if all keys are read anew.
 func (n *Node) setLock(l ledger.Lock, held bool, revision int64) {
 	if !held {
 		n.lock.Store(nil)
@@ -343,22 +347,22 @@
 		t.depose("its lock was removed")
 	}
 	if held && l.Term > t.term.Number {
-		t.depose("another daemon holds a newer term")
+		t.depose("the lock is held in a newer term")
 	}
 }
 
-// onLockReleased takes note that this daemon has given up its lock, before the watch
-// says so: a stronger daemon is to have the first try.
+// onLockReleased records that this daemon has released its lock, before the watch reports it,
+// so that a daemon with more CPU can be elected first.
 func (n *Node) onLockReleased(term uint64) {
 	own := n.lock.Load()
 	if own == nil || own.Node != n.settings.Node || own.Term != term {
-		return // the watch was sooner
+		return // the watch has reported a change already
 	}
 	n.lockGoneAt.Store(n.uptimeNanos())
 	n.lock.CompareAndSwap(own, nil)
 }
 
-// tryBecomeOwner tries to become the owner if there is none.
+// tryBecomeOwner tries to become the owner if there is none, and runs the term if it succeeds.
 func (n *Node) tryBecomeOwner(ctx context.Context) {
 	if n.stopping.Load() || n.term.Load() != nil || n.lease.Load() == 0 || n.catalog.Load() == nil {
 		return
@@ -372,7 +376,7 @@
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
-	if left := disconnectedElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.store.PartitionedFor() > 0 {
+	if left := partitionedElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.store.PartitionedFor() > 0 {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
@@ -388,6 +392,8 @@
 	n.runTerm(ctx, term, lease)
 }
 
+// acquireLock tries to get the owner's lock for a new term, or resumes the term whose lock is
+// attached to the lease. It returns nil if another daemon is the owner.
 func (n *Node) acquireLock(ctx context.Context, lease ledger.LeaseID) (*ledger.Term, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
@@ -399,8 +405,8 @@
 	case held && l.Lease == lease:
 		return ledger.Resume(ctx, n.store, l, revision)
 	case held && l.Node == n.settings.Node:
-		// Left by an earlier life of this daemon, which has ended for certain: an
-		// instance runs one.
+		// Left by an earlier process of this daemon, which has certainly ended: an instance
+		// runs only one.
 		term, err := ledger.Elect(ctx, n.store, n.memberEntry(), lease, revision)
 		if term != nil {
 			term.SucceedsSelf = true
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -112,12 +112,12 @@
 	// way to a stronger daemon: longer than a takeover keeps it busy, which a change would cost
 	// once more.
 	cpuStarvedAfter = 3 * time.Second
-	// disconnectedYieldAfter is how long an owner goes on by way of its peers while its own way to the store
+	// partitionedYieldAfter is how long an owner goes on by way of its peers while its own way to the store
 	// is cut. A change of owner takes 0.3 s; by way of peers, some of which may be cut off as well,
 	// records and orders for instances are late by up to a second each time.
-	disconnectedYieldAfter = 700 * time.Millisecond
-	// disconnectedElectionDelay is how long a daemon whose own way is cut leaves an election to the others.
-	disconnectedElectionDelay = 1500 * time.Millisecond
+	partitionedYieldAfter = 700 * time.Millisecond
+	// partitionedElectionDelay is how long a daemon whose own way is cut leaves an election to the others.
+	partitionedElectionDelay = 1500 * time.Millisecond
 	// membersInterval is how often the list of live daemons is read, stale.
 	membersInterval = 2 * time.Second
 	// instancesInterval is how often the owner reads the instance list, and
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -12,7 +12,8 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// commit starts the next transaction if one is due.
+// commit starts the next transaction if one is due: records and other puts, or else the
+// deletion of expired jobs.
 func (t *termRun) commit(now time.Time) {
 	if t.committing || now.Sub(t.lastCommit) < commitInterval && t.core.DirtyJobs() < commitBacklog && !t.core.HasUrgentRecords() {
 		return
@@ -35,7 +36,7 @@
 			return
 		}
 	}
-	taken := len(t.pendingPuts)
+	putsTaken := len(t.pendingPuts)
 	for _, r := range records {
 		p, d := ledger.RecordWrites(r)
 		puts = append(puts, p...)
@@ -44,10 +45,10 @@
 	t.committing = true
 	t.lastCommit = now
 	orders := t.orders.take(now)
-	go t.writeTxn(puts, deletes, records, taken, orders, t.orders.recent(now))
+	go t.writeTxn(puts, deletes, records, putsTaken, orders, t.orders.recent(now))
 }
 
-// latestPutPerKey keeps the newest put of each key.
+// latestPutPerKey returns the last put of each key.
 func latestPutPerKey(puts []ledger.Put) []ledger.Put {
 	var out []ledger.Put
 	seen := map[string]bool{}
@@ -60,7 +61,9 @@
 	return out
 }
 
-func (t *termRun) writeTxn(puts []ledger.Put, deletes []string, records []owner.Record, taken int, orders []owner.InstanceOrder, recent []owner.RecentOrder) {
+// writeTxn commits a transaction and sends its outcome to the core. Orders for instances are
+// sent only after it has recorded them.
+func (t *termRun) writeTxn(puts []ledger.Put, deletes []string, records []owner.Record, putsTaken int, orders []owner.InstanceOrder, recent []owner.RecentOrder) {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	began := t.n.clock.Now()
@@ -80,7 +83,7 @@
 			t.rejectInstanceOrders(c, orders, now)
 			return
 		}
-		t.pendingPuts = t.pendingPuts[taken:]
+		t.pendingPuts = t.pendingPuts[putsTaken:]
 		c.OnCommitted(records, now)
 		if t.isLeaving() {
 			t.rejectInstanceOrders(c, orders, now)
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -11,9 +11,9 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// dispatch carries out effects. Each call has a goroutine of its own, and its
-// outcome comes back as an event. Starts wait for each other, and so do holds, and all
-// other calls: leases are renewed also while many tasks are started or stopped.
+// dispatch carries out effects. Each call runs in its own goroutine and its outcome comes back
+// as an event. Starts, holds and other calls have separate limits, so that leases are renewed
+// even while many tasks are started or stopped.
 func (t *termRun) dispatch(e owner.Effects) {
 	for _, o := range e.Starts {
 		go t.start(o, t.n.uptimeNanos())
@@ -59,13 +59,14 @@
 
 func (t *termRun) advise(ctx context.Context, q owner.AdviceQuery) owner.Advice {
 	if t.n.platform.Advisor == nil {
-		return owner.Advice{Err: errors.New("a queue needs advice, and the settings name no advisor")}
+		return owner.Advice{Err: errors.New("no advisor is configured, but a queue needs advice")}
 	}
 	return t.n.platform.Advisor.Advise(ctx, q)
 }
 
-// start sends an order to start a task, unless it has waited for its slot for too long, or
-// the instance was suspended meanwhile. decided is when it was decided, in ns since start.
+// start sends an order to start a task, unless the decision is older than maxStartAge once it
+// has a slot, as after a long wait or a suspension. decided is the time of the decision, as
+// uptimeNanos.
 func (t *termRun) start(o owner.Start, decided int64) {
 	t.callInSlot(t.startCalls, o.Timeout, func(ctx context.Context) event {
 		a := owner.Answer{Outcome: owner.NotSent}
@@ -79,7 +80,7 @@
 	})
 }
 
-// callInSlot makes a call to a worker once it has a slot; its timeout begins then.
+// callInSlot waits for a slot, then calls a worker. The timeout starts once it has the slot.
 func (t *termRun) callInSlot(f callLimiter, timeout time.Duration, call func(context.Context) event) {
 	leave, ok := f.acquire(t.ctx)
 	if !ok {
@@ -91,15 +92,15 @@
 	})
 }
 
-// callNow makes a callNow at once, and hands its outcome to the core.
+// callNow makes a call without waiting for a slot and sends its outcome to the core.
 func (t *termRun) callNow(timeout time.Duration, call func(context.Context) event) {
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
 	t.enqueue(call(ctx))
 }
 
-// orderInstance moves or maintains an instance. The lease is looked at right
-// before the call: another daemon may do the duty some time after it has ended.
+// orderInstance moves an instance or starts its maintenance. It checks the lease right before
+// the call, as another daemon may order instances some time after the lease has expired.
 func (t *termRun) orderInstance(ctx context.Context, o owner.InstanceOrder) event {
 	outcome := owner.DutyRefused
 	sent := t.n.mayOrderInstances()
@@ -125,16 +126,16 @@
 	}
 }
 
-// queueWaveStatus adds the status of a wave to the next transaction.
+// queueWaveStatus adds a wave's status and progress to the next transaction.
 func (t *termRun) queueWaveStatus(s owner.WaveStatus) {
 	key, value := t.n.platform.Formats.EncodeWaveStatus(s.Wave, s.Done)
 	progress := ledger.WaveProgress{Begun: t.core.MaintenanceStarted(s.Wave), Done: s.Done}
 	t.pendingPuts = append(t.pendingPuts, ledger.Put{Key: key, Value: value}, ledger.WavePut(s.Wave, progress))
 }
 
-// stopSet holds the stops that are under way. The core asks for an unanswered stop again
-// after a while; one that still waits for its slot is not sent twice, which would only
-// lengthen the line it waits in. It is used on the core's goroutine alone.
+// stopSet holds the stops in flight. The core repeats an unanswered stop after a while; one
+// that still waits for its slot is not queued twice, which would only make the queue longer.
+// Only the core's goroutine uses it.
 type stopSet map[stopKey]bool
 
 type stopKey struct {
@@ -145,7 +146,7 @@
 
 func stopKeyOf(o owner.Stop) stopKey { return stopKey{o.Worker, o.Task, o.Run} }
 
-// begin reports whether the stop is to be sent.
+// begin adds a stop and reports whether it is to be sent: it was not in flight.
 func (s stopSet) begin(o owner.Stop) bool {
 	if s[stopKeyOf(o)] {
 		return false
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -184,7 +184,7 @@
 			t.core.SetStoreLease(t.n.mayOrderInstances(), now)
 			t.core.Tick(now)
 			t.updateStats(now)
-			t.n.yieldIfDisconnected(t)
+			t.n.yieldIfPartitioned(t)
 		case <-leaving:
 			leaving = nil
 		}
--- a/jobs/node/termsources.go
+++ b/jobs/node/termsources.go
@@ -11,7 +11,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// watchJobs hands submissions and cancellations to the core.
+// watchJobs passes submissions and cancellations from the store to the core.
 func (t *termRun) watchJobs(revision int64) {
 	apply := func(e ledger.Event) {
 		if e.Deleted {
@@ -42,16 +42,16 @@
 	t.n.watchPrefix(t.ctx, jobs)
 }
 
-// awaitLease waits until this daemon's lease is held for certain, or the term is
-// over: new jobs are taken only while no other daemon can be the owner.
+// awaitLease blocks until the lease of the lock is certainly held or the term is over: new
+// jobs are taken only while no other daemon can be the owner.
 func (t *termRun) awaitLease() {
 	for !t.leaseHeld() && sleep.For(t.ctx, retryPause) {
 	}
 }
 
-// pollInstances reads the instance list from time to time, and soon after an
-// order for an instance was accepted: the list shows whose life is over. Orders
-// that are accepted meanwhile share a reading.
+// pollInstances reads the instance list every instancesInterval, and earlier after an order
+// for an instance was accepted: the list shows which workers have ended. Orders that are
+// accepted before the next read share it.
 func (t *termRun) pollInstances() {
 	for t.ctx.Err() == nil {
 		pause := t.instanceListPause(t.listInstances())
@@ -66,8 +66,8 @@
 	}
 }
 
-// instanceListPause returns the least time until the next reading of a list of so many
-// instances, so that the list takes no more than its share of this daemon's link.
+// instanceListPause returns the minimum time until the next read of a list of so many
+// instances, so that reads use at most instancesLinkShare of this daemon's link.
 func (t *termRun) instanceListPause(instances int) time.Duration {
 	if t.n.settings.LinkMbps <= 0 {
 		return minInstancesInterval
@@ -77,15 +77,16 @@
 	return min(maxInstancesInterval, max(minInstancesInterval, pause))
 }
 
-// requestInstanceList asks for a reading of the instance list that begins after now.
+// requestInstanceList requests a read of the instance list that starts after this call.
 func (t *termRun) requestInstanceList() {
 	select {
 	case t.relist <- struct{}{}:
-	default: // one is asked for already and has not begun
+	default: // a requested read has not started yet
 	}
 }
 
-// listInstances reads the instance list, and returns how many there are, 0 if that failed.
+// listInstances reads the instance list, passes it to the core and returns its length, 0 if
+// the call failed.
 func (t *termRun) listInstances() int {
 	ctx, cancel := context.WithTimeout(t.ctx, instanceOrderTimeout)
 	defer cancel()
