--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -151,13 +151,13 @@
 	if validity == 0 && j.queue.Advisor != nil {
 		validity = j.queue.Advisor.TicketValidity
 	}
-	good := map[WorkerID]bool{}
+	permitted := map[WorkerID]bool{}
 	for _, permit := range a.Permits {
-		good[permit.Worker] = true
+		permitted[permit.Worker] = true
 		p.tickets[permit.Worker] = ticket{permit.Ticket, p.askedAt.Add(validity)}
 	}
 	for _, w := range q.Workers {
-		if !good[w] {
+		if !permitted[w] {
 			p.denied[w] = true
 		}
 	}
--- a/jobs/owner/backoff.go
+++ b/jobs/owner/backoff.go
@@ -6,11 +6,11 @@
 type backoff struct{ initial, max time.Duration }
 
 // delay returns the delay after the given number of consecutive failures.
-func (p backoff) delay(failed int) time.Duration {
-	d := p.initial
-	for range failed - 1 {
-		if d *= 2; d >= p.max {
-			return p.max
+func (b backoff) delay(failures int) time.Duration {
+	d := b.initial
+	for range failures - 1 {
+		if d *= 2; d >= b.max {
+			return b.max
 		}
 	}
 	return d
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -79,15 +79,15 @@
 // addUnconfirmedCrash adds an unconfirmed crash to the task and to openCrashes.
 func (c *Core) addUnconfirmedCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
-	l := parseIncarnation(k.Worker)
-	c.unconfirmedCrashes[l] = append(c.unconfirmedCrashes[l], t)
+	inc := parseIncarnation(k.Worker)
+	c.unconfirmedCrashes[inc] = append(c.unconfirmedCrashes[inc], t)
 }
 
 // isOnlyCause reports whether no run of another job explains the loss of the worker as well.
 func (r *run) isOnlyCause() bool {
-	early := r.lostAtStart()
+	atStart := r.lostAtStart()
 	for _, o := range r.worker.runs {
-		if o.task.step.job != r.task.step.job && (!early || o.lostAtStart()) {
+		if o.task.step.job != r.task.step.job && (!atStart || o.lostAtStart()) {
 			return false
 		}
 	}
@@ -149,21 +149,21 @@
 	if len(c.unconfirmedCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
 	}
-	for _, l := range slices.SortedFunc(maps.Keys(c.unconfirmedCrashes), compareIncarnations) {
-		if !c.isUnderInvestigation(l) && c.isUnseenLifeOver(l) {
-			c.confirmCrashes(l, now)
+	for _, inc := range slices.SortedFunc(maps.Keys(c.unconfirmedCrashes), compareIncarnations) {
+		if !c.isUnderInvestigation(inc) && c.hasUnseenIncarnationEnded(inc) {
+			c.confirmCrashes(inc, now)
 		}
 	}
 }
 
-// isUnseenLifeOver reports whether an incarnation that has not answered this owner has ended:
+// hasUnseenIncarnationEnded reports whether an incarnation that has not answered this owner has ended:
 // another one followed, or the instance list does not show it.
-func (c *Core) isUnseenLifeOver(l incarnation) bool {
-	w := c.workers[l.worker]
-	if w != nil && w.relationTo(l.startedMs) != sameIncarnation {
+func (c *Core) hasUnseenIncarnationEnded(inc incarnation) bool {
+	w := c.workers[inc.worker]
+	if w != nil && w.relationTo(inc.startedMs) != sameIncarnation {
 		return true // a later incarnation is known
 	}
-	return (w == nil || !w.heldByUs && !w.ended) && !c.isOnInstanceList(l.worker)
+	return (w == nil || !w.heldByUs && !w.ended) && !c.isOnInstanceList(inc.worker)
 }
 
 // isOnInstanceList reports whether the instance list shows the worker.
@@ -173,9 +173,9 @@
 }
 
 // isUnderInvestigation reports whether a decision on the incarnation is scheduled.
-func (c *Core) isUnderInvestigation(l incarnation) bool {
+func (c *Core) isUnderInvestigation(inc incarnation) bool {
 	for _, e := range c.crashDecisionsDue.entries {
-		if e.value.incarnation() == l {
+		if e.value.incarnation() == inc {
 			return true
 		}
 	}
@@ -183,28 +183,28 @@
 }
 
 // confirmCrashes confirms the crash of an incarnation for all tasks that may have caused it.
-func (c *Core) confirmCrashes(l incarnation, now time.Time) {
-	tasks := c.unconfirmedCrashes[l]
-	delete(c.unconfirmedCrashes, l)
+func (c *Core) confirmCrashes(inc incarnation, now time.Time) {
+	tasks := c.unconfirmedCrashes[inc]
+	delete(c.unconfirmedCrashes, inc)
 	c.counts.Crashes++
-	if i := c.instances[c.instanceOfWorker[l.worker]]; i != nil {
+	if i := c.instances[c.instanceOfWorker[inc.worker]]; i != nil {
 		i.crashedAt, i.suspects = now, tasks
 	}
 	for _, t := range tasks {
-		c.confirmCrash(t, l, now)
+		c.confirmCrash(t, inc, now)
 	}
 }
 
 // confirmCrash confirms it for one task, and gives the task up if that is conclusive.
-func (c *Core) confirmCrash(t *task, l incarnation, now time.Time) {
+func (c *Core) confirmCrash(t *task, inc incarnation, now time.Time) {
 	j := t.step.job
 	if t.done || j.state.Final() {
 		return
 	}
 	for n := range t.crashes {
-		if k := &t.crashes[n]; k.Worker == l.String() {
+		if k := &t.crashes[n]; k.Worker == inc.String() {
 			k.Worker = ""
-			c.note(Decision{Event: "task-crashed-with-worker", Job: j.spec.ID, Task: t.id().String(), Worker: l.worker, Run: k.Run, Reason: crashReason(t.crashes, k)})
+			c.note(Decision{Event: "task-crashed-with-worker", Job: j.spec.ID, Task: t.id().String(), Worker: inc.worker, Run: k.Run, Reason: crashReason(t.crashes, k)})
 		}
 	}
 	c.markDirty(j)
@@ -277,23 +277,23 @@
 }
 
 // clearCrashes removes the unconfirmed crashes on an incarnation.
-func (c *Core) clearCrashes(l incarnation, why string) {
-	for _, t := range c.unconfirmedCrashes[l] {
+func (c *Core) clearCrashes(inc incarnation, why string) {
+	for _, t := range c.unconfirmedCrashes[inc] {
 		before := len(t.crashes)
-		t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Worker == l.String() })
+		t.crashes = t.crashes.Without(func(k job.Crash) bool { return k.Worker == inc.String() })
 		if len(t.crashes) < before {
 			c.queueForPlacement(t.step.job)
 		}
 	}
-	delete(c.unconfirmedCrashes, l)
-	c.note(Decision{Event: "crash-ruled-out", Worker: l.worker, Reason: why})
+	delete(c.unconfirmedCrashes, inc)
+	c.note(Decision{Event: "crash-ruled-out", Worker: inc.worker, Reason: why})
 }
 
 // clearCrashesOfAnswering removes the unconfirmed crashes on a worker that answers, except
 // for runs that are not stable yet.
 func (c *Core) clearCrashesOfAnswering(w *worker, now time.Time) {
-	l := w.incarnation()
-	tasks := c.unconfirmedCrashes[l]
+	inc := w.incarnation()
+	tasks := c.unconfirmedCrashes[inc]
 	if len(tasks) == 0 {
 		return
 	}
@@ -301,17 +301,17 @@
 	for _, t := range tasks {
 		t.crashes = t.crashes.Without(func(k job.Crash) bool {
 			r := t.findRun(k.Run, w)
-			return k.Worker == l.String() && (r == nil || r.isStable(now))
+			return k.Worker == inc.String() && (r == nil || r.isStable(now))
 		})
-		if t.hasUnconfirmedCrashOn(l) {
+		if t.hasUnconfirmedCrashOn(inc) {
 			left = append(left, t)
 		}
 	}
 	if len(left) == 0 {
-		delete(c.unconfirmedCrashes, l)
+		delete(c.unconfirmedCrashes, inc)
 		return
 	}
-	c.unconfirmedCrashes[l] = left
+	c.unconfirmedCrashes[inc] = left
 }
 
 // dropUnconfirmedCrash removes the unconfirmed crash recorded for a run.
@@ -320,9 +320,9 @@
 }
 
 // hasUnconfirmedCrashOn reports whether the task has an unconfirmed crash on the incarnation.
-func (t *task) hasUnconfirmedCrashOn(l incarnation) bool {
+func (t *task) hasUnconfirmedCrashOn(inc incarnation) bool {
 	for _, k := range t.crashes {
-		if k.Worker == l.String() {
+		if k.Worker == inc.String() {
 			return true
 		}
 	}
@@ -349,12 +349,12 @@
 
 // isLossUndecided reports whether it will be known within maxLossDecisionTime what became of
 // the incarnation.
-func (c *Core) isLossUndecided(l incarnation, now time.Time) bool {
-	if w := c.currentWorker(l); w != nil {
+func (c *Core) isLossUndecided(inc incarnation, now time.Time) bool {
+	if w := c.currentWorker(inc); w != nil {
 		return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
 	}
 	for _, w := range c.recentlyEnded {
-		if w.incarnation() == l {
+		if w.incarnation() == inc {
 			return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
 		}
 	}
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -93,17 +93,17 @@
 	if now.Before(w.avoidUntil) {
 		return
 	}
-	all, aside := 0, 0
+	all, avoided := 0, 0
 	for _, o := range c.workersByService[w.Service] {
 		if o.ended || !o.registered {
 			continue
 		}
 		all++
 		if now.Before(o.avoidUntil) {
-			aside++
+			avoided++
 		}
 	}
-	if float64(aside+1) > maxAvoidedShare*float64(all) {
+	if float64(avoided+1) > maxAvoidedShare*float64(all) {
 		return
 	}
 	w.avoidPenalty = min(maxAvoidTime, max(minAvoidTime, 2*w.avoidPenalty))
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -55,8 +55,8 @@
 // shareCrashSuspect reports whether one task may have crashed both workers: started again at
 // once, it can crash a rack worker by worker.
 func (c *Core) shareCrashSuspect(a, b *worker) bool {
-	others := c.crashSuspects(b)
-	return slices.ContainsFunc(c.crashSuspects(a), func(t *task) bool { return slices.Contains(others, t) })
+	suspects := c.crashSuspects(b)
+	return slices.ContainsFunc(c.crashSuspects(a), func(t *task) bool { return slices.Contains(suspects, t) })
 }
 
 // crashSuspects returns the tasks that may have crashed the worker.
@@ -79,33 +79,33 @@
 
 // lossCount counts the workers of a rack or zone.
 type lossCount struct {
-	min  int
-	all  int
-	lost int // silent or ended
-	gone int // ended
+	min   int
+	all   int
+	lost  int // silent or ended
+	ended int // ended
 }
 
 // add counts a worker.
-func (t *lossCount) add(lost, gone bool) {
-	t.all++
+func (c *lossCount) add(lost, ended bool) {
+	c.all++
 	if lost {
-		t.lost++
+		c.lost++
 	}
-	if lost && gone {
-		t.gone++
+	if lost && ended {
+		c.ended++
 	}
 }
 
 // correlation returns lossCorrelation by the counts.
-func (t *lossCount) correlation() lossCorrelation {
+func (c *lossCount) correlation() lossCorrelation {
 	switch {
-	case t.isMajority(t.gone):
+	case c.isMajority(c.ended):
 		return correlated
-	case t.isMajority(t.lost):
+	case c.isMajority(c.lost):
 		return possiblyCorrelated
 	}
 	return uncorrelated
 }
 
 // isMajority reports whether n is at least the minimum and more than half of all.
-func (t *lossCount) isMajority(n int) bool { return n >= t.min && 2*n > t.all }
+func (c *lossCount) isMajority(n int) bool { return n >= c.min && 2*n > c.all }
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -50,15 +50,15 @@
 			}
 		}
 	}
-	cleared, ok := placement.Preempt(view.views, occupants, *req)
+	preemption, ok := placement.Preempt(view.views, occupants, *req)
 	if !ok {
 		return
 	}
 	s.preemptedAt = now
-	w := view.workers[cleared.Worker]
+	w := view.workers[preemption.Worker]
 	w.preemptedFor, w.preemptedUntil = s, now.Add(preemptInterval)
-	for _, i := range cleared.Occupants {
-		p.core.stop(runs[cleared.Worker][i], "preempted by "+string(s.job.spec.ID), now)
+	for _, i := range preemption.Occupants {
+		p.core.stop(runs[preemption.Worker][i], "preempted by "+string(s.job.spec.ID), now)
 	}
 }
 
@@ -98,11 +98,11 @@
 // preemptionCost returns the core-seconds of work lost if the run is stopped now.
 func (r *run) preemptionCost(now time.Time) float64 {
 	spec := r.task.step.spec
-	lost := float64(spec.ReservedResources().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
+	lostWork := float64(spec.ReservedResources().CPUMilli) / 1000 * now.Sub(r.confirmedAt).Seconds()
 	if spec.Checkpoints {
-		lost *= checkpointLossShare
+		lostWork *= checkpointLossShare
 	}
-	return lost
+	return lostWork
 }
 
 // isReservedForOther reports whether the worker is reserved for another step after a
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -41,11 +41,11 @@
 
 // crashRisk returns the highest risk among the step's tasks.
 func (s *stepState) crashRisk() job.CrashRisk {
-	most := job.CrashRiskNone
+	highest := job.CrashRiskNone
 	for _, t := range s.tasks {
-		most = max(most, t.crashes.Risk())
+		highest = max(highest, t.crashes.Risk())
 	}
-	return most
+	return highest
 }
 
 // isStable reports whether the run has been up for stableAfter on a worker that answers.
@@ -88,16 +88,16 @@
 	if w.isolatedFor != nil && w.isolatedFor != j && now.Before(w.isolatedUntil) && !w.isolatedFor.state.Final() {
 		return true
 	}
-	kept := w.trialRuns[:0]
+	remaining := w.trialRuns[:0]
 	isolating := false
 	for _, r := range w.trialRuns {
 		if w.runs[r.task.id()] != r || !r.needsIsolation(now) {
 			continue
 		}
-		kept = append(kept, r)
+		remaining = append(remaining, r)
 		isolating = isolating || r.task.step.job != j
 	}
-	w.trialRuns = kept
+	w.trialRuns = remaining
 	return isolating
 }
 
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -120,12 +120,12 @@
 
 // newSchedulingPass returns a pass over the service's waiting jobs, sorted by the policy.
 func (c *Core) newSchedulingPass(service string, pool *poolState, now time.Time) *schedulingPass {
-	claims := c.queueEntries(service, pool, now)
+	entries := c.queueEntries(service, pool, now)
 	pool.waitingCores, pool.lateWaitingCores = 0, 0
 	pool.placedAt = now
-	pool.waitingJobs = len(claims)
-	slices.SortFunc(claims, func(a, b queueEntry) int { return a.compare(b, c.opt.SchedulingPolicy) })
-	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: claims}
+	pool.waitingJobs = len(entries)
+	slices.SortFunc(entries, func(a, b queueEntry) int { return a.compare(b, c.opt.SchedulingPolicy) })
+	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: entries}
 }
 
 // queueForPlacement marks the job's service as changed and adds the job to its queue
@@ -146,25 +146,25 @@
 // longer than leases last.
 func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
 	takenOver := c.earlierRunsKnown(service, now)
-	lapsed := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
+	leasesExpired := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
 	kept := pool.queue[:0]
-	claims := pool.claims[:0]
+	entries := pool.claims[:0]
 	for _, j := range pool.queue {
-		if !j.inherited || takenOver || lapsed && j.isLongRunning() {
+		if !j.inherited || takenOver || leasesExpired && j.isLongRunning() {
 			if j.state.Final() || j.service != service || !mayNeedPlacement(j) {
 				j.clearQueued(service)
 				continue
 			}
 			c.counts.JobsConsidered++
 			if jobNeedsPlacement(j, now) {
-				claims = append(claims, c.queueEntryOf(j, now))
+				entries = append(entries, c.queueEntryOf(j, now))
 			}
 		}
 		kept = append(kept, j)
 	}
 	clear(pool.queue[len(kept):])
-	pool.queue, pool.claims = kept, claims
-	return claims
+	pool.queue, pool.claims = kept, entries
+	return entries
 }
 
 // clearQueued marks the job as not queued, unless it has moved to another service's queue.
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -250,7 +250,7 @@
 
 // workerSelector selects workers for the tasks of one step.
 type workerSelector struct {
-	p         *schedulingPass
+	pass      *schedulingPass
 	step      *stepState
 	req       placement.Request
 	stepTasks map[*worker]int // tasks of the step per worker; nil unless MaxPerWorker is set
@@ -258,35 +258,35 @@
 
 // newWorkerSelector returns a selector that counts the step's existing runs.
 func (p *schedulingPass) newWorkerSelector(s *stepState) *workerSelector {
-	ch := &workerSelector{p: p, step: s, req: placementRequest(s)}
-	if ch.req.MaxPerWorker > 0 {
-		ch.stepTasks = map[*worker]int{}
+	sel := &workerSelector{pass: p, step: s, req: placementRequest(s)}
+	if sel.req.MaxPerWorker > 0 {
+		sel.stepTasks = map[*worker]int{}
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
-				ch.stepTasks[r.worker]++
+				sel.stepTasks[r.worker]++
 			}
 		}
 	}
-	return ch
+	return sel
 }
 
 // pick returns the best worker that is not excluded; nil if none has capacity.
-func (ch *workerSelector) pick(excluded func(*worker) bool) *worker {
-	if ch.req.LongRunning || ch.req.Filler || ch.req.Serving {
-		return ch.pickByScan(excluded)
+func (sel *workerSelector) pick(excluded func(*worker) bool) *worker {
+	if sel.req.LongRunning || sel.req.Filler || sel.req.Serving {
+		return sel.pickByScan(excluded)
 	}
-	s, now := ch.step, ch.p.now
+	s, now := sel.step, sel.pass.now
 	permits := s.needsPermits()
 	allowed := func(w *worker) bool {
 		return !excluded(w) && !w.isReservedForOther(s, now) && (!permits || s.hasValidTicket(w, now))
 	}
-	return ch.p.pool.free.choose(&ch.req, allowed, ch.stepTasks, now)
+	return sel.pass.pool.free.choose(&sel.req, allowed, sel.stepTasks, now)
 }
 
 // pickByScan examines every worker of the service. The free index orders by capacity only;
 // tasks that share a worker with others for long are scored by its other tasks as well.
-func (ch *workerSelector) pickByScan(excluded func(*worker) bool) *worker {
-	view := ch.p.workersFor(ch.step)
+func (sel *workerSelector) pickByScan(excluded func(*worker) bool) *worker {
+	view := sel.pass.workersFor(sel.step)
 	views := view.views
 	if slices.ContainsFunc(view.workers, excluded) {
 		views = slices.Clone(views)
@@ -294,17 +294,17 @@
 			views[i].Excluded = views[i].Excluded || excluded(w)
 		}
 	}
-	if i := placement.Choose(views, ch.req); i >= 0 {
+	if i := placement.Choose(views, sel.req); i >= 0 {
 		return view.workers[i]
 	}
 	return nil
 }
 
 // start starts the task on the worker under a new run number.
-func (ch *workerSelector) start(t *task, w *worker) {
-	ch.p.startRun(t, w, &ch.req, ch.p.core.nextRunNumber())
-	if ch.stepTasks != nil {
-		ch.stepTasks[w]++
+func (sel *workerSelector) start(t *task, w *worker) {
+	sel.pass.startRun(t, w, &sel.req, sel.pass.core.nextRunNumber())
+	if sel.stepTasks != nil {
+		sel.stepTasks[w]++
 	}
 }
 
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -65,67 +65,67 @@
 }
 
 // add records a start that is being ordered and returns its sequence number.
-func (l *startWindow) add(now time.Time) uint64 {
-	l.lastSeq++
-	l.outstanding[l.lastSeq] = true
-	l.sent = append(l.sent, sentStart{l.lastSeq, now})
-	return l.lastSeq
+func (w *startWindow) add(now time.Time) uint64 {
+	w.lastSeq++
+	w.outstanding[w.lastSeq] = true
+	w.sent = append(w.sent, sentStart{w.lastSeq, now})
+	return w.lastSeq
 }
 
 // expire drops starts older than maxOutstandingAge.
-func (l *startWindow) expire(now time.Time) {
+func (w *startWindow) expire(now time.Time) {
 	n := 0
-	for n < len(l.sent) && now.Sub(l.sent[n].at) >= maxOutstandingAge {
-		delete(l.outstanding, l.sent[n].seq)
+	for n < len(w.sent) && now.Sub(w.sent[n].at) >= maxOutstandingAge {
+		delete(w.outstanding, w.sent[n].seq)
 		n++
 	}
-	l.sent = l.sent[n:]
+	w.sent = w.sent[n:]
 }
 
 // onOutcome records the outcome of a start and updates the rate.
-func (l *startWindow) onOutcome(seq uint64, now time.Time) {
-	delete(l.outstanding, seq)
-	l.outcomes++
-	passed := now.Sub(l.rateUpdatedAt)
-	if passed < rateInterval {
+func (w *startWindow) onOutcome(seq uint64, now time.Time) {
+	delete(w.outstanding, seq)
+	w.outcomes++
+	elapsed := now.Sub(w.rateUpdatedAt)
+	if elapsed < rateInterval {
 		return
 	}
-	newest := float64(l.outcomes) / passed.Seconds()
+	rate := float64(w.outcomes) / elapsed.Seconds()
 	switch {
-	case passed >= rateExpiry:
-		l.outcomeRate = 0 // unknown
-	case l.outcomeRate == 0:
-		l.outcomeRate = newest
+	case elapsed >= rateExpiry:
+		w.outcomeRate = 0 // unknown
+	case w.outcomeRate == 0:
+		w.outcomeRate = rate
 	default:
-		l.outcomeRate = rateDecay*l.outcomeRate + (1-rateDecay)*newest
+		w.outcomeRate = rateDecay*w.outcomeRate + (1-rateDecay)*rate
 	}
-	l.outcomes, l.rateUpdatedAt = 0, now
+	w.outcomes, w.rateUpdatedAt = 0, now
 }
 
 // adjust adapts the limit to the mean answer latency; called after each answer.
-func (l *startWindow) adjust(mean time.Duration, now time.Time) {
+func (w *startWindow) adjust(mean time.Duration, now time.Time) {
 	switch {
 	case mean <= congestedLatency:
-		l.limit = min(float64(l.maxOutstanding), l.limit+1/l.limit)
-	case now.Sub(l.decreasedAt) > limitDecreaseInterval:
-		l.limit = max(min(minLimit, float64(l.maxOutstanding)), limitDecrease*l.limit)
-		l.decreasedAt = now
+		w.limit = min(float64(w.maxOutstanding), w.limit+1/w.limit)
+	case now.Sub(w.decreasedAt) > limitDecreaseInterval:
+		w.limit = max(min(minLimit, float64(w.maxOutstanding)), limitDecrease*w.limit)
+		w.decreasedAt = now
 	}
 }
 
 // isFull reports whether no further start may be ordered.
-func (l *startWindow) isFull() bool {
-	return l.maxOutstanding > 0 && len(l.outstanding) >= int(l.limit)
+func (w *startWindow) isFull() bool {
+	return w.maxOutstanding > 0 && len(w.outstanding) >= int(w.limit)
 }
 
 // hasHeadroom reports whether enough of the window is free for another pass over deferred
 // services: a pass per freed slot would cost more than the start.
-func (l *startWindow) hasHeadroom() bool { return len(l.outstanding) <= int(l.limit)/2 }
+func (w *startWindow) hasHeadroom() bool { return len(w.outstanding) <= int(w.limit)/2 }
 
 // isBacklogged reports whether services are deferred and the outcome rate is current, so
 // that their wait can be estimated.
-func (l *startWindow) isBacklogged(now time.Time) bool {
-	return len(l.deferred) > 0 && l.outcomeRate > 0 && now.Sub(l.rateUpdatedAt) <= rateExpiry
+func (w *startWindow) isBacklogged(now time.Time) bool {
+	return len(w.deferred) > 0 && w.outcomeRate > 0 && now.Sub(w.rateUpdatedAt) <= rateExpiry
 }
 
 // IsBacklogged reports whether tasks wait for their start orders to be sent.
@@ -156,11 +156,11 @@
 // sorted by the policy.
 func countTasksAhead(waiting []queueEntry, e queueEntry, policy SchedulingPolicy) int {
 	n := 0
-	for _, w := range waiting {
-		if w.compare(e, policy) > 0 {
+	for _, other := range waiting {
+		if other.compare(e, policy) > 0 {
 			break
 		}
-		for _, s := range w.job.steps {
+		for _, s := range other.job.steps {
 			if s.ready() {
 				n += s.withoutRun
 			}
--- a/jobs/owner/timerqueue.go
+++ b/jobs/owner/timerqueue.go
@@ -13,15 +13,15 @@
 	lastSeq uint64
 }
 
-func (q *timerQueue[T]) add(at time.Time, what T) {
+func (q *timerQueue[T]) add(at time.Time, value T) {
 	q.lastSeq++
-	heap.Push(&q.entries, timerEntry[T]{at, q.lastSeq, what})
+	heap.Push(&q.entries, timerEntry[T]{at, q.lastSeq, value})
 }
 
 // popDue removes the earliest entry if it is due by now; ok is false otherwise.
-func (q *timerQueue[T]) popDue(now time.Time) (what T, ok bool) {
+func (q *timerQueue[T]) popDue(now time.Time) (value T, ok bool) {
 	if len(q.entries) == 0 || q.entries[0].at.After(now) {
-		return what, false
+		return value, false
 	}
 	return heap.Pop(&q.entries).(timerEntry[T]).value, true
 }
@@ -29,8 +29,8 @@
 // popAllDue removes and returns all entries due by now.
 func (q *timerQueue[T]) popAllDue(now time.Time) []T {
 	var out []T
-	for what, ok := q.popDue(now); ok; what, ok = q.popDue(now) {
-		out = append(out, what)
+	for value, ok := q.popDue(now); ok; value, ok = q.popDue(now) {
+		out = append(out, value)
 	}
 	return out
 }
