--- a/jobs/owner/account.go
+++ b/jobs/owner/account.go
@@ -6,26 +6,26 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Cause is what time of a job was spent on.
+// Cause is what a part of a job's time was spent on.
 type Cause int
 
-// The causes. All but CauseWork are time that the job could have done without.
+// The causes. All but CauseWork are avoidable time.
 const (
-	CauseWork              Cause = iota // its tasks worked, for as long as they were estimated to
-	CauseSlowTask                       // a task took longer than estimated
-	CauseNotKnown                       // accepted, and not known to the owner yet
-	CauseEarlierTerm                    // before this owner's term: work, waits, and the change of owner
-	CauseTakeover                       // the owner did not know yet what runs where
-	CausePoolShort                      // no room, and no instance was on its way to the pool
-	CauseInstancesArriving              // no room, and instances were on their way
-	CauseMaintenance                    // no room, and instances of the pool were kept for a wave
-	CauseZoneEvacuated                  // no room, and instances of the pool are in a zone that is evacuated
-	CauseTenantLimit                    // its tenant had as much running as it may
-	CauseFailedThereBefore              // there was room, but only where the task had failed
-	CauseRunFailed                      // a run of the task failed, and the pause after it
-	CauseRunStopped                     // a run was stopped: preempted, at a standstill, for a wave
-	CauseRunLost                        // a run ended with its worker or its lease, or was not answered
-	CauseOther                          // the rest: orders on their way, placement, an earlier term
+	CauseWork              Cause = iota // tasks ran, up to their estimate
+	CauseSlowTask                       // tasks ran beyond their estimate
+	CauseNotKnown                       // accepted, but not known to the owner yet
+	CauseEarlierTerm                    // before this owner's term: work, waiting and the change of owner
+	CauseTakeover                       // the new owner did not know all runs yet
+	CausePoolShort                      // no free capacity, for none of the three reasons below
+	CauseInstancesArriving              // no free capacity, and instances were moving to the pool
+	CauseMaintenance                    // no free capacity, and workers of the pool were reserved for a wave
+	CauseZoneEvacuated                  // no free capacity, and instances of the pool are in an evacuated zone
+	CauseTenantLimit                    // its tenant was at its quota
+	CauseFailedThereBefore              // capacity was free only on workers where the task had failed
+	CauseRunFailed                      // a failed run, and the backoff after it
+	CauseRunStopped                     // a stopped run: preempted, stalled or for a wave
+	CauseRunLost                        // a run that ended with its worker or its lease, or whose start was not answered
+	CauseOther                          // the rest: orders in transit, placement, work in an earlier term
 	numCauses
 )
 
@@ -35,22 +35,22 @@
 // String returns the cause's name in logs and reports.
 func (c Cause) String() string { return causeNames[c] }
 
-// CauseNames returns the names of all causes, in their order.
+// CauseNames returns the names of all causes in the order of their values.
 func CauseNames() []string { return causeNames[:] }
 
-// TimeBreakdown says what a job's time was spent on, along its critical path: the step
-// that ended last, of those before it the one that ended last, and so on.
+// TimeBreakdown says what a job's time was spent on along its critical path: the step that
+// was done last, then the last done of its dependencies, and so on.
 type TimeBreakdown struct {
-	Total   time.Duration // from acceptance to the owner's knowledge of the end
-	Allowed time.Duration // the objective, for the work as it was measured
+	Total   time.Duration // from acceptance until the owner learned of the end
+	Allowed time.Duration // the objective, for the measured work
 	Spent   [numCauses]time.Duration
 }
 
-// timeByCause sums up durations by cause.
+// timeByCause is the total time for each cause.
 type timeByCause [numCauses]time.Duration
 
-// addTime adds the time since the task was last looked at, or since it became ready,
-// to the cause for which it still waits.
+// addTime attributes the time since the task was last accounted for, or since it became ready
+// if that is later, to the cause.
 func (t *task) addTime(c Cause, ready, now time.Time) {
 	from := t.accountedUntil
 	if from.Before(ready) {
@@ -62,7 +62,7 @@
 	t.accountedUntil = now
 }
 
-// addWaitTime does so for all steps of the job that are ready.
+// addWaitTime calls addWaitTime for each ready step of the job.
 func (j *jobState) addWaitTime(c Cause, now time.Time) {
 	for _, s := range j.steps {
 		if s.ready() {
@@ -71,8 +71,7 @@
 	}
 }
 
-// addWaitTime adds the time since they were last looked at to the waiting tasks of
-// the step.
+// addWaitTime calls addTime for each task of the step that waits for placement.
 func (s *stepState) addWaitTime(c Cause, now time.Time) {
 	ready := s.readySince()
 	for _, t := range s.tasks {
@@ -82,8 +81,8 @@
 	}
 }
 
-// readySince returns when the last of the steps before it was done, or else when
-// the job became known here.
+// readySince returns when the last dependency of the step was done, but no earlier than the
+// owner learned of the job.
 func (s *stepState) readySince() time.Time {
 	at := s.job.knownAt
 	for _, a := range s.spec.After {
@@ -94,7 +93,8 @@
 	return at
 }
 
-// addLostTime accounts for a run that ended without the task's being done.
+// addLostTime attributes the time of a run that ended without completing its task to the
+// cause.
 func (r *run) addLostTime(c Cause, now time.Time) {
 	if r.firstSentAt.IsZero() || r.task.done {
 		return
@@ -103,8 +103,9 @@
 	r.task.accountedUntil = now
 }
 
-// addRunTime notes which run ended the task, and the step with it if it was the last.
-func (t *task) addRunTime(r *run, now time.Time) {
+// recordCompletion attributes the time of the run that completed the task, nil if unknown,
+// and records the end of the step if it was its last task.
+func (t *task) recordCompletion(r *run, now time.Time) {
 	if r != nil && !r.firstSentAt.IsZero() {
 		took := now.Sub(r.firstSentAt)
 		work := min(took, t.step.spec.Estimate)
@@ -116,7 +117,7 @@
 	}
 }
 
-// waitCause tells why a task of the pool finds no room now.
+// waitCause returns why a task of the service finds no free capacity now.
 func (c *Core) waitCause(service string) Cause {
 	p := c.pool(service)
 	switch {
@@ -130,7 +131,7 @@
 	return CausePoolShort
 }
 
-// timeBreakdown returns what a completed job's time was spent on.
+// timeBreakdown returns the time breakdown of a completed job that ran once.
 func (j *jobState) timeBreakdown(now time.Time) TimeBreakdown {
 	a := TimeBreakdown{Total: now.Sub(j.spec.AcceptedAt)}
 	before := CauseNotKnown
@@ -157,7 +158,7 @@
 	return a
 }
 
-// lastStep returns the step of the newest occurrence that was done last.
+// lastStep returns the step that was done last.
 func (j *jobState) lastStep() *stepState {
 	var last *stepState
 	for _, s := range j.steps {
@@ -168,7 +169,7 @@
 	return last
 }
 
-// lastDependency returns the step that s waited for longest, nil if it waited for none.
+// lastDependency returns the dependency of s that was done last, nil if it has none.
 func (s *stepState) lastDependency() *stepState {
 	var last *stepState
 	for _, a := range s.spec.After {
@@ -179,9 +180,8 @@
 	return last
 }
 
-// noteLateJob writes a line on a completed job that took longer than it was
-// allowed to.
-func (c *Core) noteLateJob(j *jobState, now time.Time) {
+// noteIfLate logs a completed job that took longer than its objective allows.
+func (c *Core) noteIfLate(j *jobState, now time.Time) {
 	if j.state != job.Completed || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning {
 		return
 	}
--- a/jobs/owner/account_test.go
+++ b/jobs/owner/account_test.go
@@ -10,8 +10,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// lateLines returns the accounts that the core noted.
-func (r *rig) lateLines() []TimeBreakdown {
+// lateBreakdowns takes the logged decisions and returns the time breakdowns among them.
+func (r *rig) lateBreakdowns() []TimeBreakdown {
 	var out []TimeBreakdown
 	for _, d := range r.core.TakeDecisions() {
 		if d.Account != nil {
@@ -21,9 +21,9 @@
 	return out
 }
 
-// TestAccountOfALateJob: one task waits for room, fails once and then takes longer
-// than estimated; what that took is in the account, and adds up.
-func TestAccountOfALateJob(t *testing.T) {
+// TestTimeBreakdownOfLateJob: a task waits for capacity, fails once and then exceeds its
+// estimate. The breakdown has each of these times, and they add up to the total.
+func TestTimeBreakdownOfLateJob(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
 	r.answerHold(a, nil)
@@ -34,9 +34,9 @@
 	j := simpleJob(2, 1)
 	j.AcceptedAt = r.now
 	r.core.Submit(j, r.now)
-	r.tick(5 * time.Second) // no room
+	r.tick(5 * time.Second) // no free capacity
 	ends := []RunEnd{}
-	for i, s := range first { // the worker's room comes free
+	for i, s := range first { // the worker's capacity becomes free
 		ends = append(ends, RunEnd{Seq: uint64(i + 1), Task: s.Task, Run: s.Run, Kind: EndDone})
 	}
 	r.answerHold(a, nil, ends...)
@@ -45,13 +45,13 @@
 	require.Len(t, second, 1)
 	r.tick(500 * time.Millisecond)
 	r.answerHold(a, nil, RunEnd{Seq: 9, Task: second[0].Task, Run: second[0].Run, Kind: EndFailed})
-	r.tick(1500 * time.Millisecond) // it waits for another worker, of which there is none
+	r.tick(1500 * time.Millisecond) // it waits for another worker, but there is none
 	third := r.confirmStarts()
 	require.Len(t, third, 1)
 	r.tick(3 * time.Second)
 	r.core.TakeDecisions()
 	r.answerHold(a, nil, RunEnd{Seq: 10, Task: third[0].Task, Run: third[0].Run, Kind: EndDone})
-	late := r.lateLines()
+	late := r.lateBreakdowns()
 	require.Len(t, late, 1)
 	spent := late[0].Spent
 	assert.InDelta(t, 5.0, spent[CausePoolShort].Seconds(), 0.1)
@@ -65,8 +65,8 @@
 	assert.Equal(t, late[0].Total, sum)
 }
 
-// TestNoAccountOfAJobInTime: a line is written on late jobs only.
-func TestNoAccountOfAJobInTime(t *testing.T) {
+// TestNoTimeBreakdownOfJobInTime: only late jobs are logged.
+func TestNoTimeBreakdownOfJobInTime(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
 	r.answerHold(a, nil)
@@ -79,11 +79,11 @@
 	r.tick(time.Second)
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: s[0].Task, Run: s[0].Run, Kind: EndDone})
 	assert.Equal(t, job.Completed, r.core.jobs[j.ID].state)
-	assert.Empty(t, r.lateLines())
+	assert.Empty(t, r.lateBreakdowns())
 }
 
-// TestEndedJobsAreRecordedFirst: their callers are told only then.
-func TestEndedJobsAreRecordedFirst(t *testing.T) {
+// TestEndedJobsAreStoredFirst: a caller sees the final state only once it is stored.
+func TestEndedJobsAreStoredFirst(t *testing.T) {
 	r := newRig(t, 1)
 	for n := range 40 {
 		j := simpleJob(n, 1)
@@ -97,22 +97,22 @@
 	assert.Equal(t, last, records[0].Job.ID)
 }
 
-// TestEveryJobIsRecordedInItsTurn: jobs whose tasks end all the time must not keep
-// others from being recorded.
-func TestEveryJobIsRecordedInItsTurn(t *testing.T) {
+// TestBusyJobsDontStarveOthersOfWrites: jobs whose tasks end all the time must not keep
+// other jobs from being stored.
+func TestBusyJobsDontStarveOthersOfWrites(t *testing.T) {
 	r := newRig(t, 1)
-	const jobs, room = 100, 10
+	const jobs, batch = 100, 10
 	for n := range jobs {
 		j := simpleJob(n, 1)
 		r.core.Submit(j, r.now)
 		r.core.markDirty(r.core.jobs[j.ID])
 	}
 	seen := map[job.ID]bool{}
-	for range jobs / room {
-		records := r.core.PendingRecords(room)
+	for range jobs / batch {
+		records := r.core.PendingRecords(batch)
 		for _, rec := range records {
 			seen[rec.Job.ID] = true
-			r.core.markDirty(r.core.jobs[rec.Job.ID]) // more of it ends while it is written
+			r.core.markDirty(r.core.jobs[rec.Job.ID]) // another task of it ends during the write
 		}
 		r.core.OnCommitted(records, r.now)
 	}
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -107,7 +107,7 @@
 		wasDone := m.done
 		c.completeTask(m)
 		if !wasDone {
-			m.addRunTime(doneBy, now)
+			m.recordCompletion(doneBy, now)
 		}
 		for _, r := range m.runs {
 			c.stop(r, "the task is done", now)
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// inZone puts a worker and its instance into a zone.
-func (r *rig) inZone(id WorkerID, zone string) {
+// setZone puts a worker and its instance into a zone.
+func (r *rig) setZone(id WorkerID, zone string) {
 	for n := range r.regs {
 		if r.regs[n].Worker == id {
 			r.regs[n].Zone = zone
@@ -23,13 +23,13 @@
 	r.publishLists()
 }
 
-// TestInstancesOfAnEvacuatedZoneAreNoRoom: neither those of the pool nor spare ones; what runs
-// there goes on, and counts as work that needs room.
-func TestInstancesOfAnEvacuatedZoneAreNoRoom(t *testing.T) {
+// TestEvacuatedZoneOffersNoCapacity: neither instances of the pool nor spare ones in an
+// evacuated zone get tasks. What runs there continues and still counts as demand.
+func TestEvacuatedZoneOffersNoCapacity(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("a", "b")
-	r.inZone("a", "z1")
-	r.inZone("b", "z2")
+	r.setZone("a", "z1")
+	r.setZone("b", "z2")
 	r.inst = append(r.inst, Instance{ID: "spare1", Pool: "spare", State: InstanceUp, Zone: "z1"})
 	r.publishLists()
 	r.submit(1, 1)
@@ -40,18 +40,18 @@
 	supply := &r.core.pool("s").supply
 	assert.Equal(t, 1, supply.instances)
 	assert.Equal(t, 1, supply.evacuated)
-	assert.Equal(t, 1000, supply.busyMilli, "it will need room elsewhere")
+	assert.Equal(t, 1000, supply.busyMilli, "it will need capacity elsewhere")
 	r.submit(2, 3)
 	for _, s := range r.confirmStarts() {
 		assert.NotEqual(t, first[0].Worker, s.Worker)
 	}
-	assert.Empty(t, r.out.Stops, "what runs there goes on")
+	assert.Empty(t, r.out.Stops, "runs there continue")
 
 	r.core.Evacuate([]string{"z1", "z2"})
 	r.submit(3, 1)
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.out.Starts)
-	assert.Empty(t, r.out.InstanceOrders, "a spare instance there is of no use")
+	assert.Empty(t, r.out.InstanceOrders, "spare instances there are not moved to the pool")
 	assert.Equal(t, CauseZoneEvacuated, r.core.waitCause("s"))
 	r.core.Evacuate(nil)
 	r.answerHold("a", nil)
@@ -62,13 +62,14 @@
 	assert.Zero(t, supply.evacuated)
 }
 
-// TestGiveBacksLeaveTurns: moves that are waited for come before those that only save.
-func TestGiveBacksLeaveTurns(t *testing.T) {
+// TestReturnsLeaveMovesForWaitingTasks: returns to the spare pool use only what the moves for
+// waiting tasks leave of the rate limit.
+func TestReturnsLeaveMovesForWaitingTasks(t *testing.T) {
 	r := newRig(t, 1)
 	c := r.core
 	c.opt.MaxMovesPerSec = 10
-	assert.Equal(t, 5, c.returnAllowance(r.now), "half of a second's")
-	c.returnBudget -= 12 // ordered at once for tasks that wait
+	assert.Equal(t, 5, c.returnAllowance(r.now), "half of the moves of a second")
+	c.returnBudget -= 12 // moves ordered for waiting tasks
 	assert.Zero(t, c.returnAllowance(r.now))
 	r.now = r.now.Add(time.Second)
 	assert.Zero(t, c.returnAllowance(r.now))
--- a/jobs/owner/forecast_test.go
+++ b/jobs/owner/forecast_test.go
@@ -9,12 +9,12 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestForecastOfAWave: the log says early that a wave will miss its limit.
-func TestForecastOfAWave(t *testing.T) {
-	for _, c := range []struct {
-		atOnce int
-		within time.Duration
-		late   bool
+// TestForecastOfLateWave: a wave that is going to exceed its time limit is logged early.
+func TestForecastOfLateWave(t *testing.T) {
+	for _, tc := range []struct {
+		maxDown int
+		within  time.Duration
+		late    bool
 	}{
 		{4, 30 * time.Second, false},
 		{1, 30 * time.Second, true},
@@ -28,18 +28,18 @@
 			ids = append(ids, InstanceID("i-"+id))
 		}
 		r.core.TakeDecisions()
-		r.core.OnWave(WaveRequest{Wave: 1, Instances: ids, Within: c.within, MaxDown: c.atOnce}, nil, false, r.now)
+		r.core.OnWave(WaveRequest{Wave: 1, Instances: ids, Within: tc.within, MaxDown: tc.maxDown}, nil, false, r.now)
 		r.tick(50 * time.Millisecond)
-		var said []string
+		var reasons []string
 		for _, d := range r.core.TakeDecisions() {
 			if strings.HasPrefix(d.Event, "wave-late") {
-				said = append(said, d.Reason)
+				reasons = append(reasons, d.Reason)
 			}
 		}
-		if c.late {
-			assert.Len(t, said, 1)
+		if tc.late {
+			assert.Len(t, reasons, 1)
 		} else {
-			assert.Empty(t, said)
+			assert.Empty(t, reasons)
 		}
 	}
 }
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -249,7 +249,7 @@
 	c.markDirty(j)
 	c.toWrite.add(j) // moves it to the jobs that ended, which are written first
 	c.note(Decision{Event: "job-" + string(state), Job: j.spec.ID})
-	c.noteLateJob(j, now)
+	c.noteIfLate(j, now)
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -10,14 +10,11 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// TestAJobWaitsUntilATaskIsKnownToHaveStarted.
-//
-// Seen: a daemon in touch said that 0 jobs of a queue waited while 8 had for over 5 s,
-// with nearly all of their service's room free. How: a start was sent for each job and
-// counted as its beginning. Cause: the count, and the state shown, followed from the
-// order and not from what the worker said. Proof: each case below gives 0 and "running"
-// without any task that has run.
-func TestAJobWaitsUntilATaskIsKnownToHaveStarted(t *testing.T) {
+// TestJobIsPendingUntilATaskIsKnownToHaveStarted: a job counts as pending, and is shown as
+// queued, until a worker reports that a task of it started. When the sent start order counted
+// as the beginning, a daemon reported 0 pending jobs of a queue while 8 had waited for over
+// 5 s, although nearly all capacity of the service was free.
+func TestJobIsPendingUntilATaskIsKnownToHaveStarted(t *testing.T) {
 	answer := func(o Outcome) func(r *rig, s Start) {
 		return func(r *rig, s Start) {
 			r.core.OnStarted(s, Answer{Outcome: o, ClockMs: r.clockMs()}, r.now)
@@ -26,29 +23,29 @@
 	}
 	for _, c := range []struct {
 		name string
-		then func(r *rig, s Start) // what becomes of the start
+		then func(r *rig, s Start) // outcome of the start order
 	}{
-		{"it is on its way", func(*rig, Start) {}},
-		{"it is not answered", answer(Unanswered)},
-		{"there is no room", answer(NoRoom)},
+		{"the start order is in transit", func(*rig, Start) {}},
+		{"the start order is not answered", answer(Unanswered)},
+		{"the worker has no free capacity", answer(NoRoom)},
 		{"the worker is unhealthy", answer(Unhealthy)},
-		{"its lease is over", answer(LeaseOver)},
-		{"its run is too old", answer(RunTooOld)},
-		{"its ticket is bad", answer(BadTicket)},
-		{"it is invalid", answer(Invalid)},
-		{"another life answers", answer(OtherBoot)},
-		{"the worker is fenced off", answer(Fenced)},
-		{"the instance list shows the end of the worker's life", func(r *rig, _ Start) {
+		{"the worker's lease has expired", answer(LeaseOver)},
+		{"the run number is too old", answer(RunTooOld)},
+		{"the ticket is invalid", answer(BadTicket)},
+		{"the order is invalid", answer(Invalid)},
+		{"another incarnation answers", answer(OtherBoot)},
+		{"the worker has seen a newer owner", answer(Fenced)},
+		{"the instance list shows that the worker ended", func(r *rig, _ Start) {
 			r.inst[0].State = InstanceDown
 			r.publishLists()
 		}},
-		{"no answer comes, and the worker's leases end", func(r *rig, s Start) {
+		{"no answer comes until the worker's leases have expired", func(r *rig, s Start) {
 			for range 60 {
 				r.failHold(s.Worker)
 				r.tick(100 * time.Millisecond)
 			}
 		}},
-		{"the worker says that it runs nothing", func(r *rig, s Start) {
+		{"the worker reports that nothing runs", func(r *rig, s Start) {
 			r.core.OnStarted(s, Answer{Outcome: Unanswered}, r.now)
 			r.collectEffects()
 			r.tick(time.Second)
@@ -67,20 +64,20 @@
 			assert.Equal(t, job.Queued, state)
 		})
 	}
-	t.Run("only some members of a gang are there", aGangWaitsForAllItsMembers)
+	t.Run("only some members of a gang have started", testGangIsPendingUntilAllMembersStart)
 }
 
-// TestAJobNoLongerWaitsOnceAWorkerSaysThatATaskStarted, whichever way it says so.
-func TestAJobNoLongerWaitsOnceAWorkerSaysThatATaskStarted(t *testing.T) {
+// TestJobIsRunningOnceAWorkerReportsAStartedTask: each way of reporting it counts.
+func TestJobIsRunningOnceAWorkerReportsAStartedTask(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		then func(r *rig, s Start)
 	}{
-		{"it takes the start", func(r *rig, s Start) {
+		{"it accepts the start order", func(r *rig, s Start) {
 			r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
 		}},
 		{"it lists the run", func(r *rig, s Start) { r.answerHold(s.Worker, []ActiveRun{{Task: s.Task, Run: s.Run}}) }},
-		{"it lists the end of a run that failed", func(r *rig, s Start) {
+		{"it lists the failed run as ended", func(r *rig, s Start) {
 			r.answerHold(s.Worker, nil, RunEnd{Seq: 1, Task: s.Task, Run: s.Run, Kind: EndFailed})
 		}},
 	} {
@@ -97,9 +94,9 @@
 	}
 }
 
-// TestAnInheritedJobWaitsUntilARunOfItIsHeardOf: what the owner before ordered is not
-// known to have begun either.
-func TestAnInheritedJobWaitsUntilARunOfItIsHeardOf(t *testing.T) {
+// TestInheritedJobIsPendingUntilARunIsReported: tasks that the previous owner ordered aren't
+// known to have started either.
+func TestInheritedJobIsPendingUntilARunIsReported(t *testing.T) {
 	j := simpleJob(1, 1)
 	r := newRig(t, 2, Loaded{Job: j})
 	a := r.worker("a")
@@ -108,8 +105,8 @@
 	assert.Zero(t, r.core.PendingJobs("q"))
 }
 
-// aGangWaitsForAllItsMembers: its tasks start only once all of them are there.
-func aGangWaitsForAllItsMembers(t *testing.T) {
+// testGangIsPendingUntilAllMembersStart: the tasks of a gang start only once all are there.
+func testGangIsPendingUntilAllMembersStart(t *testing.T) {
 	r := newRig(t, 1)
 	r.answerHold(r.worker("a"), nil)
 	j := simpleJob(1, 2)
@@ -120,9 +117,9 @@
 	require.Len(t, r.out.Starts, 2)
 	first, second := r.out.Starts[0], r.out.Starts[1]
 	r.core.OnStarted(first, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
-	assert.Equal(t, 1, r.core.PendingJobs("q"), "one member waits for the other")
+	assert.Equal(t, 1, r.core.PendingJobs("q"), "the first member waits for the second")
 	r.answerHold(first.Worker, nil, RunEnd{Seq: 1, Task: first.Task, Run: first.Run, Kind: EndGangIncomplete})
-	assert.Equal(t, 1, r.core.PendingJobs("q"), "it waited in vain")
+	assert.Equal(t, 1, r.core.PendingJobs("q"), "the first member gave up waiting")
 	r.core.OnStarted(second, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
-	assert.Equal(t, 1, r.core.PendingJobs("q"), "the other one came too late")
+	assert.Equal(t, 1, r.core.PendingJobs("q"), "the second member started too late")
 }
