--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -1,5 +1,5 @@
-// Package node is the daemon of the job subsystem: it wires the gateway, the
-// ledger, the peers and, while this daemon is the owner, the scheduler.
+// Package node is the daemon of the job subsystem. It connects the gateway, the ledger and
+// the peers, and runs the scheduler while this daemon is the owner, the elected leader.
 package node
 
 import (
@@ -13,57 +13,57 @@
 	"github.com/postmount/postmount/jobs/policy"
 )
 
-// Settings of one daemon.
+// Settings holds the settings of one daemon.
 type Settings struct {
 	Node        string
 	Zone        string
 	IP          string
-	CallersAddr string // callers connect here
-	ReadyAddr   string // the balancer asks here whether to send callers
+	CallersAddr string // listener for callers
+	ReadyAddr   string // listener for the load balancer's health checks
 	PeerPort    int
 	MetricsPort int
 	StoreAddr   string
 	ManagerAddr string
 	AdvisorAddr string  // "" if no queue needs advice
-	MemoryMB    int     // limit of the process
-	Cores       float64 // share of the processor that the process has
-	LinkMbps    float64 // of the daemon's network link; 0: not known
+	MemoryMB    int     // memory limit of the process
+	Cores       float64 // CPU limit of the process
+	LinkMbps    float64 // bandwidth of the daemon's network link; 0: unknown
 
-	MaxTaskLease  time.Duration // longest lease that workers give
-	StopGrace     time.Duration // between SIGTERM and SIGKILL
-	DutyHandover  time.Duration // between orders of two holders of the duty
-	MovesPerSec   float64       // orders for instances that the platform accepts; 0: any number
-	MinStoreLease time.Duration
-	KeepStatus    time.Duration // of ended jobs
-	RequireKeys   bool          // callers need the key of a tenant, but for public queues
-	// MaxConfigAge is how long a daemon that hears nothing of the configuration goes on taking
-	// its keys for good; 0: for ever, so that a store that is away stops nobody.
+	MaxTaskLease    time.Duration // longest lease that workers accept
+	StopGrace       time.Duration // between SIGTERM and SIGKILL
+	DutyHandover    time.Duration // minimum time between instance orders of two duty holders
+	MovesPerSec     float64       // rate of instance orders that the platform accepts; 0: unlimited
+	MinStoreLease   time.Duration // shortest lease that the store grants
+	StatusRetention time.Duration // how long the state of ended jobs is kept
+	RequireKeys     bool          // callers need a tenant's key, except on public queues
+	// MaxConfigAge is how long keys are accepted after the configuration was last known to be the
+	// newest. 0 means without limit, so that an unavailable store rejects nobody.
 	MaxConfigAge time.Duration
 
 	Policy policy.Settings
 }
 
-// Validate returns all mistakes in the settings.
+// Validate returns all invalid settings in one error.
 func (s *Settings) Validate() error {
 	var errs []error
-	for _, a := range []struct{ key, value string }{
+	for _, a := range []struct{ name, value string }{
 		{"CallersAddr", s.CallersAddr}, {"ReadyAddr", s.ReadyAddr}, {"StoreAddr", s.StoreAddr}, {"ManagerAddr", s.ManagerAddr},
 	} {
 		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			errs = append(errs, fmt.Errorf("%s: %q is no address: %w", a.key, a.value, err))
+			errs = append(errs, fmt.Errorf("%s: invalid address %q: %w", a.name, a.value, err))
 		}
 	}
 	if s.Node == "" {
 		errs = append(errs, errors.New("Node is empty"))
 	}
 	if s.PeerPort <= 0 {
-		errs = append(errs, fmt.Errorf("PeerPort is %d", s.PeerPort))
+		errs = append(errs, fmt.Errorf("PeerPort is %d, must be positive", s.PeerPort))
 	}
 	if s.MaxTaskLease <= 0 {
-		errs = append(errs, fmt.Errorf("MaxTaskLease is %s", s.MaxTaskLease))
+		errs = append(errs, fmt.Errorf("MaxTaskLease is %s, must be positive", s.MaxTaskLease))
 	}
 	if s.MovesPerSec < 0 {
-		errs = append(errs, fmt.Errorf("MovesPerSec is %v", s.MovesPerSec))
+		errs = append(errs, fmt.Errorf("MovesPerSec is %v, must not be negative", s.MovesPerSec))
 	}
 	if s.MaxConfigAge < 0 {
 		errs = append(errs, fmt.Errorf("MaxConfigAge is %s, must not be negative", s.MaxConfigAge))
@@ -73,104 +73,99 @@
 
 func (s *Settings) peerAddr() string { return net.JoinHostPort(s.IP, strconv.Itoa(s.PeerPort)) }
 
-// Figures of the daemon.
+// Intervals, timeouts and limits of the daemon.
 const (
-	// storeLease is the time to live of this daemon's keys: an owner that is
-	// gone is noticed so late. Renewals cost a tenth of a call.
+	// storeLease is the time to live of this daemon's keys in the store, after which a failed
+	// owner is detected. A renewal costs a tenth of a store call.
 	storeLease    = 2 * time.Second
 	renewInterval = 500 * time.Millisecond
-	// leaseSafetyMargin is left of the lease when the last order for an instance may
-	// be sent.
+	// leaseSafetyMargin is the minimum remaining time of a lease that counts as held.
 	leaseSafetyMargin = 700 * time.Millisecond
-	// storeTimeout bounds calls that can be repeated: the store answers in 4 ms,
-	// and in 300 ms in its slow hours.
+	// storeTimeout is for store calls that can be repeated. The store answers in 4 ms, in its
+	// slow hours in 300 ms.
 	storeTimeout = 900 * time.Millisecond
-	// renewTimeout bounds one renewal of the lease, so that a third one is
-	// answered before the lease ends. The store takes 300 ms in its slow hours.
+	// renewTimeout is for one renewal of the lease. A third attempt is answered before the lease
+	// expires. The store takes 300 ms in its slow hours.
 	renewTimeout = 600 * time.Millisecond
-	// failedRelayPause is how long a peer is not asked to call the store after its way
-	// failed: some disruptions cut off several daemons for seconds.
+	// failedRelayPause is how long a peer is not used as a relay to the store after it failed:
+	// some disruptions partition several daemons for seconds.
 	failedRelayPause = 2 * time.Second
-	// watchWait is how long a watch waits for changes. A daemon that hangs on a
-	// connection which a partition has cut must hear of a new configuration within
-	// 3 s: watchWait, watchReserve and retryPause are less.
+	// watchWait is how long a watch waits for changes. A daemon whose connection was cut by a
+	// partition must receive a new configuration within 3 s, which exceeds the sum of watchWait,
+	// watchTimeoutMargin and retryPause.
 	watchWait = 2 * time.Second
-	// watchTimeoutMargin is added for the answer.
+	// watchTimeoutMargin is added to the wait of a watch for its reply.
 	watchTimeoutMargin = 700 * time.Millisecond
 	// retryPause follows a failed call.
 	retryPause = 100 * time.Millisecond
-	// electionCPUFactor is by how much more of a processor another daemon has to have to
-	// go before this one in an election, and strongerFirst how long it is left to
-	// it: a stronger one tries within some milliseconds.
+	// electionCPUFactor is how many times more CPU another daemon must have for this one to delay
+	// its candidacy by weakerElectionDelay. The other one becomes a candidate within milliseconds.
 	electionCPUFactor   = 1.25
 	weakerElectionDelay = 250 * time.Millisecond
-	// yieldCPUFactor is by how much more another daemon has to have for an owner with work
-	// to yield to it at once: so weak an owner falls behind a queue for as long as it lasts, and
-	// the change takes 0.3 s.
+	// yieldCPUFactor is how many times more CPU another daemon must have for an owner with open
+	// jobs to yield to it at once: such an owner falls behind for as long as a queue lasts, while
+	// a change of owner takes 0.3 s.
 	yieldCPUFactor = 3
-	// cpuStarvedAfter is how long an owner is short of processor time before it gives
-	// way to a stronger daemon: longer than a takeover keeps it busy, which a change would cost
-	// once more.
+	// cpuStarvedAfter is how long an owner is short of CPU before it yields to a daemon with more.
+	// It is longer than the load of a takeover lasts, which a change of owner would repeat.
 	cpuStarvedAfter = 3 * time.Second
-	// partitionedYieldAfter is how long an owner goes on by way of its peers while its own way to the store
-	// is cut. A change of owner takes 0.3 s; by way of peers, some of which may be cut off as well,
-	// records and orders for instances are late by up to a second each time.
+	// partitionedYieldAfter is how long an owner that is partitioned from the store goes on by
+	// way of relays. A change of owner takes 0.3 s. Relays may be partitioned as well, and then
+	// records and instance orders are late by up to a second each time.
 	partitionedYieldAfter = 700 * time.Millisecond
-	// partitionedElectionDelay is how long a daemon whose own way is cut leaves an election to the others.
+	// partitionedElectionDelay is how long a daemon that is partitioned from the store delays its
+	// candidacy, so that another one is elected first.
 	partitionedElectionDelay = 1500 * time.Millisecond
-	// membersInterval is how often the list of live daemons is read, stale.
+	// membersInterval is how often the list of live daemons is read, as a stale read.
 	membersInterval = 2 * time.Second
-	// instancesInterval is how often the owner reads the instance list, and
-	// instancesLeast the least time between two readings: a tenth of the time
-	// that a move takes.
+	// instancesInterval is how often the owner reads the instance list, minInstancesInterval the
+	// minimum time between two reads: a tenth of the duration of a move.
 	instancesInterval    = 700 * time.Millisecond
 	minInstancesInterval = 150 * time.Millisecond
-	// instancesLinkShare is how much of the daemon's link readings of the list may take:
-	// at 2 Mbit/s one of 132 instances takes 80 ms. bytesPerInstance is an
-	// entry's length in the list.
+	// instancesLinkShare is the share of the daemon's link that reads of the list may use: at
+	// 2 Mbit/s a list of 132 instances takes 80 ms. bytesPerInstance is the length of an entry.
 	instancesLinkShare = 0.1
 	bytesPerInstance   = 155
-	// maxInstancesInterval keeps the list young enough for orders for instances.
+	// maxInstancesInterval keeps the list recent enough for instance orders.
 	maxInstancesInterval = 2 * time.Second
 	// tickInterval is the resolution of the owner's timers.
 	tickInterval = 25 * time.Millisecond
-	// commitInterval is the least time between two transactions of the owner. It
-	// trades the store's price of a call against when a job is shown as completed.
+	// commitInterval is the minimum time between two transactions of the owner. It trades the
+	// cost of store calls against how soon a job is reported as completed.
 	commitInterval = 40 * time.Millisecond
-	// commitBacklog is how many jobs may wait to be written before transactions follow
-	// each other without a pause: two transactions' worth. At 300 jobs a second callers
-	// would hear of an end, and workers forget it, later and later.
+	// commitBacklog is the number of unwritten jobs from which transactions follow each other
+	// without a pause: two full transactions. With a pause, at 300 jobs per second, callers would
+	// learn of an end, and workers forget it, later and later.
 	commitBacklog = 2 * ledger.MaxWriteEntries
-	// jobsInterval is the least time between two readings of new submissions by the
-	// owner. Daemons tell it of them at once; the store is the second way.
+	// jobsInterval is the minimum time between two reads of new submissions by the owner. Daemons
+	// also notify it directly; the store is the fallback.
 	jobsInterval = 200 * time.Millisecond
-	// taskLease is how long workers' tasks live without renewal. It outlasts a
-	// change of owner (the store's lease, an election and the reading of all
-	// jobs) and ends soon enough for a task that is cut off to be started anew.
+	// taskLease is how long workers run tasks without renewal. It outlasts a change of owner
+	// (expiry of the store lease, an election and the loading of all jobs) and is short enough to
+	// restart a task soon whose worker is partitioned.
 	taskLease = 4500 * time.Millisecond
-	// holdWait is how long a worker waits for an end before it answers; it is
-	// also how old its tasks' progress may be.
+	// holdWait is how long a worker waits for a task to end before it answers a hold. It also
+	// bounds the age of its tasks' progress.
 	holdWait = 900 * time.Millisecond
-	// idleHoldWait is the same for workers on which nothing runs, of which nothing is to be
-	// seen: most of a fleet, the queues of which rise and fall by turns. A worker waits for
-	// 2 s at most.
+	// idleHoldWait is holdWait for workers without tasks, which have no progress to report: most
+	// of a fleet, as its queues have their peaks at different times. A worker waits for 2 s at most.
 	idleHoldWait = 1800 * time.Millisecond
-	// peerTimeout bounds a question to the owner.
+	// peerTimeout is for queries to other daemons, the owner above all.
 	peerTimeout = 500 * time.Millisecond
-	// instanceOrderTimeout bounds an order for an instance.
+	// instanceOrderTimeout is for an order for an instance, or a read of the instance list.
 	instanceOrderTimeout = time.Second
-	// expireInterval is how often ended jobs are removed from the store.
+	// expireInterval is how often expired jobs are removed from the store.
 	expireInterval = 5 * time.Second
-	// handOverTimeout bounds the release of an owner's lock when it stops: two tries.
-	// If both fail the lease is ended, and the lock with it.
+	// handOverTimeout is for the release of the owner's lock: two attempts. If both fail the
+	// lease is revoked, and the lock with it.
 	handOverTimeout = 2 * storeTimeout
-	// releaseProbeTimeout bounds a try to release the lock while the store is away: the owner
-	// goes on with its work meanwhile.
+	// releaseProbeTimeout is for an attempt to release the lock while the store is unavailable;
+	// it is short as it blocks the owner's work.
 	releaseProbeTimeout = 50 * time.Millisecond
-	// releaseCommitWait is how long the release waits for a transaction that is under
-	// way. The store answers in 4 ms; in its slow hours the release need not wait.
+	// releaseCommitWait is how long the release waits for a transaction in flight. The store
+	// answers in 4 ms; in its slow hours the release need not wait.
 	releaseCommitWait = 100 * time.Millisecond
-	// balancerReactionTime is how long the balancer takes to leave out a daemon that
-	// is not ready: two questions, one a second, and the way.
+	// balancerReactionTime is how long the load balancer takes to remove a daemon that is not
+	// ready: two health checks, one per second, and the network latency.
 	balancerReactionTime = 2500 * time.Millisecond
 )
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -84,7 +84,7 @@
 		MaxHoldsPerSec: lossyHoldsPerCoreSecond * n.settings.Cores,
 		MaxMovesPerSec: n.settings.MovesPerSec,
 		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PreviousOrders), ElectedAt: began, PriorOrdersUnknown: term.PreviousOrdersUnknown, SucceedsSelf: term.SucceedsSelf,
-		StatusRetention:  n.settings.KeepStatus,
+		StatusRetention:  n.settings.StatusRetention,
 		MaxPendingStarts: startsPerSlot * cap(t.startCalls.slots),
 		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, SchedulingPolicy: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -91,7 +91,7 @@
 	d := &Daemon{Name: name, Gate: &Gate{}, done: make(chan struct{})}
 	set := node.Settings{
 		Node: name, IP: name, PeerPort: 1, Cores: cores, MaxTaskLease: 10 * time.Second, StopGrace: 6 * time.Second,
-		DutyHandover: dutyHandover, MinStoreLease: time.Second, KeepStatus: 2 * time.Minute, Policy: policy.Default(),
+		DutyHandover: dutyHandover, MinStoreLease: time.Second, StatusRetention: 2 * time.Minute, Policy: policy.Default(),
 	}
 	var workers owner.WorkerClient = in.Fleet.Client(name, d.Gate, in.ask)
 	if in.Reach != nil {
