--- a/jobs/ledger/accept.go
+++ b/jobs/ledger/accept.go
@@ -10,37 +10,38 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Figures of accepting jobs.
+// Parameters of accepting jobs.
 const (
-	// acceptBatch is how many submissions share a transaction: each takes a
-	// condition and a put.
+	// acceptBatch is the number of submissions in a transaction: each takes a condition and a
+	// put.
 	acceptBatch = MaxTxnEntries / 2
-	// acceptWorkers is how many transactions are under way at the same time, so
-	// that one slow answer does not hold up the others.
+	// acceptWorkers is the number of concurrent transactions, so that a slow answer does not
+	// delay all submissions.
 	acceptWorkers = 4
-	// acceptQueueLen is how many submissions may wait; more are refused at once.
+	// acceptQueueLen is how many submissions may wait; more are refused immediately.
 	acceptQueueLen = 512
-	// acceptTimeout bounds one try: the store answers in 4 ms, and in 300 ms in
-	// its slow hours.
+	// acceptTimeout bounds one attempt: the store answers in 4 ms, during its slow hours in
+	// 300 ms.
 	acceptTimeout = 900 * time.Millisecond
-	// acceptRetryWindow is how long a transaction whose answer was lost is tried again: its
-	// condition lets it happen once, and its callers need to know whether it did. Callers
-	// wait for 3 s, and use what is left for tries of their own.
+	// acceptRetryWindow is how long a transaction is retried after its answer was lost. Its
+	// conditions let it commit only once, and its callers need to know whether it did. Callers
+	// wait for 3 s in all and use the rest of that time for retries of their own.
 	acceptRetryWindow = time.Second
-	// acceptRetryInterval is the time between two such tries.
+	// acceptRetryInterval is the time between retries.
 	acceptRetryInterval = 60 * time.Millisecond
 )
 
-// CodeTooManySubmissions says that too many submissions wait.
+// CodeTooManySubmissions refuses a submission because the queue of submissions is full.
 const CodeTooManySubmissions verdict.Code = "too-many-submissions"
 
-// AcceptorStore is a store that knows whether it is away.
+// AcceptorStore is a store that tracks its own availability.
 type AcceptorStore interface {
 	Store
+	// Unavailable reports whether recent calls to the store failed.
 	Unavailable() bool
 }
 
-// Acceptor writes submissions, several at a time.
+// Acceptor writes submissions to the store in batches.
 type Acceptor struct {
 	store AcceptorStore
 	queue chan pendingSubmission
@@ -53,7 +54,7 @@
 	done   chan error
 }
 
-// NewAcceptor returns an acceptor that does nothing before Run.
+// NewAcceptor returns an acceptor. Submissions wait in its queue until Run is called.
 func NewAcceptor(s AcceptorStore) *Acceptor {
 	return &Acceptor{store: s, queue: make(chan pendingSubmission, acceptQueueLen)}
 }
@@ -65,10 +66,10 @@
 	}
 }
 
-// Accept stores a job. A nil error means that it is in the store, by this call
-// or an earlier one; otherwise the verdict says whether it may be. While the store is
-// away nothing is sent, so that the refusal can say for certain that it is not, and
-// callers come back after a pause instead of spending their tries at once.
+// Accept stores a job. A nil error means that the job is in the store, by this call or an
+// earlier one; otherwise the error's verdict says whether it may be. While the store is
+// unavailable nothing is sent and the verdict is NotRun, so that callers retry after a delay
+// instead of spending their attempts at once.
 func (a *Acceptor) Accept(ctx context.Context, j *job.Job) error {
 	if a.store.Unavailable() {
 		return errStoreUnavailable()
@@ -83,7 +84,7 @@
 	case err := <-s.done:
 		return err
 	case <-ctx.Done():
-		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "job %s is being stored", j.ID)
+		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "job %s is still being stored", j.ID)
 	}
 }
 
@@ -102,8 +103,8 @@
 	}
 }
 
-// collectBatch takes what else waits, up to a full transaction. Two submissions of
-// one job must not share it.
+// collectBatch takes waiting submissions up to a full transaction, by key: several submissions
+// of one job share a put, as a transaction may contain a key only once.
 func (a *Acceptor) collectBatch(first pendingSubmission) map[string][]pendingSubmission {
 	batch := map[string][]pendingSubmission{first.key: {first}}
 	for len(batch) < acceptBatch {
@@ -117,15 +118,15 @@
 	return batch
 }
 
-// storeBatch writes a batch. Jobs that are in the store already are taken out of
-// it, and the rest is sent again.
+// storeBatch writes a batch. Jobs that are in the store already are completed and removed
+// from the batch, and the rest is sent again.
 func (a *Acceptor) storeBatch(ctx context.Context, batch map[string][]pendingSubmission) {
 	if a.store.Unavailable() {
 		completeBatch(batch, errStoreUnavailable())
 		return
 	}
 	began := time.Now()
-	mayHaveCommitted := false // an earlier try may still take effect
+	mayHaveCommitted := false // an earlier attempt may still take effect
 	for len(batch) > 0 {
 		res, err := a.commit(ctx, batch)
 		switch {
@@ -135,7 +136,7 @@
 				continue
 			}
 			if mayHaveCommitted {
-				err = verdict.Wrap(err, verdict.MayHaveRun, CodeStoreUnavailable, "tried for %s", time.Since(began).Round(time.Millisecond))
+				err = verdict.Wrap(err, verdict.MayHaveRun, CodeStoreUnavailable, "store transaction retried for %s", time.Since(began).Round(time.Millisecond))
 			}
 			completeBatch(batch, err)
 			return
@@ -144,7 +145,7 @@
 			return
 		}
 		if a.dropExisting(batch, res) == 0 {
-			completeBatch(batch, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "the store refused a batch and named no existing key"))
+			completeBatch(batch, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "the store refused a batch but reported no existing key"))
 			return
 		}
 	}
@@ -161,6 +162,8 @@
 	return a.store.Commit(ctx, t)
 }
 
+// dropExisting completes and removes the submissions of jobs that exist, and returns the
+// number of these jobs.
 func (a *Acceptor) dropExisting(batch map[string][]pendingSubmission, res TxnResult) int {
 	n := 0
 	for _, i := range res.Current {
@@ -177,16 +180,16 @@
 	return n
 }
 
-// CodeOtherTenant says that a job belongs to another tenant than the one that asks.
+// CodeOtherTenant refuses a call for a job of another tenant.
 const CodeOtherTenant verdict.Code = "job-of-another-tenant"
 
-// ErrOtherTenant is the error of a call for a job of another tenant.
+// ErrOtherTenant returns the error of a call for a job of another tenant.
 func ErrOtherTenant(id job.ID) error {
-	return verdict.New(verdict.NotRun, CodeOtherTenant, "job %s is another tenant's", id)
+	return verdict.New(verdict.NotRun, CodeOtherTenant, "job %s belongs to another tenant", id)
 }
 
-// checkAccess returns an error if the job of a submission that is in the store is not the
-// tenant's. One that cannot be read is nobody's.
+// checkAccess returns an error if the tenant may not access the job of a stored submission.
+// A submission that cannot be decoded belongs to no tenant.
 func checkAccess(i Item, tenant string) error {
 	sub, err := decodeSubmission(i)
 	if err == nil && !job.MayAccess(tenant, sub.Tenant) {
@@ -195,6 +198,7 @@
 	return nil
 }
 
+// completeBatch reports err to all submissions of a batch.
 func completeBatch(batch map[string][]pendingSubmission, err error) {
 	for _, ss := range batch {
 		for _, s := range ss {
@@ -203,14 +207,13 @@
 	}
 }
 
-// JobExists reports whether the job is in the store: accepted, or ended a while ago.
+// JobExists reports whether the job is in the store, whether or not it has ended.
 func JobExists(ctx context.Context, s Store, id job.ID) (bool, error) {
 	_, known, err := s.Get(ctx, prefixSubmitted+string(id), false)
 	return known, err
 }
 
-// Cancel records a tenant's wish to cancel a job. known is false if there is
-// no such job.
+// Cancel records a tenant's request to cancel a job. known is false if the job does not exist.
 func Cancel(ctx context.Context, s Store, id job.ID, tenant string) (known bool, err error) {
 	item, known, err := s.Get(ctx, prefixSubmitted+string(id), false)
 	if err != nil || !known {
@@ -223,11 +226,12 @@
 		If:   []Condition{{Key: prefixCancelled + string(id)}},
 		Puts: []Put{{Key: prefixCancelled + string(id), Value: []byte("{}")}},
 	}
-	_, err = s.Commit(ctx, t) // a refusal says that it was cancelled before
+	_, err = s.Commit(ctx, t) // not committed: the job was cancelled before
 	return true, err
 }
 
-// StateOf reads a job's state, and whose it is, from the store, for when the owner is away.
+// StateOf reads a job's state and tenant from the store. It is used while the owner is not
+// available.
 func StateOf(ctx context.Context, s Store, id job.ID) (state job.State, tenant string, known bool, err error) {
 	item, known, err := s.Get(ctx, prefixSubmitted+string(id), false)
 	if err != nil || !known {
@@ -244,7 +248,7 @@
 	return state, sub.Tenant, true, err
 }
 
-// openStateOf reads the state of a job the submission of which does not show its end.
+// openStateOf reads the state of a job whose submission contains no EndRecord.
 func openStateOf(ctx context.Context, s Store, id job.ID) (job.State, error) {
 	if item, found, err := s.Get(ctx, prefixProgress+string(id), false); err != nil {
 		return "", err
@@ -260,5 +264,5 @@
 	return job.Queued, nil
 }
 
-// idOf returns the job of a key with the given prefix.
+// idOf returns the job ID in a key with the given prefix.
 func idOf(key, prefix string) job.ID { return job.ID(strings.TrimPrefix(key, prefix)) }
--- a/jobs/ledger/accept_test.go
+++ b/jobs/ledger/accept_test.go
@@ -15,8 +15,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// outage is a store whose connections are reset while it is away, after a
-// transaction was sent.
+// outage is a store that resets connections while it is away, after the transaction was sent.
 type outage struct {
 	Store
 	away    atomic.Bool
@@ -41,11 +40,10 @@
 func (o *outage) Relay() Store      { return nil }
 func (o *outage) RelayFailed(Store) {}
 
-// TestSubmissionsWhileTheStoreIsAway: callers try five times within three seconds. An
-// answer that leaves open whether the job was stored makes them try again at once; one
-// that says that it was not, after a pause. So all but the first few submissions of an
-// outage have to be refused for certain, nothing of them sent, and the ones whose
-// transaction is open are tried for a while before they are given up.
+// TestSubmissionsWhileTheStoreIsAway: callers try five times within 3 s, at once after
+// MayHaveRun and after a delay after NotRun. So that they don't use up their attempts, all but
+// the first submissions of an outage must be refused with NotRun without sending anything, and
+// a transaction whose outcome is unknown must be retried before it is given up.
 func TestSubmissionsWhileTheStoreIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -70,18 +68,18 @@
 			err := accept(2 + n)
 			assert.Equal(t, verdict.NotRun, verdict.Of(err), "%v", err)
 		}
-		assert.Equal(t, sent, s.commits, "nothing is sent of a job that is refused")
+		assert.Equal(t, sent, s.commits, "refused submissions are not sent")
 
 		s.away.Store(false)
-		assert.Error(t, accept(40), "its return has not been noticed")
+		assert.Error(t, accept(40), "no call has succeeded since the outage")
 		_, err := f.KeepAlive(ctx, 1)
 		require.NoError(t, err)
 		assert.NoError(t, accept(41))
 	})
 }
 
-// TestAnAnswerThatIsLostOnce: the transaction is repeated, and the caller hears that
-// the job is stored.
+// TestAnAnswerThatIsLostOnce: the transaction is retried, and the caller is told that the job
+// is stored.
 func TestAnAnswerThatIsLostOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/jobs/ledger/entries_test.go
+++ b/jobs/ledger/entries_test.go
@@ -14,20 +14,20 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestABadRecordHarmsNoOther: bytes of another writer under a key of a job, of its progress or
-// of a wave keep nobody from being the owner of the other jobs. Seen by reading: one of them
-// was enough that no daemon could load the jobs, ever.
+// TestABadRecordHarmsNoOther: an invalid value of a job, its progress or a wave, left by another
+// writer, must not keep a daemon from loading the other jobs. One such value used to make
+// loading fail for every daemon, permanently (found by code review).
 func TestABadRecordHarmsNoOther(t *testing.T) {
 	const good = `{"ID":"00000000000000aa","Queue":"q","Service":"s","Steps":[{"Count":2}],"AcceptedAt":"2030-01-01T00:00:00Z"}`
 	for key, value := range map[string]string{
 		"jobs/in/00000000000000bb":  "\xff",
 		"jobs/in/00000000000000cc":  `null`,
-		"jobs/in/00000000000000dd":  `{"ID":"00000000000000dd","Queue":"q","Service":"s"}`,                                   // no steps
-		"jobs/in/00000000000000ee":  `{"ID":"00000000000000ee","Queue":"q","Service":"s","Steps":[{"Count":1,"After":[5]}]}`, // a later step
-		"jobs/in/00000000000000ff":  `{"ID":"00000000000000aa","Queue":"q","Service":"s","Steps":[{"Count":1}]}`,             // another job's id
-		"jobs/in/0000000000000011":  `{"ID":"0000000000000011","Queue":"q","Service":"s","Steps":[{"Count":2000000000}]}`,    // more than memory holds
-		"jobs/in/short":             `{"ID":"short","Queue":"q","Service":"s","Steps":[{"Count":1}]}`,                        // no id
-		"progress/00000000000000bb": `7`,                                                                                     // of a bad job
+		"jobs/in/00000000000000dd":  `{"ID":"00000000000000dd","Queue":"q","Service":"s"}`,                                   // without steps
+		"jobs/in/00000000000000ee":  `{"ID":"00000000000000ee","Queue":"q","Service":"s","Steps":[{"Count":1,"After":[5]}]}`, // depends on a later step
+		"jobs/in/00000000000000ff":  `{"ID":"00000000000000aa","Queue":"q","Service":"s","Steps":[{"Count":1}]}`,             // ID of another job
+		"jobs/in/0000000000000011":  `{"ID":"0000000000000011","Queue":"q","Service":"s","Steps":[{"Count":2000000000}]}`,    // more tasks than fit in memory
+		"jobs/in/short":             `{"ID":"short","Queue":"q","Service":"s","Steps":[{"Count":1}]}`,                        // invalid ID
+		"progress/00000000000000bb": `7`,                                                                                     // invalid, of a job with an invalid submission
 		"wave/3":                    `"begun"`,
 		"wave/x":                    `{}`,
 	} {
@@ -51,13 +51,13 @@
 			store.Put("progress/00000000000000aa", []byte(`{"Steps":7}`))
 			snap, err := ledger.Load(context.Background(), store.Client("d", &jobfleet.Gate{}, noFailure))
 			require.NoError(t, err)
-			assert.Empty(t, snap.Jobs, "what of it was done is not known: nothing of it may run again")
+			assert.Empty(t, snap.Jobs, "its finished tasks are not known, so none may run again")
 		})
 	})
 }
 
-// electBesideBadRecords: the keys of the owner may hold anything; the next term is higher than
-// all before.
+// electBesideBadRecords: an election succeeds whatever the values of the owner's keys are, and
+// its term is higher than all before.
 func electBesideBadRecords(t *testing.T) {
 	for _, key := range []string{"owner/lock", "owner/term", "sequence"} {
 		t.Run(key, func(t *testing.T) {
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -10,82 +10,82 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Relays reach the store through other daemons.
+// Relays provides access to the store through other daemons.
 type Relays interface {
-	// Relay returns the store as another daemon reaches it, nil if there is
-	// none to ask. Successive calls may name different ones.
+	// Relay returns a store that forwards calls through another daemon, nil if no daemon is
+	// available. Successive calls may return different ones.
 	Relay() Store
-	// RelayFailed says that a store that Relay returned did not serve.
+	// RelayFailed reports that a call on a store returned by Relay failed.
 	RelayFailed(s Store)
 }
 
-// Failover is the store by the direct way, and through another daemon while the
-// direct one does not serve: the store may turn one daemon away while it serves the
-// others, and a partition may cut a daemon off from it.
+// Failover calls the store directly, and through another daemon while direct calls fail: the
+// store may refuse one daemon while it serves the others, or a partition may separate a daemon
+// from it.
 type Failover struct {
 	direct Store
 	relays Relays
 
 	mu              sync.Mutex
-	directDown      bool          // the direct way failed, and nothing was answered there since
-	dialFailed      bool          // no connection could be opened that way
-	nextProbe       time.Time     // when the direct way may be tried next
-	backoff         time.Duration // how long it was left last
-	failures        int           // calls that failed by every way since one was answered
+	directDown      bool          // the last direct call failed
+	dialFailed      bool          // it failed as no connection could be opened
+	nextProbe       time.Time     // earliest time of the next direct call
+	backoff         time.Duration // latest backoff of the direct path
+	failures        int           // consecutive calls that failed on every path
 	now             func() time.Time
 	onDirectFailure func(err error)
 	partition       partitionDetector
 
-	latestRevision atomic.Int64 // revision that the store is known to have reached
+	latestRevision atomic.Int64 // latest revision that the store is known to have reached
 }
 
-// Figures of the ways.
+// Parameters of the failover.
 const (
-	// minDirectBackoff is how long the direct way is left after a failure; a try costs
-	// its call up to probeTimeout.
+	// minDirectBackoff is how long the direct path is avoided after a failure; a probe delays
+	// its call by up to probeTimeout.
 	minDirectBackoff = 700 * time.Millisecond
-	// maxDirectBackoff bounds how long the direct way is left while no connection can be
-	// opened: the way by a peer costs two milliseconds, so that there is no hurry.
+	// maxDirectBackoff bounds the backoff while no connection can be opened. A relay adds only
+	// 2 ms to a call, so there is no hurry to return to the direct path.
 	maxDirectBackoff = 4 * time.Second
-	// probeTimeout bounds the try of a direct way that is bad. The store answers in
-	// 4 ms; in its slow hours, 300 ms, the way by a peer is as slow, and serves.
+	// probeTimeout bounds a probe of a direct path that is down. The store answers in 4 ms.
+	// During its slow hours it takes 300 ms, but then the relay is as slow and is used.
 	probeTimeout = 150 * time.Millisecond
 )
 
-// NewFailover returns a store with two ways. onBad is told each failure of the
-// direct one.
+// NewFailover returns a store that calls direct, or a relay while direct calls fail.
+// onDirectFailure is called after each failed direct call.
 func NewFailover(direct Store, relays Relays, now func() time.Time, onDirectFailure func(error)) *Failover {
 	return &Failover{direct: direct, relays: relays, now: now, onDirectFailure: onDirectFailure}
 }
 
-// unavailableAfter is how many calls in a row have to fail by every way for the store to
-// count as away: one alone may be an answer that was lost.
+// unavailableAfter is how many consecutive calls have to fail on every path for the store to
+// count as unavailable: the answer to a single one may have been lost.
 const unavailableAfter = 2
 
-// Unavailable reports whether the store does not answer at present, by any way. The daemon's
-// own calls, the renewal of its lease above all, go on and notice its return.
+// Unavailable reports whether the store currently answers on no path. The daemon's own calls,
+// above all the renewal of its lease, continue and detect when it is available again.
 func (f *Failover) Unavailable() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.failures >= unavailableAfter
 }
 
-// callFailed takes note of a call that failed by every way.
+// callFailed records a call that failed on every path.
 func (f *Failover) callFailed() {
 	f.mu.Lock()
 	f.failures++
 	f.mu.Unlock()
 }
 
-// path is one path of a call.
+// path is one path of a call to the store.
 type path struct {
 	store   Store
-	timeout time.Duration // of the call by this way; 0: that of the caller alone
+	timeout time.Duration // of the call on this path; 0: only that of the caller's context
 }
 
-// paths returns the paths to try in order. While the direct one is bad it comes last, but
-// for one call from time to time that tries it: for a short while, as what is left of
-// the call's time has to do for the other way. Only calls that may be repeated do so.
+// paths returns the paths to try in order. While the direct path is down it comes last, except
+// in one call per backoff that probes it first. The probe has a short timeout, so that the call
+// has time left for the relay. Only repeatable calls probe.
 func (f *Failover) paths(repeatable bool) []path {
 	relay := f.relays.Relay()
 	f.mu.Lock()
@@ -99,15 +99,15 @@
 		return []path{direct, relayed}
 	}
 	if repeatable && !f.now().Before(f.nextProbe) {
-		f.nextProbe = f.now().Add(minDirectBackoff) // one at a time
+		f.nextProbe = f.now().Add(minDirectBackoff) // one probe at a time
 		return []path{{f.direct, probeTimeout}, relayed}
 	}
 	return []path{relayed, direct}
 }
 
-// pathFailed takes note of a failure. If the direct way pathFailed on an open connection,
-// which may just have gone silent, it is tried again soon after a failure of the other
-// one; if no connection could be opened it is left alone.
+// pathFailed records a failed call on a path. If the relay fails too, the direct path is tried
+// again at once, unless no direct connection could be opened: a failure on an open connection
+// may mean that just this connection was broken.
 func (f *Failover) pathFailed(s Store, began time.Time, err error) {
 	if s != f.direct {
 		f.relays.RelayFailed(s)
@@ -129,8 +129,8 @@
 	}
 }
 
-// nextBackoff returns how long the direct way is left now: each time twice as long
-// while no connection can be opened, as each try costs its caller a timeout.
+// nextBackoff returns how long to avoid the direct path after a failure. It doubles each time
+// while no connection can be opened, as each attempt costs its caller a timeout.
 func (f *Failover) nextBackoff() time.Duration {
 	if !f.dialFailed {
 		return minDirectBackoff
@@ -138,7 +138,7 @@
 	return min(maxDirectBackoff, max(minDirectBackoff, 2*f.backoff))
 }
 
-// pathSucceeded takes note of an answer.
+// pathSucceeded records an answered call.
 func (f *Failover) pathSucceeded(s Store, began time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -151,26 +151,27 @@
 	f.partition.relaySucceeded(began, f.now())
 }
 
-// PartitionedFor returns for how long calls by the direct way have had no answer while those by other
-// daemons are answered promptly; 0 if that cannot be said. The store serves others then, and not
-// this daemon: one that is away, or slow for all, does not count.
+// PartitionedFor returns for how long direct calls have been unanswered while relayed calls are
+// answered promptly, 0 if that is not known to be the case. A store that is down or slow for all
+// daemons does not count as partitioned.
 func (f *Failover) PartitionedFor() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.partition.duration(f.now())
 }
 
-// idempotentCall tries both ways with a call that may be repeated.
+// idempotentCall makes a call that may be repeated, probing the direct path if it is due.
 func idempotentCall[T any](ctx context.Context, f *Failover, call func(context.Context, Store) (T, error)) (T, error) {
 	return tryPaths(ctx, f, true, call)
 }
 
-// longPoll is read for a call that takes as long as nothing happens: a short try of a way
-// tells nothing then.
+// longPoll makes a call that waits for an event. It does not probe the direct path: a probe's
+// short timeout would usually expire before the event.
 func longPoll[T any](ctx context.Context, f *Failover, call func(context.Context, Store) (T, error)) (T, error) {
 	return tryPaths(ctx, f, false, call)
 }
 
+// tryPaths makes a call on one path after the other until it is answered.
 func tryPaths[T any](ctx context.Context, f *Failover, probes bool, call func(context.Context, Store) (T, error)) (T, error) {
 	var out T
 	var err error
@@ -182,7 +183,7 @@
 			return out, err
 		}
 		if errors.Is(ctx.Err(), context.Canceled) {
-			return out, err // the caller gave up, the store is not to blame
+			return out, err // cancelled by the caller, not a failure of the store
 		}
 		f.pathFailed(w.store, began, err)
 		if ctx.Err() != nil {
@@ -193,7 +194,7 @@
 	return out, err
 }
 
-// callPath makes a call callPath one way within its limit.
+// callPath makes a call on one path within the path's timeout.
 func callPath[T any](ctx context.Context, w path, call func(context.Context, Store) (T, error)) (T, error) {
 	if w.timeout > 0 {
 		var cancel context.CancelFunc
@@ -224,10 +225,10 @@
 	return page, err
 }
 
-// LatestRevision returns the newest revision that the store is known to have reached.
+// LatestRevision returns the latest revision that the store is known to have reached.
 func (f *Failover) LatestRevision() int64 { return f.latestRevision.Load() }
 
-// noteRevision takes note of a revision of the store; 0: none was told.
+// noteRevision records a revision of the store; 0 means that the answer contained none.
 func (f *Failover) noteRevision(revision int64) {
 	for {
 		known := f.latestRevision.Load()
@@ -244,8 +245,8 @@
 	return ch, err
 }
 
-// Commit implements Store. The second way is tried only if the first one
-// certainly had no effect.
+// Commit implements Store. The second path is tried only if the call on the first one had no
+// effect for certain.
 func (f *Failover) Commit(ctx context.Context, t Txn) (TxnResult, error) {
 	var res TxnResult
 	var err error
--- a/jobs/ledger/failover_test.go
+++ b/jobs/ledger/failover_test.go
@@ -12,14 +12,14 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// scripted is a store of which Get runs a function.
+// scripted is a store whose Get runs a function.
 type scripted struct {
 	Store
 	get   func(ctx context.Context) error
 	calls int
 
 	commits  int
-	failures int // as the second way
+	failures int // calls of RelayFailed
 }
 
 func (s *scripted) Get(ctx context.Context, _ string, _ bool) (Item, bool, error) {
@@ -27,7 +27,7 @@
 	return Item{}, false, s.get(ctx)
 }
 
-// Relay implements Relays: the scripted store is the second way.
+// Relay implements Relays: the scripted store is the relay.
 func (s *scripted) Relay() Store { return s }
 
 func (s *scripted) RelayFailed(Store) { s.failures++ }
@@ -38,7 +38,7 @@
 
 func answers(context.Context) error { return nil }
 
-func TestACallerWhoGivesUpIsNoFailureOfTheStore(t *testing.T) {
+func TestCancelledCallIsNoFailureOfTheStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	direct := &scripted{get: func(context.Context) error { cancel(); return storeError(ctx) }}
 	relay := &scripted{get: answers}
@@ -47,17 +47,17 @@
 	_, _, err := f.Get(ctx, "k", false)
 	require.Error(t, err)
 	assert.Zero(t, failures)
-	assert.Zero(t, relay.calls, "nobody waits for the answer")
+	assert.Zero(t, relay.calls, "a cancelled call is not retried on the relay")
 
 	direct.get = answers
 	_, _, err = f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
-	assert.Equal(t, 2, direct.calls, "the direct way is not avoided")
+	assert.Equal(t, 2, direct.calls, "the direct path is not avoided")
 }
 
-// TestWaysByTurns: after a failure of the direct way the other one comes first,
-// and after a failure of both the direct one again.
-func TestWaysByTurns(t *testing.T) {
+// TestPathsAlternate: after a failure of the direct path the relay is tried first, and after a
+// failure of both the direct path again.
+func TestPathsAlternate(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	direct, relay := &scripted{get: storeError}, &scripted{get: answers}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
@@ -65,7 +65,7 @@
 		_, _, err := f.Get(context.Background(), "k", false)
 		require.NoError(t, err)
 	}
-	assert.Equal(t, 1, direct.calls, "it is left alone for a while")
+	assert.Equal(t, 1, direct.calls, "the direct path is avoided for a while")
 	assert.Equal(t, 2, relay.calls)
 
 	relay.get = storeError
@@ -74,12 +74,12 @@
 	require.NoError(t, err)
 	_, _, err = f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
-	assert.Equal(t, 3, direct.calls, "it comes first once the other way has failed")
+	assert.Equal(t, 3, direct.calls, "the direct path comes first once the relay has failed")
 	assert.Equal(t, 3, relay.calls)
 }
 
-// TestACutOffDaemonStaysWithItsPeers: if no connection to the store can be opened,
-// a peer that fails is no reason to try the direct way again at once.
+// TestACutOffDaemonStaysWithItsPeers: while no connection to the store can be opened, a failed
+// relay does not make the next call try the direct path.
 func TestACutOffDaemonStaysWithItsPeers(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
@@ -91,11 +91,11 @@
 	_, _, err = f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
 	assert.Equal(t, 1, direct.calls)
-	assert.Equal(t, 1, relay.failures, "the peer is told apart")
+	assert.Equal(t, 1, relay.failures, "the relay's failure is reported")
 }
 
-// TestADaemonThatStaysCutOffTriesLessOften: each try of the direct way costs a
-// timeout; an answer there ends the backoff.
+// TestADaemonThatStaysCutOffTriesLessOften: each probe of the direct path costs a timeout, so
+// the backoff grows; an answer on the direct path resets it.
 func TestADaemonThatStaysCutOffTriesLessOften(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
@@ -113,10 +113,10 @@
 	direct.get = answers
 	assert.Positive(t, during(2*maxDirectBackoff))
 	direct.get = refused
-	assert.Equal(t, 2, during(time.Second), "the backoff starts anew")
+	assert.Equal(t, 2, during(time.Second), "the backoff starts again")
 }
 
-// hangs is a way on which nothing is answered.
+// hangs is a store that never answers.
 func hangs(ctx context.Context) error {
 	<-ctx.Done()
 	return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
@@ -127,9 +127,9 @@
 	return TxnResult{Committed: true}, s.get(ctx)
 }
 
-// TestACutOffDaemonIsServedByPeersAllTheTime: once it is known that nothing is answered
-// on the direct way, no transaction is sent there, and a call that tries it leaves
-// enough of its time for the other way.
+// TestACutOffDaemonIsServedByPeersAllTheTime: once a call on the direct path was not answered,
+// no transaction is sent there, and a call that probes it leaves enough of its time for the
+// relay.
 func TestACutOffDaemonIsServedByPeersAllTheTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 900 * time.Millisecond
@@ -145,9 +145,9 @@
 		get := func(ctx context.Context) error { _, _, err := f.Get(ctx, "k", false); return err }
 		commit := func(ctx context.Context) error { _, err := f.Commit(ctx, Txn{}); return err }
 		_, err := call(commit)
-		require.Error(t, err, "the first one finds it out")
+		require.Error(t, err, "the first call detects the failure")
 		require.Equal(t, 1, direct.commits)
-		for range 200 { // 20 s
+		for range 200 { // for 20 s
 			took, err := call(get)
 			require.NoError(t, err)
 			require.LessOrEqual(t, took, probeTimeout)
@@ -157,7 +157,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		assert.Equal(t, 1, direct.commits)
-		assert.LessOrEqual(t, direct.calls, 30, "20 s, a try each 0.7 s")
+		assert.LessOrEqual(t, direct.calls, 30, "one probe per 0.7 s for 20 s")
 
 		direct.get = answers
 		time.Sleep(maxDirectBackoff)
@@ -165,6 +165,6 @@
 		require.NoError(t, err)
 		_, err = call(commit)
 		require.NoError(t, err)
-		assert.Equal(t, 2, direct.commits, "the direct way is used again once a read was answered there")
+		assert.Equal(t, 2, direct.commits, "the direct path is used again once a read was answered there")
 	})
 }
--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -12,7 +12,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// own is what an owner does with the jobs that it finds: it must not end by any of them.
+// own runs an owner with the loaded job. It must not panic, whatever the job is.
 func own(loaded owner.Loaded) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{Queues: []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2}}, Services: []job.Service{{Name: "s"}}}
@@ -24,7 +24,7 @@
 	c.PendingRecords(10)
 }
 
-// mostTasks bounds what the fuzzing makes an owner begin.
+// mostTasks bounds the tasks that a fuzzed job makes an owner start.
 const mostTasks = 1000
 
 func FuzzSubmission(f *testing.F) {
--- a/jobs/ledger/keys.go
+++ b/jobs/ledger/keys.go
@@ -9,8 +9,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Keys of the store. Submissions and cancellations share a prefix, so that one
-// watch of the owner hears of both.
+// Keys of the store. Submissions and cancellations share a prefix, so that the owner watches
+// both with one call.
 const (
 	// PrefixJobs is watched by the owner.
 	PrefixJobs      = "jobs/"
@@ -21,33 +21,33 @@
 	PrefixOwner = "owner/"
 	keyLock     = "owner/lock"
 	keyTerm     = "owner/term"
-	// keySequence is changed by every transaction of the owner, which holds on
-	// its last revision: a transaction that the store carries out late fails.
+	// keySequence is changed by every transaction of the owner and is a condition of each at its
+	// last revision, so that a transaction that arrives late fails.
 	keySequence = "sequence"
-	// PrefixMembers lists the live daemons.
+	// PrefixMembers contains the live daemons.
 	PrefixMembers = "member/"
 	prefixWaves   = "wave/"
 )
 
-// Lock says who the owner is. It is under the owner's lease.
+// Lock identifies the owner. Its key is attached to the owner's lease.
 type Lock struct {
 	Node  string
-	Addr  string // of its peer listener
+	Addr  string // of the owner's peer listener
 	Term  uint64
-	Lease LeaseID `json:"-"` // tells two lives of one daemon apart
+	Lease LeaseID `json:"-"` // distinguishes incarnations of the daemon
 }
 
-// Member is a live daemon. It is under the daemon's lease.
+// Member is a live daemon. Its key is attached to the daemon's lease.
 type Member struct {
 	Node  string
-	Addr  string  // of its peer listener
-	Cores float64 // what it gets of a processor: its share, less while its instance is slow
+	Addr  string  // of the daemon's peer listener
+	Cores float64 // processor time it effectively gets, in cores; lower while its instance is slow
 }
 
 func encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("ledger: %T cannot be encoded: %v", v, err)) // our own types always can
+		panic(fmt.Sprintf("ledger: %T cannot be encoded: %v", v, err)) // cannot happen for this package's types
 	}
 	return raw
 }
@@ -64,34 +64,34 @@
 func DecodeMember(i Item) (Member, error) {
 	m, err := decode[Member](i)
 	if err == nil && (m.Addr == "" || PrefixMembers+m.Node != i.Key) {
-		err = fmt.Errorf("key %s: it names daemon %q at %q", i.Key, m.Node, m.Addr)
+		err = fmt.Errorf("key %s: invalid member: node %q, address %q", i.Key, m.Node, m.Addr)
 	}
 	return m, err
 }
 
-// Change is what a key under PrefixJobs says.
+// Change is the decoded value of a key under PrefixJobs: a submission or a cancellation.
 type Change struct {
-	Submitted *job.Job   // a job was accepted
-	Ended     *EndRecord // it has ended since; nil: not yet
-	Cancelled job.ID     // or a job's caller has cancelled it
+	Submitted *job.Job   // nil for a cancellation
+	Ended     *EndRecord // of the submitted job; nil: it has not ended
+	Cancelled job.ID     // ID of the cancelled job
 }
 
-// EndRecord is what is kept of a job that has ended.
+// EndRecord is the stored outcome of a job that has ended.
 type EndRecord struct {
 	State job.State
 	At    time.Time
 }
 
-// submission is the value of a key under prefixSubmitted. Once its job has ended it
-// is written anew without the payload: the key has to stay, so that the caller's
-// repeated submission is not taken for a new one, and a new owner reads all of them.
+// submission is the value of a key under prefixSubmitted. Once its job has ended it is replaced
+// by one without the payload: the key has to stay, so that a repeated submission is not taken
+// for a new one, and should be small, as a new owner reads all of them.
 type submission struct {
 	job.Job
 	Ended *EndRecord `json:",omitempty"`
 }
 
-// DecodeChange decodes a key under PrefixJobs; ok is false for one of neither
-// kind.
+// DecodeChange decodes an item under PrefixJobs; ok is false if it is neither a submission nor
+// a cancellation.
 func DecodeChange(i Item) (ch Change, ok bool, err error) {
 	if id, found := strings.CutPrefix(i.Key, prefixCancelled); found {
 		return Change{Cancelled: job.ID(id)}, true, nil
@@ -103,8 +103,8 @@
 	return Change{Submitted: &s.Job, Ended: s.Ended}, err == nil, err
 }
 
-// decodeSubmission decodes a key under prefixSubmitted. Bytes of another writer may make
-// a job that nobody can run.
+// decodeSubmission decodes and validates an item under prefixSubmitted. The value may come from
+// another writer and describe a job that no worker can run.
 func decodeSubmission(i Item) (submission, error) {
 	s, err := decode[submission](i)
 	if err != nil {
@@ -112,9 +112,9 @@
 	}
 	switch id := idOf(i.Key, prefixSubmitted); {
 	case !job.ValidID(string(id)) || s.ID != id:
-		err = fmt.Errorf("it is of job %q", s.ID)
+		err = fmt.Errorf("job ID %q does not match the key", s.ID)
 	case s.Ended != nil && !s.Ended.State.Final():
-		err = fmt.Errorf("it has ended as %q", s.Ended.State)
+		err = fmt.Errorf("end state %q is not a final state", s.Ended.State)
 	case s.Ended == nil || len(s.Steps) > 0:
 		err = s.Validate()
 	}
@@ -124,5 +124,5 @@
 	return s, nil
 }
 
-// EncodeMember is the inverse of DecodeMember.
+// EncodeMember encodes the value that DecodeMember decodes.
 func EncodeMember(m Member) []byte { return encode(m) }
--- a/jobs/ledger/observed.go
+++ b/jobs/ledger/observed.go
@@ -7,15 +7,16 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// StoreCall describes one call to the store: each is priced, also one that is refused.
+// StoreCall describes one call to the store. The store charges for each call, including
+// refused ones.
 type StoreCall struct {
-	Kind    string // the method's name in small letters
-	Stale   bool   // a read at a tenth of the price
-	Outcome string // "answered", or the code of the error
+	Kind    string // get, range, watch, commit, grant, keep or end
+	Stale   bool   // a stale read, at a tenth of the price
+	Outcome string // "answered", or the error's code
 	Took    time.Duration
 }
 
-// Observed returns a store that tells observe each call.
+// Observed returns a store that reports each call on s to observe.
 func Observed(s Store, observe func(StoreCall)) Store { return &observedStore{s, observe} }
 
 type observedStore struct {
@@ -23,7 +24,7 @@
 	observe func(StoreCall)
 }
 
-// report tells a call that began at began.
+// report reports a call that has ended now.
 func (c *observedStore) report(kind string, stale bool, began time.Time, err error) {
 	outcome := "answered"
 	if err != nil {
--- a/jobs/ledger/partition.go
+++ b/jobs/ledger/partition.go
@@ -2,32 +2,33 @@
 
 import "time"
 
-// Figures of a direct way that is cut.
+// Parameters of detecting a partition between this daemon and the store.
 const (
-	// minUnansweredTime is how long a call that failed has to have taken to count as one without an
-	// answer: a store that turns a daemon away says so at once.
+	// minUnansweredTime is the least duration of a failed call that counts as unanswered: a
+	// store that refuses a daemon's calls answers at once.
 	minUnansweredTime = 100 * time.Millisecond
-	// minUnansweredCalls is how many of them in a row show a cut: one may be an answer that was lost.
+	// minUnansweredCalls is how many unanswered calls in a row indicate a partition: the answer
+	// to a single one may have been lost.
 	minUnansweredCalls = 2
-	// maxPromptRelay is how long a call by another daemon may take to show that the store serves it
-	// better: longer than the store and the way there take, and less than the store takes if it is
-	// slow.
+	// maxPromptRelay is the longest duration of a relayed call that shows that the store serves
+	// the relaying daemon: more than the store and the network take, less than a slow store
+	// takes.
 	maxPromptRelay = 100 * time.Millisecond
 )
 
-// partitionDetector tells a daemon's own way to the store that is cut from a store that is away. The zero
-// value is a way that works.
+// partitionDetector distinguishes a partition between this daemon and the store from a store
+// that is down or slow for all daemons. The zero value means no partition.
 type partitionDetector struct {
-	firstFailure     time.Time // when the first of the silent calls began
-	unanswered       int       // direct ones without an answer since one had any
-	relayAnswered    time.Time // when a call by another daemon was first answered promptly since; zero: none was
-	failedAfterRelay bool      // a direct call that began after that had no answer
+	firstFailure     time.Time // start of the first of the unanswered calls
+	unanswered       int       // consecutive direct calls without an answer
+	relayAnswered    time.Time // first prompt answer to a relayed call since firstFailure; zero: none
+	failedAfterRelay bool      // a direct call that began after relayAnswered was not answered
 }
 
-// directFailed takes note of a direct call that directFailed.
+// directFailed records a failed direct call.
 func (c *partitionDetector) directFailed(began, now time.Time) {
 	if now.Sub(began) < minUnansweredTime {
-		*c = partitionDetector{} // it was answered, in its way
+		*c = partitionDetector{} // an immediate refusal is an answer
 		return
 	}
 	if c.unanswered == 0 {
@@ -37,13 +38,14 @@
 	c.failedAfterRelay = c.failedAfterRelay || !c.relayAnswered.IsZero() && began.After(c.relayAnswered)
 }
 
-// relaySucceeded takes note of a call that another daemon has made.
+// relaySucceeded records an answered call through another daemon.
 func (c *partitionDetector) relaySucceeded(began, now time.Time) {
 	if c.unanswered > 0 && c.relayAnswered.IsZero() && now.Sub(began) <= maxPromptRelay {
 		c.relayAnswered = now
 	}
 }
 
+// duration returns how long the partition has lasted, 0 if there is none.
 func (c *partitionDetector) duration(now time.Time) time.Duration {
 	if c.unanswered < minUnansweredCalls || !c.failedAfterRelay {
 		return 0
--- a/jobs/ledger/store.go
+++ b/jobs/ledger/store.go
@@ -1,6 +1,6 @@
-// Package ledger keeps jobs in the store: it accepts submissions, elects the
-// one owner that schedules them, and writes the owner's progress under the
-// condition that it still is the owner.
+// Package ledger keeps jobs in the store: it accepts submissions, elects the owner, the one
+// daemon that schedules jobs, and writes the owner's progress on condition that it still is
+// the owner.
 package ledger
 
 import (
@@ -10,25 +10,25 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// LeaseID identifies a lease of the store; 0 means none.
+// LeaseID identifies a lease of the store; 0 means no lease.
 type LeaseID int64
 
-// Item is one key of the store.
+// Item is a key of the store with its value.
 type Item struct {
 	Key      string
 	Value    []byte
 	Revision int64 // of the last change
-	Created  int64 // revision at which the key came to be
+	Created  int64 // revision at which the key was created
 	Lease    LeaseID
 }
 
-// Event is one change seen by a watch.
+// Event is a change of a key, as reported by a watch.
 type Event struct {
 	Item
 	Deleted bool
 }
 
-// EventsOf returns the events by which the items came to be as they are.
+// EventsOf returns an event for each item, as if it had just been put.
 func EventsOf(items []Item) []Event {
 	out := make([]Event, 0, len(items))
 	for _, i := range items {
@@ -37,7 +37,8 @@
 	return out
 }
 
-// Condition holds if Key was last changed at Revision; 0: if it does not exist.
+// Condition is true if Key was last changed at Revision, or if Revision is 0 and Key does not
+// exist.
 type Condition struct {
 	Key      string
 	Revision int64
@@ -50,25 +51,26 @@
 	Lease LeaseID
 }
 
-// Txn is all or nothing. It has at most MaxTxnEntries entries.
+// Txn is a transaction that applies the puts and deletes if all conditions are true. It has at
+// most MaxTxnEntries entries.
 type Txn struct {
 	If      []Condition
 	Puts    []Put
 	Deletes []string
 }
 
-// MaxTxnEntries is the store's limit of conditions, puts and deletes together.
+// MaxTxnEntries is the store's limit on the number of conditions, puts and deletes together.
 const MaxTxnEntries = 32
 
 // TxnResult is the store's answer to a Txn.
 type TxnResult struct {
 	Committed bool
 	Revision  int64  // if committed
-	Current   []Item // if not committed: the existing keys of the conditions
-	LeaseGone bool   // a put named a lease that has ended
+	Current   []Item // if not committed: items of those condition keys that exist
+	LeaseGone bool   // a put refers to a lease that has ended
 }
 
-// Page is a part of a range.
+// Page is one page of a range.
 type Page struct {
 	Items    []Item
 	More     bool
@@ -78,24 +80,25 @@
 // Changes is the answer to a watch.
 type Changes struct {
 	Events   []Event
-	Revision int64 // to continue from
+	Revision int64 // where the next watch continues
 }
 
-// Codes of the store's errors.
+// Codes of the store's errors: it did not serve a call, or it has compacted the history that
+// a watch asked for.
 const (
 	CodeStoreUnavailable verdict.Code = "store-unavailable"
 	CodeCompacted        verdict.Code = "store-history-gone"
 )
 
-// Store is the platform's key-value service. Each method makes one call. The
-// error of a Commit says by its verdict whether it may have taken effect.
+// Store is the platform's key-value store. Each method makes one call. The verdict of an error
+// of Commit says whether the transaction may have taken effect.
 type Store interface {
-	// Get returns a key. stale allows an answer that is some seconds old, at a
-	// tenth of the price.
+	// Get returns an item. stale allows an answer that is some seconds old, at a tenth of the
+	// price.
 	Get(ctx context.Context, key string, stale bool) (item Item, found bool, err error)
-	// Range returns the keys with the prefix that come after the key after.
+	// Range returns a page of the items with the prefix whose keys come after the key after.
 	Range(ctx context.Context, prefix, after string, stale bool) (Page, error)
-	// Watch waits for changes of keys with the prefix, later than revision after.
+	// Watch waits up to wait for changes of keys with the prefix later than revision after.
 	Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error)
 	Commit(ctx context.Context, t Txn) (TxnResult, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
@@ -104,8 +107,8 @@
 	EndLease(ctx context.Context, id LeaseID) error
 }
 
-// RangeAll reads all pages of a prefix. revision is that of the first page:
-// watching from there misses nothing.
+// RangeAll reads all pages of a prefix. revision is that of the first page: a watch from there
+// misses no change.
 func RangeAll(ctx context.Context, s Store, prefix string, stale bool) (items []Item, revision int64, err error) {
 	after := ""
 	for {
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -13,19 +13,19 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// CodeNotOwner says that another daemon is the owner.
+// CodeNotOwner means that this daemon is no longer the owner.
 const CodeNotOwner verdict.Code = "not-the-owner"
 
-// Term is this daemon's ownership: the right to write progress. All its
-// transactions hold on the lock's revision and run one after another.
+// Term is this daemon's term as the owner, which entitles it to write progress. All its
+// transactions have the lock's revision as a condition. They must not run concurrently.
 type Term struct {
 	Number uint64
-	// SucceedsSelf says that the owner before was an earlier life of this daemon.
+	// SucceedsSelf says that the previous owner was an earlier incarnation of this daemon.
 	SucceedsSelf bool
-	// PreviousOrders are the instances for which the owner before may have sent an
-	// order within the last seconds of its term.
+	// PreviousOrders are the orders that the previous owner may have sent within the last
+	// seconds of its term.
 	PreviousOrders []owner.RecentOrder
-	// PreviousOrdersUnknown says that these cannot be known.
+	// PreviousOrdersUnknown says that PreviousOrders could not be read.
 	PreviousOrdersUnknown bool
 
 	store            Store
@@ -35,18 +35,18 @@
 	writes           uint64
 }
 
-// sequenceValue tells a lost transaction's outcome: who wrote the key last. Orders are
-// the instances for which the writer may have sent an order in the last seconds; an
-// order is sent only after a transaction that names its instance, so that the next
-// owner knows of all of them.
+// sequenceValue is the value of keySequence. Term and Write identify the last transaction,
+// which tells whether one whose answer was lost has committed. Orders are those that the owner
+// may have sent in the last seconds; an order is sent only after a transaction that contains
+// it, so that the next owner knows all of them.
 type sequenceValue struct {
 	Term   uint64
 	Write  uint64
 	Orders []orderRecord `json:",omitempty"`
 }
 
-// orderRecord is an owner.RecentOrder as it is kept: every transaction repeats some
-// hundred of them at the start of a turn of demand.
+// orderRecord is the stored form of an owner.RecentOrder. Its field names are short, as every
+// transaction repeats some hundred of them when demand shifts between pools.
 type orderRecord struct {
 	Instance  owner.InstanceID `json:"I"`
 	Holder    string           `json:"H"`
@@ -62,7 +62,7 @@
 	return Put{Key: keySequence, Value: encode(v)}
 }
 
-// orders returns the orders that a value tells of.
+// orders decodes the value's orders.
 func (v *sequenceValue) orders() []owner.RecentOrder {
 	var out []owner.RecentOrder
 	for _, o := range v.Orders {
@@ -71,9 +71,9 @@
 	return out
 }
 
-// Elect tries to become the owner. replaced is the revision of a lock that an
-// earlier life of this daemon left, or of what another writer did in its place; 0 if
-// there is none. It returns nil if another daemon is the owner.
+// Elect tries to become the owner. replaced is the revision of a lock to replace, which an
+// earlier incarnation of this daemon left or which is not a valid lock; 0 if there is none.
+// Elect returns nil if another daemon is the owner.
 func Elect(ctx context.Context, s Store, self Member, lease LeaseID, replaced int64) (*Term, error) {
 	term, _, err := s.Get(ctx, keyTerm, false)
 	if err != nil {
@@ -92,7 +92,7 @@
 		return nil, err
 	}
 	if res.LeaseGone {
-		return nil, verdict.New(verdict.NotRun, CodeStoreUnavailable, "the lease %d has ended", lease)
+		return nil, verdict.New(verdict.NotRun, CodeStoreUnavailable, "election: lease %d has ended", lease)
 	}
 	if !res.Committed {
 		return nil, nil
@@ -100,8 +100,8 @@
 	return resume(ctx, s, number, res.Revision)
 }
 
-// Resume returns the term that lock, which names this daemon, gives it. That
-// is how a daemon learns that an election whose answer was lost was won.
+// Resume returns the term of a lock that names this daemon. It is used if an election was won
+// but its answer was lost.
 func Resume(ctx context.Context, s Store, lock Lock, revision int64) (*Term, error) {
 	return resume(ctx, s, lock.Term, revision)
 }
@@ -114,15 +114,15 @@
 	t := &Term{Number: number, store: s, lock: Condition{keyLock, lockRevision}, sequence: seq.Revision}
 	if seq.Revision != 0 {
 		last, err := decode[sequenceValue](seq)
-		t.PreviousOrdersUnknown = err != nil // another writer's: the next write replaces it
+		t.PreviousOrdersUnknown = err != nil // not written by an owner; the next write replaces it
 		t.PreviousOrders = last.orders()
 	}
 	return t, nil
 }
 
-// termNumber returns the number of the newest term. If another writer's bytes stand in its
-// place, the revision of these does: each term has changed the store at least once, so that
-// no number of a term was as high.
+// termNumber returns the number of the latest term. If the value is not a valid number, it
+// returns the value's revision: each term has changed the store at least once, so this is
+// higher than the number of any term so far.
 func termNumber(i Item) uint64 {
 	n, err := strconv.ParseUint(string(i.Value), 10, 64)
 	if err != nil || n > uint64(i.Revision) {
@@ -131,8 +131,8 @@
 	return n
 }
 
-// ReadLock returns who the owner is; held is false if nobody is. Then revision is 0, or that
-// of bytes which another writer left in the lock's place, and which an election replaces.
+// ReadLock returns the owner's lock; held is false if there is no owner. Then revision is 0, or
+// that of an invalid value of the lock's key, which an election replaces.
 func ReadLock(ctx context.Context, s Store) (l Lock, revision int64, held bool, err error) {
 	item, held, err := s.Get(ctx, keyLock, false)
 	if err != nil || !held {
@@ -149,13 +149,12 @@
 	l, err := decode[Lock](i)
 	l.Lease = i.Lease
 	if err == nil && (l.Node == "" || l.Addr == "" || l.Term == 0) {
-		err = fmt.Errorf("key %s: it names daemon %q at %q, term %d", i.Key, l.Node, l.Addr, l.Term)
+		err = fmt.Errorf("key %s: invalid lock: node %q, address %q, term %d", i.Key, l.Node, l.Addr, l.Term)
 	}
 	return l, err
 }
 
-// LockOf decodes an event under PrefixOwner; ok is false if it is not about
-// the lock.
+// LockOf decodes an event under PrefixOwner; ok is false if it does not concern the lock.
 func LockOf(e Event) (l Lock, held, ok bool, err error) {
 	if e.Key != keyLock {
 		return Lock{}, false, false, nil
@@ -167,17 +166,16 @@
 	return l, true, true, err
 }
 
-// termEntries of a transaction are conditions on the lock and the sequence,
-// and the put of the sequence.
+// termEntries is the number of entries that Write adds to a transaction: the conditions on the
+// lock and the sequence, and the put of the sequence.
 const termEntries = 3
 
-// MaxWriteEntries is how many puts and deletes one Write takes.
+// MaxWriteEntries is the largest number of puts and deletes in one Write.
 const MaxWriteEntries = MaxTxnEntries - termEntries
 
-// Write stores puts and deletes if this daemon still is the owner, and orders, the
-// instances for which it may have sent an order of late or is about to. After an
-// error the caller calls again, with the same or newer values, until it gets
-// nil or CodeDeposed.
+// Write stores puts, deletes and orders if this daemon still is the owner. orders are those
+// that it has sent recently or is about to send. After an error the caller must call Write
+// again, with the same or newer values, until it returns nil or CodeNotOwner.
 func (t *Term) Write(ctx context.Context, puts []Put, deletes []string, orders []owner.RecentOrder) error {
 	if t.lastWriteUnknown {
 		if err := t.readSequence(ctx); err != nil {
@@ -201,8 +199,8 @@
 	return t.explainRefusal(res)
 }
 
-// explainRefusal finds out why a transaction did not hold: another owner, or an
-// earlier transaction of ours that was carried out late.
+// explainRefusal determines why a transaction was not committed: there is another owner, or an
+// earlier transaction of this term arrived late.
 func (t *Term) explainRefusal(res TxnResult) error {
 	lockHeld := false
 	for _, i := range res.Current {
@@ -214,13 +212,13 @@
 		}
 	}
 	if !lockHeld {
-		return verdict.New(verdict.NotRun, CodeNotOwner, "term %d is over", t.Number)
+		return verdict.New(verdict.NotRun, CodeNotOwner, "term %d has ended", t.Number)
 	}
-	return verdict.New(verdict.NotRun, CodeStoreUnavailable, "an earlier write of this term came late")
+	return verdict.New(verdict.NotRun, CodeStoreUnavailable, "an earlier write of term %d was committed late", t.Number)
 }
 
-// readSequence reads the sequence after a lost answer. A transaction that is still
-// on its way holds on a revision that the next write replaces.
+// readSequence reads the sequence's revision after a lost answer. If the lost transaction is
+// still in flight, it fails once the next write has changed the sequence.
 func (t *Term) readSequence(ctx context.Context) error {
 	item, _, err := t.store.Get(ctx, keySequence, false)
 	if err != nil {
@@ -231,7 +229,7 @@
 	return nil
 }
 
-// RecordWrites returns the writes that keep a job's progress: r.Entries() of them.
+// RecordWrites returns the r.Entries() puts and deletes that store a job's progress.
 func RecordWrites(r owner.Record) (puts []Put, deletes []string) {
 	progress := prefixProgress + string(r.Job.ID)
 	if !r.Progress.State.Final() {
@@ -245,25 +243,25 @@
 	return []Put{{Key: prefixSubmitted + string(r.Job.ID), Value: encode(end)}}, deletes
 }
 
-// WavePut returns the put of what has begun of a wave.
+// WavePut returns the put that stores the progress of a wave.
 func WavePut(wave int, p WaveProgress) Put {
 	return Put{Key: prefixWaves + strconv.Itoa(wave), Value: encode(p)}
 }
 
-// WaveProgress is what is kept of a wave.
+// WaveProgress is the stored progress of a wave.
 type WaveProgress struct {
 	Begun []owner.InstanceID
 	Done  bool
 }
 
-// JobKeys returns all keys of a job.
+// JobKeys returns all keys that a job may have.
 func JobKeys(id job.ID) []string {
 	return []string{prefixSubmitted + string(id), prefixCancelled + string(id), prefixProgress + string(id)}
 }
 
-// Release ends the term early, so that another daemon can take over at once. It keeps
-// some last puts and orders, as Write does. An earlier write without an answer does
-// not matter: it fails once the lock is gone.
+// Release ends the term by deleting the lock, so that another daemon can take over at once. It
+// also stores puts, deletes and orders, as Write does. It need not wait for an earlier write
+// whose answer was lost: that write fails once the lock is deleted.
 func (t *Term) Release(ctx context.Context, puts []Put, deletes []string, orders []owner.RecentOrder) error {
 	_, err := t.store.Commit(ctx, Txn{
 		If:      []Condition{t.lock},
@@ -273,27 +271,26 @@
 	return err
 }
 
-// RefusedEntry is an entry that cannot be used, and why.
+// RefusedEntry is an item of the store that is not used because it is invalid.
 type RefusedEntry struct {
 	Key      string
 	Revision int64
 	Err      error
 }
 
-// Snapshot is what an owner finds in the store.
+// Snapshot is the state that a new owner reads from the store.
 type Snapshot struct {
 	Refused  []RefusedEntry
 	Jobs     []owner.Loaded
 	Waves    map[int]WaveProgress
-	Revision int64 // watching PrefixJobs from there misses nothing
+	Revision int64 // a watch of PrefixJobs from there misses no change
 }
 
-// loadTimeout bounds the reading of one snapshot: some pages of 1 MB.
+// loadTimeout bounds the reading of a snapshot, which has some pages of 1 MB.
 const loadTimeout = 10 * time.Second
 
-// Load reads all jobs. The parts are read at the same time: only the owner writes
-// progress and waves, and submissions that come meanwhile are seen by the watch from
-// Revision on.
+// Load reads all jobs and waves. Reading them concurrently is consistent: only the owner writes
+// progress and waves, and a watch from Revision reports later submissions.
 func Load(ctx context.Context, s Store) (Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
 	defer cancel()
@@ -328,7 +325,7 @@
 	s.Refused = append(s.Refused, RefusedEntry{i.Key, i.Revision, err})
 }
 
-// runConcurrently calls functions at the same time and returns their errors.
+// runConcurrently runs the calls concurrently and returns their joined errors.
 func runConcurrently(calls ...func() error) error {
 	errs := make([]error, len(calls))
 	var wg sync.WaitGroup
@@ -339,8 +336,8 @@
 	return errors.Join(errs...)
 }
 
-// assemble puts submissions, progress and cancellations together. A job of which one of
-// these cannot be read is left out: what of it was done is not known, and nothing may run
+// assemble combines submissions, progress and cancellations. A job with an invalid submission
+// or progress is left out: it is not known which of its tasks are done, and no task may run
 // twice.
 func (s *Snapshot) assemble(items, progress []Item) {
 	progressByJob := map[job.ID]Item{}
@@ -383,5 +380,5 @@
 	s.Jobs = append(s.Jobs, l)
 }
 
-// LockRevision returns the revision of the lock that this term holds on.
+// LockRevision returns the revision of the lock that is a condition of the term's writes.
 func (t *Term) LockRevision() int64 { return t.lock.Revision }
--- a/jobs/ledger/term_test.go
+++ b/jobs/ledger/term_test.go
@@ -17,13 +17,13 @@
 
 func noFailure(string, string) jobfleet.Failure { return jobfleet.NoFailure }
 
-// noPeers is a daemon's peers if it has none.
+// noPeers implements ledger.Relays for a daemon without peers.
 type noPeers struct{}
 
 func (noPeers) Relay() ledger.Store      { return nil }
 func (noPeers) RelayFailed(ledger.Store) {}
 
-// elect returns a term of a daemon on a stand-in of the store.
+// elect makes a daemon the owner.
 func elect(t *testing.T, s ledger.Store, node string) *ledger.Term {
 	ctx := context.Background()
 	lease, err := s.GrantLease(ctx, time.Minute)
@@ -34,8 +34,8 @@
 	return term
 }
 
-// TestTheNextOwnerKnowsOfOrders: whatever an owner recorded before it sent an order is
-// known to the next one, also if it only ended.
+// TestTheNextOwnerKnowsOfOrders: the orders that an owner recorded with its last Write or
+// Release are known to the next owner.
 func TestTheNextOwnerKnowsOfOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -47,12 +47,12 @@
 		require.NoError(t, first.Release(ctx, nil, nil, sent[:1]))
 		second := elect(t, s, "d2")
 		assert.Equal(t, sent[:1], second.PreviousOrders)
-		require.Error(t, first.Write(ctx, nil, nil, nil), "its term is over")
+		require.Error(t, first.Write(ctx, nil, nil, nil), "its term has ended")
 	})
 }
 
-// TestAnEndedJobIsKeptWithoutItsPayload: the next owner knows that it ended, a caller
-// that submits it again is told that it is accepted, and its state is known.
+// TestAnEndedJobIsKeptWithoutItsPayload: the next owner knows that the job has ended, its state
+// can be read, and a caller that submits it again is told that it is accepted.
 func TestAnEndedJobIsKeptWithoutItsPayload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -73,7 +73,7 @@
 		assert.Equal(t, ended.TxnEntries(), len(puts)+len(deletes))
 		require.NoError(t, term.Write(ctx, puts, deletes, nil))
 
-		require.NoError(t, a.Accept(ctx, j), "the caller's repeat")
+		require.NoError(t, a.Accept(ctx, j), "repeated submission")
 		state, _, known, err := ledger.StateOf(ctx, s, j.ID)
 		require.NoError(t, err)
 		assert.True(t, known)
@@ -82,9 +82,9 @@
 		require.NoError(t, err)
 		require.Len(t, snap.Jobs, 1)
 		assert.Empty(t, snap.Jobs[0].Job.Payload)
-		assert.Len(t, snap.Jobs[0].Job.Steps, 1, "what it may still run on some worker is known")
+		assert.Len(t, snap.Jobs[0].Job.Steps, 1, "the steps that may still run on a worker are known")
 		require.NotNil(t, snap.Jobs[0].Progress)
 		assert.Equal(t, job.Failed, snap.Jobs[0].Progress.State)
-		assert.Equal(t, "long text", j.Payload, "the caller's job is not changed")
+		assert.Equal(t, "long text", j.Payload, "the submitted job is not modified")
 	})
 }
