--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -12,13 +12,13 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// codeOverloaded says that the owner would get to the job too late.
+// codeOverloaded means that the job was refused because it would be late.
 const codeOverloaded verdict.Code = "scheduler-overloaded"
 
-// checkAdmission returns an error if the job is known to be late if it was accepted: its caller can
-// still come back, and the owner's time goes to jobs that can be in time. While the owner
-// keeps up it is not asked. One that is in the store already is accepted again: callers
-// repeat what they got no answer to.
+// checkAdmission returns an error if the owner expects the job to be late: its caller can retry
+// later, and the owner works on jobs that can be in time. The owner is asked only while it is
+// backlogged. A job that is already in the store is accepted again, as callers repeat requests
+// that got no answer.
 func (n *Node) checkAdmission(ctx context.Context, j *job.Job) error {
 	if !n.ownerBacklogged.Load() {
 		return nil
@@ -28,13 +28,14 @@
 		return nil
 	}
 	if known, err := ledger.JobExists(ctx, n.store, j.ID); err != nil || known {
-		return nil // accepted before, or that is not known: accepting decides
+		return nil // accepted before, or unknown: Accept decides
 	}
 	n.log.Info("job-not-admitted", zap.String("job", string(j.ID)), zap.String("queue", j.Queue), zap.Duration("late-by", late))
 	return verdict.Wrap(&gateway.OverloadedError{RetryAfter: late}, verdict.NotRun, codeOverloaded, "job %s", j.ID)
 }
 
-// estimateLateness asks the owner by how much the job would be late, 0 if it cannot tell.
+// estimateLateness asks the owner by how much the job would be late. It returns 0 if the job
+// would be in time or the owner does not answer.
 func (n *Node) estimateLateness(ctx context.Context, j *job.Job) time.Duration {
 	if t := n.term.Load(); t != nil {
 		return t.admit(j).LateBy
@@ -45,15 +46,15 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
-	bare := *j
-	bare.Payload = "" // which is most of a job, and is of no account here
-	r, err := n.peers.Admit(ctx, lock.Addr, &bare)
+	withoutPayload := *j
+	withoutPayload.Payload = "" // most of a job's size, and not needed here
+	r, err := n.peers.Admit(ctx, lock.Addr, &withoutPayload)
 	if err != nil {
 		n.log.Info("owner-not-asked", zap.String("job", string(j.ID)), zap.Error(err))
 		return 0
 	}
 	if !r.Owner || r.LateBy == 0 {
-		n.ownerBacklogged.Store(false) // the next job that it is told of shows it anew
+		n.ownerBacklogged.Store(false) // set again by the reply to the next submission if need be
 	}
 	return r.LateBy
 }
--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -12,23 +12,24 @@
 	"github.com/postmount/postmount/jobs/ledger"
 )
 
-// evacuations are the availability zones that operators want to get no new tasks, as far as this
-// daemon has heard. An entry of the store that names a zone asks for that, whatever its value.
+// evacuations holds the availability zones that operators have evacuated, which get no new
+// tasks, as far as this daemon knows. A store entry with the zone's name evacuates it, whatever
+// its value.
 type evacuations struct {
 	mu     sync.Mutex
 	zones  map[string]bool
-	listed map[string]bool // while all entries are read anew: those read so far; else nil
+	listed map[string]bool // zones read so far while all entries are read anew; otherwise nil
 }
 
-// beginList says that all entries are about to be read anew.
+// beginList is called before all entries are read anew.
 func (e *evacuations) beginList() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listed = map[string]bool{}
 }
 
-// endList forgets the zones that were not among the entries, if all have been read anew; it
-// reports whether there were any.
+// endList is called after entries were read. If all were read anew it removes the zones that
+// were not among them, and reports whether there were any.
 func (e *evacuations) endList() (changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -41,7 +42,7 @@
 	return len(e.zones) < before
 }
 
-// set adds a zone or takes it out; it reports whether that changed anything.
+// set adds or removes a zone and reports whether that changed anything.
 func (e *evacuations) set(zone string, on bool) (changed bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,11 +67,11 @@
 	return slices.Sorted(maps.Keys(e.zones))
 }
 
-// applyEvacuationEntry takes an operators' request to evacuate a zone, or that it was taken back.
+// applyEvacuationEntry applies an operators' entry that evacuates a zone, or its deletion.
 func (n *Node) applyEvacuationEntry(e ledger.Event) {
 	zone := strings.TrimPrefix(e.Key, n.platform.Formats.EvacuationPrefix)
 	if zone == "" {
-		n.refusedEntries.add(e.Key, e.Revision, errors.New("it names no zone"))
+		n.refusedEntries.add(e.Key, e.Revision, errors.New("evacuation entry has no zone in its key"))
 		return
 	}
 	if n.evacuations.set(zone, !e.Deleted) {
@@ -78,7 +79,8 @@
 	}
 }
 
-// onEvacuationsChanged tells the scheduler, if this daemon is the owner.
+// onEvacuationsChanged logs the evacuated zones and passes them to the scheduler if this daemon
+// is the owner.
 func (n *Node) onEvacuationsChanged() {
 	zones := n.evacuations.list()
 	n.metrics.evacuatedZones(len(zones))
@@ -88,7 +90,8 @@
 	}
 }
 
-// onOperatorEntriesSynced takes note that all that the store told of the operators' keys is applied.
+// onOperatorEntriesSynced is called after all known operators' entries are applied. The
+// configuration is then known to be the newest.
 func (n *Node) onOperatorEntriesSynced() {
 	if n.evacuations.endList() {
 		n.onEvacuationsChanged()
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -9,28 +9,29 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// maxOrderDelay is how long after it was recorded an order for an instance may reach the
-// platform at the latest: the transaction's timeout, and the call's.
+// maxOrderDelay is the maximum time from the start of the transaction that records an order for
+// an instance until the order reaches the platform: the timeouts of both calls.
 const maxOrderDelay = storeTimeout + instanceOrderTimeout
 
-// instanceOrders holds orders for instances until the store knows that they are
-// about to be sent, and remembers for which instances there were any. Whoever is
-// the owner next finds them there, and may order all other instances at once.
+// instanceOrders holds orders for instances until a transaction has recorded that they are
+// about to be sent, and keeps which instances had recent orders. The next owner reads these
+// from the store, and may send orders for all other instances at once.
 type instanceOrders struct {
 	self      string
 	pending   []owner.InstanceOrder
-	latest    map[owner.InstanceID]arrival // of the orders for each instance
+	latest    map[owner.InstanceID]arrival // of the last order for each instance
 	retention time.Duration
 }
 
-// arrival is when an order reached the platform at the latest, and who sent it.
+// arrival is the latest time at which an order may have reached the platform, and its sender.
 type arrival struct {
 	at       time.Time
 	holder   string
-	previous *arrival // of the order before, until this one is known to be sent
+	previous *arrival // of the order before, until this order is known to be sent
 }
 
-// newInstanceOrders begins with those of the owner before.
+// newInstanceOrders returns the recent orders of the previous owner. Each is kept for the time
+// of a duty hand-over.
 func newInstanceOrders(self string, handover time.Duration, before []owner.RecentOrder, electedAt time.Time) instanceOrders {
 	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyHandoverMargin}
 	for _, b := range before {
@@ -43,7 +44,7 @@
 
 func (o *instanceOrders) pendingCount() int { return len(o.pending) }
 
-// take returns the orders that wait, for the next transaction.
+// take returns and removes the pending orders, for the next transaction.
 func (o *instanceOrders) take(now time.Time) []owner.InstanceOrder {
 	out := o.pending
 	o.pending = nil
@@ -58,7 +59,8 @@
 	return out
 }
 
-// resolve takes note of what came of an order: it arrived by now, or was never sent.
+// resolve records the outcome of an order: it has reached the platform by now, or it was never
+// sent.
 func (o *instanceOrders) resolve(id owner.InstanceID, sent bool, now time.Time) {
 	a := o.latest[id]
 	switch {
@@ -72,7 +74,7 @@
 	}
 }
 
-// recent returns the orders that the next owner has to know of.
+// recent returns the orders that the next owner must know of.
 func (o *instanceOrders) recent(now time.Time) []owner.RecentOrder {
 	maps.DeleteFunc(o.latest, func(_ owner.InstanceID, a arrival) bool { return now.Sub(a.at) > o.retention })
 	var out []owner.RecentOrder
@@ -90,8 +92,8 @@
 	}
 }
 
-// sendInstanceOrders sends orders that the store knows of. They do not wait for slots:
-// until when they may arrive is recorded.
+// sendInstanceOrders sends orders that are recorded in the store. They do not wait for slots, as
+// they must arrive within maxOrderDelay.
 func (t *termRun) sendInstanceOrders(orders []owner.InstanceOrder) {
 	for _, o := range orders {
 		go t.callNow(2*instanceOrderTimeout, func(ctx context.Context) event { return t.orderInstance(ctx, o) })
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -12,21 +12,21 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Metrics counts what a daemon does.
+// Metrics holds the metrics of a daemon.
 type Metrics struct {
 	scope   tally.Scope
 	handler http.Handler
 }
 
-// NewMetrics counts in scope and serves h.
+// NewMetrics returns metrics that report to scope. h serves them.
 func NewMetrics(scope tally.Scope, h http.Handler) *Metrics {
 	return &Metrics{scope: scope, handler: h}
 }
 
-// Handler serves the metrics as text.
+// Handler returns the HTTP handler that serves the metrics as text.
 func (m *Metrics) Handler() http.Handler { return m.handler }
 
-// latencyBuckets of latencies: 1 ms to 16 s.
+// latencyBuckets range from 1 ms to 16 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
 // Answered implements gateway.Observer.
@@ -49,21 +49,20 @@
 	m.scope.Histogram("commit_time", latencyBuckets).RecordDuration(took)
 }
 
-// refusedEntries tells how many entries of the store cannot be used at present.
+// refusedEntries sets the number of store entries that are refused at present.
 func (m *Metrics) refusedEntries(n int) { m.scope.Gauge("entries_refused").Update(float64(n)) }
 
-// evacuatedZones tells how many zones get no new tasks, as far as this daemon has heard.
+// evacuatedZones sets the number of evacuated zones that this daemon knows of.
 func (m *Metrics) evacuatedZones(n int) { m.scope.Gauge("evacuated_zones").Update(float64(n)) }
 
-// slowdown tells how many times slower than usual the instance is.
+// slowdown sets by which factor the instance is slower than usual.
 func (m *Metrics) slowdown(by float64) { m.scope.Gauge("instance_slower_by").Update(by) }
 
-// storeCall counts a call to the store that this daemon made itself, for a peer
-// too.
+// storeCall counts a direct call to the store, including those that are made for a peer.
 func (m *Metrics) storeCall(c ledger.StoreCall) {
 	kind := map[string]string{"call": c.Kind, "stale": strconv.FormatBool(c.Stale)}
 	m.scope.Tagged(kind).Tagged(map[string]string{"outcome": c.Outcome}).Counter("store_calls").Inc(1)
-	if c.Kind != "watch" { // a watch takes as long as nothing happens
+	if c.Kind != "watch" { // a watch blocks until something changes
 		m.scope.Tagged(map[string]string{"call": c.Kind}).Histogram("store_time", latencyBuckets).RecordDuration(c.Took)
 	}
 }
@@ -72,8 +71,8 @@
 	m.scope.Tagged(map[string]string{"code": string(verdict.CodeOf(err)), "verdict": verdict.Of(err).String()}).Counter("store_failures").Inc(1)
 }
 
-// ownerStats takes the figures of the ownerStats. Those of a daemon that is the ownerStats no
-// more stay as they were; the newest term is the right one.
+// ownerStats sets the gauges of the owner. A daemon that is no longer the owner keeps reporting
+// its last values; those of the newest term are valid.
 func (m *Metrics) ownerStats(s owner.Stats) {
 	for name, v := range map[string]float64{
 		"owner_open_jobs": float64(s.OpenJobs), "owner_unrecorded_jobs": float64(s.UnrecordedJobs),
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -12,27 +12,26 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// Figures of the watch over the owner's process.
+// Limits of the watch of the owner's process.
 const (
-	// lockCheckInterval is how often the watch looks whether there is another owner: the store's
-	// watch has told by then.
+	// lockCheckInterval is how often the watch checks whether the owner has changed; the
+	// watch of the lock reports a change within that time.
 	lockCheckInterval = 100 * time.Millisecond
-	// requiredConfirmations is how many other daemons have to find nobody at the owner's address,
-	// too, for its process to count as gone; one if no more can be asked. A partition
-	// that refuses connections looks the same to one daemon; others, picked at random,
-	// hardly all stand on the same side of it. Up to mostAsked are asked, as some may
-	// have ended as well.
+	// requiredConfirmations is how many other daemons must also find that no process listens at
+	// the owner's address; one is enough if no more can be asked. A partition that refuses
+	// connections looks the same to one daemon, but daemons picked at random are hardly all on
+	// the same side of it. Up to maxPeersAsked are asked, as some may have ended as well.
 	requiredConfirmations = 2
 	maxPeersAsked         = 5
-	// maxRevokeJitter spreads the daemons that find the owner gone at the same moment, so
-	// that most of them see that one has ended its lease. It is some calls to the store.
+	// maxRevokeJitter spreads out daemons that detect the owner's end at the same moment, so that
+	// most of them see that one has revoked its lease. It is the duration of a few store calls.
 	maxRevokeJitter = 30 * time.Millisecond
 )
 
-// watchOwnerProcess ends the lease of an owner whose process is gone: the lock goes
-// with it, and the next owner is elected within some milliseconds instead of after the
-// lease's two seconds. An owner that lives on after all loses its lock as if the store
-// had revoked the lease, which is safe at any time.
+// watchOwnerProcess revokes the lease of an owner whose process has ended. The store removes the
+// lock with it, and the next owner is elected within milliseconds instead of after the lease's
+// two seconds. If the owner is alive after all, it loses its lock as if the store had revoked the
+// lease, which is safe at any time.
 func (n *Node) watchOwnerProcess(ctx context.Context) {
 	for ctx.Err() == nil {
 		l := n.lock.Load()
@@ -44,8 +43,8 @@
 	}
 }
 
-// watchOwnerConnection returns when there is another owner, or the connection to this one has
-// ended and its lease if its process is gone.
+// watchOwnerConnection blocks until the owner changes or the connection to it breaks. In the
+// latter case it revokes the owner's lease if its process has ended.
 func (n *Node) watchOwnerConnection(ctx context.Context, l *ledger.Lock) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -58,7 +57,7 @@
 		return
 	}
 	if !n.mayReplace(l.Node) || !n.ownerGone(ctx, l) {
-		sleep.For(ctx, lockCheckInterval) // its connection was reset, or cannot be opened
+		sleep.For(ctx, lockCheckInterval) // the connection was reset, or cannot be opened
 		return
 	}
 	sleep.For(ctx, n.rng.durationBelow(maxRevokeJitter))
@@ -72,11 +71,11 @@
 		n.log.Warn("owners-lease-not-ended", zap.Error(err))
 		return
 	}
-	sleep.For(ctx, storeTimeout) // until the store's watch tells
+	sleep.For(ctx, storeTimeout) // until the watch of the lock reports it
 }
 
-// ownerGone reports whether nobody listens at the owner's address, as this daemon and
-// others see it. A process listens from before its election to its end.
+// ownerGone reports whether no process listens at the owner's address, according to this daemon
+// and others. A daemon listens from before its election until its process ends.
 func (n *Node) ownerGone(ctx context.Context, l *ledger.Lock) bool {
 	ctx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -105,9 +104,9 @@
 	return confirmed > 0 || len(others) == 0
 }
 
-// mayReplace reports whether this daemon is about as strong as the named one. Where
-// many processes are killed at once the strong ones are back within a second, before the
-// lease ends; a weak one that takes over at once cannot carry what the owner did.
+// mayReplace reports whether this daemon has about as much CPU as the named one. If many
+// processes are killed at once, those with much CPU are back within a second, before the lease
+// expires; a daemon with little CPU that takes over at once could not do the owner's work.
 func (n *Node) mayReplace(node string) bool {
 	list := n.members.Load()
 	if list == nil {
@@ -118,7 +117,7 @@
 	})
 }
 
-// peersExcept returns the addresses of all daemons but this one and the named one.
+// peersExcept returns the addresses of all daemons except this one and the named one.
 func (n *Node) peersExcept(node string) []string {
 	list := n.members.Load()
 	if list == nil {
--- a/jobs/node/peerhandler.go
+++ b/jobs/node/peerhandler.go
@@ -7,7 +7,7 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// peerHandler answers other daemons.
+// peerHandler handles calls of other daemons.
 type peerHandler struct{ n *Node }
 
 // State implements peer.Handler.
@@ -29,8 +29,8 @@
 	}
 }
 
-// Submitted implements peer.Handler. A daemon whose lease may have ended takes no
-// new jobs: another one may be the owner, and start them too.
+// Submitted implements peer.Handler. A daemon whose lease may have expired takes no new jobs, as
+// another one may be the owner and start them as well.
 func (h peerHandler) Submitted(r peer.SubmitRequest) peer.SubmitReply {
 	t := h.n.term.Load()
 	if t == nil || !t.leaseHeld() {
@@ -49,8 +49,8 @@
 	return t.admit(&r.Job)
 }
 
-// Relay implements peer.Handler. It goes the direct way only, so that calls do
-// not circle between daemons.
+// Relay implements peer.Handler. It calls the store directly, never through another relay, so
+// that calls do not circle between daemons.
 func (h peerHandler) Relay(r peer.RelayRequest) peer.RelayReply {
 	return peer.ServeRelay(h.n.platform.Store, r)
 }
@@ -62,7 +62,8 @@
 	return h.n.peers.CheckPresence(ctx, addr)
 }
 
-// localState answers from this daemon's term, if it has one.
+// localState returns the state of a job from this daemon's term. Owner is false in the reply if
+// this daemon is not the owner.
 func (n *Node) localState(id job.ID) peer.StateReply {
 	t := n.term.Load()
 	if t == nil {
--- a/jobs/node/rand.go
+++ b/jobs/node/rand.go
@@ -9,8 +9,8 @@
 	"github.com/postmount/postmount/jobs/ledger"
 )
 
-// lockedRand draws for one daemon. Its sequence follows from the daemon's name: daemons
-// draw differently, and each the same in every run of a test.
+// lockedRand is a random generator for concurrent use. It is seeded with the daemon's name, so
+// that daemons differ and each draws the same in every run of a test.
 type lockedRand struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
@@ -22,41 +22,42 @@
 	return &lockedRand{rnd: rand.New(rand.NewPCG(h.Sum64(), 1))}
 }
 
-// durationBelow returns a duration below most.
-func (c *lockedRand) durationBelow(most time.Duration) time.Duration {
+// durationBelow returns a random duration in [0, most).
+func (c *lockedRand) durationBelow(limit time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Duration(c.rnd.Int64N(int64(most)))
+	return time.Duration(c.rnd.Int64N(int64(limit)))
 }
 
-// shuffle puts addresses in an order by chance.
+// shuffle puts addresses in random order.
 func (c *lockedRand) shuffle(list []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.rnd.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 }
 
-// minCores counts for a daemon that says to have less of a processor, or nothing.
+// minCores is the CPU assumed for a daemon that reports less, or none.
 const minCores = 0.05
 
-// relayWeight is how much a daemon can carry for others. Links are more unequal than
-// processors: on the users' sheets 0.8 of a core comes with 200 Mbit/s, 0.19 with 10.
+// relayWeight estimates a daemon's capacity as a relay. Link bandwidth grows faster than CPU,
+// so the weight is the square of the cores: in the users' data sheets 0.8 cores come with
+// 200 Mbit/s, 0.19 cores with 10 Mbit/s.
 func relayWeight(m ledger.Member) float64 {
 	cores := max(minCores, m.Cores)
 	return cores * cores
 }
 
-// pickWeighted picks one of the daemons, each as likely as its weight says.
+// pickWeighted returns a random daemon with a probability proportional to its relayWeight.
 func (c *lockedRand) pickWeighted(list []ledger.Member) ledger.Member {
 	sum := 0.0
 	for _, m := range list {
 		sum += relayWeight(m)
 	}
 	c.mu.Lock()
-	at := c.rnd.Float64() * sum
+	point := c.rnd.Float64() * sum
 	c.mu.Unlock()
 	for _, m := range list {
-		if at -= relayWeight(m); at < 0 {
+		if point -= relayWeight(m); point < 0 {
 			return m
 		}
 	}
--- a/jobs/node/refusedentries.go
+++ b/jobs/node/refusedentries.go
@@ -6,8 +6,8 @@
 	"go.uber.org/zap"
 )
 
-// refusedEntries are the entries of the store that cannot be used, as others write there, too. Each
-// is told once, however often it is read, and so is that it is gone or has become good.
+// refusedEntries tracks the store entries that cannot be used; others write to the store as
+// well. Each is logged once, however often it is read, and so is its correction or deletion.
 type refusedEntries struct {
 	log     *zap.Logger
 	metrics *Metrics
@@ -20,7 +20,7 @@
 	return &refusedEntries{log: log, metrics: m, bad: map[string]int64{}}
 }
 
-// add takes note that the entry cannot be used.
+// add records that an entry cannot be used.
 func (r *refusedEntries) add(key string, revision int64, why error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -32,7 +32,7 @@
 	r.metrics.refusedEntries(len(r.bad))
 }
 
-// remove takes note that the entry is good, or gone.
+// remove records that an entry is valid or was deleted.
 func (r *refusedEntries) remove(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/jobs/node/relays.go
+++ b/jobs/node/relays.go
@@ -7,11 +7,11 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// Relay implements ledger.Relays: a daemon that served lately, or else one by chance,
-// but for those whose way to the store failed a moment ago. A disruption often cuts off
-// a third of the daemons, so that one that serves is worth keeping; and they must not
-// all choose the same one, whose link would carry every watch of theirs. Stronger
-// daemons, which have wider links, are chosen more often.
+// Relay implements ledger.Relays. It returns the relay in use, or else a random daemon except
+// those that failed as a relay within failedRelayPause. A disruption often partitions a third of
+// the daemons, so a relay that works is kept; and the daemons must not all choose the same one,
+// whose link would carry all their watches. Daemons with more CPU, which have more bandwidth, are
+// chosen more often.
 func (n *Node) Relay() ledger.Store {
 	list := n.members.Load()
 	if list == nil {
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -81,13 +81,13 @@
 }
 
 // callInSlot waits for a slot, then calls a worker. The timeout starts once it has the slot.
-func (t *termRun) callInSlot(f callLimiter, timeout time.Duration, call func(context.Context) event) {
-	leave, ok := f.acquire(t.ctx)
+func (t *termRun) callInSlot(limiter callLimiter, timeout time.Duration, call func(context.Context) event) {
+	release, ok := limiter.acquire(t.ctx)
 	if !ok {
 		return // the term is over
 	}
 	t.callNow(timeout, func(ctx context.Context) event {
-		defer leave()
+		defer release()
 		return call(ctx)
 	})
 }
