--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -76,7 +76,7 @@
 	c.markCrashDirty(t.step.job)
 }
 
-// addUnconfirmedCrash adds an unconfirmed crash to the task and to openCrashes.
+// addUnconfirmedCrash adds an unconfirmed crash to the task and the task to unconfirmedCrashes.
 func (c *Core) addUnconfirmedCrash(t *task, k job.Crash) {
 	t.crashes = append(t.crashes, k)
 	inc := parseIncarnation(k.Worker)
@@ -156,8 +156,8 @@
 	}
 }
 
-// hasUnseenIncarnationEnded reports whether an incarnation that has not answered this owner has ended:
-// another one followed, or the instance list does not show it.
+// hasUnseenIncarnationEnded reports whether an incarnation that has not answered this owner has
+// ended: another one followed, or the instance list does not show it.
 func (c *Core) hasUnseenIncarnationEnded(inc incarnation) bool {
 	w := c.workers[inc.worker]
 	if w != nil && w.relationTo(inc.startedMs) != sameIncarnation {
@@ -195,7 +195,8 @@
 	}
 }
 
-// confirmCrash confirms it for one task, and gives the task up if that is conclusive.
+// confirmCrash confirms the crash of an incarnation for one task, and gives the task up if its
+// crashes are conclusive.
 func (c *Core) confirmCrash(t *task, inc incarnation, now time.Time) {
 	j := t.step.job
 	if t.done || j.state.Final() {
@@ -214,7 +215,7 @@
 
 // crashReason describes a confirmed crash in the log.
 func crashReason(all job.Crashes, k *job.Crash) string {
-	return fmt.Sprintf("%d confirmed so far; at start %t, time known %t, alone %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
+	return fmt.Sprintf("%d confirmed so far; at start %t, time known %t, sole suspect %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
 }
 
 // giveUpIfProven gives the task up if it conclusively crashes its workers. Its job fails,
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -46,8 +46,9 @@
 	return true
 }
 
-// canThinOut reports whether the worker's long-running tasks can be moved away one by one,
-// because it has more of a step than may be unavailable at once.
+// canThinOut reports whether a worker that cannot be taken down may have its long-running tasks
+// moved away one at a time: each step either has more tasks there than may be unavailable at
+// once, or fits its budget now.
 func canThinOut(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -81,7 +81,7 @@
 }
 
 // choose returns the best worker for a task that ends by itself; nil if none has capacity.
-// allowed filters workers, and mine counts the step's tasks per worker. The result equals
+// allowed filters workers, and stepTasks counts the step's tasks per worker. The result equals
 // that of placement.Choose over all workers.
 func (x *freeIndex) choose(req *placement.Request, allowed func(*worker) bool, stepTasks map[*worker]int, now time.Time) *worker {
 	var best []*worker
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -106,7 +106,7 @@
 }
 
 // isReservedForOther reports whether the worker is reserved for another step after a
-// preemption, or quarantined from the step's job.
+// preemption, or isolated from the step's job.
 func (w *worker) isReservedForOther(s *stepState, now time.Time) bool {
 	return w.isIsolatedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
 }
--- a/jobs/owner/quarantine.go
+++ b/jobs/owner/quarantine.go
@@ -180,7 +180,7 @@
 	}
 	p.awaitIsolation(t, &sel.req)
 	if p.now.Sub(t.isolationWaitSince) >= t.step.isolationWait() {
-		p.preempt(t.step, &sel.req) // no worker has capacity
+		p.preempt(t.step, &sel.req) // even the relaxed conditions found no worker
 	}
 }
 
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -10,7 +10,7 @@
 // how fast outcomes arrive. Orders queue behind earlier ones even if more urgent, so no more
 // are ordered than can be sent at once.
 type startWindow struct {
-	maxOutstanding int             // starts in flight; 0: unlimited
+	maxOutstanding int             // upper bound of limit; 0: unlimited
 	limit          float64         // current limit, adapted to answer latency
 	decreasedAt    time.Time       // last decrease of limit
 	deferred       map[string]bool // services with startable tasks that wait for the window
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -28,7 +28,7 @@
 // presumedUsage is what each tenant may have running besides the known runs.
 type presumedUsage struct {
 	byTenant   map[string]job.Resources
-	computedAt time.Time // when it was summed up
+	computedAt time.Time
 }
 
 // presumedUsageTTL is how long a computed presumedUsage is used, since computing it visits all
