--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity decides which instances move between pools. It is pure: a
-// plan follows from the demand of the pools and from the weights.
+// Package capacity decides which instances move between pools. A plan depends only on the
+// demand of the pools and on the weights.
 package capacity
 
 import (
@@ -8,90 +8,89 @@
 	"time"
 )
 
-// Weights say what is worth how much. The figures are in the same unit, that
-// of the users' sheets.
+// Weights are the costs that a plan trades off, in the unit of the users' specification
+// sheets.
 type Weights struct {
 	InstanceSecond float64 // one second of an instance in a pool
 	Move           float64 // one instance changing its pool
 }
 
-// DefaultWeights are the means of the two users' sheets.
+// DefaultWeights are the means of the two users' specification sheets.
 var DefaultWeights = Weights{InstanceSecond: 0.0625, Move: 0.071}
 
-// Figures of the plan.
+// Parameters of a plan.
 const (
-	// usableShare is the share of an instance's processors that tasks of mixed sizes
-	// usableShare.
+	// usableShare is the fraction of an instance's cores that tasks of mixed sizes can fill.
 	usableShare = 0.9
-	// headroomFactor is how much more work than there is, or comes, a pool is sized for: tasks of
-	// mixed sizes leave gaps, and the next steps of running jobs come.
+	// headroomFactor scales the present and the expected work that a pool is sized for: tasks
+	// of mixed sizes leave gaps, and running jobs have further steps.
 	headroomFactor = 1.15
-	// movesPerReturn is how many moves an instance's idle time must have cost
-	// before it is given back: away, and back at the pool's next turn.
+	// movesPerReturn is the number of moves that an instance's idle time must have cost before
+	// it is returned to the spare pool: the return, and the move back at the next demand.
 	movesPerReturn = 2
-	// minInstances is how many instances a pool keeps without any work: with none, the
-	// size of its instances is not known, and the next job waits for a move.
+	// minInstances is the number of instances that a pool keeps without any work: without an
+	// instance, their size is not known, and the next job waits for a move.
 	minInstances = 1
-	// stuckAfter is how long tasks wait before a pool gets one more instance
-	// though it has cores enough: they may need other workers than those that run
-	// tasks of their step already.
-	stuckAfter = 500 * time.Millisecond
-	// lateWorkWeight is how much the work of jobs that are late already counts while another
-	// pool is short of room for jobs that can still be in time: a late job is worth a
-	// fourteenth of one in time on the users' sheets, and must not wait for ever.
+	// stuckWaitTime is how long tasks wait before a pool with enough cores gets one more
+	// instance: they may need workers that don't run tasks of their step yet.
+	stuckWaitTime = 500 * time.Millisecond
+	// lateWorkWeight is the weight of work that is already late while another pool lacks
+	// capacity for work that can still be in time. The users' specification sheets value a
+	// late job at 1/14 of one in time; the weight is higher so that late jobs don't wait
+	// forever.
 	lateWorkWeight = 0.25
-	// minReturnsPerPlan is how many instances a plan takes at least from a pool that has too many, and
-	// sharePerPlan the share of the pool above that. With ten plans a second a large pool loses half
-	// of what idles in 17 s, whatever its size: for some turns of traffic it has room for one, and
-	// none waits for instances on their way.
+	// A plan returns at most returnSharePerPlan of a pool's instances, but minReturnsPerPlan if
+	// that is more. At ten plans a second a large pool of any size returns half of its idle
+	// instances in 17 s, so that it keeps capacity for traffic that comes back soon, and no task
+	// waits for instances that are moving.
 	minReturnsPerPlan  = 2
 	returnSharePerPlan = 0.004
 )
 
-// Instance is one that could be moved.
+// Instance is an instance of a pool.
 type Instance struct {
 	ID      string
-	IdleFor time.Duration // nothing ran on it; 0: something does
-	Movable bool          // nothing runs on it, and nothing else is planned for it
+	IdleFor time.Duration // how long it has been idle
+	Movable bool          // it is idle and not planned for anything else
 }
 
-// Pool is a service's instances and their work.
+// Pool is the supply and demand of one service.
 type Pool struct {
 	Name             string
-	Instances        []Instance // those that are up, but for BusyInstances
-	BusyInstances    int        // those that are up and cannot be moved, as something runs on them
-	EvacuatedIdle    []Instance // those on which nothing runs, nor will for now: they are no room
-	Arriving         int        // on their way to it
-	CoresPerInstance float64    // of one instance
-	MissingCores     float64    // cores that its instances lack, as workers have shrunk for a while
-	BusyCores        float64    // cores in use
-	WaitingCores     float64    // cores that tasks wait for now
-	// LateWaitingCores is the part of Waiting of jobs that are late already.
+	Instances        []Instance // up, except those counted in BusyInstances
+	BusyInstances    int        // up, but not movable because tasks run on them
+	EvacuatedIdle    []Instance // idle ones in evacuated zones; they add no capacity
+	Arriving         int        // instances moving to it; a plan subtracts those it moves away
+	CoresPerInstance float64
+	MissingCores     float64 // cores that undersized workers don't offer at present
+	BusyCores        float64 // cores in use
+	WaitingCores     float64 // cores that tasks wait for
+	// LateWaitingCores is the part of WaitingCores that counts lateWorkWeight.
 	LateWaitingCores float64
-	LongRunningCores float64       // cores of Busy that long-running tasks use
-	ArrivalRate      float64       // core-seconds of work that arrive a second
-	WaitingFor       time.Duration // since when some task has waited without a break
+	LongRunningCores float64       // part of BusyCores in use by long-running tasks
+	ArrivalRate      float64       // core-seconds of work arriving per second
+	WaitingFor       time.Duration // how long tasks have waited without a break
 }
 
-// Move is one instance that changes its pool, and why.
+// Move is a planned move of an instance to another pool.
 type Move struct {
 	Instance string
 	From, To string
 	Reason   string
 }
 
-// Size returns how many instances are up.
+// Size returns the number of instances that are up.
 func (p *Pool) Size() int { return len(p.Instances) + p.BusyInstances }
 
-// lateWork says which work counts.
+// lateWork says how late work is weighted.
 type lateWork int
 
 const (
-	lateWorkFull    lateWork = iota
-	lateWorkReduced          // work of jobs that are late already counts lateShare
+	lateWorkFull    lateWork = iota // like other work
+	lateWorkReduced                 // by lateWorkWeight
 )
 
-// weightedWaiting returns the cores that tasks wait for, as far as they count.
+// weightedWaiting returns the cores that tasks wait for, with late work weighted.
 func (p *Pool) weightedWaiting(late lateWork) float64 {
 	if late == lateWorkFull {
 		return p.WaitingCores
@@ -99,19 +98,19 @@
 	return p.WaitingCores - (1-lateWorkWeight)*p.LateWaitingCores
 }
 
-// neededInstances is how many instances the pool's work fills: what there is now, or what
-// the rate of arrivals will keep busy, whichever is more.
+// neededInstances returns how many instances the pool needs for its present work or for the
+// work expected from the arrival rate, whichever is more.
 func (p *Pool) neededInstances(late lateWork) int {
 	if p.CoresPerInstance <= 0 {
 		return 0
 	}
 	present := headroomFactor*p.BusyCores + p.weightedWaiting(late)
-	coming := p.LongRunningCores + headroomFactor*p.ArrivalRate
-	return int(math.Ceil(max(present, coming)/(p.CoresPerInstance*usableShare) + p.MissingCores/p.CoresPerInstance))
+	expected := p.LongRunningCores + headroomFactor*p.ArrivalRate
+	return int(math.Ceil(max(present, expected)/(p.CoresPerInstance*usableShare) + p.MissingCores/p.CoresPerInstance))
 }
 
-// surplus is how many instances the pool can do without. A pool with tasks that count
-// in full and wait has none to spare.
+// surplus returns how many instances the pool can give up: none while tasks wait that count
+// in full.
 func (p *Pool) surplus(late lateWork) int {
 	if late == lateWorkFull && p.WaitingCores > 0 || p.WaitingCores > p.LateWaitingCores {
 		return 0
@@ -119,40 +118,40 @@
 	return p.Size() + p.Arriving - max(minInstances, p.neededInstances(late))
 }
 
-// shortage is how many instances the pool lacks.
+// shortage returns how many instances the pool lacks.
 func (p *Pool) shortage(late lateWork) int {
 	short := max(0, p.neededInstances(late)-p.Size()-p.Arriving)
-	if short == 0 && p.WaitingFor > stuckAfter && p.Arriving <= 0 {
+	if short == 0 && p.WaitingFor > stuckWaitTime && p.Arriving <= 0 {
 		return 1
 	}
 	return short
 }
 
-// Policy says how pools are sized.
+// Policy selects how pools are sized.
 type Policy string
 
-// The policies. All but Demand are baselines that measurements compare with.
+// The policies. All but Demand are baselines for measurements.
 const (
-	Demand    Policy = "demand"    // by present work and the rate of arrivals
-	Threshold Policy = "threshold" // one more while tasks wait, one less while one idles
+	Demand    Policy = "demand"    // by present work and arrival rate
+	Threshold Policy = "threshold" // one instance more while tasks wait, fewer while instances are idle
 	Fixed     Policy = "fixed"     // pools stay as they are
 )
 
-// planner is a plan in the making.
+// planner builds a plan.
 type planner struct {
 	weights     Weights
 	pools       []Pool
 	spare       Pool
 	moves       []Move
-	taken       map[string]bool
-	returnsLeft int // instances that may still be given back
+	taken       map[string]bool // instances with a planned move
+	returnsLeft int             // instances that may still be returned to the spare pool
 
-	threshold bool // the baseline that looks at no more than queues and idleness
+	threshold bool // policy Threshold: only queues and idle instances count
 }
 
-// Plan returns the moves that the pools' demand calls for. spare holds
-// instances that cost nothing; the others are paid for, of which mayGiveBack may be
-// given back at most.
+// Plan returns the moves that the pools' demand calls for. Instances of the spare pool cost
+// nothing, those of the other pools w.InstanceSecond. At most maxReturns instances are
+// returned to the spare pool.
 func Plan(policy Policy, w Weights, pools []Pool, spare Pool, maxReturns int) []Move {
 	if policy == Fixed {
 		return nil
@@ -170,6 +169,7 @@
 	return p.moves
 }
 
+// shortage returns how many instances the pool lacks under the policy.
 func (p *planner) shortage(to *Pool, late lateWork) int {
 	switch {
 	case !p.threshold:
@@ -180,6 +180,7 @@
 	return 0
 }
 
+// surplus returns how many instances the pool can give up under the policy.
 func (p *planner) surplus(from *Pool, late lateWork) int {
 	switch {
 	case !p.threshold:
@@ -190,9 +191,9 @@
 	return from.Size() + from.Arriving - minInstances
 }
 
-// coverShortage brings instances to a pool whose tasks wait: those first that other pools are about to
-// give back, which saves a move, then spare ones, then others that idle in pools that can do
-// without them.
+// coverShortage moves instances to a pool that lacks some: first those that other pools are
+// about to return, which saves a move, then spare ones, then other idle instances of pools
+// with a surplus.
 func (p *planner) coverShortage(to *Pool, late lateWork) {
 	short := p.shortage(to, late)
 	if short > 0 && p.spare.Name != "" && p.weights.InstanceSecond > 0 {
@@ -202,15 +203,15 @@
 		if short == 0 {
 			return
 		}
-		if p.addMove(&p.spare, to, i, "tasks wait") {
+		if p.addMove(&p.spare, to, i, "tasks are waiting") {
 			short--
 		}
 	}
 	p.takeFromDonors(to, short, late, 0)
 }
 
-// takeFromDonors brings instances that have idled for so long at least in pools that can do without them,
-// and returns how many are still short.
+// takeFromDonors moves instances that have been idle for at least minIdle from pools with a
+// surplus, and returns how many are still lacking.
 func (p *planner) takeFromDonors(to *Pool, short int, late lateWork, minIdle time.Duration) int {
 	for d := range p.pools {
 		donor := &p.pools[d]
@@ -221,7 +222,7 @@
 			if short == 0 || p.surplus(donor, late) <= 0 {
 				break
 			}
-			if p.addMove(donor, to, i, "tasks wait, and it idles elsewhere") {
+			if p.addMove(donor, to, i, "tasks are waiting, and it is idle in its pool") {
 				short--
 			}
 		}
@@ -229,40 +230,40 @@
 	return short
 }
 
-// minIdleBeforeReturn is how long an instance has to idle to be given back: longer than it costs to move it
-// away and back.
+// minIdleBeforeReturn returns how long an instance must be idle before its return to the
+// spare pool: until its idle time has cost as much as movesPerReturn moves.
 func (p *planner) minIdleBeforeReturn() time.Duration {
 	return time.Duration(movesPerReturn * p.weights.Move / p.weights.InstanceSecond * float64(time.Second))
 }
 
-// returnIdle makes instances spare that have idled for long enough.
+// returnIdle returns instances that have been idle for long enough to the spare pool.
 func (p *planner) returnIdle(from *Pool) {
 	if p.spare.Name == "" || p.weights.InstanceSecond <= 0 {
 		return
 	}
 	for _, i := range longestIdle(from.EvacuatedIdle, p.minIdleBeforeReturn()) {
 		if p.returnsLeft > 0 && p.addMove(from, &p.spare, i, "its zone is evacuated") {
-			from.Arriving++ // it did not count in its pool
+			from.Arriving++ // undo the count in addMove: it didn't count in its pool
 			p.returnsLeft--
 		}
 	}
 	if p.surplus(from, lateWorkFull) <= 0 {
 		return
 	}
-	most := min(p.returnsLeft, max(minReturnsPerPlan, int(returnSharePerPlan*float64(from.Size()))))
+	maxReturns := min(p.returnsLeft, max(minReturnsPerPlan, int(returnSharePerPlan*float64(from.Size()))))
 	for _, i := range longestIdle(from.Instances, p.minIdleBeforeReturn()) {
-		if most == 0 || p.surplus(from, lateWorkFull) <= 0 {
+		if maxReturns == 0 || p.surplus(from, lateWorkFull) <= 0 {
 			return
 		}
-		if p.addMove(from, &p.spare, i, "it idles") {
-			most--
+		if p.addMove(from, &p.spare, i, "it is idle") {
+			maxReturns--
 			p.returnsLeft--
 		}
 	}
 }
 
-// longestIdle returns the instances that can be moved and have idled for so long at least,
-// those first that have longest.
+// longestIdle returns the movable instances that have been idle for at least minIdle, the
+// longest idle ones first.
 func longestIdle(list []Instance, minIdle time.Duration) []Instance {
 	var out []Instance
 	for _, i := range list {
@@ -274,6 +275,7 @@
 	return out
 }
 
+// addMove plans a move, unless the instance isn't movable or has a planned move already.
 func (p *planner) addMove(from, to *Pool, i Instance, reason string) bool {
 	if !i.Movable || p.taken[i.ID] {
 		return false
--- a/jobs/capacity/rate.go
+++ b/jobs/capacity/rate.go
@@ -2,28 +2,29 @@
 
 import "time"
 
-// Figures of the rate of arrivals.
+// Windows of the arrival rate.
 const (
-	// minArrivals is how many of the newest arrivals a rate is taken over at least: a turn of
-	// traffic of 35 jobs a second shows within a sixth of a second.
+	// minArrivals is the minimum number of recent arrivals that a rate is computed from. A
+	// burst of 35 jobs per second shows within a sixth of a second.
 	minArrivals = 5
-	// instancesPerArrival widens that with the pool: one arrival more for so many instances. An
-	// estimate from n arrivals is off by a share of about 1.5 over the root of n, which is instances
-	// moved in vain; widened, they grow with the root of the pool alone, and the window is as long
-	// whatever the size of the fleet, as arrivals grow with it.
+	// instancesPerArrival is the number of instances for which the window grows by one
+	// arrival. An estimate from n arrivals has a relative error of about 1.5/sqrt(n), which
+	// causes needless moves. With the growing window, these increase only with the square root
+	// of the pool size. The window covers the same time whatever the size of the fleet, since
+	// the arrivals grow with it.
 	instancesPerArrival = 8
-	// maxArrivals bounds the widening: an estimate from so many is off by a twentieth.
+	// maxArrivals limits the window; an estimate from this many has an error of about 5%.
 	maxArrivals = 1024
-	// meanWorkWindow is over how many of the newest jobs the mean of their work is taken: it changes less
-	// than how often they come, and few of them have most of the work.
+	// meanWorkWindow is the number of recent jobs over which the mean work per job is taken.
+	// The mean changes less than the arrival frequency, and few jobs have most of the work.
 	meanWorkWindow = 64
 )
 
-// Rate estimates how much work arrives a second from the newest arrivals. The
-// zero value has seen none.
+// Rate estimates how much work arrives per second, from the most recent arrivals. The zero
+// value is ready for use.
 type Rate struct {
-	newest []arrival // a ring once it is full
-	next   int       // where the oldest of a full ring is, and the next one goes
+	arrivals []arrival // ring buffer once it has maxArrivals entries
+	next     int       // index of the oldest entry of a full ring, which is overwritten next
 }
 
 type arrival struct {
@@ -31,23 +32,23 @@
 	work float64 // core-seconds
 }
 
-// Add takes note of work in core-seconds that arrived at now.
+// Add records work in core-seconds that arrived at now.
 func (r *Rate) Add(work float64, now time.Time) {
-	if len(r.newest) < maxArrivals {
-		r.newest = append(r.newest, arrival{now, work})
+	if len(r.arrivals) < maxArrivals {
+		r.arrivals = append(r.arrivals, arrival{now, work})
 		return
 	}
-	r.newest[r.next] = arrival{now, work}
+	r.arrivals[r.next] = arrival{now, work}
 	r.next = (r.next + 1) % maxArrivals
 }
 
-// WorkPerSecond returns the core-seconds that arrive a second for a pool of so many instances. Until
-// there are enough arrivals there is too little to tell, and it is 0.
+// WorkPerSecond returns the core-seconds that arrive per second for a pool with this many
+// instances, 0 until there were minArrivals arrivals.
 func (r *Rate) WorkPerSecond(instances int, now time.Time) float64 {
-	if len(r.newest) < minArrivals {
+	if len(r.arrivals) < minArrivals {
 		return 0
 	}
-	n := min(len(r.newest), minArrivals+instances/instancesPerArrival)
+	n := min(len(r.arrivals), minArrivals+instances/instancesPerArrival)
 	first := r.nthNewest(n - 1).at
 	if !now.After(first) {
 		return 0
@@ -55,14 +56,14 @@
 	return float64(n) * r.meanWork() / now.Sub(first).Seconds()
 }
 
-// nthNewest returns the k-th newest arrival, counted from 0.
+// nthNewest returns the k-th most recent arrival, starting at 0.
 func (r *Rate) nthNewest(k int) *arrival {
-	return &r.newest[(r.next+len(r.newest)-1-k)%len(r.newest)]
+	return &r.arrivals[(r.next+len(r.arrivals)-1-k)%len(r.arrivals)]
 }
 
-// meanWork returns how much work the newest jobs had on average.
+// meanWork returns the mean work of the most recent jobs in core-seconds.
 func (r *Rate) meanWork() float64 {
-	n := min(len(r.newest), meanWorkWindow)
+	n := min(len(r.arrivals), meanWorkWindow)
 	sum := 0.0
 	for k := range n {
 		sum += r.nthNewest(k).work
