--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -14,24 +14,23 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Figures of the workers' registrations.
+// Intervals of the watch of the workers' registrations.
 const (
-	// registrationsWait is how long a watch of them waits for changes. Its return tells
-	// the owner that what it knows is current, so that an outage of the store shows
-	// within half a second more.
+	// registrationsWait is how long a watch waits for changes. Its reply confirms that the owner's
+	// registrations are current, so that an outage of the store shows within half a second more.
 	registrationsWait = time.Second
-	// registrationsInterval is the least time between two watches that return with all changes
-	// there are: a fifth of the time in which a draining worker must be left alone. Each worker's
-	// heartbeat is a change. expectingEvery is the same while instances are on their way to
-	// a pool: a reading costs a thirtieth of a second of an instance.
+	// registrationsInterval is the minimum time between two watch calls that return all changes:
+	// a fifth of the time in which starts to a draining worker must stop. Each worker's heartbeat
+	// is a change. expectingInterval applies while instances are moving to a pool: a read costs as
+	// much as a thirtieth of a second of an instance.
 	registrationsInterval = 400 * time.Millisecond
 	expectingInterval     = 100 * time.Millisecond
 )
 
-// watchRegistrations hands the workers' entries to the core, and tells it whenever a look
-// at the store has shown that what it knows of them is current. The whole list is read when
-// a term begins and when the store has dropped the changes in between: of 132 workers it has
-// 49 KB, a fifth of a second of a link of 2 Mbit/s.
+// watchRegistrations passes the workers' entries to the core, and tells it whenever the store has
+// confirmed that these are current. The whole list is read only when a term begins and when the
+// store has compacted changes that were not read: for 132 workers it has 49 KB, which take a
+// 2 Mbit/s link a fifth of a second.
 func (t *termRun) watchRegistrations() {
 	prefix := t.n.platform.Formats.WorkerPrefix
 	for t.ctx.Err() == nil {
@@ -46,9 +45,10 @@
 	}
 }
 
-// watchRegistrationChanges hands on changes after a revision until the history is gone.
+// watchRegistrationChanges passes changes after a revision to the core. It returns when the term
+// is over or the store has compacted changes that were not read.
 func (t *termRun) watchRegistrationChanges(prefix string, revision int64) {
-	var returns truncationDetector
+	var replySizes truncationDetector
 	for t.ctx.Err() == nil {
 		known := t.n.store.LatestRevision()
 		ch, err := t.n.watchFor(t.ctx, prefix, revision, registrationsWait)
@@ -62,7 +62,7 @@
 		}
 		revision = max(revision, ch.Revision)
 		changed, gone := t.decodeRegistrations(ch.Events)
-		current := ch.Revision >= known && !returns.mayBeTruncated(len(ch.Events))
+		current := ch.Revision >= known && !replySizes.mayBeTruncated(len(ch.Events))
 		t.enqueue(func(c *owner.Core, now time.Time) {
 			c.UpdateRegistrations(changed, gone, current, now)
 			t.expectingWorkers.Store(c.ExpectsWorkers())
@@ -71,27 +71,28 @@
 		case current && len(ch.Events) > 0:
 			sleep.For(t.ctx, t.registrationsPause())
 		case !current && len(ch.Events) == 0:
-			sleep.For(t.ctx, expectingInterval) // it does not tell what it knows
+			sleep.For(t.ctx, expectingInterval) // the store lags behind a revision seen before, and returned nothing
 		}
 	}
 }
 
-// truncationDetector tells from how much a watch returns whether more has changed. A store bounds a
-// return, and does not say that it did.
+// truncationDetector guesses from the number of changes in a watch reply whether the store has
+// truncated it. A store may do so without saying it.
 type truncationDetector struct{ maxChanges int }
 
-// minTruncatedChanges is the fewest changes that a store may bound a return to.
+// minTruncatedChanges is the smallest size to which a store may truncate a reply.
 const minTruncatedChanges = 64
 
-// mayBeTruncated reports whether a return of so many changes is about as large as any before.
+// mayBeTruncated reports whether a reply with so many changes may be truncated: it has at least
+// minTruncatedChanges, and three quarters of the largest reply so far.
 func (r *truncationDetector) mayBeTruncated(changes int) bool {
 	r.maxChanges = max(r.maxChanges, changes)
 	return changes >= minTruncatedChanges && 4*changes >= 3*r.maxChanges
 }
 
-// decodeRegistrations returns what events leave of each worker's entry. One that cannot be
-// used names no worker, as one that is gone: that is no proof of a worker's death, so that
-// what runs there runs on.
+// decodeRegistrations returns each worker's registration after the last of its events. Workers
+// whose entry is invalid are returned as gone. That does not prove that a worker has ended, so
+// its tasks continue.
 func (t *termRun) decodeRegistrations(events []ledger.Event) (changed []owner.Registration, gone []owner.WorkerID) {
 	newest := map[string]ledger.Event{}
 	for _, e := range events {
@@ -122,7 +123,7 @@
 	switch {
 	case err != nil:
 	case r.Worker != name:
-		err = fmt.Errorf("it is of worker %q", r.Worker)
+		err = fmt.Errorf("registration is of worker %q, not %q", r.Worker, name)
 	default:
 		err = r.Validate()
 	}
@@ -136,7 +137,7 @@
 	return registrationsInterval
 }
 
-// watchFor waits so long for changes after a revision.
+// watchFor waits up to wait for changes after a revision.
 func (n *Node) watchFor(ctx context.Context, prefix string, after int64, wait time.Duration) (ledger.Changes, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
 	defer cancel()
--- a/jobs/node/slowdown.go
+++ b/jobs/node/slowdown.go
@@ -12,51 +12,54 @@
 	"github.com/postmount/postmount/jobs/ledger"
 )
 
-// An instance may go on at a fraction of its speed: another process of its host takes the
-// processor, or it is throttled. Its daemon renews its lease and answers, late, and as the
-// owner it holds up all work. How fast it is shows best from the inside, by a fixed piece of
-// work: unlike its load and its peers' patience that says nothing of how much there is to do.
+// An instance may drop to a fraction of its speed, because another process on its host takes the
+// CPU or it is throttled. Its daemon still renews its lease and answers, but late, and as the
+// owner it delays all work. The daemon therefore measures its own speed by timing a fixed amount
+// of work: unlike its load or the latency that peers see, that does not depend on how much work
+// there is.
 
-// Figures of the measurement.
+// Parameters of the measurement.
 const (
-	// probeInterval is the time between two probes of an owner, and of another daemon once a
-	// probe of it has taken long; otherwise that only has to know what is usual, and probes
-	// itself each probeRarely. A probe takes 10 µs and more, and a daemon's wake-up as much.
+	// probeInterval is the time between two probes of an owner, and of any other daemon after a
+	// slow probe. Otherwise the other daemons only need to maintain their baseline, and probe
+	// every idleProbeInterval. A probe takes at least 10 µs, and waking the daemon as much.
 	probeInterval     = 50 * time.Millisecond
 	idleProbeInterval = time.Second
-	// probeWindow are looked at together: the shortest of them leaves out those that another
-	// thread interrupted, as one at the usual speed shows that it is still there.
+	// probeWindow is the number of recent probes of which the shortest counts. That excludes
+	// probes that another thread interrupted: a single one at the usual speed proves that speed.
 	probeWindow = 5
-	// maxBaselineSamples is how many seconds tell what is usual, by the median of their shortest
-	// probes, and usualLeast how many have to be known: a process that has just started
-	// may run at two to three times its later speed. What is slow for usualAfter is what the
-	// instance has become; until then it tells nothing of what is usual.
+	// maxBaselineSamples is the number of samples, one per second, whose median is the baseline,
+	// and minBaselineSamples how many are needed for one: a process that has just started may run
+	// at two to three times its later speed. Samples of a slow instance are left out, until it has
+	// been slow for rebaselineAfter; then a new baseline is measured.
 	maxBaselineSamples = 60
 	minBaselineSamples = 10
 	rebaselineAfter    = 30 * time.Second
-	// slowFactor is how many times slower than usual an owner has to be, for slowFor on end, to
-	// hand over: before it falls behind its queue, as a change of owner takes a third of a second.
+	// slowFactor is how many times slower than the baseline an owner must be, for slowAfter
+	// without interruption, to hand over. It is to do so before it falls behind, as a change of
+	// owner takes a third of a second.
 	slowFactor = 2.5
 	slowAfter  = 100 * time.Millisecond
-	// slowYieldCPUFactor is how much more of a processor another daemon has to get at present, by its
-	// entry in the store, to take over: where all are slow a change only costs.
+	// slowYieldCPUFactor is how many times more CPU another daemon must get at present, according
+	// to its entry in the store, to take over: if all are slow a change has only costs.
 	slowYieldCPUFactor = 2.0
-	// minTermDuration is how long a term lasts at least: a takeover keeps a processor busy, and
-	// what it is then says little of the instance.
+	// minTermDuration is the minimum age of a term for a hand-over: a takeover keeps the CPU busy,
+	// so that the measured speed says little about the instance.
 	minTermDuration = 2 * time.Second
 )
 
-// slowdownDetector tells how much slower than usual the instance is.
+// slowdownDetector measures how much slower than usual the instance is, from the durations of a
+// fixed amount of work.
 type slowdownDetector struct {
 	mu              sync.Mutex
-	recent          []time.Duration
-	baselineSamples []time.Duration // the shortest of recent, once a second
-	sampledAt       time.Time       // when that was last added to
-	baseline        time.Duration   // zero: not known yet
-	slowSince       time.Time       // zero: it is not slow
+	recent          []time.Duration // the last probeWindow probes
+	baselineSamples []time.Duration // the shortest of recent, once per second
+	sampledAt       time.Time       // when a sample was last due
+	baseline        time.Duration   // 0: not known yet
+	slowSince       time.Time       // zero: not slow
 }
 
-// addProbe takes a probe at now.
+// addProbe adds the duration of a probe that ended at now.
 func (s *slowdownDetector) addProbe(took time.Duration, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +79,7 @@
 	}
 }
 
-// updateBaseline adds to what is usual once a second.
+// updateBaseline adds a sample to the baseline once per second.
 func (s *slowdownDetector) updateBaseline(now time.Time) {
 	if now.Sub(s.sampledAt) < time.Second {
 		return
@@ -97,7 +100,8 @@
 	}
 }
 
-// currentFactor returns how many times longer than usual a probe takes at present.
+// currentFactor returns the shortest recent probe as a multiple of the baseline, 1 if there is no
+// baseline. The caller holds mu.
 func (s *slowdownDetector) currentFactor() float64 {
 	if s.baseline == 0 {
 		return 1
@@ -105,7 +109,8 @@
 	return float64(slices.Min(s.recent)) / float64(s.baseline)
 }
 
-// sustainedFactor returns how many times slower than usual the instance is: 1 unless that has lasted.
+// sustainedFactor returns how many times slower than usual the instance is, 1 unless it has been
+// slow for slowAfter.
 func (s *slowdownDetector) sustainedFactor(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,12 +120,12 @@
 	return s.currentFactor()
 }
 
-// currentCores is what this daemon gets of a processor at present, in cores.
+// currentCores returns the CPU that this daemon gets at present, in cores.
 func (n *Node) currentCores() float64 {
 	return n.settings.Cores / n.slowdown.sustainedFactor(n.clock.Now())
 }
 
-// monitorSpeed measures the instance's speed, and hands over if it is the owner and slow.
+// monitorSpeed measures the instance's speed, and yields if this daemon is the owner and slow.
 func (n *Node) monitorSpeed(ctx context.Context) {
 	was := 1.0
 	for sleep.For(ctx, n.probePause()) {
@@ -147,7 +152,7 @@
 	return idleProbeInterval
 }
 
-// suspected reports whether the newest probe took long, or too few are known.
+// suspected reports whether the last probe was slow, or there are too few probes.
 func (s *slowdownDetector) suspected() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,21 +163,21 @@
 	return s.baseline > 0 && float64(newest) >= slowFactor*float64(s.baseline)
 }
 
-// publishSpeed writes what this daemon gets of a processor to its entry in the store: nobody is
-// to hand over to a slow one.
+// publishSpeed updates this daemon's member entry with its current CPU, so that no owner yields to
+// a slow daemon.
 func (n *Node) publishSpeed(ctx context.Context) {
 	id := ledger.LeaseID(n.lease.Load())
 	if id == 0 {
-		return // it is told when the lease is granted
+		return // written when the lease is granted
 	}
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	n.writeMemberEntry(ctx, id)
 }
 
-// yieldIfSlow hands the lock over if another daemon gets more of a processor at present. The
-// list is read anew before: where all have become slow they have told so by then, and without
-// the store nobody can take over.
+// yieldIfSlow releases the lock if another daemon gets more CPU at present. The list of daemons
+// is read again first: if all have become slow they have published that by then, and if the store
+// is unavailable no other daemon can take over.
 func (n *Node) yieldIfSlow(ctx context.Context, by float64) {
 	t := n.term.Load()
 	if t == nil || n.stopping.Load() || n.store.Unavailable() || n.clock.Now().Sub(t.startedAt) < minTermDuration || !n.hasPeerWithMoreCPU(slowYieldCPUFactor) {
@@ -181,7 +186,7 @@
 	if !n.listMembers(ctx) || !n.hasPeerWithMoreCPU(slowYieldCPUFactor) {
 		return
 	}
-	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "its instance is slow, and that of another daemon is not"))
+	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "the owner's instance is slow, and another daemon's is not"))
 	if !t.handOver() && !n.store.Unavailable() {
 		n.revokeLease() // the lock goes with it
 	}
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -10,8 +10,9 @@
 	"github.com/postmount/postmount/jobs/ledger"
 )
 
-// HandOver makes the daemon ready to end: it takes no new duties, and another
-// one can be the owner at once.
+// HandOver prepares a planned stop: the daemon no longer takes part in elections, closes callers'
+// connections after the next reply, and releases the owner's lock so that another one can be
+// elected at once.
 func (n *Node) HandOver() {
 	n.stopping.Store(true)
 	n.gateway.DisableKeepAlives()
@@ -20,9 +21,8 @@
 	}
 }
 
-// stop hands over what this daemon owns, waits until the balancer has noticed, and
-// finishes what is in flight. Requests that take too long get their final answer
-// while there is time to send it.
+// stop hands over, waits until the load balancer has removed this daemon, and finishes the
+// requests in flight. Requests that take too long are cancelled early enough to send a reply.
 func (n *Node) stop(callers *http.Server, cancelRequests func()) {
 	n.log.Info("stopping")
 	end := n.clock.Now().Add(n.settings.StopGrace - exitReserve)
@@ -38,15 +38,16 @@
 	n.revokeLease()
 }
 
-// shutdown takes no new connections and waits for requests under way, for some
-// time at least.
+// shutdown closes the listener and waits up to d, but at least answerReserve, for requests in
+// flight.
 func shutdown(s *http.Server, d time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), max(d, answerReserve))
 	defer cancel()
 	return s.Shutdown(ctx)
 }
 
-// revokeLease removes this daemon's keys, so that nobody waits for their end.
+// revokeLease revokes this daemon's lease, so that its keys are removed at once instead of at the
+// lease's expiry.
 func (n *Node) revokeLease() {
 	id := ledger.LeaseID(n.lease.Load())
 	if id == 0 {
@@ -62,10 +63,10 @@
 }
 
 const (
-	// exitReserve of the grace is kept for the lease and the end of the process.
+	// exitReserve is the part of StopGrace kept for revoking the lease and exiting.
 	exitReserve = 800 * time.Millisecond
-	// answerReserve is kept for the answers of requests that are given up.
+	// answerReserve is kept for the replies to requests that are cancelled.
 	answerReserve = 200 * time.Millisecond
-	// revokeLeaseTimeout bounds the end of the lease: it ends by itself in two seconds.
+	// revokeLeaseTimeout is for revoking the lease, which otherwise expires after two seconds.
 	revokeLeaseTimeout = 300 * time.Millisecond
 )
