--- a/jobs/owner/cutoff_test.go
+++ b/jobs/owner/cutoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an owner that takes itself for overloaded for ever. Five of eight workers were
+// Guards against an owner that considers itself overloaded indefinitely. Five of eight workers were
 // partitioned for good but stayed registered; the other three answered at once. Since more than
 // half of the workers, and at least five, were silent, the owner counted the silence as its own
 // overload at each tick: no lease expired, each hold sent into the partition extended a lease,
