--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -1,5 +1,5 @@
-// Package placement chooses workers for tasks. It is pure: the same workers
-// and request give the same choice.
+// Package placement chooses workers for tasks. The choice depends only on the workers and the
+// request.
 package placement
 
 import (
@@ -8,55 +8,55 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Worker is what a choice looks at.
+// Worker is a candidate for placement.
 type Worker struct {
-	Capacity    job.Resources // of the whole worker
+	Capacity    job.Resources // total of the worker
 	Free        job.Resources
 	Rack        string
 	Labels      []string
-	Unreliable  bool // failed or stalled of late; used only if nothing else fits
-	SameStep    int  // tasks of the same step and occurrence on it
-	Fillers     int  // tasks on it that use what others leave
+	Unreliable  bool // failed or stalled recently; used only if nothing else fits
+	SameStep    int  // tasks on it of the request's step and occurrence
+	Fillers     int  // filler tasks on it, which use idle cores only
 	Serving     int  // long-running tasks on it that have a latency target
 	LongRunning int  // long-running tasks on it
-	Excluded    bool // it may not take the request, for reasons of the caller's
+	Excluded    bool // the caller doesn't permit it
 }
 
-// Request is what a task needs.
+// Request is a task to be placed.
 type Request struct {
-	Need          job.Resources // 0 thousandths of a core for a filler
+	Need          job.Resources // CPUMilli is 0 for a filler
 	Filler        bool
 	Serving       bool
 	RequiredLabel string
 	PreferredRack string
 	MaxPerWorker  int
-	LongRunning   bool // a long-running task
-	Restricted    bool // only some workers are permitted; the others are barred
-	// PreferredMaxPerWorker is how many tasks of a step a worker should have at most, so that
-	// maintenance may take it away; 0: any number.
+	LongRunning   bool
+	Restricted    bool // only some workers are permitted; the others are Excluded
+	// PreferredMaxPerWorker is the number of tasks of the step beyond which maintenance
+	// could not take the worker down; 0: no limit. Other workers are preferred to exceeding
+	// it.
 	PreferredMaxPerWorker int
 }
 
-// Weights of a choice. They are in shares of a worker's processors, so that
-// one whole free worker outweighs them only where it should.
+// Weights of the score. The unit is the whole of a worker's cores, whose free part counts
+// between 0 and 1.
 const (
-	// rackBonus prefers the rack of the task's data, where it takes half the
-	// time: any worker there that fits goes before any elsewhere.
+	// rackBonus prefers any worker on the rack of the task's data, where the task takes half
+	// the time.
 	rackBonus = 2.0
-	// unreliablePenalty puts suspect workers behind all others.
+	// unreliablePenalty ranks unreliable workers behind all others.
 	unreliablePenalty = 8.0
-	// sharingPenalty keeps fillers and serving tasks apart where there is a
-	// choice: one of the other kind weighs as a quarter of the worker.
+	// sharingPenalty keeps fillers away from serving tasks and from each other if possible.
+	// Each such task on the worker counts like a quarter of its cores.
 	sharingPenalty = 0.25
-	// spreadPenalty puts a long-running task on another worker while maintenance
-	// could not take this one away any more.
+	// spreadPenalty prefers another worker if PreferredMaxPerWorker would be exceeded.
 	spreadPenalty = 4.0
-	// longRunningBonus keeps long-running tasks of different steps together, so
-	// that the other instances can be moved when they idle.
+	// longRunningBonus packs long-running tasks of different steps together, so that other
+	// instances become idle and can be moved.
 	longRunningBonus = 1.0
 )
 
-// Feasible reports whether the worker could ever take the request.
+// Feasible reports whether the worker could take the request if nothing ran on it.
 func Feasible(w *Worker, r *Request) bool {
 	return w.Capacity.Fits(r.Need) && hasLabel(w, r)
 }
@@ -73,18 +73,18 @@
 	return r.MaxPerWorker == 0 || w.SameStep < r.MaxPerWorker
 }
 
-// score is higher for a better worker. Tasks that end go to the fullest worker
-// that has room, so that the others stay free for wide tasks and for moves;
-// long-running ones go where others are, but spread over what maintenance may
-// take away at once.
+// score rates a worker that fits; higher is better. Tasks that end by themselves go to the
+// fullest worker, so that others stay free for large tasks and for moves. Long-running tasks
+// go to workers that have some already, but spread so that maintenance can take each worker
+// down.
 func score(w *Worker, r *Request) float64 {
-	left := 0.0
+	freeShare := 0.0
 	if w.Capacity.CPUMilli > 0 {
-		left = float64(w.Free.CPUMilli-r.Need.CPUMilli) / float64(w.Capacity.CPUMilli)
+		freeShare = float64(w.Free.CPUMilli-r.Need.CPUMilli) / float64(w.Capacity.CPUMilli)
 	}
-	s := -left
+	s := -freeShare
 	if r.LongRunning {
-		s = left
+		s = freeShare
 		if w.LongRunning > 0 {
 			s += longRunningBonus
 		}
@@ -107,12 +107,12 @@
 	return s
 }
 
-// RejectedNeeds holds requests that found no room. A request that needs as much as one of
-// them finds none either, as long as no room is freed.
+// RejectedNeeds holds the needs of requests for which no worker fits. A request that needs at
+// least as much of every resource doesn't fit either, until capacity is freed.
 type RejectedNeeds struct{ needs []job.Resources }
 
-// Add notes a request that found no room. Requests with further conditions are
-// not noted: others may fit where they do not.
+// Add records a request for which no worker fits. Requests with further conditions are not
+// recorded, since others may fit where they don't.
 func (f *RejectedNeeds) Add(r *Request) {
 	if r.RequiredLabel != "" || r.MaxPerWorker != 0 || r.Restricted || f.Covers(r) {
 		return
@@ -120,12 +120,12 @@
 	f.needs = append(f.needs, r.Need)
 }
 
-// Covers reports whether the request certainly finds no room.
+// Covers reports whether certainly no worker fits the request.
 func (f *RejectedNeeds) Covers(r *Request) bool {
 	return slices.ContainsFunc(f.needs, func(need job.Resources) bool { return r.Need.Fits(need) })
 }
 
-// Choose returns the index of the best worker, -1 if none fits.
+// Choose returns the index of the best worker, the first of equals, and -1 if none fits.
 func Choose(workers []Worker, r Request) int {
 	best := -1
 	var bestScore float64
@@ -141,7 +141,7 @@
 	return best
 }
 
-// Assign accounts for the request on the worker.
+// Assign updates the worker for a task of the request placed on it.
 func Assign(w *Worker, r *Request) {
 	w.Free = w.Free.Sub(r.Need)
 	w.SameStep++
@@ -156,8 +156,9 @@
 	}
 }
 
-// ChooseGang returns workers for n tasks that work only together, nil if they
-// do not all fit. sameRack keeps them on one rack if there is one with room.
+// ChooseGang returns the indices of workers for n tasks that run only together, nil if they
+// don't all fit. With sameRack they are placed on one rack if one has enough capacity. The
+// workers are not changed.
 func ChooseGang(workers []Worker, r Request, n int, sameRack bool) []int {
 	if !sameRack {
 		return assignAll(slices.Clone(workers), r, n, "")
@@ -180,7 +181,8 @@
 	return out
 }
 
-// assignAll changes workers.
+// assignAll places n tasks, on workers of the given rack only unless it is "". It returns
+// nil if they don't all fit, and changes workers.
 func assignAll(workers []Worker, r Request, n int, rack string) []int {
 	if rack != "" {
 		for i := range workers {
--- a/jobs/placement/placement_test.go
+++ b/jobs/placement/placement_test.go
@@ -10,7 +10,7 @@
 
 func cores(n int) job.Resources { return job.Resources{CPUMilli: 1000 * n, MemMB: 1000 * n} }
 
-// workers have 8 cores each, so many of them free.
+// workers returns workers of 8 cores each, with the given numbers of free cores.
 func workers(free ...int) []Worker {
 	var out []Worker
 	for _, f := range free {
@@ -24,8 +24,8 @@
 	racks[1].Rack = "r1"
 	labels := workers(8, 8)
 	labels[1].Labels = []string{"fast"}
-	suspect := workers(2, 8)
-	suspect[0].Unreliable = true
+	unreliable := workers(2, 8)
+	unreliable[0].Unreliable = true
 	full := workers(8, 8)
 	full[0].SameStep = 1
 	shared := workers(8, 8)
@@ -36,17 +36,17 @@
 		request Request
 		want    int
 	}{
-		{"the fullest one with room", workers(8, 3, 1), Request{Need: cores(2)}, 1},
-		{"none has room", workers(1, 1), Request{Need: cores(2)}, -1},
-		{"no memory", workers(4), Request{Need: job.Resources{CPUMilli: 100, MemMB: 5000}}, -1},
-		{"the rack of the data", racks, Request{Need: cores(1), PreferredRack: "r1"}, 1},
-		{"the label", labels, Request{Need: cores(1), RequiredLabel: "fast"}, 1},
-		{"no such label", labels, Request{Need: cores(1), RequiredLabel: "gpu"}, -1},
-		{"a suspect one last", suspect, Request{Need: cores(1)}, 1},
-		{"a suspect one rather than none", suspect[:1], Request{Need: cores(1)}, 0},
-		{"at most so many of a step", full, Request{Need: cores(1), MaxPerWorker: 1}, 1},
-		{"long-running ones spread for maintenance", full, Request{Need: cores(1), LongRunning: true, PreferredMaxPerWorker: 1}, 1},
-		{"fillers away from serving ones", shared, Request{Filler: true}, 1},
+		{"the fullest worker that fits", workers(8, 3, 1), Request{Need: cores(2)}, 1},
+		{"no worker has enough cores", workers(1, 1), Request{Need: cores(2)}, -1},
+		{"not enough memory", workers(4), Request{Need: job.Resources{CPUMilli: 100, MemMB: 5000}}, -1},
+		{"the preferred rack", racks, Request{Need: cores(1), PreferredRack: "r1"}, 1},
+		{"the required label", labels, Request{Need: cores(1), RequiredLabel: "fast"}, 1},
+		{"no worker with the label", labels, Request{Need: cores(1), RequiredLabel: "gpu"}, -1},
+		{"an unreliable worker last", unreliable, Request{Need: cores(1)}, 1},
+		{"an unreliable worker rather than none", unreliable[:1], Request{Need: cores(1)}, 0},
+		{"the limit of tasks of a step per worker", full, Request{Need: cores(1), MaxPerWorker: 1}, 1},
+		{"long-running tasks spread for maintenance", full, Request{Need: cores(1), LongRunning: true, PreferredMaxPerWorker: 1}, 1},
+		{"fillers away from serving tasks", shared, Request{Filler: true}, 1},
 	} {
 		assert.Equal(t, c.want, Choose(c.workers, c.request), c.name)
 	}
@@ -64,7 +64,7 @@
 	assert.Nil(t, ChooseGang(w, Request{Need: cores(4)}, 3, false), "all or none")
 	assert.Len(t, ChooseGang(w, Request{Need: cores(2)}, 5, false), 5)
 	assert.ElementsMatch(t, []int{1, 1, 2}, ChooseGang(w, Request{Need: cores(2)}, 3, true), "on one rack")
-	assert.Len(t, ChooseGang(w, Request{Need: cores(2)}, 4, true), 4, "on several rather than not at all")
+	assert.Len(t, ChooseGang(w, Request{Need: cores(2)}, 4, true), 4, "on several racks rather than not at all")
 	assert.Equal(t, cores(4), w[0].Free, "the workers are not changed")
 }
 
@@ -74,18 +74,18 @@
 	assert.False(t, Feasible(&w[0], &Request{Need: cores(9)}))
 }
 
-func TestFullCoversWhatNeedsAsMuch(t *testing.T) {
+func TestRejectedNeedsCoverLargerNeeds(t *testing.T) {
 	need := func(cpu, mem int) *Request { return &Request{Need: job.Resources{CPUMilli: cpu, MemMB: mem}} }
 	var f RejectedNeeds
 	assert.False(t, f.Covers(need(1, 1)))
 	f.Add(need(4000, 100))
 	assert.True(t, f.Covers(need(4000, 100)))
 	assert.True(t, f.Covers(need(5000, 200)))
-	assert.False(t, f.Covers(need(3999, 200)), "needs less of one resource")
-	assert.False(t, f.Covers(need(5000, 99)), "needs less of another")
+	assert.False(t, f.Covers(need(3999, 200)), "less CPU is needed")
+	assert.False(t, f.Covers(need(5000, 99)), "less memory is needed")
 
 	labelled := need(10, 10)
 	labelled.RequiredLabel = "a"
 	f.Add(labelled)
-	assert.False(t, f.Covers(need(10, 10)), "a request without the label may fit where one with it does not")
+	assert.False(t, f.Covers(need(10, 10)), "a request without the label may still fit")
 }
--- a/jobs/placement/preempt.go
+++ b/jobs/placement/preempt.go
@@ -6,35 +6,35 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Occupant is a run that may be stopped for a more urgent task.
+// Occupant is a run that may be stopped for the request.
 type Occupant struct {
 	Need     job.Resources
-	LostWork float64 // core-seconds of work that are lost with it
+	LostWork float64 // core-seconds of work lost by stopping it
 }
 
-// Preemption says which occupants to stop so that a request fits.
+// Preemption lists the occupants of a worker to stop so that a request fits.
 type Preemption struct {
 	Worker    int   // index of the worker
-	Occupants []int // indices of its occupants
+	Occupants []int // indices into the worker's occupants
 }
 
-// Preempt returns the cheapest way to make room for the request: the worker on
-// which the least work is lost. occupants[i] are those of workers[i] that may be
-// stopped. ok is false if no worker would have room even without them.
+// Preempt returns the preemption that loses the least work. occupants[i] are the runs on
+// workers[i] that may be stopped. ok is false if the request fits on no worker even without
+// them.
 func Preempt(workers []Worker, occupants [][]Occupant, r Request) (best Preemption, ok bool) {
-	var least float64
+	var leastLost float64
 	for i := range workers {
 		victims, lost, fit := cheapestVictims(workers[i], occupants[i], &r)
-		if !fit || ok && lost >= least {
+		if !fit || ok && lost >= leastLost {
 			continue
 		}
-		best, least, ok = Preemption{Worker: i, Occupants: victims}, lost, true
+		best, leastLost, ok = Preemption{Worker: i, Occupants: victims}, lost, true
 	}
 	return best, ok
 }
 
-// cheapestVictims chooses occupants of one worker: those with the least loss for each
-// core first, and then none that turns out not to be needed.
+// cheapestVictims chooses occupants of one worker in the order of lost work per core until
+// the request fits, and drops those that turn out to be unnecessary.
 func cheapestVictims(w Worker, occupants []Occupant, r *Request) (victims []int, lost float64, fit bool) {
 	order := make([]int, len(occupants))
 	for i := range order {
@@ -60,8 +60,8 @@
 	return victims, lost, true
 }
 
-// dropUnneeded takes out occupants without which the request fits all the same,
-// the dearest first.
+// dropUnneeded removes victims that the request doesn't need, those with the most lost work
+// per core first.
 func dropUnneeded(w Worker, occupants []Occupant, victims []int, r *Request) []int {
 	for n := len(victims) - 1; n >= 0; n-- {
 		without := w
@@ -74,6 +74,7 @@
 	return victims
 }
 
+// lossPerCore returns the lost work per thousandth of a core.
 func lossPerCore(o Occupant) float64 {
 	return o.LostWork / float64(max(1, o.Need.CPUMilli))
 }
--- a/jobs/placement/preempt_test.go
+++ b/jobs/placement/preempt_test.go
@@ -19,27 +19,27 @@
 		ok        bool
 	}{
 		{
-			name:      "the worker on which least is lost",
+			name:      "the worker with the least lost work",
 			workers:   []Worker{{Capacity: whole}, {Capacity: whole}},
 			occupants: [][]Occupant{{{cores(4), 9}}, {{cores(4), 2}}},
 			need:      cores(4),
 			want:      Preemption{1, []int{0}}, ok: true,
 		},
 		{
-			name:      "no more than is needed",
+			name:      "no more runs than necessary",
 			workers:   []Worker{{Capacity: whole, Free: cores(1)}},
 			occupants: [][]Occupant{{{cores(1), 0.1}, {cores(4), 4}, {cores(2), 3}}},
 			need:      cores(5),
 			want:      Preemption{0, []int{1}}, ok: true,
 		},
 		{
-			name:      "none fits even then",
+			name:      "doesn't fit even without all runs",
 			workers:   []Worker{{Capacity: whole, Free: cores(1)}},
 			occupants: [][]Occupant{{{cores(2), 1}}},
 			need:      cores(4),
 		},
 		{
-			name:      "a barred worker is left alone",
+			name:      "an excluded worker is not used",
 			workers:   []Worker{{Capacity: whole, Excluded: true}},
 			occupants: [][]Occupant{{{cores(8), 1}}},
 			need:      cores(4),
--- a/jobs/policy/policy.go
+++ b/jobs/policy/policy.go
@@ -1,5 +1,5 @@
-// Package policy holds the settings of the scheduler's decisions. They are the same
-// for every daemon of an installation, and read from a file in the repository.
+// Package policy holds the settings for the scheduler's decisions. They are the same for every
+// daemon of an installation and are read from a file in the repository.
 package policy
 
 import (
@@ -9,34 +9,34 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Settings say how the owner decides.
+// Settings are the settings for the owner's decisions.
 type Settings struct {
 	Jobs    Jobs    `toml:"jobs"`
 	Pools   Pools   `toml:"pools"`
 	Workers Workers `toml:"workers"`
 }
 
-// Workers is about calls to workers.
+// Workers are the settings for calls to workers.
 type Workers struct {
 	Calls calls.Policy `toml:"calls" validate:"oneof=adaptive patient short"`
 }
 
-// Jobs is about which job gets room first.
+// Jobs are the settings for the order in which jobs are placed.
 type Jobs struct {
 	Order owner.SchedulingPolicy `toml:"order" validate:"oneof=worth first-in-first-out shortest slack"`
 }
 
-// Pools is about how many instances a pool has.
+// Pools are the settings for the sizes of pools.
 type Pools struct {
 	Size capacity.Policy `toml:"size" validate:"oneof=demand threshold fixed"`
-	// InstanceSecond and Move are prices in the same unit, of one second of an
-	// instance in a pool and of one instance changing its pool. Only their ratio
-	// counts: how long an idle instance is kept.
+	// InstanceSecond and Move are the costs of one second of an instance in a pool and of one
+	// move of an instance to another pool, in the same unit. Only their ratio counts: it
+	// determines how long an idle instance is kept.
 	InstanceSecond float64 `toml:"instance_second" validate:"min=0,max=1000"`
 	Move           float64 `toml:"move" validate:"min=0,max=1000"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the defaults for settings that are missing in the file.
 func Default() Settings {
 	return Settings{
 		Jobs:    Jobs{Order: owner.SchedulePriority},
@@ -49,10 +49,10 @@
 	}
 }
 
-// Load reads and checks a file. The error lists every mistake.
+// Load reads and validates a file. The error lists all invalid settings.
 func Load(path string) (Settings, error) { return strictoml.Load(path, Default(), nil) }
 
-// Weights returns the weights of the plan of pools.
+// Weights returns the weights for capacity.Plan.
 func (p Pools) Weights() capacity.Weights {
 	return capacity.Weights{InstanceSecond: p.InstanceSecond, Move: p.Move}
 }
--- a/jobs/policy/policy_test.go
+++ b/jobs/policy/policy_test.go
@@ -19,21 +19,21 @@
 	return path
 }
 
-func TestTheDeployedFileIsValid(t *testing.T) {
+func TestDeployedFileIsValid(t *testing.T) {
 	s, err := Load("../../deploy/policy.toml")
 	require.NoError(t, err)
 	assert.Equal(t, owner.SchedulePriority, s.Jobs.Order)
 	assert.Equal(t, capacity.Demand, s.Pools.Size)
 }
 
-func TestDefaultsHoldWhereAFileSaysNothing(t *testing.T) {
+func TestMissingSettingsHaveDefaults(t *testing.T) {
 	s, err := Load(write(t, "[jobs]\norder = \"slack\"\n"))
 	require.NoError(t, err)
 	assert.Equal(t, owner.ScheduleLeastSlack, s.Jobs.Order)
 	assert.Equal(t, capacity.DefaultWeights, s.Pools.Weights())
 }
 
-func TestEveryMistakeIsReportedAtOnce(t *testing.T) {
+func TestAllErrorsAreReported(t *testing.T) {
 	_, err := Load(write(t, "[jobs]\norder = \"best\"\n[pools]\nmove = -1.0\nsise = \"demand\"\n"))
 	var invalid *strictoml.InvalidFileError
 	require.ErrorAs(t, err, &invalid)
--- a/jobs/quota/quota.go
+++ b/jobs/quota/quota.go
@@ -1,20 +1,21 @@
-// Package quota counts what each tenant has running over all workers, and says what it may
-// start. It knows no time and does no I/O.
+// Package quota tracks the resources that each tenant uses on all workers and decides what it
+// may start. It does no I/O and reads no clock.
 package quota
 
 import "github.com/postmount/postmount/jobs/job"
 
-// Ledger is the account of all tenants. Jobs of public queues have no tenant and no limit.
+// Ledger holds the usage and the limits of all tenants. Jobs of public queues have the tenant
+// "" and no limit.
 type Ledger struct {
 	tenants map[string]*tenantUsage
 }
 
-// tenantUsage is that of one tenant.
+// tenantUsage is the usage and the limit of one tenant.
 type tenantUsage struct {
-	limit   job.Resources   // 0: no limit of that resource
-	used    job.Resources   // of all runs that are not over for certain
-	runs    int             // how many these are
-	waiting map[string]bool // services in which work of it waits for its limit
+	limit   job.Resources   // 0: no limit for that resource
+	used    job.Resources   // by all runs that haven't ended for certain
+	runs    int             // number of these runs
+	waiting map[string]bool // services in which the tenant's tasks wait for its limit
 }
 
 // New returns a ledger without limits.
@@ -29,15 +30,16 @@
 	return a
 }
 
-// SetLimits takes the limits of a newer configuration. A tenant that it does not name any more
-// keeps its last one: what it was accepted for is still run.
+// SetLimits applies the limits of a newer configuration. A tenant that is no longer named
+// keeps its last limit, since its accepted jobs are still run.
 func (l *Ledger) SetLimits(tenants []job.Tenant) {
 	for _, t := range tenants {
 		l.tenant(t.Name).limit = t.Limit
 	}
 }
 
-// AddRun accounts for a run. It counts from its order on, whether that was answered or not.
+// AddRun adds a run to the tenant's usage. It counts as soon as it is ordered, whether or not
+// the order was answered.
 func (l *Ledger) AddRun(tenant string, need job.Resources) {
 	if tenant == "" {
 		return
@@ -47,8 +49,8 @@
 	a.runs++
 }
 
-// RemoveRun accounts for the end of a run, once it is certain. It returns the services in which
-// work of the tenant has waited for that.
+// RemoveRun removes a run whose end is certain from the tenant's usage. It returns the services
+// in which tasks of the tenant waited for its limit, and forgets them.
 func (l *Ledger) RemoveRun(tenant string, need job.Resources) []string {
 	if tenant == "" {
 		return nil
@@ -69,10 +71,10 @@
 	return tenant != "" && l.tenant(tenant).limit != job.Resources{}
 }
 
-// Allows reports whether the tenant may start n tasks that need so much each, all at once,
-// while perhaps may run without being known. A single task larger than the limit runs when
-// nothing else of the tenant does, and would else never run; platforms allow one task beyond
-// the limit.
+// Allows reports whether the tenant may start n tasks at once that need this much each.
+// possible are resources of runs that may exist without being known. A single task larger
+// than the limit may start if the tenant has no other run, since it could never start
+// otherwise; platforms allow one task beyond the limit.
 func (l *Ledger) Allows(tenant string, need job.Resources, n int, possible job.Resources) bool {
 	if !l.HasLimit(tenant) {
 		return true
@@ -84,10 +86,10 @@
 	return a.used.Add(possible).Add(need.Times(n)).Within(a.limit)
 }
 
-// AddWaiter takes note that work of the tenant waits in a service for its limit.
+// AddWaiter records that tasks of the tenant wait in a service for its limit.
 func (l *Ledger) AddWaiter(tenant, service string) { l.tenant(tenant).waiting[service] = true }
 
-// Usage returns what the tenant has running, and its limit.
+// Usage returns the resources that the tenant uses, and its limit.
 func (l *Ledger) Usage(tenant string) (used, limit job.Resources) {
 	a := l.tenant(tenant)
 	return a.used, a.limit
--- a/jobs/quota/quota_test.go
+++ b/jobs/quota/quota_test.go
@@ -15,8 +15,8 @@
 	l := New()
 	none := job.Resources{}
 	l.SetLimits([]job.Tenant{{Name: "t", Limit: job.Resources{CPUMilli: 4000, MemMB: 100}}, {Name: "free"}})
-	assert.True(t, l.Allows("t", cores(9), 1, none), "a task larger than the limit runs alone")
-	assert.False(t, l.Allows("t", cores(9), 1, cores(1)), "but not if something may run")
+	assert.True(t, l.Allows("t", cores(9), 1, none), "a task larger than the limit may run alone")
+	assert.False(t, l.Allows("t", cores(9), 1, cores(1)), "not while an unknown run may exist")
 	l.AddRun("t", cores(3))
 	assert.True(t, l.Allows("t", cores(1), 1, none))
 	assert.False(t, l.Allows("t", cores(1), 2, none), "all tasks of a gang count")
@@ -29,21 +29,22 @@
 	l.AddWaiter("t", "s1")
 	assert.Equal(t, []string{"s1"}, l.RemoveRun("t", cores(3)))
 	l.AddRun("t", none)
-	assert.Empty(t, l.RemoveRun("t", none), "each service is woken once")
+	assert.Empty(t, l.RemoveRun("t", none), "each service is returned once")
 
 	l.SetLimits([]job.Tenant{{Name: "other"}})
 	l.AddRun("t", cores(4))
-	assert.False(t, l.Allows("t", cores(1), 1, none), "a tenant that is not named keeps its limit")
+	assert.False(t, l.Allows("t", cores(1), 1, none), "a tenant that is no longer named keeps its limit")
 	l.SetLimits([]job.Tenant{{Name: "t", Limit: cores(8)}})
-	assert.True(t, l.Allows("t", cores(4), 1, none), "a raised limit is used at once")
+	assert.True(t, l.Allows("t", cores(4), 1, none), "a raised limit applies at once")
 	l.SetLimits([]job.Tenant{{Name: "t", Limit: cores(2)}})
-	assert.False(t, l.Allows("t", cores(1), 1, none), "a lowered one lets nothing start")
+	assert.False(t, l.Allows("t", cores(1), 1, none), "a lowered limit applies at once")
 }
 
-// TestNeverOverAndNeverStuck: whatever starts and ends in whichever order, a tenant is never
-// over its limit but by one task that runs alone, and under half of it what needs no more than
-// the other half may always start.
-func TestNeverOverAndNeverStuck(t *testing.T) {
+// TestLimitHoldsAndWorkWithinItStarts: in any order of starts and ends, a task may start if
+// and only if the tenant stays within its limit or has no other run. So a tenant exceeds its
+// limit only by a single task that runs alone, and while it uses less than half of its limit,
+// a task that needs no more than the other half can always start.
+func TestLimitHoldsAndWorkWithinItStarts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New()
 		limit := rapid.IntRange(1, 40).Draw(t, "limit")
--- a/jobs/quota/share.go
+++ b/jobs/quota/share.go
@@ -6,27 +6,27 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// shareBurst is the time of a tenant's share that it may use at once: callers do not come at
-// even times.
+// shareBurst is the time whose share a tenant may use at once, since jobs don't arrive
+// evenly.
 const shareBurst = time.Second
 
-// Shares tells which jobs lie within their tenant's share, so many a second as its weight says.
-// What it sends beyond that has no claim on room that others could use.
+// Shares decides which jobs are within their tenant's share, which is as many jobs per second
+// as its weight. Jobs beyond it yield free capacity to other tenants.
 type Shares struct {
 	buckets map[string]*bucket
 }
 
-// bucket is a token bucket: a job takes a token, tokens come back at the tenant's weight.
+// bucket is a token bucket: each job takes a token, and the weight is the refill rate.
 type bucket struct {
-	weight float64 // a second; 0: no share is stated, everything is within it
+	weight float64 // tokens per second; 0: no share configured, all jobs are within it
 	tokens float64
-	at     time.Time
+	at     time.Time // last refill
 }
 
-// NewShares returns shares of nobody.
+// NewShares returns shares without any tenant.
 func NewShares() *Shares { return &Shares{buckets: map[string]*bucket{}} }
 
-// SetWeights takes the weights of a newer configuration.
+// SetWeights applies the weights of a newer configuration.
 func (s *Shares) SetWeights(tenants []job.Tenant) {
 	for _, t := range tenants {
 		b := s.buckets[t.Name]
@@ -38,8 +38,8 @@
 	}
 }
 
-// Take accounts for a job that was accepted at a time, and reports whether it lies within its
-// tenant's share. Jobs come nearly in the order of these times.
+// Take takes a token for a job accepted at the given time, and reports whether the job is
+// within its tenant's share. Calls come nearly in the order of these times.
 func (s *Shares) Take(tenant string, at time.Time) bool {
 	b := s.buckets[tenant]
 	if b == nil || b.weight == 0 {
@@ -56,5 +56,5 @@
 	return true
 }
 
-// burst returns how many jobs a tenant may send at once, one at least.
+// burst returns how many jobs a tenant may send at once, at least one.
 func burst(weight float64) float64 { return max(1, weight*shareBurst.Seconds()) }
--- a/jobs/quota/share_test.go
+++ b/jobs/quota/share_test.go
@@ -22,14 +22,14 @@
 		}
 		return count
 	}
-	assert.Equal(t, 4, within("t", 10), "a second's share at once")
-	assert.Equal(t, 1, within("slow", 3), "one job at least")
-	assert.Equal(t, 9, within("any", 9), "no weight, no share to keep to")
+	assert.Equal(t, 4, within("t", 10), "the share of one second at once")
+	assert.Equal(t, 1, within("slow", 3), "at least one job")
+	assert.Equal(t, 9, within("any", 9), "no limit without a weight")
 	assert.Equal(t, 9, within("", 9))
 	at = at.Add(500 * time.Millisecond)
 	assert.Equal(t, 2, within("t", 10))
 	at = at.Add(-time.Second)
-	assert.Zero(t, within("t", 1), "what comes late takes nothing back")
+	assert.Zero(t, within("t", 1), "an earlier time refills nothing")
 	at = at.Add(time.Hour)
 	assert.Equal(t, 4, within("t", 10))
 }
