--- a/jobs/node/calllimiter_test.go
+++ b/jobs/node/calllimiter_test.go
@@ -14,14 +14,14 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// slowStarts is a way to workers on which every start takes its whole timeout.
-type slowStarts struct {
+// hangingWorkers is a way to workers on which every start takes its whole timeout.
+type hangingWorkers struct {
 	owner.WorkerClient
 	mu   sync.Mutex
 	sent []time.Time
 }
 
-func (s *slowStarts) Start(ctx context.Context, _ owner.Start) owner.Answer {
+func (s *hangingWorkers) Start(ctx context.Context, _ owner.Start) owner.Answer {
 	s.mu.Lock()
 	s.sent = append(s.sent, time.Now())
 	s.mu.Unlock()
@@ -29,13 +29,13 @@
 	return owner.Answer{Outcome: owner.Unanswered, Err: ctx.Err()}
 }
 
-// TestAnOldStartIsNotSent: what was decided on more than orderAge ago may be wrong by now; the
+// TestStaleStartIsNotSent: what was decided on more than orderAge ago may be wrong by now; the
 // core hears that it was not sent.
-func TestAnOldStartIsNotSent(t *testing.T) {
+func TestStaleStartIsNotSent(t *testing.T) {
 	const starts = 400
 	synctest.Test(t, func(t *testing.T) {
-		n, r := termUnder(t, 1)
-		workers := &slowStarts{}
+		n, r := newTestTerm(t, 1)
+		workers := &hangingWorkers{}
 		n.platform.Workers = workers
 		n.metrics = NewMetrics(tally.NoopScope, nil)
 		r.startCalls = newCallLimiter(startSlotsPerCore, 0, callSlotTimeout)
--- a/jobs/node/instanceorders_test.go
+++ b/jobs/node/instanceorders_test.go
@@ -9,7 +9,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-func TestRecentOrdersAreKept(t *testing.T) {
+func TestRecentOrdersAreRetained(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	o := newInstanceOrders("d", 3*time.Second, []owner.RecentOrder{{Instance: "old", Holder: "e", Age: time.Second}}, now)
 	o.add([]owner.InstanceOrder{{Instance: "b", Pool: "p"}, {Instance: "a", Pool: "p"}, {Instance: "c", Pool: "p"}})
--- a/jobs/node/metrics_test.go
+++ b/jobs/node/metrics_test.go
@@ -15,8 +15,8 @@
 	"github.com/postmount/postmount/telemetry"
 )
 
-// TestMetricsAreServedAsText scrapes the metrics of a daemon.
-func TestMetricsAreServedAsText(t *testing.T) {
+// TestMetricsHandlerServesText scrapes the metrics of a daemon.
+func TestMetricsHandlerServesText(t *testing.T) {
 	m := telemetry.NewMetrics()
 	n := NewMetrics(m.Scope, m.Handler)
 	n.Answered("POST", 200, 3*time.Millisecond)
--- a/jobs/node/ownerwatch_test.go
+++ b/jobs/node/ownerwatch_test.go
@@ -12,25 +12,25 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// sights is a daemon's peers: what it sees of the owner itself, and what others say.
-type sights struct {
+// fakePresences is a daemon's peers: what it sees of the owner itself, and what others say.
+type fakePresences struct {
 	Peers
 	own    peer.Presence
 	others map[string]peer.Presence // one that is missing cannot be asked
 }
 
-func (s sights) CheckPresence(context.Context, string) peer.Presence { return s.own }
+func (s fakePresences) CheckPresence(context.Context, string) peer.Presence { return s.own }
 
-func (s sights) CheckPresenceVia(_ context.Context, by, _ string) (peer.Presence, error) {
+func (s fakePresences) CheckPresenceVia(_ context.Context, by, _ string) (peer.Presence, error) {
 	if p, ok := s.others[by]; ok {
 		return p, nil
 	}
 	return peer.Unknown, errors.New("no answer")
 }
 
-// TestAnOwnerIsGoneOnlyIfOthersSayIt: a partition that refuses connections must not cost
+// TestOwnerGoneNeedsConfirmationByPeers: a partition that refuses connections must not cost
 // an owner its lock that others reach.
-func TestAnOwnerIsGoneOnlyIfOthersSayIt(t *testing.T) {
+func TestOwnerGoneNeedsConfirmationByPeers(t *testing.T) {
 	const absent, present, unknown = peer.Absent, peer.Present, peer.Unknown
 	for _, c := range []struct {
 		name   string
@@ -47,15 +47,15 @@
 		{"no other can be asked", absent, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			n := &Node{settings: Settings{Node: "a"}, clock: &steadyClock{}, peers: sights{own: c.own, others: c.others}, log: zap.NewNop(), rng: newLockedRand("a")}
+			n := &Node{settings: Settings{Node: "a"}, clock: &fakeClock{}, peers: fakePresences{own: c.own, others: c.others}, log: zap.NewNop(), rng: newLockedRand("a")}
 			n.members.Store(&[]ledger.Member{{Node: "a", Addr: "a"}, {Node: "b", Addr: "b"}, {Node: "c", Addr: "c"}, {Node: "o", Addr: "o"}})
 			assert.Equal(t, c.gone, n.ownerGone(context.Background(), &ledger.Lock{Node: "o", Addr: "o"}))
 		})
 	}
 }
 
-// TestAWeakDaemonDoesNotReplaceAStrongOwner: it leaves the lease to end by itself.
-func TestAWeakDaemonDoesNotReplaceAStrongOwner(t *testing.T) {
+// TestMayReplaceOnlyOwnerWithSimilarCPU: it leaves the lease to end by itself.
+func TestMayReplaceOnlyOwnerWithSimilarCPU(t *testing.T) {
 	list := []ledger.Member{{Node: "strong", Cores: 0.8}, {Node: "alike", Cores: 0.7}, {Node: "weak", Cores: 0.2}}
 	for _, c := range []struct {
 		self  string
@@ -68,7 +68,7 @@
 		{"strong", 0.8, "weak", true},
 		{"weak", 0.2, "unknown", true},
 	} {
-		n := &Node{settings: Settings{Node: c.self, Cores: c.cores}, clock: &steadyClock{}}
+		n := &Node{settings: Settings{Node: c.self, Cores: c.cores}, clock: &fakeClock{}}
 		n.members.Store(&list)
 		assert.Equal(t, c.may, n.mayReplace(c.owner), "%s for %s", c.self, c.owner)
 	}
--- a/jobs/node/relays_test.go
+++ b/jobs/node/relays_test.go
@@ -11,10 +11,10 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// TestRelaysAreSpread: daemons that are turned away at the same moment must not all go
+// TestRelaysAreBalancedByCPU: daemons that are turned away at the same moment must not all go
 // by the same peer, whose link carries little more than its own traffic; strong
 // daemons carry more.
-func TestRelaysAreSpread(t *testing.T) {
+func TestRelaysAreBalancedByCPU(t *testing.T) {
 	const strong, weak = 6, 34
 	var list []ledger.Member
 	for n := range strong + weak {
@@ -27,7 +27,7 @@
 	chosen := map[string]int{}
 	byStrong := 0
 	for n := range strong + weak {
-		d := &Node{settings: Settings{Node: list[n].Node}, clock: &steadyClock{}, rng: newLockedRand(list[n].Node)}
+		d := &Node{settings: Settings{Node: list[n].Node}, clock: &fakeClock{}, rng: newLockedRand(list[n].Node)}
 		d.members.Store(&list)
 		first := d.Relay()
 		require.NotNil(t, first)
--- a/jobs/node/slowdown_test.go
+++ b/jobs/node/slowdown_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// probes hands probes of an instance to the measurement: so many, each so many times longer
+// addProbes hands addProbes of an instance to the measurement: so many, each so many times longer
 // than usual. It returns the greatest slowness that was told.
-func (s *slowdownDetector) probes(at *time.Time, n int, by float64) float64 {
+func (s *slowdownDetector) addProbes(at *time.Time, n int, by float64) float64 {
 	most := 0.0
 	for range n {
 		*at = at.Add(probeInterval)
@@ -19,33 +19,33 @@
 	return most
 }
 
-func TestSlownessIsToldOnceItLasts(t *testing.T) {
+func TestSustainedSlowdownIsDetected(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	assert.Equal(t, 1.0, s.probes(&at, 20, 0.3), "a process that has just started runs faster")
-	assert.Equal(t, 1.0, s.probes(&at, 400, 1))
+	assert.Equal(t, 1.0, s.addProbes(&at, 20, 0.3), "a process that has just started runs faster")
+	assert.Equal(t, 1.0, s.addProbes(&at, 400, 1))
 	for range 20 { // threads that interrupt, and an instance that is a little slower
-		assert.Equal(t, 1.0, s.probes(&at, 2, 30))
-		assert.Equal(t, 1.0, s.probes(&at, 4, 1.5))
+		assert.Equal(t, 1.0, s.addProbes(&at, 2, 30))
+		assert.Equal(t, 1.0, s.addProbes(&at, 4, 1.5))
 	}
-	assert.Equal(t, 1.0, s.probes(&at, 5, 5), "too short")
-	assert.Equal(t, 1.0, s.probes(&at, 20, 1))
+	assert.Equal(t, 1.0, s.addProbes(&at, 5, 5), "too short")
+	assert.Equal(t, 1.0, s.addProbes(&at, 20, 1))
 	began := at
 	for s.sustainedFactor(at) == 1 {
-		s.probes(&at, 1, 5)
+		s.addProbes(&at, 1, 5)
 	}
 	assert.Less(t, at.Sub(began), 500*time.Millisecond)
-	assert.Greater(t, s.probes(&at, 100, 5), 3.0, "it does not get used to it within seconds")
-	s.probes(&at, probeWindow, 1)
+	assert.Greater(t, s.addProbes(&at, 100, 5), 3.0, "it does not get used to it within seconds")
+	s.addProbes(&at, probeWindow, 1)
 	assert.Equal(t, 1.0, s.sustainedFactor(at), "it is over")
 }
 
-// TestWhatIsUsualFollows: a processor that becomes twice as slow for good, as one does that was
+// TestBaselineFollowsLastingChange: a processor that becomes twice as slow for good, as one does that was
 // idle, and one that stays five times slower.
-func TestWhatIsUsualFollows(t *testing.T) {
+func TestBaselineFollowsLastingChange(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	s.probes(&at, 40, 1)
-	assert.Equal(t, 1.0, s.probes(&at, 300, 2))
-	assert.Equal(t, 1.0, s.probes(&at, 200, 4), "twice as slow as it has become")
-	s.probes(&at, maxBaselineSamples*int(time.Second/probeInterval)+2*probeWindow, 20)
+	s.addProbes(&at, 40, 1)
+	assert.Equal(t, 1.0, s.addProbes(&at, 300, 2))
+	assert.Equal(t, 1.0, s.addProbes(&at, 200, 4), "twice as slow as it has become")
+	s.addProbes(&at, maxBaselineSamples*int(time.Second/probeInterval)+2*probeWindow, 20)
 	assert.Equal(t, 1.0, s.sustainedFactor(at), "slow for a minute is what it has become")
 }
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -18,9 +18,9 @@
 // took itself for the owner until the store said otherwise, up to half a second later, and
 // could order instances and give counts meanwhile.
 
-// TestALeaseEndsWhileSuspended looks at what may be done by a lease that was renewed just
+// TestLeaseExpiresDuringSuspension looks at what may be done by a lease that was renewed just
 // before a suspension.
-func TestALeaseEndsWhileSuspended(t *testing.T) {
+func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	for _, c := range []struct {
 		suspended  time.Duration
 		held, duty bool
@@ -34,32 +34,32 @@
 		{time.Minute, false, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			n, r := termUnder(t, 1)
+			n, r := newTestTerm(t, 1)
 			n.leaseRenewedAt.Store(n.uptimeNanos())
-			n.clock.(*steadyClock).suspended = c.suspended
+			n.clock.(*fakeClock).suspended = c.suspended
 			assert.Equal(t, c.held, r.leaseHeld(), "lease after %s", c.suspended)
 			assert.Equal(t, c.duty, n.mayOrderInstances(), "duty after %s", c.suspended)
 		})
 	}
 }
 
-// countedWorkers counts the starts that are sent.
-type countedWorkers struct {
+// countingWorkers counts the starts that are sent.
+type countingWorkers struct {
 	owner.WorkerClient
 	starts int
 }
 
-func (w *countedWorkers) Start(context.Context, owner.Start) owner.Answer {
+func (w *countingWorkers) Start(context.Context, owner.Start) owner.Answer {
 	w.starts++
 	return owner.Answer{Outcome: owner.Taken}
 }
 
-// TestAnOrderFromBeforeASuspensionIsNotSent: what was known when it was decided may not hold
+// TestStartDecidedBeforeSuspensionIsNotSent: what was known when it was decided may not hold
 // any more.
-func TestAnOrderFromBeforeASuspensionIsNotSent(t *testing.T) {
+func TestStartDecidedBeforeSuspensionIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, r := termUnder(t, 1)
-		w := &countedWorkers{}
+		n, r := newTestTerm(t, 1)
+		w := &countingWorkers{}
 		n.platform.Workers = w
 		n.metrics = NewMetrics(tally.NoopScope, nil)
 		r.startCalls = newCallLimiter(startSlotsPerCore, 1, callSlotTimeout)
@@ -67,27 +67,27 @@
 		decided := n.uptimeNanos()
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
 		require.Equal(t, 1, w.starts)
-		n.clock.(*steadyClock).suspended = maxStartAge + time.Millisecond
+		n.clock.(*fakeClock).suspended = maxStartAge + time.Millisecond
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
 		assert.Equal(t, 1, w.starts)
 		assert.Len(t, r.events, 2, "the core hears of both")
 	})
 }
 
-// TestTheCoreIsToldOfASuspension before anything else is decided, and once.
-func TestTheCoreIsToldOfASuspension(t *testing.T) {
+// TestSuspensionIsReportedOnce before anything else is decided, and once.
+func TestSuspensionIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n, r := termUnder(t, 1)
+		n, r := newTestTerm(t, 1)
 		r.checkSuspension()
 		require.Empty(t, r.core.TakeDecisions())
-		n.clock.(*steadyClock).suspended = 3 * time.Second
+		n.clock.(*fakeClock).suspended = 3 * time.Second
 		time.Sleep(suspensionCheckInterval)
 		r.checkSuspension()
 		time.Sleep(suspensionCheckInterval)
 		r.checkSuspension()
-		told := r.core.TakeDecisions()
-		require.Len(t, told, 1)
-		assert.Equal(t, "owner-suspended", told[0].Event)
-		assert.Equal(t, "3s", told[0].Reason)
+		decisions := r.core.TakeDecisions()
+		require.Len(t, decisions, 1)
+		assert.Equal(t, "owner-suspended", decisions[0].Event)
+		assert.Equal(t, "3s", decisions[0].Reason)
 	})
 }
--- a/jobs/node/termlease_test.go
+++ b/jobs/node/termlease_test.go
@@ -15,16 +15,16 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// steadyClock is that of an instance that is suspended by hand.
-type steadyClock struct{ suspended time.Duration }
+// fakeClock is that of an instance that is suspended by hand.
+type fakeClock struct{ suspended time.Duration }
 
-func (c *steadyClock) Now() time.Time           { return time.Now() }
-func (c *steadyClock) Suspended() time.Duration { return c.suspended }
+func (c *fakeClock) Now() time.Time           { return time.Now() }
+func (c *fakeClock) Suspended() time.Duration { return c.suspended }
 
-// termUnder returns a daemon that holds lease 1, and its term under a lease. Whoever
+// newTestTerm returns a daemon that holds lease 1, and its term under a lease. Whoever
 // brings an event to the core has to carry it out.
-func termUnder(t *testing.T, lease ledger.LeaseID) (*Node, *termRun) {
-	n := &Node{settings: Settings{Node: "a"}, log: zap.NewNop(), clock: &steadyClock{}, started: time.Now()}
+func newTestTerm(t *testing.T, lease ledger.LeaseID) (*Node, *termRun) {
+	n := &Node{settings: Settings{Node: "a"}, log: zap.NewNop(), clock: &fakeClock{}, started: time.Now()}
 	n.lease.Store(1)
 	r := &termRun{n: n, term: &ledger.Term{Number: 1}, lease: lease, events: make(chan event, 1)}
 	r.core = owner.New(owner.Options{Term: 1}, &job.Catalog{}, nil, time.Now())
@@ -34,19 +34,19 @@
 	return n, r
 }
 
-// TestACountIsGivenUnderTheTermsLease.
+// TestPendingRequiresTermLease.
 //
 // Seen in the code, not on a day. A daemon's lease may end, and the daemon be granted
 // another one, before it hears that its lock went with the first: it took itself for the
 // owner meanwhile, and gave counts. So it did if the lease ran out while the question
 // waited for the core, as in a process that was frozen. Cause: the count rested on any
 // lease, looked at before the question alone.
-func TestACountIsGivenUnderTheTermsLease(t *testing.T) {
+func TestPendingRequiresTermLease(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		lease     ledger.LeaseID
 		meanwhile func(n *Node)
-		counts    bool
+		answered  bool
 	}{
 		{"it is held", 1, func(*Node) {}, true},
 		{"the daemon has another one", 2, func(*Node) {}, false},
@@ -55,7 +55,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n, r := termUnder(t, c.lease)
+				n, r := newTestTerm(t, c.lease)
 				var got peer.PendingReply
 				go func() { got = r.pending("q") }()
 				synctest.Wait()
@@ -66,16 +66,16 @@
 				default:
 				}
 				synctest.Wait()
-				assert.Equal(t, c.counts, got.Owner)
+				assert.Equal(t, c.answered, got.Owner)
 			})
 		})
 	}
 }
 
-// goneStore has no lease any more.
-type goneStore struct{ ledger.Store }
+// expiredLeaseStore has no lease any more.
+type expiredLeaseStore struct{ ledger.Store }
 
-func (goneStore) KeepAlive(context.Context, ledger.LeaseID) (bool, error) { return false, nil }
+func (expiredLeaseStore) KeepAlive(context.Context, ledger.LeaseID) (bool, error) { return false, nil }
 
 // noRelays is a daemon without peers.
 type noRelays struct{}
@@ -83,11 +83,11 @@
 func (noRelays) Relay() ledger.Store      { return nil }
 func (noRelays) RelayFailed(ledger.Store) {}
 
-// TestATermEndsWithItsLease: the lock went with it, whether or not the watch of the lock
+// TestTermEndsWithItsLease: the lock went with it, whether or not the watch of the lock
 // has told so.
-func TestATermEndsWithItsLease(t *testing.T) {
-	n, r := termUnder(t, 1)
-	n.store = ledger.NewFailover(goneStore{}, noRelays{}, time.Now, func(error) {})
+func TestTermEndsWithItsLease(t *testing.T) {
+	n, r := newTestTerm(t, 1)
+	n.store = ledger.NewFailover(expiredLeaseStore{}, noRelays{}, time.Now, func(error) {})
 	n.renewLease(context.Background())
 	assert.Error(t, r.ctx.Err())
 }
--- a/jobs/node/termrun_test.go
+++ b/jobs/node/termrun_test.go
@@ -11,39 +11,39 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestAnEventIsNotOlderThanItself: an event is not given a time at which it had not come
+// TestQueuedEventsGetTheirOwnTime: an event is not given a time at which it had not come
 // yet. Seen: an owner with a fifth of a core gave a worker's answer a time 235 ms before
 // it was received. How: events that wait share the time at which the first of them was
 // taken, and others come while these are worked off. Cause: the end of a worker's lease
 // is reckoned from that time, so that the lease counts as over sooner than it is, by more
 // than the slack of 150 ms; its tasks may start elsewhere while they run. Proved by a log
 // of each answer with the times at which it was received and which it was given.
-func TestAnEventIsNotOlderThanItself(t *testing.T) {
+func TestQueuedEventsGetTheirOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		run := &termRun{n: &Node{clock: &steadyClock{}}, events: make(chan event, eventQueueLen), ctx: t.Context()}
-		given := make(chan time.Time, 1)
-		var came time.Time
+		run := &termRun{n: &Node{clock: &fakeClock{}}, events: make(chan event, eventQueueLen), ctx: t.Context()}
+		appliedAt := make(chan time.Time, 1)
+		var arrived time.Time
 		slow := func(*owner.Core, time.Time) { time.Sleep(time.Second) } // waits for the processor
 		run.enqueue(slow)
 		run.enqueue(slow)
 		go func() {
 			time.Sleep(500 * time.Millisecond)
-			came = time.Now()
-			run.enqueue(func(_ *owner.Core, now time.Time) { given <- now })
+			arrived = time.Now()
+			run.enqueue(func(_ *owner.Core, now time.Time) { appliedAt <- now })
 		}()
 		run.applyQueued()
-		assert.False(t, (<-given).Before(came))
+		assert.False(t, (<-appliedAt).Before(arrived))
 	})
 }
 
-// TestAQuestionThatNobodyWaitsForIsNotAnswered: an owner that is short of processor time
+// TestAbandonedQueryIsSkipped: an owner that is short of processor time
 // answered questions after those who asked had given up, and asked again. A count goes over
 // all open jobs, so that the work grew as the owner fell behind.
-func TestAQuestionThatNobodyWaitsForIsNotAnswered(t *testing.T) {
+func TestAbandonedQueryIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 		defer cancel()
-		run := &termRun{n: &Node{clock: &steadyClock{}}, events: make(chan event, 1), ctx: ctx}
+		run := &termRun{n: &Node{clock: &fakeClock{}}, events: make(chan event, 1), ctx: ctx}
 		answered := 0
 		question := func(*owner.Core) int { answered++; return 1 }
 		began := time.Now()
