--- a/requests/admit/admit.go
+++ b/requests/admit/admit.go
@@ -16,13 +16,13 @@
 // ID identifies a waiting request within its core.
 type ID uint64
 
-// Item is one request that asks for a slot.
-type Item struct {
+// waitingRequest is one request that asks for a slot.
+type waitingRequest struct {
 	ID       ID
 	Class    fleet.ClassName
 	Deadline time.Time
-	queued   time.Time
-	index    int // position in its class's heap
+	enqueuedAt   time.Time
+	heapIndex    int // position in its class's heap
 }
 
 // Policy selects the order in which waiting requests run.
@@ -56,50 +56,50 @@
 // Reasons of a refusal.
 const (
 	ReasonQueueFull = "queue-full"
-	ReasonTooLate   = "deadline-cannot-be-met"
-	ReasonExpired   = "deadline-passed"
+	ReasonDeadlineUnreachable   = "deadline-cannot-be-met"
+	ReasonDeadlinePassed   = "deadline-passed"
 )
 
 // class is one priority class with its queue.
 type class struct {
 	weight int
 	queue  queue
-	// pass is the class's virtual time: it grows by 1/weight for each request
+	// virtualTime is the class's virtual time: it grows by 1/weight for each request
 	// that is let through, and the class with the least goes next.
-	pass float64
-	// lastPop is when the class last had a request let through while more
+	virtualTime float64
+	// lastDispatch is when the class last had a request let through while more
 	// waited; interval is the moving average of the time between two such.
-	lastPop  time.Time
-	interval time.Duration
+	lastDispatch  time.Time
+	dispatchInterval time.Duration
 }
 
-// Core is the admission state of one service. It is not safe for concurrent
+// Controller is the admission state of one service. It is not safe for concurrent
 // use.
-type Core struct {
+type Controller struct {
 	opts    Options
 	classes map[fleet.ClassName]*class
-	order   []fleet.ClassName
-	items   map[ID]*Item
-	pass    float64 // virtual time of the last request let through
+	classOrder   []fleet.ClassName
+	waiting   map[ID]*waitingRequest
+	virtualTime    float64 // virtual time of the last request let through
 	// serviceTime is the moving average of the time a request holds its slot.
 	serviceTime time.Duration
 	// slots is how many requests of the service may run here at once.
 	slots int
-	fifo  uint64
+	arrivals  uint64
 }
 
 // initialServiceTime is assumed until the first request has ended.
 const initialServiceTime = 20 * time.Millisecond
 
-// averageWeight is the weight of the newest observation in the moving average.
-const averageWeight = 0.1
+// averageNewWeight is the weight of the newest observation in the moving average.
+const averageNewWeight = 0.1
 
 // New returns an empty core.
-func New(opts Options) *Core {
-	return &Core{
+func New(opts Options) *Controller {
+	return &Controller{
 		opts:        opts,
 		classes:     map[fleet.ClassName]*class{},
-		items:       map[ID]*Item{},
+		waiting:       map[ID]*waitingRequest{},
 		serviceTime: initialServiceTime,
 		slots:       1,
 	}
@@ -107,19 +107,19 @@
 
 // SetClasses puts the service's classes in force. Waiting requests of a class
 // that is gone keep their place.
-func (c *Core) SetClasses(classes []fleet.Class) {
-	c.order = c.order[:0]
+func (c *Controller) SetClasses(classes []fleet.Class) {
+	c.classOrder = c.classOrder[:0]
 	for _, k := range classes {
-		c.order = append(c.order, k.Name)
+		c.classOrder = append(c.classOrder, k.Name)
 		if old := c.classes[k.Name]; old != nil {
 			old.weight = max(k.Weight, 1)
 			continue
 		}
-		c.classes[k.Name] = &class{weight: max(k.Weight, 1), pass: c.pass}
+		c.classes[k.Name] = &class{weight: max(k.Weight, 1), virtualTime: c.virtualTime}
 	}
 	for name, k := range c.classes {
-		if k.queue.Len() > 0 && !contains(c.order, name) {
-			c.order = append(c.order, name)
+		if k.queue.Len() > 0 && !contains(c.classOrder, name) {
+			c.classOrder = append(c.classOrder, name)
 		}
 	}
 }
@@ -134,18 +134,18 @@
 }
 
 // SetSlots tells how many requests of the service may run here at once.
-func (c *Core) SetSlots(n int) { c.slots = max(n, 1) }
+func (c *Controller) SetSlots(n int) { c.slots = max(n, 1) }
 
-// Observe notes how long a request held its slot.
-func (c *Core) Observe(held time.Duration) {
-	c.serviceTime += time.Duration(averageWeight * float64(held-c.serviceTime))
+// ObserveServiceTime notes how long a request held its slot.
+func (c *Controller) ObserveServiceTime(held time.Duration) {
+	c.serviceTime += time.Duration(averageNewWeight * float64(held-c.serviceTime))
 }
 
 // Waiting returns how many requests wait.
-func (c *Core) Waiting() int { return len(c.items) }
+func (c *Controller) Waiting() int { return len(c.waiting) }
 
 // WaitingIn returns how many requests of one class wait.
-func (c *Core) WaitingIn(name fleet.ClassName) int {
+func (c *Controller) WaitingIn(name fleet.ClassName) int {
 	if k := c.classes[name]; k != nil {
 		return k.queue.Len()
 	}
@@ -154,29 +154,29 @@
 
 // Push gives a request a place, or refuses it at once: when its class's queue
 // is full, or when it would not be answered before its deadline.
-func (c *Core) Push(now time.Time, id ID, name fleet.ClassName, deadline time.Time) *Refusal {
+func (c *Controller) Push(now time.Time, id ID, name fleet.ClassName, deadline time.Time) *Refusal {
 	k := c.classes[name]
 	if k == nil {
-		k = &class{weight: 1, pass: c.pass}
+		k = &class{weight: 1, virtualTime: c.virtualTime}
 		c.classes[name] = k
-		c.order = append(c.order, name)
+		c.classOrder = append(c.classOrder, name)
 	}
 	if k.queue.Len() >= c.opts.MaxQueue {
 		return c.refusal(ReasonQueueFull, c.expectedWait(k))
 	}
 	wait := c.expectedWait(k)
 	if c.opts.Policy != PolicyFIFO && now.Add(wait+c.serviceTime).After(deadline) {
-		return c.refusal(ReasonTooLate, wait)
+		return c.refusal(ReasonDeadlineUnreachable, wait)
 	}
 	if k.queue.Len() == 0 {
-		k.pass = max(k.pass, c.pass)
+		k.virtualTime = max(k.virtualTime, c.virtualTime)
 	}
-	c.fifo++
-	it := &Item{ID: id, Class: name, Deadline: deadline, queued: now}
+	c.arrivals++
+	it := &waitingRequest{ID: id, Class: name, Deadline: deadline, enqueuedAt: now}
 	if c.opts.Policy == PolicyFIFO {
-		it.queued = time.Unix(0, int64(c.fifo))
+		it.enqueuedAt = time.Unix(0, int64(c.arrivals))
 	}
-	c.items[id] = it
+	c.waiting[id] = it
 	k.queue.fifo = c.opts.Policy == PolicyFIFO
 	heap.Push(&k.queue, it)
 	return nil
@@ -186,7 +186,7 @@
 // class before it, at the class's share of the service's rate. Classes that do
 // not use their share up leave it to others, so that the rate at which the class
 // was lately served counts if it is higher.
-func (c *Core) expectedWait(k *class) time.Duration {
+func (c *Controller) expectedWait(k *class) time.Duration {
 	weights := k.weight
 	for _, other := range c.classes {
 		if other != k && other.queue.Len() > 0 {
@@ -195,90 +195,90 @@
 	}
 	ahead := float64(k.queue.Len()+1) * float64(weights) / float64(k.weight)
 	wait := time.Duration(ahead / float64(c.slots) * float64(c.serviceTime))
-	if k.interval > 0 {
-		wait = min(wait, time.Duration(k.queue.Len()+1)*k.interval)
+	if k.dispatchInterval > 0 {
+		wait = min(wait, time.Duration(k.queue.Len()+1)*k.dispatchInterval)
 	}
 	return wait
 }
 
-// served notes that class k had a request let through.
-func (c *Core) served(now time.Time, k *class) {
-	if !k.lastPop.IsZero() {
-		sample := now.Sub(k.lastPop)
-		if k.interval == 0 {
-			k.interval = sample
+// recordDispatch notes that class k had a request let through.
+func (c *Controller) recordDispatch(now time.Time, k *class) {
+	if !k.lastDispatch.IsZero() {
+		sample := now.Sub(k.lastDispatch)
+		if k.dispatchInterval == 0 {
+			k.dispatchInterval = sample
 		}
-		k.interval += time.Duration(averageWeight * float64(sample-k.interval))
+		k.dispatchInterval += time.Duration(averageNewWeight * float64(sample-k.dispatchInterval))
 	}
-	k.lastPop = now
+	k.lastDispatch = now
 	if k.queue.Len() == 0 {
-		k.lastPop = time.Time{}
+		k.lastDispatch = time.Time{}
 	}
 }
 
-func (c *Core) refusal(reason string, wait time.Duration) *Refusal {
+func (c *Controller) refusal(reason string, wait time.Duration) *Refusal {
 	return &Refusal{Reason: reason, RetryAfter: max(wait, c.opts.MinRetryAfter)}
 }
 
 // Pop takes out the request that runs next. Those that can no longer be answered
 // in time are taken out as well and returned apart; they did not run.
-func (c *Core) Pop(now time.Time) (next ID, ok bool, expired []ID) {
+func (c *Controller) Pop(now time.Time) (next ID, ok bool, expired []ID) {
 	for {
 		k := c.nextClass()
 		if k == nil {
 			return 0, false, expired
 		}
-		it := heap.Pop(&k.queue).(*Item)
-		delete(c.items, it.ID)
-		if c.hopeless(now, it) {
+		it := heap.Pop(&k.queue).(*waitingRequest)
+		delete(c.waiting, it.ID)
+		if c.cannotMeetDeadline(now, it) {
 			expired = append(expired, it.ID)
 			continue
 		}
-		c.served(now, k)
-		c.pass = k.pass
-		k.pass += 1 / float64(k.weight)
+		c.recordDispatch(now, k)
+		c.virtualTime = k.virtualTime
+		k.virtualTime += 1 / float64(k.weight)
 		return it.ID, true, expired
 	}
 }
 
-// hopeless reports whether a request would certainly be answered too late: a
+// cannotMeetDeadline reports whether a request would certainly be answered too late: a
 // slot spent on it is lost to one that can still be answered.
-func (c *Core) hopeless(now time.Time, it *Item) bool {
+func (c *Controller) cannotMeetDeadline(now time.Time, it *waitingRequest) bool {
 	if c.opts.Policy == PolicyFIFO {
 		return !now.Before(it.Deadline)
 	}
 	return !now.Add(c.serviceTime).Before(it.Deadline)
 }
 
-func (c *Core) nextClass() *class {
+func (c *Controller) nextClass() *class {
 	var best *class
-	for _, name := range c.order {
+	for _, name := range c.classOrder {
 		k := c.classes[name]
 		if k.queue.Len() == 0 {
 			continue
 		}
-		if best == nil || c.before(k, best) {
+		if best == nil || c.dispatchedBefore(k, best) {
 			best = k
 		}
 	}
 	return best
 }
 
-func (c *Core) before(a, b *class) bool {
+func (c *Controller) dispatchedBefore(a, b *class) bool {
 	if c.opts.Policy == PolicyFIFO {
-		return a.queue.items[0].queued.Before(b.queue.items[0].queued)
+		return a.queue.items[0].enqueuedAt.Before(b.queue.items[0].enqueuedAt)
 	}
-	return a.pass < b.pass
+	return a.virtualTime < b.virtualTime
 }
 
 // Expire takes out every request whose deadline has passed.
-func (c *Core) Expire(now time.Time) []ID {
+func (c *Controller) Expire(now time.Time) []ID {
 	var out []ID
-	for _, name := range c.order {
+	for _, name := range c.classOrder {
 		k := c.classes[name]
 		for k.queue.Len() > 0 && !now.Before(k.queue.items[0].Deadline) {
-			it := heap.Pop(&k.queue).(*Item)
-			delete(c.items, it.ID)
+			it := heap.Pop(&k.queue).(*waitingRequest)
+			delete(c.waiting, it.ID)
 			out = append(out, it.ID)
 		}
 	}
@@ -287,19 +287,19 @@
 
 // Remove takes out a request whose caller has gone away. It reports false if
 // the request no longer waits.
-func (c *Core) Remove(id ID) bool {
-	it, ok := c.items[id]
+func (c *Controller) Remove(id ID) bool {
+	it, ok := c.waiting[id]
 	if !ok {
 		return false
 	}
-	heap.Remove(&c.classes[it.Class].queue, it.index)
-	delete(c.items, id)
+	heap.Remove(&c.classes[it.Class].queue, it.heapIndex)
+	delete(c.waiting, id)
 	return true
 }
 
 // queue orders one class's requests by deadline, or by arrival under FIFO.
 type queue struct {
-	items []*Item
+	items []*waitingRequest
 	fifo  bool
 }
 
@@ -307,19 +307,19 @@
 func (q *queue) Less(i, j int) bool {
 	a, b := q.items[i], q.items[j]
 	if q.fifo || a.Deadline.Equal(b.Deadline) {
-		return a.queued.Before(b.queued)
+		return a.enqueuedAt.Before(b.enqueuedAt)
 	}
 	return a.Deadline.Before(b.Deadline)
 }
 func (q *queue) Swap(i, j int) {
 	q.items[i], q.items[j] = q.items[j], q.items[i]
-	q.items[i].index, q.items[j].index = i, j
+	q.items[i].heapIndex, q.items[j].heapIndex = i, j
 }
 
 // Push implements heap.Interface.
 func (q *queue) Push(x any) {
-	it := x.(*Item)
-	it.index = len(q.items)
+	it := x.(*waitingRequest)
+	it.heapIndex = len(q.items)
 	q.items = append(q.items, it)
 }
 
--- a/requests/admit/admit_test.go
+++ b/requests/admit/admit_test.go
@@ -12,7 +12,7 @@
 
 var t0 = time.Date(2026, 1, 1, 9, 30, 0, 0, time.UTC)
 
-func newCore(p Policy) *Core {
+func newCore(p Policy) *Controller {
 	o := DefaultOptions
 	o.Policy = p
 	o.MaxQueue = 100
@@ -22,11 +22,11 @@
 	return c
 }
 
-func push(t *testing.T, c *Core, id ID, class fleet.ClassName, within time.Duration) {
+func push(t *testing.T, c *Controller, id ID, class fleet.ClassName, within time.Duration) {
 	require.Nil(t, c.Push(t0, id, class, t0.Add(within)))
 }
 
-func order(c *Core, n int) (out []ID) {
+func order(c *Controller, n int) (out []ID) {
 	for range n {
 		id, ok, _ := c.Pop(t0)
 		if !ok {
@@ -75,14 +75,14 @@
 func TestRefusesAtOnceWhatWouldBeLate(t *testing.T) {
 	c := newCore(PolicyWeighted)
 	for range 100 {
-		c.Observe(time.Second)
+		c.ObserveServiceTime(time.Second)
 	}
 	for i := range 40 {
 		push(t, c, ID(i), "retail", time.Minute)
 	}
 	r := c.Push(t0, 99, "retail", t0.Add(3*time.Second))
 	require.NotNil(t, r)
-	assert.Equal(t, ReasonTooLate, r.Reason)
+	assert.Equal(t, ReasonDeadlineUnreachable, r.Reason)
 	assert.InDelta(t, 4.1, r.RetryAfter.Seconds(), 0.2, "41 requests before it at 10 a second")
 }
 
@@ -91,7 +91,7 @@
 func TestSharesThatOthersLeaveCount(t *testing.T) {
 	c := newCore(PolicyWeighted)
 	for range 100 {
-		c.Observe(100 * time.Millisecond)
+		c.ObserveServiceTime(100 * time.Millisecond)
 	}
 	for i := range 60 {
 		push(t, c, ID(i), "bulk", time.Minute)
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -90,7 +90,7 @@
 	}
 	in := place.Input{Now: r.now, Jobs: next.Jobs, Workers: r.placeWorkers(name, next), Teams: r.teams(), Policy: r.c.opts.Place}
 	weights := r.snap.State.Config.Value.Weights
-	in.Packing = weights.Buffer > weights.RollOut && weights.Buffer > weights.Moves
+	in.PreferTightFit = weights.Buffer > weights.RollOut && weights.Buffer > weights.Moves
 	for _, d := range place.Plan(in) {
 		changed = r.applyDecision(next.Job(d.Job), d) || changed
 	}
@@ -220,7 +220,7 @@
 			Used:       declared[inst.ID],
 			Usable:     !m.Joining && r.usable(inst.ID),
 			Maintained: r.maintained(name, waves, inst.ID),
-			Failures:   r.c.tasks.failures[inst.ID],
+			ConsecutiveFailures:   r.c.tasks.failures[inst.ID],
 		})
 	}
 	return out
@@ -257,10 +257,10 @@
 }
 
 // teams adds up what each team uses in all pools.
-func (r *roundState) teams() map[string]place.TeamUse {
-	out := map[string]place.TeamUse{}
+func (r *roundState) teams() map[string]place.TeamUsage {
+	out := map[string]place.TeamUsage{}
 	for _, t := range r.snap.State.Config.Value.Teams {
-		out[t.Name] = place.TeamUse{Quota: t.Quota, Limited: true}
+		out[t.Name] = place.TeamUsage{Quota: t.Quota, HasQuota: true}
 	}
 	for _, js := range r.snap.State.Jobs {
 		for _, j := range js.Value.Jobs {
--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -45,7 +45,7 @@
 	mu       sync.Mutex
 	rnd      *rand.Rand
 	dir      *directory.Directory
-	slots    *slots.Core
+	slots    *slots.Allocator
 	services map[fleet.ServiceName]*service
 	view     *fleet.View
 	nextID   admit.ID
@@ -55,7 +55,7 @@
 
 // service is the dispatcher's state of one service.
 type service struct {
-	queue   *admit.Core
+	queue   *admit.Controller
 	health  *health.Core
 	budget  *retry.Budget
 	waiting map[admit.ID]chan outcome
@@ -138,7 +138,7 @@
 	case <-ctx.Done():
 		return d.giveUp(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeGone, "the caller went away while waiting"))
 	case <-timer.C:
-		return d.giveUp(name, id, ch, overload(admit.Refusal{Reason: admit.ReasonExpired, RetryAfter: time.Second}))
+		return d.giveUp(name, id, ch, overload(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second}))
 	}
 }
 
@@ -229,7 +229,7 @@
 		}
 		id, ok, expired := s.queue.Pop(now)
 		for _, e := range expired {
-			s.answer(e, outcome{err: overload(admit.Refusal{Reason: admit.ReasonExpired, RetryAfter: time.Second})})
+			s.answer(e, outcome{err: overload(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second})})
 		}
 		if !ok {
 			d.slots.Release(g.Worker.ID)
@@ -288,7 +288,7 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	if s := d.services[g.service]; s != nil {
-		s.queue.Observe(now.Sub(g.at))
+		s.queue.ObserveServiceTime(now.Sub(g.at))
 		s.health.Took(now, g.Worker.ID, now.Sub(g.at))
 		if good {
 			restored = s.health.Succeeded(g.Worker.ID)
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -54,7 +54,7 @@
 func (d *Dispatcher) Advance(now time.Time, retired bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.slots.Tick(now, retired)
+	d.slots.ActivateShares(now, retired)
 	d.pumpAll(now)
 }
 
@@ -96,7 +96,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, id := range ids {
-		d.slots.Returned(id)
+		d.slots.TakeBack(id)
 	}
 	d.pumpAll(time.Now())
 }
@@ -124,7 +124,7 @@
 func (d *Dispatcher) tick(ctx context.Context, peers port.Peers) {
 	d.mu.Lock()
 	now := time.Now()
-	idle := d.slots.Idle(now.Add(-loanIdle))
+	idle := d.slots.ReleaseIdle(now.Add(-loanIdle))
 	view := d.view
 	for name, s := range d.services {
 		s.peak = max(float64(s.inUse), s.peak*peakDecay)
@@ -219,7 +219,7 @@
 func (d *Dispatcher) borrowed(ctx context.Context, name fleet.ServiceName, l slots.Loan, peers port.Peers, addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if !d.slots.Borrowed(l) {
+	if !d.slots.AddBorrowed(l) {
 		go giveBack(ctx, peers, addr, []slots.LoanID{l.ID})
 		return
 	}
--- a/requests/place/place.go
+++ b/requests/place/place.go
@@ -25,16 +25,16 @@
 	// Maintained is true for a worker that the running waves have finished
 	// with: a job placed there does not have to move again.
 	Maintained bool
-	// Failures counts tasks that failed on the worker in a row.
-	Failures int
+	// ConsecutiveFailures counts tasks that failed on the worker in a row.
+	ConsecutiveFailures int
 }
 
-// TeamUse is a team's quota and what it uses fleet-wide.
-type TeamUse struct {
+// TeamUsage is a team's quota and what it uses fleet-wide.
+type TeamUsage struct {
 	Quota fleet.Resources
 	Used  fleet.Resources
-	// Limited is false for a team without a quota.
-	Limited bool
+	// HasQuota is false for a team without a quota.
+	HasQuota bool
 }
 
 // Policy selects how a worker is chosen. FirstFit is the baseline.
@@ -51,11 +51,11 @@
 	Now     time.Time
 	Jobs    []fleet.Job
 	Workers []Worker
-	Teams   map[string]TeamUse
+	Teams   map[string]TeamUsage
 	Policy  Policy
-	// Packing puts a tight fit before a worker that needs no further
+	// PreferTightFit puts a tight fit before a worker that needs no further
 	// maintenance: less capacity is held back, and jobs may move again.
-	Packing bool
+	PreferTightFit bool
 }
 
 // Decision is what becomes of one pending job.
@@ -66,30 +66,30 @@
 	Reason string
 }
 
-// MaxFailures is how many tasks in a row may fail on a worker before it gets
+// MaxConsecutiveFailures is how many tasks in a row may fail on a worker before it gets
 // no more.
-const MaxFailures = 3
+const MaxConsecutiveFailures = 3
 
 // Plan decides about every pending job: urgent ones first, then by deadline,
 // then by age.
 func Plan(in Input) []Decision {
 	workers := slices.Clone(in.Workers)
-	teams := make(map[string]TeamUse, len(in.Teams))
+	teams := make(map[string]TeamUsage, len(in.Teams))
 	for name, t := range in.Teams {
 		teams[name] = t
 	}
 	var out []Decision
-	for _, j := range pending(in.Jobs) {
+	for _, j := range pendingInOrder(in.Jobs) {
 		d := decide(in, j, workers, teams)
 		out = append(out, d)
 		if d.State == fleet.JobPlaced {
-			occupy(workers, teams, j, d.Worker)
+			reserve(workers, teams, j, d.Worker)
 		}
 	}
 	return out
 }
 
-func pending(jobs []fleet.Job) []fleet.Job {
+func pendingInOrder(jobs []fleet.Job) []fleet.Job {
 	var out []fleet.Job
 	for _, j := range jobs {
 		if j.State == fleet.JobPending {
@@ -97,12 +97,12 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b fleet.Job) int {
-		return cmp.Or(boolFirst(a.Urgent, b.Urgent), byDeadline(a, b), a.Submitted.Compare(b.Submitted))
+		return cmp.Or(trueFirst(a.Urgent, b.Urgent), byDeadline(a, b), a.Submitted.Compare(b.Submitted))
 	})
 	return out
 }
 
-func boolFirst(a, b bool) int {
+func trueFirst(a, b bool) int {
 	switch {
 	case a == b:
 		return 0
@@ -116,19 +116,19 @@
 // byDeadline puts jobs without a deadline last.
 func byDeadline(a, b fleet.Job) int {
 	if a.Deadline.IsZero() || b.Deadline.IsZero() {
-		return boolFirst(!a.Deadline.IsZero(), !b.Deadline.IsZero())
+		return trueFirst(!a.Deadline.IsZero(), !b.Deadline.IsZero())
 	}
 	return a.Deadline.Compare(b.Deadline)
 }
 
-func decide(in Input, j fleet.Job, workers []Worker, teams map[string]TeamUse) Decision {
+func decide(in Input, j fleet.Job, workers []Worker, teams map[string]TeamUsage) Decision {
 	if !fitsAnywhere(workers, j.Need) {
-		return Decision{Job: j.Name, State: fleet.JobUnplaceable, Reason: unplaceable(workers, j.Need)}
+		return Decision{Job: j.Name, State: fleet.JobUnplaceable, Reason: unplaceableReason(workers, j.Need)}
 	}
-	if t := teams[j.Team]; t.Limited && !t.Quota.Sub(t.Used).Fits(j.Need) {
+	if t := teams[j.Team]; t.HasQuota && !t.Quota.Sub(t.Used).Fits(j.Need) {
 		return Decision{Job: j.Name, State: fleet.JobPending, Reason: fmt.Sprintf("team %s has used up its quota", j.Team)}
 	}
-	best, why := choose(in, workers, j)
+	best, why := chooseWorker(in, workers, j)
 	if best == nil {
 		return Decision{Job: j.Name, State: fleet.JobPending, Reason: why}
 	}
@@ -142,8 +142,8 @@
 	return slices.ContainsFunc(workers, func(w Worker) bool { return w.Capacity.Fits(need) })
 }
 
-// unplaceable names the resource that no worker of the pool has enough of.
-func unplaceable(workers []Worker, need fleet.Resources) string {
+// unplaceableReason names the resource that no worker of the pool has enough of.
+func unplaceableReason(workers []Worker, need fleet.Resources) string {
 	var most fleet.Resources
 	for _, w := range workers {
 		most.Slots = max(most.Slots, w.Capacity.Slots)
@@ -165,13 +165,13 @@
 	}
 }
 
-func choose(in Input, workers []Worker, j fleet.Job) (*Worker, string) {
+func chooseWorker(in Input, workers []Worker, j fleet.Job) (*Worker, string) {
 	var best *Worker
 	aside, full := 0, 0
 	for i := range workers {
 		w := &workers[i]
 		switch {
-		case !w.Usable || w.Failures >= MaxFailures:
+		case !w.Usable || w.ConsecutiveFailures >= MaxConsecutiveFailures:
 			aside++
 			continue
 		case !w.Capacity.Sub(w.Used).Fits(j.Need):
@@ -185,28 +185,28 @@
 			}
 			continue
 		}
-		if better(w, best, j.Need, in.Packing) {
+		if isBetter(w, best, j.Need, in.PreferTightFit) {
 			best = w
 		}
 	}
 	return best, fmt.Sprintf("no room: %d workers are full, %d are out of service", full, aside)
 }
 
-// better prefers workers that need no further maintenance, then those without
+// isBetter prefers workers that need no further maintenance, then those without
 // failures, then the one that is left with the least memory to spare: large
 // jobs keep finding room.
-func better(a, b *Worker, need fleet.Resources, packing bool) bool {
+func isBetter(a, b *Worker, need fleet.Resources, packing bool) bool {
 	if a.Maintained != b.Maintained && !packing {
 		return a.Maintained
 	}
-	if a.Failures != b.Failures {
-		return a.Failures < b.Failures
+	if a.ConsecutiveFailures != b.ConsecutiveFailures {
+		return a.ConsecutiveFailures < b.ConsecutiveFailures
 	}
 	left := func(w *Worker) int { return w.Capacity.MemoryMB - w.Used.MemoryMB - need.MemoryMB }
 	return left(a) < left(b)
 }
 
-func occupy(workers []Worker, teams map[string]TeamUse, j fleet.Job, id fleet.InstanceID) {
+func reserve(workers []Worker, teams map[string]TeamUsage, j fleet.Job, id fleet.InstanceID) {
 	for i := range workers {
 		if workers[i].ID == id {
 			workers[i].Used = workers[i].Used.Add(j.Need)
--- a/requests/place/place_test.go
+++ b/requests/place/place_test.go
@@ -39,7 +39,7 @@
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "b"}},
 		{"maintained worker before a tighter one", []Worker{worker("a", func(w *Worker) { w.Maintained = true }), worker("b", func(w *Worker) { w.Used.MemoryMB = 100000 })}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "a"}},
-		{"not on a worker that fails every task", []Worker{worker("a", func(w *Worker) { w.Failures = MaxFailures }), worker("b", nil)}, job("j", 1000, nil),
+		{"not on a worker that fails every task", []Worker{worker("a", func(w *Worker) { w.ConsecutiveFailures = MaxConsecutiveFailures }), worker("b", nil)}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "b"}},
 		{"not on one that is leaving", []Worker{worker("a", func(w *Worker) { w.Usable = false })}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPending, Reason: "no room: 0 workers are full, 1 are out of service"}},
@@ -74,8 +74,8 @@
 	for i := range 3 {
 		jobs = append(jobs, job(fmt.Sprint(i), 1000, func(j *fleet.Job) { j.Team = "t" }))
 	}
-	quota := TeamUse{Quota: fleet.Resources{CPUMilli: 2000, MemoryMB: 10000}, Limited: true}
-	got := Plan(Input{Now: t0, Jobs: jobs, Workers: []Worker{worker("a", nil)}, Teams: map[string]TeamUse{"t": quota}})
+	quota := TeamUsage{Quota: fleet.Resources{CPUMilli: 2000, MemoryMB: 10000}, HasQuota: true}
+	got := Plan(Input{Now: t0, Jobs: jobs, Workers: []Worker{worker("a", nil)}, Teams: map[string]TeamUsage{"t": quota}})
 	assert.Equal(t, fleet.JobPlaced, got[1].State)
 	assert.Equal(t, Decision{Job: "2", State: fleet.JobPending, Reason: "team t has used up its quota"}, got[2])
 }
--- a/requests/route/pick.go
+++ b/requests/route/pick.go
@@ -27,13 +27,13 @@
 	Latency time.Duration
 }
 
-// zoneFull is the share of used slots above which the own zone is no longer
+// maxLocalZoneUse is the share of used slots above which the own zone is no longer
 // preferred, so that preference never overloads a zone.
-const zoneFull = 0.8
+const maxLocalZoneUse = 0.8
 
-// zoneWorth is how many times as loaded a worker of the own zone may be to be
+// localLoadFactor is how many times as loaded a worker of the own zone may be to be
 // preferred all the same.
-const zoneWorth = 8
+const localLoadFactor = 8
 
 // Pick chooses among the candidates; it returns false if there are none. A
 // worker that is due for a probe goes first, so that it is tried at all.
@@ -50,8 +50,8 @@
 		}
 	}
 	best := leastLoaded(candidates, rnd)
-	if local := inZone(candidates, zone); len(local) > 0 && used(local) < zoneFull {
-		if near := leastLoaded(local, rnd); load(near) <= zoneWorth*load(best) {
+	if local := inZone(candidates, zone); len(local) > 0 && usedShare(local) < maxLocalZoneUse {
+		if near := leastLoaded(local, rnd); load(near) <= localLoadFactor*load(best) {
 			best = near
 		}
 	}
@@ -68,7 +68,7 @@
 	return out
 }
 
-func used(candidates []Candidate) float64 {
+func usedShare(candidates []Candidate) float64 {
 	free, capacity := 0, 0
 	for _, c := range candidates {
 		free += c.Free
@@ -77,8 +77,8 @@
 	return 1 - float64(free)/float64(max(capacity, 1))
 }
 
-// leastLatency keeps small differences from outweighing the slots in use.
-const leastLatency = 20 * time.Millisecond
+// minLatency keeps small differences from outweighing the slots in use.
+const minLatency = 20 * time.Millisecond
 
 // leastLoaded returns the candidate with the lowest load, starting at a random
 // one so that ties spread.
@@ -98,5 +98,5 @@
 // use, times how long each holds one.
 func load(c Candidate) float64 {
 	share := float64(c.Capacity-c.Free+1) / float64(max(c.Capacity, 1))
-	return share * max(c.Latency, leastLatency).Seconds()
+	return share * max(c.Latency, minLatency).Seconds()
 }
--- a/requests/route/table.go
+++ b/requests/route/table.go
@@ -32,10 +32,10 @@
 // Match returns the route for a host (a port is ignored) and path: the longest
 // prefix of that host, else of the routes for every host.
 func (t *Table) Match(host, path string) (fleet.Route, bool) {
-	if r, ok := longest(t.byHost[hostname(host)], path); ok {
+	if r, ok := longestPrefix(t.byHost[hostname(host)], path); ok {
 		return r, true
 	}
-	return longest(t.byHost[""], path)
+	return longestPrefix(t.byHost[""], path)
 }
 
 func hostname(host string) string {
@@ -45,17 +45,17 @@
 	return strings.ToLower(host)
 }
 
-func longest(routes []fleet.Route, path string) (fleet.Route, bool) {
+func longestPrefix(routes []fleet.Route, path string) (fleet.Route, bool) {
 	for _, r := range routes {
-		if matches(r.Prefix, path) {
+		if prefixMatches(r.Prefix, path) {
 			return r, true
 		}
 	}
 	return fleet.Route{}, false
 }
 
-// matches reports whether path lies under prefix, on a segment boundary.
-func matches(prefix, path string) bool {
+// prefixMatches reports whether path lies under prefix, on a segment boundary.
+func prefixMatches(prefix, path string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
 	}
--- a/requests/slots/slots_test.go
+++ b/requests/slots/slots_test.go
@@ -41,85 +41,85 @@
 		}
 		sum := 0
 		for _, m := range v.Members {
-			sum += Share(v, m.Incarnation, "w", total)
+			sum += BaseShare(v, m.Incarnation, "w", total)
 		}
 		assert.Equal(t, total, sum)
 	})
 }
 
-func core(self fleet.Incarnation, v *fleet.View) *Core {
+func newAllocator(self fleet.Incarnation, v *fleet.View) *Allocator {
 	c := New(self, drain)
 	c.SetView(v)
 	c.SetWorkers(map[fleet.InstanceID]int{"w": 8})
 	return c
 }
 
-func all(fleet.InstanceID) int { return 0 }
+func keepNone(fleet.InstanceID) int { return 0 }
 
 func TestLoanMovesASlot(t *testing.T) {
 	v := view(1, nil, "a", "b")
-	a, b := core("a", v), core("b", v)
+	a, b := newAllocator("a", v), newAllocator("b", v)
 	require.Equal(t, 4, a.Free("w"))
-	l, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, all)
+	l, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	require.True(t, ok)
-	again, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, all)
+	again, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	require.True(t, ok)
 	assert.Equal(t, l, again, "a repeated question lends nothing more")
-	require.True(t, b.Borrowed(l))
+	require.True(t, b.AddBorrowed(l))
 	assert.Equal(t, 3, a.Free("w"))
 	assert.Equal(t, 5, b.Free("w"))
-	idle := b.Idle(t0.Add(time.Second))
+	idle := b.ReleaseIdle(t0.Add(time.Second))
 	require.Len(t, idle, 1)
-	a.Returned(idle[0].ID)
+	a.TakeBack(idle[0].ID)
 	assert.Equal(t, 4, a.Free("w"))
 	assert.Equal(t, 4, b.Free("w"))
 }
 
 func TestLoanReturnedBeforeItWasAskedForIsRefused(t *testing.T) {
-	a := core("a", view(1, nil, "a", "b"))
-	a.Returned("l1")
-	_, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, all)
+	a := newAllocator("a", view(1, nil, "a", "b"))
+	a.TakeBack("l1")
+	_, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	assert.False(t, ok)
 }
 
 func TestLoanOfAnEarlierViewIsNotUsed(t *testing.T) {
-	a, b := core("a", view(1, nil, "a", "b")), core("b", view(1, nil, "a", "b"))
-	l, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, all)
+	a, b := newAllocator("a", view(1, nil, "a", "b")), newAllocator("b", view(1, nil, "a", "b"))
+	l, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	require.True(t, ok)
 	b.SetView(view(2, nil, "a", "b"))
-	assert.False(t, b.Borrowed(l))
-	_, ok = a.Lend(t0, "l2", "b", 2, []fleet.InstanceID{"w"}, all)
+	assert.False(t, b.AddBorrowed(l))
+	_, ok = a.Lend(t0, "l2", "b", 2, []fleet.InstanceID{"w"}, keepNone)
 	assert.False(t, ok, "the lender does not know the borrower's view yet")
 }
 
 func TestVanishedMembersShareIsTakenUpOnlyAfterItsRequestsEnded(t *testing.T) {
-	a := core("a", view(1, nil, "a", "b"))
+	a := newAllocator("a", view(1, nil, "a", "b"))
 	a.SetView(view(2, nil, "a"))
-	a.Tick(t0, false)
+	a.ActivateShares(t0, false)
 	assert.Equal(t, 4, a.Free("w"), "the earlier view may still be in use")
-	a.Tick(t0, true)
+	a.ActivateShares(t0, true)
 	assert.Equal(t, 4, a.Free("w"))
-	a.Tick(t0.Add(drain), true)
+	a.ActivateShares(t0.Add(drain), true)
 	assert.Equal(t, 8, a.Free("w"))
 }
 
 func TestDepartedMembersShareIsTakenUpAtOnce(t *testing.T) {
-	a := core("a", view(1, nil, "a", "b"))
+	a := newAllocator("a", view(1, nil, "a", "b"))
 	a.SetView(view(2, []fleet.Incarnation{"b"}, "a"))
-	a.Tick(t0, false)
+	a.ActivateShares(t0, false)
 	assert.Equal(t, 8, a.Free("w"))
 }
 
-// fleetOf runs several cores against each other with messages that are lost,
+// simulation runs several cores against each other with messages that are lost,
 // late or repeated, and counts what is truly in use on the worker.
-type fleetOf struct {
-	cores  map[fleet.Incarnation]*Core
+type simulation struct {
+	allocators  map[fleet.Incarnation]*Allocator
 	inUse  map[fleet.Incarnation]int
 	view   *fleet.View
 	now    time.Time
 	loans  []Loan
-	backs  []Loan
-	gone   map[fleet.Incarnation]time.Time
+	returnedLoans  []Loan
+	removedAt   map[fleet.Incarnation]time.Time
 	nextID int
 }
 
@@ -128,10 +128,10 @@
 // worker's slots are in use.
 func TestSlotsNeverExceedTheWorker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &fleetOf{cores: map[fleet.Incarnation]*Core{}, inUse: map[fleet.Incarnation]int{}, now: t0, gone: map[fleet.Incarnation]time.Time{}}
+		f := &simulation{allocators: map[fleet.Incarnation]*Allocator{}, inUse: map[fleet.Incarnation]int{}, now: t0, removedAt: map[fleet.Incarnation]time.Time{}}
 		f.view = view(1, nil, "a", "b", "c")
 		for _, id := range f.view.Incarnations() {
-			f.cores[id] = core(id, f.view)
+			f.allocators[id] = newAllocator(id, f.view)
 		}
 		t.Repeat(map[string]func(*rapid.T){
 			"":        f.check,
@@ -141,16 +141,16 @@
 			"deliver": f.deliver,
 			"return":  f.giveBack,
 			"tick":    f.tick,
-			"change":  f.change,
+			"change":  f.replaceMember,
 		})
 	})
 }
 
-func (f *fleetOf) pick(t *rapid.T) fleet.Incarnation {
+func (f *simulation) pick(t *rapid.T) fleet.Incarnation {
 	return rapid.SampledFrom(f.view.Incarnations()).Draw(t, "member")
 }
 
-func (f *fleetOf) check(t *rapid.T) {
+func (f *simulation) check(t *rapid.T) {
 	sum := 0
 	for _, n := range f.inUse {
 		sum += n
@@ -160,43 +160,43 @@
 	}
 }
 
-func (f *fleetOf) acquire(t *rapid.T) {
-	if id := f.pick(t); f.cores[id].Acquire("w") {
+func (f *simulation) acquire(t *rapid.T) {
+	if id := f.pick(t); f.allocators[id].Acquire("w") {
 		f.inUse[id]++
 	}
 }
 
-func (f *fleetOf) release(t *rapid.T) {
+func (f *simulation) release(t *rapid.T) {
 	if id := f.pick(t); f.inUse[id] > 0 {
-		f.cores[id].Release("w")
+		f.allocators[id].Release("w")
 		f.inUse[id]--
 	}
 }
 
-func (f *fleetOf) borrow(t *rapid.T) {
+func (f *simulation) borrow(t *rapid.T) {
 	lender, borrower := f.pick(t), f.pick(t)
 	if lender == borrower {
 		return
 	}
 	f.nextID++
-	if l, ok := f.cores[lender].Lend(f.now, LoanID(fmt.Sprint(f.nextID)), borrower, f.cores[borrower].view.Epoch, []fleet.InstanceID{"w"}, all); ok {
+	if l, ok := f.allocators[lender].Lend(f.now, LoanID(fmt.Sprint(f.nextID)), borrower, f.allocators[borrower].view.Epoch, []fleet.InstanceID{"w"}, keepNone); ok {
 		f.loans = append(f.loans, l)
 	}
 }
 
 // deliver hands a grant over, perhaps a second time, perhaps under a later view.
-func (f *fleetOf) deliver(t *rapid.T) {
+func (f *simulation) deliver(t *rapid.T) {
 	if len(f.loans) == 0 {
 		return
 	}
 	l := rapid.SampledFrom(f.loans).Draw(t, "loan")
-	if c := f.cores[l.Borrower]; c != nil && !f.returned(l) {
-		c.Borrowed(l)
+	if c := f.allocators[l.Borrower]; c != nil && !f.returned(l) {
+		c.AddBorrowed(l)
 	}
 }
 
-func (f *fleetOf) returned(l Loan) bool {
-	for _, b := range f.backs {
+func (f *simulation) returned(l Loan) bool {
+	for _, b := range f.returnedLoans {
 		if b.ID == l.ID {
 			return true
 		}
@@ -204,36 +204,36 @@
 	return false
 }
 
-func (f *fleetOf) giveBack(t *rapid.T) {
-	for _, l := range f.cores[f.pick(t)].Idle(f.now.Add(time.Second)) {
-		f.backs = append(f.backs, l)
-		if c := f.cores[l.Lender]; c != nil && rapid.Bool().Draw(t, "arrives") {
-			c.Returned(l.ID)
+func (f *simulation) giveBack(t *rapid.T) {
+	for _, l := range f.allocators[f.pick(t)].ReleaseIdle(f.now.Add(time.Second)) {
+		f.returnedLoans = append(f.returnedLoans, l)
+		if c := f.allocators[l.Lender]; c != nil && rapid.Bool().Draw(t, "arrives") {
+			c.TakeBack(l.ID)
 		}
 	}
 }
 
 // tick lets members learn how the others are, some of them, and time pass.
-func (f *fleetOf) tick(t *rapid.T) {
+func (f *simulation) tick(t *rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "seconds")) * time.Second)
-	for id, ended := range f.gone {
+	for id, ended := range f.removedAt {
 		if f.now.Sub(ended) >= drain {
 			f.inUse[id] = 0
 		}
 	}
 	for _, a := range f.view.Incarnations() {
 		for _, b := range f.view.Incarnations() {
-			if a != b && f.cores[b].SelfSettled() && rapid.Bool().Draw(t, "heard") {
-				f.cores[a].PeerSettled(b, f.cores[b].view.Epoch)
+			if a != b && f.allocators[b].SelfSettled() && rapid.Bool().Draw(t, "heard") {
+				f.allocators[a].PeerSettled(b, f.allocators[b].view.Epoch)
 			}
 		}
-		f.cores[a].Tick(f.now, true)
+		f.allocators[a].ActivateShares(f.now, true)
 	}
 }
 
-// change replaces a member: it vanishes with its requests under way, or leaves
+// replaceMember replaces a member: it vanishes with its requests under way, or leaves
 // with none. Every daemon adopts the new view.
-func (f *fleetOf) change(t *rapid.T) {
+func (f *simulation) replaceMember(t *rapid.T) {
 	old := f.pick(t)
 	f.nextID++
 	next := &fleet.View{Epoch: f.view.Epoch + 1, Unretired: []fleet.RetiringView{{Epoch: f.view.Epoch, Members: f.view.Incarnations()}}}
@@ -247,14 +247,14 @@
 	}
 	fresh := fleet.Incarnation(fmt.Sprint("n", f.nextID))
 	next.Members = append(next.Members, fleet.Entry{Incarnation: fresh})
-	delete(f.cores, old)
-	f.gone[old] = f.now
+	delete(f.allocators, old)
+	f.removedAt[old] = f.now
 	f.view = next
-	for _, c := range f.cores {
+	for _, c := range f.allocators {
 		c.SetView(next)
 	}
 	c := New(fresh, drain)
 	c.SetWorkers(map[fleet.InstanceID]int{"w": 8})
 	c.SetView(next)
-	f.cores[fresh] = c
+	f.allocators[fresh] = c
 }
