--- a/internal/matrix/control_test.go
+++ b/internal/matrix/control_test.go
@@ -159,7 +159,7 @@
 	if granted == 0 {
 		return
 	}
-	a := budget.Of(next, c.membersOf(next.Name), c.instances)
+	a := budget.Compute(next, c.membersOf(next.Name), c.instances)
 	if a.Out() > a.Allowed {
 		t.Fatalf("granted beyond the budget: %s", a.Explain())
 	}
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -175,7 +175,7 @@
 		return Plan{}, err
 	}
 	if v.Value.Applied.Has(p.ID) {
-		account := budget.Of(v.Value, p.state.MembersOf(v.Value.Name), p.Snap.Instances)
+		account := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snap.Instances)
 		return done(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, account.Explain())
 	}
 	b, err := availabilityBudget(s.Budget)
--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -52,7 +52,7 @@
 	members := p.state.MembersByPool()
 	for _, name := range p.state.SortedPools() {
 		v := p.state.Pools[name]
-		a := budget.Of(v.Value, members[name], p.Snap.Instances)
+		a := budget.Compute(v.Value, members[name], p.Snap.Instances)
 		t.Rows = append(t.Rows, []string{
 			string(name), string(v.Value.Service), strconv.Itoa(a.Size), strconv.Itoa(a.Allowed), strconv.Itoa(a.Out()),
 			strconv.Itoa(len(a.Failed)), v.Value.Budget.String(), revision(v.Revision),
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -92,8 +92,8 @@
 	}
 }
 
-func (p *planner) account(pool *fleet.Pool) budget.Account {
-	return budget.Of(pool, p.state.MembersOf(pool.Name), p.Snap.Instances)
+func (p *planner) account(pool *fleet.Pool) budget.Status {
+	return budget.Compute(pool, p.state.MembersOf(pool.Name), p.Snap.Instances)
 }
 
 func (p *planner) notesAbout(pool fleet.PoolName, id fleet.InstanceID, add adder) {
--- a/requests/admit/admit.go
+++ b/requests/admit/admit.go
@@ -18,11 +18,11 @@
 
 // waitingRequest is one request that asks for a slot.
 type waitingRequest struct {
-	ID       ID
-	Class    fleet.ClassName
-	Deadline time.Time
-	enqueuedAt   time.Time
-	heapIndex    int // position in its class's heap
+	ID         ID
+	Class      fleet.ClassName
+	Deadline   time.Time
+	enqueuedAt time.Time
+	heapIndex  int // position in its class's heap
 }
 
 // Policy selects the order in which waiting requests run.
@@ -55,9 +55,9 @@
 
 // Reasons of a refusal.
 const (
-	ReasonQueueFull = "queue-full"
-	ReasonDeadlineUnreachable   = "deadline-cannot-be-met"
-	ReasonDeadlinePassed   = "deadline-passed"
+	ReasonQueueFull           = "queue-full"
+	ReasonDeadlineUnreachable = "deadline-cannot-be-met"
+	ReasonDeadlinePassed      = "deadline-passed"
 )
 
 // class is one priority class with its queue.
@@ -69,23 +69,23 @@
 	virtualTime float64
 	// lastDispatch is when the class last had a request let through while more
 	// waited; interval is the moving average of the time between two such.
-	lastDispatch  time.Time
+	lastDispatch     time.Time
 	dispatchInterval time.Duration
 }
 
 // Controller is the admission state of one service. It is not safe for concurrent
 // use.
 type Controller struct {
-	opts    Options
-	classes map[fleet.ClassName]*class
-	classOrder   []fleet.ClassName
-	waiting   map[ID]*waitingRequest
-	virtualTime    float64 // virtual time of the last request let through
+	opts        Options
+	classes     map[fleet.ClassName]*class
+	classOrder  []fleet.ClassName
+	waiting     map[ID]*waitingRequest
+	virtualTime float64 // virtual time of the last request let through
 	// serviceTime is the moving average of the time a request holds its slot.
 	serviceTime time.Duration
 	// slots is how many requests of the service may run here at once.
-	slots int
-	arrivals  uint64
+	slots    int
+	arrivals uint64
 }
 
 // initialServiceTime is assumed until the first request has ended.
@@ -99,7 +99,7 @@
 	return &Controller{
 		opts:        opts,
 		classes:     map[fleet.ClassName]*class{},
-		waiting:       map[ID]*waitingRequest{},
+		waiting:     map[ID]*waitingRequest{},
 		serviceTime: initialServiceTime,
 		slots:       1,
 	}
--- a/requests/budget/budget.go
+++ b/requests/budget/budget.go
@@ -10,46 +10,46 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Account is the state of one pool's budget.
-type Account struct {
+// Status is the state of one pool's budget.
+type Status struct {
 	Pool    fleet.PoolName
 	Size    int // members that count; joining ones do not
 	Allowed int // how many may be out
 	// Claimed are members out by a recorded disruption, Failed those out
 	// without one. Failed ones count first.
 	Claimed, Failed []fleet.InstanceID
-	// Reserve is kept for the loss of the largest availability zone, if asked.
-	Reserve int
+	// ZoneReserve is kept for the loss of the largest availability zone, if asked.
+	ZoneReserve int
 	// available counts the members in service by zone.
 	available map[fleet.AvailabilityZone]int
 	budget    fleet.AvailabilityBudget
 }
 
 // Out returns how many members are out.
-func (a Account) Out() int { return len(a.Claimed) + len(a.Failed) }
+func (a Status) Out() int { return len(a.Claimed) + len(a.Failed) }
 
 // Headroom returns how many more members may be taken out; it is negative
 // while the budget is broken.
-func (a Account) Headroom() int { return a.Allowed - a.Out() - a.Reserve }
+func (a Status) Headroom() int { return a.Allowed - a.Out() - a.ZoneReserve }
 
-// HeadroomAfterLeaving returns the headroom left if one member in service left
+// HeadroomAfterRemoval returns the headroom left if one member in service left
 // the pool for good: the pool is smaller by one, and the member is out until
 // its record has changed.
-func (a Account) HeadroomAfterLeaving() int {
-	return min(a.budget.Allowed(a.Size-1), a.Allowed) - a.Out() - a.Reserve - 1
+func (a Status) HeadroomAfterRemoval() int {
+	return min(a.budget.Allowed(a.Size-1), a.Allowed) - a.Out() - a.ZoneReserve - 1
 }
 
 // Explain says in one line what uses the budget up.
-func (a Account) Explain() string {
+func (a Status) Explain() string {
 	var parts []string
 	if len(a.Claimed) > 0 {
-		parts = append(parts, "in maintenance: "+join(a.Claimed))
+		parts = append(parts, "in maintenance: "+joinIDs(a.Claimed))
 	}
 	if len(a.Failed) > 0 {
-		parts = append(parts, "failed: "+join(a.Failed))
+		parts = append(parts, "failed: "+joinIDs(a.Failed))
 	}
-	if a.Reserve > 0 {
-		parts = append(parts, fmt.Sprintf("%d kept for the loss of a zone", a.Reserve))
+	if a.ZoneReserve > 0 {
+		parts = append(parts, fmt.Sprintf("%d kept for the loss of a zone", a.ZoneReserve))
 	}
 	text := fmt.Sprintf("pool %s has %d of %d out", a.Pool, a.Out(), a.Allowed)
 	if len(parts) > 0 {
@@ -58,7 +58,7 @@
 	return text
 }
 
-func join(ids []fleet.InstanceID) string {
+func joinIDs(ids []fleet.InstanceID) string {
 	text := make([]string, len(ids))
 	for i, id := range ids {
 		text[i] = string(id)
@@ -66,10 +66,10 @@
 	return strings.Join(text, ", ")
 }
 
-// Of works out the account of a pool from its members, its record and the
+// Compute works out the account of a pool from its members, its record and the
 // newest instance list. A member that the list lacks counts as failed.
-func Of(p *fleet.Pool, members []fleet.Membership, instances map[fleet.InstanceID]fleet.Instance) Account {
-	a := Account{Pool: p.Name, budget: p.Budget, available: map[fleet.AvailabilityZone]int{}}
+func Compute(p *fleet.Pool, members []fleet.Membership, instances map[fleet.InstanceID]fleet.Instance) Status {
+	a := Status{Pool: p.Name, budget: p.Budget, available: map[fleet.AvailabilityZone]int{}}
 	for _, m := range members {
 		if m.Joining {
 			continue
@@ -87,14 +87,14 @@
 	}
 	a.Allowed = p.Budget.Allowed(a.Size)
 	if p.Budget.SurviveZone {
-		a.Reserve = a.largestZone()
+		a.ZoneReserve = a.largestZoneSize()
 	}
 	slices.Sort(a.Claimed)
 	slices.Sort(a.Failed)
 	return a
 }
 
-func (a Account) largestZone() int {
+func (a Status) largestZoneSize() int {
 	most := 0
 	for _, n := range a.available {
 		most = max(most, n)
--- a/requests/control/history.go
+++ b/requests/control/history.go
@@ -31,7 +31,7 @@
 func newHistory() *History { return &History{pools: map[fleet.PoolName][]Sample{}} }
 
 // add notes a pool's account if it differs from the last one.
-func (h *History) add(now time.Time, a budget.Account) {
+func (h *History) add(now time.Time, a budget.Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := Sample{At: now, Size: a.Size, Allowed: a.Allowed, Out: a.Out()}
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -217,10 +217,10 @@
 		}
 		out = append(out, place.Worker{
 			ID: inst.ID, Zone: inst.Zone, Rack: inst.Rack, Capacity: inst.Capacity,
-			Used:       declared[inst.ID],
-			Usable:     !m.Joining && r.usable(inst.ID),
-			Maintained: r.maintained(name, waves, inst.ID),
-			ConsecutiveFailures:   r.c.tasks.failures[inst.ID],
+			Used:                declared[inst.ID],
+			Usable:              !m.Joining && r.usable(inst.ID),
+			Maintained:          r.maintained(name, waves, inst.ID),
+			ConsecutiveFailures: r.c.tasks.failures[inst.ID],
 		})
 	}
 	return out
--- a/requests/control/reconcile.go
+++ b/requests/control/reconcile.go
@@ -32,7 +32,7 @@
 		return
 	}
 	for name, p := range r.snap.State.Pools {
-		r.c.History.add(r.now, budget.Of(p.Value, r.members[name], r.snap.Instances))
+		r.c.History.add(r.now, budget.Compute(p.Value, r.members[name], r.snap.Instances))
 	}
 }
 
@@ -157,7 +157,7 @@
 				t.Granted++
 			}
 		}
-		allowed := budget.Of(p.Value, members[name], s.Instances).Allowed
+		allowed := budget.Compute(p.Value, members[name], s.Instances).Allowed
 		if end, ok := wave.Forecast(time.Now(), p.Value, len(left), allowed); ok && end.After(t.End) {
 			t.End = end
 		}
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -109,10 +109,10 @@
 	rates := map[time.Duration]float64{}
 	for _, w := range slo.Windows {
 		c := counts[int(w.Seconds())]
-		rates[w] = slo.Rate(c.Total, c.Bad, k.Objective.Availability)
+		rates[w] = slo.BurnRate(c.Total, c.Bad, k.Objective.Availability)
 		row.Windows = append(row.Windows, api.BurnWindow{Seconds: int(w.Seconds()), Total: c.Total, Bad: c.Bad, Rate: rates[w]})
 	}
-	row.Alert = string(slo.Judge(rates))
+	row.Alert = string(slo.EvaluateAlert(rates))
 	return row
 }
 
@@ -202,6 +202,6 @@
 			continue
 		}
 		tags := map[string]string{"service": string(c.Service), "class": string(c.Class), "window": c.Window.String()}
-		d.metrics.Scope.Tagged(tags).Gauge("burn_rate").Update(slo.Rate(c.Total, c.Bad, class.Objective.Availability))
+		d.metrics.Scope.Tagged(tags).Gauge("burn_rate").Update(slo.BurnRate(c.Total, c.Bad, class.Objective.Availability))
 	}
 }
--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -56,7 +56,7 @@
 // service is the dispatcher's state of one service.
 type service struct {
 	queue   *admit.Controller
-	health  *health.Core
+	health  *health.OutlierDetector
 	budget  *retry.Budget
 	waiting map[admit.ID]chan outcome
 	inUse   int
@@ -111,7 +111,7 @@
 			d.services[name] = s
 		}
 		s.queue.SetClasses(svc.Classes)
-		s.health.Forget(dir.Slots)
+		s.health.RemoveAbsent(dir.Slots)
 	}
 	d.pumpAll(time.Now())
 }
@@ -208,7 +208,7 @@
 	if !ok || !d.slots.Acquire(id) {
 		return nil
 	}
-	s.health.Sent(now, id)
+	s.health.RecordSent(now, id)
 	s.inUse++
 	s.peak = max(s.peak, float64(s.inUse))
 	for _, w := range svc.Workers {
@@ -276,7 +276,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.services[g.service]; s != nil {
-		s.health.NotSent(g.Worker.ID)
+		s.health.CancelSent(g.Worker.ID)
 	}
 	d.release(g)
 }
@@ -289,12 +289,12 @@
 	now := time.Now()
 	if s := d.services[g.service]; s != nil {
 		s.queue.ObserveServiceTime(now.Sub(g.at))
-		s.health.Took(now, g.Worker.ID, now.Sub(g.at))
+		s.health.ObserveLatency(now, g.Worker.ID, now.Sub(g.at))
 		if good {
-			restored = s.health.Succeeded(g.Worker.ID)
-			s.budget.Succeeded()
+			restored = s.health.RecordSuccess(g.Worker.ID)
+			s.budget.RecordSuccess()
 		} else {
-			ejected = s.health.Failed(now, g.Worker.ID, d.total(g.service))
+			ejected = s.health.RecordFailure(now, g.Worker.ID, d.total(g.service))
 		}
 	}
 	d.release(g)
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -112,7 +112,7 @@
 		Number:     attempt,
 		Verdict:    verdict.Of(err), // Done for an answer that reports a failure
 		Idempotent: c.idempotent,
-		Overload:   verdict.CodeOf(err) == port.CodeRefused,
+		Overloaded: verdict.CodeOf(err) == port.CodeRefused,
 		Remaining:  time.Until(c.deadline),
 	})
 }
--- a/requests/health/health_test.go
+++ b/requests/health/health_test.go
@@ -12,9 +12,9 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func fail(c *Core, id fleet.InstanceID, total int) (ejected bool) {
-	for range DefaultOptions.Failures {
-		ejected = c.Failed(t0, id, total)
+func fail(c *OutlierDetector, id fleet.InstanceID, total int) (ejected bool) {
+	for range DefaultOptions.ConsecutiveFailures {
+		ejected = c.RecordFailure(t0, id, total)
 	}
 	return ejected
 }
@@ -24,16 +24,16 @@
 	assert.True(t, fail(c, "w", 4))
 	usable, _ := c.Usable(t0, "w")
 	assert.False(t, usable)
-	at := t0.Add(DefaultOptions.FirstProbe)
+	at := t0.Add(DefaultOptions.InitialProbeInterval)
 	usable, probe := c.Usable(at, "w")
 	assert.True(t, usable && probe)
-	c.Sent(at, "w")
+	c.RecordSent(at, "w")
 	usable, _ = c.Usable(at, "w")
 	assert.False(t, usable, "one probe at a time")
-	c.Failed(at, "w", 4)
-	usable, _ = c.Usable(at.Add(DefaultOptions.FirstProbe), "w")
+	c.RecordFailure(at, "w", 4)
+	usable, _ = c.Usable(at.Add(DefaultOptions.InitialProbeInterval), "w")
 	assert.False(t, usable, "the interval has doubled")
-	assert.True(t, c.Succeeded("w"))
+	assert.True(t, c.RecordSuccess("w"))
 	usable, probe = c.Usable(at, "w")
 	assert.True(t, usable && !probe)
 }
@@ -51,13 +51,13 @@
 func TestOneWaitingRequestTellsOfASlowWorker(t *testing.T) {
 	c := New(DefaultOptions)
 	assert.Zero(t, c.Latency(t0, "w"))
-	c.Sent(t0, "w")
+	c.RecordSent(t0, "w")
 	assert.Equal(t, 50*time.Millisecond, c.Latency(t0.Add(50*time.Millisecond), "w"))
 	answered := t0.Add(500 * time.Millisecond)
-	c.Took(answered, "w", 500*time.Millisecond)
+	c.ObserveLatency(answered, "w", 500*time.Millisecond)
 	assert.Equal(t, 500*time.Millisecond, c.Latency(answered, "w"))
 	later := answered.Add(latencyMaxAge + time.Millisecond)
 	assert.Zero(t, c.Latency(later, "w"), "it is tried again")
-	c.Sent(later, "w")
+	c.RecordSent(later, "w")
 	assert.Equal(t, time.Second, c.Latency(later.Add(time.Second), "w"))
 }
--- a/requests/mirror/mirror.go
+++ b/requests/mirror/mirror.go
@@ -117,7 +117,7 @@
 		err = putIn(s.Entries, fleet.EntryID(strings.TrimPrefix(e.Key, record.EntryPrefix)), e)
 	case strings.HasPrefix(e.Key, record.MemberPrefix):
 		var shard int
-		if shard, err = record.ParseShard(e.Key); err == nil {
+		if shard, err = record.ParseShardKey(e.Key); err == nil {
 			err = putIn(s.Shards, shard, e)
 		}
 	}
--- a/requests/record/record.go
+++ b/requests/record/record.go
@@ -48,13 +48,13 @@
 // ShardKey is the key of a membership shard.
 func ShardKey(i int) string { return fmt.Sprintf("%s%02d", MemberPrefix, i) }
 
-// ParseShard returns the shard number of a key below MemberPrefix.
-func ParseShard(key string) (int, error) {
+// ParseShardKey returns the shard number of a key below MemberPrefix.
+func ParseShardKey(key string) (int, error) {
 	return strconv.Atoi(strings.TrimPrefix(key, MemberPrefix))
 }
 
-// tokensKept bounds how many writer tokens a record remembers.
-const tokensKept = 16
+// maxTokens bounds how many writer tokens a record remembers.
+const maxTokens = 16
 
 // envelope is the stored form of a record.
 type envelope struct {
@@ -94,17 +94,17 @@
 
 // Writer writes records. The zero value is not usable; use NewWriter.
 type Writer struct {
-	store    port.Store
-	newToken func() string
-	retry    time.Duration // pause between attempts to learn an outcome
+	store           port.Store
+	newToken        func() string
+	resolveInterval time.Duration // pause between attempts to learn an outcome
 }
 
-// resolvePause is the pause between attempts to learn a write's outcome.
-const resolvePause = 50 * time.Millisecond
+// defaultResolveInterval is the pause between attempts to learn a write's outcome.
+const defaultResolveInterval = 50 * time.Millisecond
 
 // NewWriter returns a writer whose tokens are random UUIDs.
 func NewWriter(store port.Store) *Writer {
-	return &Writer{store: store, newToken: uuid.NewString, retry: resolvePause}
+	return &Writer{store: store, newToken: uuid.NewString, resolveInterval: defaultResolveInterval}
 }
 
 // Written is the result of a successful write.
@@ -123,35 +123,35 @@
 func Write[T any](ctx context.Context, w *Writer, key string, base fleet.Versioned[T], value *T, lease port.LeaseID) (Written, error) {
 	token := w.newToken()
 	tokens := append(slices.Clone(base.Tokens), token)
-	if len(tokens) > tokensKept {
-		tokens = tokens[len(tokens)-tokensKept:]
+	if len(tokens) > maxTokens {
+		tokens = tokens[len(tokens)-maxTokens:]
 	}
 	body, err := encode(value, tokens)
 	if err != nil {
 		return Written{}, verdict.Wrap(err, verdict.NotRun, CodeConflict, "encode %s", key)
 	}
-	p := pending{key: key, expect: base.Revision, body: body, token: token, lease: lease, lastKnown: last(base.Tokens)}
+	p := pendingWrite{key: key, expect: base.Revision, body: body, token: token, lease: lease, baseToken: newestToken(base.Tokens)}
 	return w.swap(ctx, p)
 }
 
-func last(tokens []string) string {
+func newestToken(tokens []string) string {
 	if len(tokens) == 0 {
 		return ""
 	}
 	return tokens[len(tokens)-1]
 }
 
-// pending is one write whose outcome is being learnt.
-type pending struct {
+// pendingWrite is one write whose outcome is being learnt.
+type pendingWrite struct {
 	key       string
 	expect    fleet.Revision
 	body      []byte
 	token     string
 	lease     port.LeaseID
-	lastKnown string // newest token of the record the write is based on
+	baseToken string // newest token of the record the write is based on
 }
 
-func (w *Writer) swap(ctx context.Context, p pending) (Written, error) {
+func (w *Writer) swap(ctx context.Context, p pendingWrite) (Written, error) {
 	uncertain := false
 	for {
 		rev, ok, err := w.store.CompareAndSwap(ctx, p.key, p.expect, p.body, p.lease)
@@ -168,7 +168,7 @@
 		if settled {
 			return out, err
 		}
-		if !sleep.For(ctx, w.retry) {
+		if !sleep.For(ctx, w.resolveInterval) {
 			return Written{}, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "%s: the answer was lost and the store cannot be asked", p.key)
 		}
 	}
@@ -176,7 +176,7 @@
 
 // readBack asks the store whether p took effect. settled is false while the
 // record is still at the expected revision or the store does not answer.
-func (w *Writer) readBack(ctx context.Context, p pending) (out Written, settled bool, err error) {
+func (w *Writer) readBack(ctx context.Context, p pendingWrite) (out Written, settled bool, err error) {
 	kv, found, err := w.store.Get(ctx, p.key)
 	if err != nil {
 		return Written{}, false, nil
@@ -197,7 +197,7 @@
 	if slices.Contains(env.Tokens, p.token) {
 		return Written{kv}, true, nil
 	}
-	reachesBack := slices.Contains(env.Tokens, p.lastKnown) || (p.expect == 0 && len(env.Tokens) < tokensKept)
+	reachesBack := slices.Contains(env.Tokens, p.baseToken) || (p.expect == 0 && len(env.Tokens) < maxTokens)
 	if reachesBack {
 		return Written{}, true, verdict.New(verdict.NotRun, CodeConflict, "%s changed since revision %d", p.key, p.expect)
 	}
--- a/requests/record/record_test.go
+++ b/requests/record/record_test.go
@@ -50,18 +50,18 @@
 	return s.kv, s.kv.Revision > 0, nil
 }
 
-type thing struct{ N int }
+type testRecord struct{ N int }
 
-// others lets another writer write n times.
-func others(n int) func(*lossyStore) {
+// otherWrites lets another writer write n times.
+func otherWrites(n int) func(*lossyStore) {
 	return func(s *lossyStore) {
 		w := NewWriter(s)
 		for i := range n {
-			base := fleet.Versioned[thing]{}
+			base := fleet.Versioned[testRecord]{}
 			if s.kv.Revision > 0 {
-				base, _ = Decode[thing](s.kv)
+				base, _ = Decode[testRecord](s.kv)
 			}
-			_, _ = Write(context.Background(), w, "k", base, &thing{100 + i}, 0)
+			_, _ = Write(context.Background(), w, "k", base, &testRecord{100 + i}, 0)
 		}
 	}
 }
@@ -75,9 +75,9 @@
 		{"answered", lossyStore{}, verdict.Done},
 		{"answer lost", lossyStore{lose: true}, verdict.Done},
 		{"write lost", lossyStore{drop: true}, verdict.Done},
-		{"answer lost, then overwritten", lossyStore{lose: true, between: others(3)}, verdict.Done},
-		{"write lost, somebody else first", lossyStore{drop: true, between: others(1)}, verdict.NotRun},
-		{"write lost, overwritten too often to tell", lossyStore{drop: true, between: others(tokensKept + 2)}, verdict.MayHaveRun},
+		{"answer lost, then overwritten", lossyStore{lose: true, between: otherWrites(3)}, verdict.Done},
+		{"write lost, somebody else first", lossyStore{drop: true, between: otherWrites(1)}, verdict.NotRun},
+		{"write lost, overwritten too often to tell", lossyStore{drop: true, between: otherWrites(maxTokens + 2)}, verdict.MayHaveRun},
 		{"answer lost, store down", lossyStore{lose: true, down: true}, verdict.MayHaveRun},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -86,7 +86,7 @@
 				w := NewWriter(&s)
 				ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 				defer cancel()
-				_, err := Write(ctx, w, "k", fleet.Versioned[thing]{}, &thing{1}, 0)
+				_, err := Write(ctx, w, "k", fleet.Versioned[testRecord]{}, &testRecord{1}, 0)
 				assert.Equal(t, tc.want, verdict.Of(err), "%v", err)
 			})
 		})
@@ -96,19 +96,19 @@
 func TestConflictIsNotRun(t *testing.T) {
 	s := &lossyStore{}
 	w := NewWriter(s)
-	_, err := Write(context.Background(), w, "k", fleet.Versioned[thing]{}, &thing{1}, 0)
+	_, err := Write(context.Background(), w, "k", fleet.Versioned[testRecord]{}, &testRecord{1}, 0)
 	require.NoError(t, err)
-	_, err = Write(context.Background(), w, "k", fleet.Versioned[thing]{}, &thing{2}, 0)
+	_, err = Write(context.Background(), w, "k", fleet.Versioned[testRecord]{}, &testRecord{2}, 0)
 	assert.Equal(t, verdict.NotRun, verdict.Of(err))
 	assert.Equal(t, CodeConflict, verdict.CodeOf(err))
-	base, err := Decode[thing](s.kv)
+	base, err := Decode[testRecord](s.kv)
 	require.NoError(t, err)
 	assert.Equal(t, 1, base.Value.N)
 }
 
 func TestKeys(t *testing.T) {
 	for i := range fleet.MemberShards {
-		n, err := ParseShard(ShardKey(i))
+		n, err := ParseShardKey(ShardKey(i))
 		require.NoError(t, err)
 		assert.Equal(t, i, n)
 	}
--- a/requests/retry/retry.go
+++ b/requests/retry/retry.go
@@ -27,19 +27,19 @@
 	Burst float64
 	// MaxAttempts bounds the tries of one request.
 	MaxAttempts int
-	// FirstPause and MaxPause bound the pause before a retry; the pause is
+	// InitialBackoff and MaxBackoff bound the pause before a retry; the pause is
 	// drawn at random up to a bound that doubles with each attempt.
-	FirstPause, MaxPause time.Duration
+	InitialBackoff, MaxBackoff time.Duration
 }
 
 // DefaultOptions allow one retry for every ten requests.
 var DefaultOptions = Options{
-	Policy:      PolicyBudgeted,
-	Ratio:       0.1,
-	Burst:       10,
-	MaxAttempts: 3,
-	FirstPause:  10 * time.Millisecond,
-	MaxPause:    200 * time.Millisecond,
+	Policy:         PolicyBudgeted,
+	Ratio:          0.1,
+	Burst:          10,
+	MaxAttempts:    3,
+	InitialBackoff: 10 * time.Millisecond,
+	MaxBackoff:     200 * time.Millisecond,
 }
 
 // Budget bounds the retries of one service by its successful traffic. It is
@@ -52,15 +52,15 @@
 // NewBudget returns a budget that is full.
 func NewBudget(opts Options) *Budget { return &Budget{opts: opts, tokens: opts.Burst} }
 
-// Succeeded earns a part of a retry.
-func (b *Budget) Succeeded() { b.tokens = min(b.tokens+b.opts.Ratio, b.opts.Burst) }
+// RecordSuccess earns a part of a retry.
+func (b *Budget) RecordSuccess() { b.tokens = min(b.tokens+b.opts.Ratio, b.opts.Burst) }
 
 // Attempt is a failed try that may be repeated.
 type Attempt struct {
 	Number     int // 1 for the first try
 	Verdict    verdict.Verdict
 	Idempotent bool
-	Overload   bool          // the worker said that it is overloaded
+	Overloaded bool          // the worker said that it is overloaded
 	Remaining  time.Duration // until the request's deadline
 }
 
@@ -68,10 +68,10 @@
 // may have run is repeated only if it is idempotent; an overload never is.
 func (b *Budget) Next(a Attempt, rnd *rand.Rand) (pause time.Duration, again bool) {
 	repeatable := a.Verdict == verdict.NotRun || a.Idempotent
-	if !repeatable || a.Overload || a.Number >= b.opts.MaxAttempts {
+	if !repeatable || a.Overloaded || a.Number >= b.opts.MaxAttempts {
 		return 0, false
 	}
-	pause = b.pause(a.Number, rnd)
+	pause = b.backoff(a.Number, rnd)
 	if pause >= a.Remaining {
 		return 0, false
 	}
@@ -85,7 +85,7 @@
 	return pause, true
 }
 
-func (b *Budget) pause(attempt int, rnd *rand.Rand) time.Duration {
-	bound := min(b.opts.FirstPause<<(attempt-1), b.opts.MaxPause)
+func (b *Budget) backoff(attempt int, rnd *rand.Rand) time.Duration {
+	bound := min(b.opts.InitialBackoff<<(attempt-1), b.opts.MaxBackoff)
 	return time.Duration(rnd.Int64N(int64(bound) + 1))
 }
--- a/requests/retry/retry_test.go
+++ b/requests/retry/retry_test.go
@@ -20,7 +20,7 @@
 		{"did not run", func(*Attempt) {}, true},
 		{"may have run", func(a *Attempt) { a.Verdict = verdict.MayHaveRun }, false},
 		{"may have run, idempotent", func(a *Attempt) { a.Verdict, a.Idempotent = verdict.MayHaveRun, true }, true},
-		{"overload", func(a *Attempt) { a.Overload = true }, false},
+		{"overload", func(a *Attempt) { a.Overloaded = true }, false},
 		{"last attempt", func(a *Attempt) { a.Number = 3 }, false},
 		{"no time left", func(a *Attempt) { a.Remaining = 0 }, false},
 	} {
--- a/requests/slo/slo.go
+++ b/requests/slo/slo.go
@@ -18,13 +18,13 @@
 // Burn rates that alert: a fast burn spends 2% of a 30-day budget in an hour,
 // a slow one 5% in six hours.
 const (
-	FastBurn = 14.4
-	SlowBurn = 6.0
+	FastBurnRate = 14.4
+	SlowBurnRate = 6.0
 )
 
 const (
-	bucketLength = 30 * time.Second
-	buckets      = int(6 * time.Hour / bucketLength)
+	bucketDuration = 30 * time.Second
+	bucketCount    = int(6 * time.Hour / bucketDuration)
 )
 
 type bucket struct {
@@ -43,11 +43,11 @@
 // about 17 KB.
 type Recorder struct {
 	mu     sync.Mutex
-	series map[Key]*[buckets]bucket
+	series map[Key]*[bucketCount]bucket
 }
 
 // NewRecorder returns an empty recorder.
-func NewRecorder() *Recorder { return &Recorder{series: map[Key]*[buckets]bucket{}} }
+func NewRecorder() *Recorder { return &Recorder{series: map[Key]*[bucketCount]bucket{}} }
 
 // Record counts one request that ended at time now.
 func (r *Recorder) Record(now time.Time, k Key, good bool) {
@@ -55,11 +55,11 @@
 	defer r.mu.Unlock()
 	s := r.series[k]
 	if s == nil {
-		s = new([buckets]bucket)
+		s = new([bucketCount]bucket)
 		r.series[k] = s
 	}
-	n := now.UnixNano() / int64(bucketLength)
-	b := &s[n%int64(buckets)]
+	n := now.UnixNano() / int64(bucketDuration)
+	b := &s[n%int64(bucketCount)]
 	if b.number != n {
 		*b = bucket{number: n}
 	}
@@ -80,12 +80,12 @@
 func (r *Recorder) Counts(now time.Time) []Count {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	newest := now.UnixNano() / int64(bucketLength)
+	newest := now.UnixNano() / int64(bucketDuration)
 	var out []Count
 	for k, s := range r.series {
 		for _, w := range Windows {
 			c := Count{Key: k, Window: w}
-			oldest := newest - int64(w/bucketLength) + 1
+			oldest := newest - int64(w/bucketDuration) + 1
 			for _, b := range s {
 				if b.number >= oldest && b.number <= newest {
 					c.Total += b.total
@@ -101,9 +101,9 @@
 	return out
 }
 
-// Rate is how many times faster than sustainable the error budget burns: 1
+// BurnRate is how many times faster than sustainable the error budget burns: 1
 // spends it exactly over the objective's period.
-func Rate(total, bad int64, objective float64) float64 {
+func BurnRate(total, bad int64, objective float64) float64 {
 	if total == 0 || objective <= 0 || objective >= 1 {
 		return 0
 	}
@@ -120,13 +120,13 @@
 	AlertSlow Alert = "slow"
 )
 
-// Judge applies the alert rules to the burn rates by window. Both windows of a
+// EvaluateAlert applies the alert rules to the burn rates by window. Both windows of a
 // pair must burn, so that an alert ends soon after its cause.
-func Judge(rate map[time.Duration]float64) Alert {
+func EvaluateAlert(rate map[time.Duration]float64) Alert {
 	switch {
-	case rate[time.Hour] >= FastBurn && rate[5*time.Minute] >= FastBurn:
+	case rate[time.Hour] >= FastBurnRate && rate[5*time.Minute] >= FastBurnRate:
 		return AlertFast
-	case rate[6*time.Hour] >= SlowBurn && rate[30*time.Minute] >= SlowBurn:
+	case rate[6*time.Hour] >= SlowBurnRate && rate[30*time.Minute] >= SlowBurnRate:
 		return AlertSlow
 	default:
 		return AlertNone
--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -30,7 +30,7 @@
 type workerSlots struct {
 	total    int
 	base     int // usable base share: the least of all unsettled views' shares
-	nextBase     int // base share under the view in force
+	nextBase int // base share under the view in force
 	lent     int
 	borrowed int
 	inUse    int
@@ -51,12 +51,12 @@
 	// memberLost tells that a member of an earlier view ended without leaving;
 	// its requests may still run on workers. quietSince is when every member
 	// of the view had settled and every earlier view had stopped.
-	memberLost   bool
-	drainStart time.Time
-	settled    bool // every member settled: base == next
-	lent       map[LoanID]Loan
-	borrowed   map[LoanID]Loan
-	returnedEarly    map[LoanID]bool // loans returned before they were asked for
+	memberLost    bool
+	drainStart    time.Time
+	settled       bool // every member settled: base == next
+	lent          map[LoanID]Loan
+	borrowed      map[LoanID]Loan
+	returnedEarly map[LoanID]bool // loans returned before they were asked for
 	// drainTime is how long after its view stopped a vanished daemon's requests may
 	// still run on workers.
 	drainTime time.Duration
@@ -67,13 +67,13 @@
 // counts.
 func New(self fleet.Incarnation, drain time.Duration) *Allocator {
 	return &Allocator{
-		self:      self,
-		view:      &fleet.View{},
-		workers:   map[fleet.InstanceID]*workerSlots{},
-		settledPeers: map[fleet.Incarnation]bool{},
-		lent:      map[LoanID]Loan{},
-		borrowed:  map[LoanID]Loan{},
-		returnedEarly:   map[LoanID]bool{},
+		self:          self,
+		view:          &fleet.View{},
+		workers:       map[fleet.InstanceID]*workerSlots{},
+		settledPeers:  map[fleet.Incarnation]bool{},
+		lent:          map[LoanID]Loan{},
+		borrowed:      map[LoanID]Loan{},
+		returnedEarly: map[LoanID]bool{},
 		drainTime:     drain,
 	}
 }
--- a/requests/slots/slots_test.go
+++ b/requests/slots/slots_test.go
@@ -113,14 +113,14 @@
 // simulation runs several cores against each other with messages that are lost,
 // late or repeated, and counts what is truly in use on the worker.
 type simulation struct {
-	allocators  map[fleet.Incarnation]*Allocator
-	inUse  map[fleet.Incarnation]int
-	view   *fleet.View
-	now    time.Time
-	loans  []Loan
-	returnedLoans  []Loan
-	removedAt   map[fleet.Incarnation]time.Time
-	nextID int
+	allocators    map[fleet.Incarnation]*Allocator
+	inUse         map[fleet.Incarnation]int
+	view          *fleet.View
+	now           time.Time
+	loans         []Loan
+	returnedLoans []Loan
+	removedAt     map[fleet.Incarnation]time.Time
+	nextID        int
 }
 
 // TestSlotsNeverExceedTheWorker drives cores through views, loans and lost
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -47,7 +47,7 @@
 		case inst.ID == "":
 			p.note(r.Instance, "%s waits: the platform does not list the instance", r.Kind)
 		case !p.mayTake(r, inst):
-			account := budget.Of(p.next, p.in.Members, p.in.Instances)
+			account := budget.Compute(p.next, p.in.Members, p.in.Instances)
 			p.note(r.Instance, "%s waits: %s", r.Kind, account.Explain())
 			waiting = true
 		default:
@@ -66,10 +66,10 @@
 // mayTake asks the budget. An instance that is out by itself takes nothing
 // more from it; one that moves away makes the pool smaller for good.
 func (p *planner) mayTake(r fleet.Request, inst fleet.Instance) bool {
-	account := budget.Of(p.next, p.in.Members, p.in.Instances)
+	account := budget.Compute(p.next, p.in.Members, p.in.Instances)
 	headroom := account.Headroom()
 	if r.Kind == fleet.DisruptByMove {
-		headroom = min(headroom, account.HeadroomAfterLeaving()+1)
+		headroom = min(headroom, account.HeadroomAfterRemoval()+1)
 	}
 	if !inst.Serving() {
 		headroom++
@@ -89,7 +89,7 @@
 
 func (p *planner) grantWave(w *fleet.Wave) {
 	for _, m := range p.candidates(w) {
-		account := budget.Of(p.next, p.in.Members, p.in.Instances)
+		account := budget.Compute(p.next, p.in.Members, p.in.Instances)
 		if account.Headroom() <= 0 {
 			p.note(m.Instance, "wave %s waits: %s", w.Name, account.Explain())
 			return
@@ -120,7 +120,7 @@
 // width returns how many instances wave w may have out at once: what the weights
 // prefer, at most what the settings allow. Near a deadline it is the whole
 // budget.
-func (p *planner) width(w *fleet.Wave, account budget.Account) int {
+func (p *planner) width(w *fleet.Wave, account budget.Status) int {
 	left := len(p.candidates(w)) + p.outBy(w.Name)
 	n := Width(left, account.Allowed, p.in.Weights)
 	if end, known := Forecast(p.in.Now, p.next, left, n); known && !w.Deadline.IsZero() && end.After(w.Deadline) {
