--- a/jobs/apikey/apikey.go
+++ b/jobs/apikey/apikey.go
@@ -1,5 +1,5 @@
-// Package apikey tells which tenant a caller's key belongs to. A key is a secret: only its
-// digest is kept, so that no log, dump or error of a daemon can show it.
+// Package apikey maps callers' API keys to tenants. Keys are secrets: only their digests are
+// kept, so that no log, dump or error message of a daemon can contain one.
 package apikey
 
 import (
@@ -9,8 +9,9 @@
 	"fmt"
 )
 
-// Digest stands for a key. Finding one in a Ring takes the same time whatever a wrong key has
-// in common with a right one: their digests have nothing in common.
+// Digest is the SHA-256 digest of a key. Looking up digests instead of keys prevents timing
+// attacks: the digest of a guess that shares a prefix with a valid key shares none with that
+// key's digest.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of a key.
@@ -25,23 +26,23 @@
 func (d *Digest) UnmarshalText(text []byte) error {
 	raw, err := hex.DecodeString(string(text))
 	if err != nil || len(raw) != len(d) {
-		return fmt.Errorf("a digest has %d bytes in hexadecimal", len(d))
+		return fmt.Errorf("invalid key digest, want %d bytes in hexadecimal", len(d))
 	}
 	copy(d[:], raw)
 	return nil
 }
 
-// Ring holds the tenant of each key.
+// Ring maps the digest of each key to its tenant.
 type Ring map[Digest]string
 
-// Errors of Add. Neither shows the key.
+// Errors of Add. They don't contain the key.
 var (
-	ErrEmpty  = errors.New("it is empty")
-	ErrShared = errors.New("it belongs to another tenant as well")
+	ErrEmpty  = errors.New("API key is empty")
+	ErrShared = errors.New("API key is already used by another tenant")
 )
 
-// Add puts a tenant's key into the ring. A key that says nothing, or that two tenants have,
-// would let one of them in as the other.
+// Add adds a key of a tenant. Empty keys and keys of two tenants are refused, as they would
+// authenticate callers of one tenant as another.
 func (r Ring) Add(key, tenant string) error {
 	if key == "" {
 		return ErrEmpty
@@ -54,7 +55,7 @@
 	return nil
 }
 
-// Tenant returns the tenant that a key belongs to; ok is false if it is nobody's.
+// Tenant returns the tenant of a key; ok is false if the key is unknown.
 func (r Ring) Tenant(key string) (tenant string, ok bool) {
 	if key == "" {
 		return "", false
--- a/jobs/apikey/apikey_test.go
+++ b/jobs/apikey/apikey_test.go
@@ -11,7 +11,7 @@
 func TestARing(t *testing.T) {
 	r := Ring{}
 	require.NoError(t, r.Add("k1", "one"))
-	require.NoError(t, r.Add("k2", "one"), "a tenant has several keys while it changes them")
+	require.NoError(t, r.Add("k2", "one"), "a tenant has several keys during key rotation")
 	require.NoError(t, r.Add("k1", "one"))
 	require.ErrorIs(t, r.Add("k1", "two"), ErrShared)
 	require.ErrorIs(t, r.Add("", "two"), ErrEmpty)
@@ -25,7 +25,7 @@
 	}
 }
 
-// TestKeysAreNotKept: what is kept of a key does not show it, and finds it again.
+// TestKeysAreNotKept: the encoded ring does not contain the keys, and can be decoded again.
 func TestKeysAreNotKept(t *testing.T) {
 	r := Ring{}
 	require.NoError(t, r.Add("very-secret", "one"))
--- a/jobs/calls/calls.go
+++ b/jobs/calls/calls.go
@@ -1,92 +1,93 @@
-// Package calls tells by the outcomes of calls to workers how long to wait for the next
-// answer. Two patterns look alike for one call and want opposite things. On a full link, or a
-// full processor, all answers are slow: waiting longer helps, and repeating makes it worse.
-// Where single calls are lost, as with a switch that drops one in twenty, the others take some
-// milliseconds: what has not been answered by then never is, and is best sent again soon.
+// Package calls adapts timeouts and attempts of calls to workers to the outcomes of earlier
+// calls. A single unanswered call has one of two causes, which need opposite reactions. On a
+// congested link or processor all answers are slow: longer timeouts help, and retries make it
+// worse. If single calls are lost, as with a switch that drops one in twenty, the others are
+// answered within milliseconds: a call that has not been answered by then never will be and
+// should be retried soon.
 package calls
 
 import "time"
 
-// Figures of the judgement.
+// Parameters of the detection.
 const (
-	// kept is the share of what is known that each outcome leaves: the last sixty or so
-	// count, at the most half a second's on the smallest fleet.
-	kept = 1 - 1.0/64
-	// keptFast is the same for the question whether anything is answered at all: the last
-	// twenty.
-	keptFast = 1 - 1.0/20
-	// LossyAbove is the share of lost calls from which on calls count as lost on their way, and
-	// LossyUntil that below which they do not any more: one worker of a hundred that ends
-	// without notice is below both.
+	// decay is the factor of the moving average of the loss rate: about the last 60 calls
+	// count, at most half a second's calls in the smallest fleet.
+	decay = 1 - 1.0/64
+	// fastDecay is the factor of the average that detects a link on which hardly any call is
+	// answered: the last 20 calls count.
+	fastDecay = 1 - 1.0/20
+	// A link becomes lossy when its loss rate reaches LossyAbove, and stays so until the rate is
+	// below LossyUntilBelow. One worker in a hundred that dies without notice stays below both.
 	LossyAbove      = 0.03
 	LossyUntilBelow = 0.005
-	// mostLost is the share from which on it is the way itself that does not serve.
-	mostLost = 0.5
+	// linkDownAbove is the loss rate from which the link counts as down instead of lossy.
+	linkDownAbove = 0.5
 )
 
-// Figures of waiting while calls are lost.
+// Parameters of calls on a lossy link.
 const (
-	// LossyTimeout is how long an answer is waited for: thirty times what one takes, and more than
-	// the tenth of a second for which a processor with an allowance may stand still.
+	// LossyTimeout is the timeout of a call: thirty times the usual response time, and more
+	// than the 100 ms for which a throttled processor may stall.
 	LossyTimeout = 120 * time.Millisecond
-	// LossyAttempts is how often a call is sent then. Of those that are lost once in five, one of
-	// 15,000 is lost so often; together they take no longer than two patient ones.
+	// LossyAttempts is how many times a call is sent. If one in five calls is lost, one in
+	// 15,000 loses all attempts. Together they take no longer than two usual timeouts.
 	LossyAttempts = 6
 )
 
-// Policy says how long answers are waited for.
+// Policy selects how timeouts and attempts are determined.
 type Policy string
 
-// The policies. All but Adaptive are baselines that measurements compare with.
+// The policies. All but Adaptive are baselines for measurements.
 const (
-	Adaptive Policy = "adaptive" // by what becomes of the calls
-	Patient  Policy = "patient"  // as if all that is not answered was slow
-	Short    Policy = "short"    // as if it was lost, unless hardly anything is answered
+	Adaptive Policy = "adaptive" // by the outcomes of calls
+	Patient  Policy = "patient"  // treats all unanswered calls as slow
+	Short    Policy = "short"    // treats all unanswered calls as lost, unless the link is down
 )
 
-// LossDetector sums up the outcomes of calls. Its zero value has seen none, and is adaptive.
+// LossDetector detects from the outcomes of calls whether single calls are lost. Its zero value
+// has seen no calls and uses Adaptive.
 type LossDetector struct {
-	Policy         Policy
-	lost, lostFast float64 // shares
-	lossy          bool
+	Policy                 Policy
+	lossRate, fastLossRate float64 // moving averages, 0 to 1
+	lossy                  bool
 }
 
-// Answered takes note of a call that was answered.
-func (o *LossDetector) Answered() { o.note(0, true) }
+// Answered records a call that was answered.
+func (o *LossDetector) Answered() { o.record(0, true) }
 
-// Lost takes note of a call without an answer to a worker that answered the one before.
-func (o *LossDetector) Lost() { o.note(1, true) }
+// Lost records an unanswered call to a worker that answered the previous one.
+func (o *LossDetector) Lost() { o.record(1, true) }
 
-// LostRepeatedly takes note of one more to a worker that has not answered since. It may be the
-// worker that is silent, so that it counts only for whether anything is answered at all.
-func (o *LossDetector) LostRepeatedly() { o.note(1, false) }
+// LostRepeatedly records a further unanswered call to the same worker. As the worker itself may
+// be down, the call counts only for detecting that the link is down.
+func (o *LossDetector) LostRepeatedly() { o.record(1, false) }
 
-func (o *LossDetector) note(lost float64, onItsWay bool) {
-	o.lostFast = keptFast*o.lostFast + (1-keptFast)*lost
-	if !onItsWay {
+func (o *LossDetector) record(lost float64, wasReachable bool) {
+	o.fastLossRate = fastDecay*o.fastLossRate + (1-fastDecay)*lost
+	if !wasReachable {
 		return
 	}
-	o.lost = kept*o.lost + (1-kept)*lost
+	o.lossRate = decay*o.lossRate + (1-decay)*lost
 	switch {
-	case o.lost >= LossyAbove:
+	case o.lossRate >= LossyAbove:
 		o.lossy = true
-	case o.lost < LossyUntilBelow:
+	case o.lossRate < LossyUntilBelow:
 		o.lossy = false
 	}
 }
 
-// Lossy reports whether calls are lost one by one, while most are answered.
+// Lossy reports whether single calls are lost while most are answered.
 func (o *LossDetector) Lossy() bool {
 	switch o.Policy {
 	case Patient:
 		return false
 	case Short:
-		return o.lostFast < mostLost
+		return o.fastLossRate < linkDownAbove
 	}
-	return o.lossy && o.lostFast < mostLost
+	return o.lossy && o.fastLossRate < linkDownAbove
 }
 
-// Timeout returns how long to wait for an answer, usual being what is waited for else.
+// Timeout returns the timeout of a call: usual, or at most LossyTimeout on a lossy link.
 func (o *LossDetector) Timeout(usual time.Duration) time.Duration {
 	if o.Lossy() {
 		return min(usual, LossyTimeout)
@@ -94,7 +95,8 @@
 	return usual
 }
 
-// Attempts returns how often to send a call that is not answered, likewise.
+// Attempts returns how many times to send an unanswered call: usual, or at least LossyAttempts
+// on a lossy link.
 func (o *LossDetector) Attempts(usual int) int {
 	if o.Lossy() {
 		return max(usual, LossyAttempts)
--- a/jobs/explain/entries.go
+++ b/jobs/explain/entries.go
@@ -6,45 +6,45 @@
 	"time"
 )
 
-// RefusedEntry is one of the store's that a daemon refused.
+// RefusedEntry is an entry of the store that daemons refuse as invalid.
 type RefusedEntry struct {
 	Key   string
 	First time.Time // when it was first refused
-	Why   string    // newest reason
-	By    []string  // daemons that refuse it, by their files
+	Why   string    // latest reason
+	By    []string  // log files of the daemons that refuse it
 }
 
-// entryTrace is what the logs say of one entry so far.
-type entryTrace struct {
+// entryState is the state of an entry according to the log lines read so far.
+type entryState struct {
 	RefusedEntry
-	refusing map[string]bool // by file
+	refusedBy map[string]bool // log files of the daemons that refuse it
 }
 
-// RefusedEntries returns the entries that daemons refuse at the end of their logs, by key.
+// RefusedEntries returns the entries that are refused at the end of the logs, sorted by key.
 func RefusedEntries(lines []Line) []RefusedEntry {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	traces := map[string]*entryTrace{}
+	traces := map[string]*entryState{}
 	for _, l := range lines {
 		switch l.Event {
 		case "entry-refused":
-			e := traceOf(traces, l.Get("key"))
-			if len(e.refusing) == 0 {
+			e := stateOf(traces, l.Get("key"))
+			if len(e.refusedBy) == 0 {
 				e.First = l.Time
 			}
 			e.Why = l.Get("error")
-			e.refusing[l.Source] = true
+			e.refusedBy[l.Source] = true
 		case "entry-accepted":
-			delete(traceOf(traces, l.Get("key")).refusing, l.Source)
-		case "start": // of a process, which knows of none yet
+			delete(stateOf(traces, l.Get("key")).refusedBy, l.Source)
+		case "start": // a new process has refused no entry yet
 			for _, e := range traces {
-				delete(e.refusing, l.Source)
+				delete(e.refusedBy, l.Source)
 			}
 		}
 	}
 	var out []RefusedEntry
 	for _, e := range traces {
-		for by := range e.refusing {
+		for by := range e.refusedBy {
 			e.By = append(e.By, by)
 		}
 		if len(e.By) > 0 {
@@ -56,9 +56,9 @@
 	return out
 }
 
-func traceOf(traces map[string]*entryTrace, key string) *entryTrace {
+func stateOf(traces map[string]*entryState, key string) *entryState {
 	if traces[key] == nil {
-		traces[key] = &entryTrace{RefusedEntry: RefusedEntry{Key: key}, refusing: map[string]bool{}}
+		traces[key] = &entryState{RefusedEntry: RefusedEntry{Key: key}, refusedBy: map[string]bool{}}
 	}
 	return traces[key]
 }
--- a/jobs/explain/evacuations.go
+++ b/jobs/explain/evacuations.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Evacuation is an availability zone that an owner gave no new tasks.
+// Evacuation is a period in which no new tasks were placed in an availability zone.
 type Evacuation struct {
 	Zone  string
 	Since time.Time
-	Until time.Time // zero: no line tells its end
-	By    string    // the file of the owner that said so first
+	Until time.Time // zero: the logs contain no end
+	By    string    // log file of the owner that reported it first
 }
 
-// Evacuations returns the evacuations that owners have put into effect, by when they began. One
-// that lasts over a change of owner is one; of one that ended while there was no owner the end is
-// not known.
+// Evacuations returns the evacuations that owners have put into effect, sorted by start. One
+// that spans a change of owner is reported once. The end of one that ended while there was no
+// owner is not known.
 func Evacuations(lines []Line) []Evacuation {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
--- a/jobs/explain/evacuations_test.go
+++ b/jobs/explain/evacuations_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestEvacuations: one that lasts over a change of owner is one.
+// TestEvacuations: an evacuation that spans a change of owner is reported once.
 func TestEvacuations(t *testing.T) {
 	lines, unreadable, err := Read("d1", strings.NewReader(`
 {"ts":"2030-01-01T00:00:05Z","level":"info","msg":"zone-evacuated","why":"z1"}
--- a/jobs/explain/explain.go
+++ b/jobs/explain/explain.go
@@ -1,5 +1,5 @@
-// Package explain puts the log lines of all daemons about one job in order, and
-// says what is missing or contradicts.
+// Package explain merges the log lines of all daemons about a job into a timeline and reports
+// what is missing from it or contradictory.
 package explain
 
 import (
@@ -14,15 +14,15 @@
 
 // Line is one log line.
 type Line struct {
-	Source string // file that it came from
+	Source string // log file
 	Time   time.Time
 	Level  string
 	Event  string
 	Job    string
-	Fields []Field // the others, by name
+	Fields []Field // all other fields, sorted by name
 }
 
-// Field is one value of a line.
+// Field is a field of a line.
 type Field struct{ Name, Value string }
 
 // Get returns the value of a field, "" if the line has none.
@@ -35,14 +35,15 @@
 	return ""
 }
 
-// maxLine bounds a line of a log, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds the length of a log line.
+const maxLineBytes = 1 << 20
 
-// Read returns the lines of a log. Text before a line's first brace, such as a
-// time or a host name, is passed over; lines that are not JSON are counted.
+// Read returns the lines of a log. Text before a line's first brace, such as a time or a host
+// name, is ignored, and so are lines without a brace. unreadable is the number of other lines
+// that are not valid log lines.
 func Read(source string, r io.Reader) (lines []Line, unreadable int, err error) {
 	s := bufio.NewScanner(r)
-	s.Buffer(nil, maxLine)
+	s.Buffer(nil, maxLineBytes)
 	for s.Scan() {
 		_, raw, found := strings.Cut(s.Text(), "{")
 		if !found {
@@ -91,21 +92,21 @@
 	return l, l.Event != ""
 }
 
-// Timeline is what the logs say about a job.
+// Timeline is the log of a job.
 type Timeline struct {
 	Job      string
-	Lines    []Line // by time
+	Lines    []Line // sorted by time
 	Findings []string
 }
 
-// surroundings are events of the daemons, without a job, that explain delays.
-var surroundings = map[string]bool{
+// contextEvents are daemons' events without a job that may explain delays.
+var contextEvents = map[string]bool{
 	"owner": true, "no-longer-owner": true, "deposed": true, "jobs-loaded": true, "start": true, "stop": true,
 	"history-gone": true, "lease-ended": true, "fenced": true, "registrations-back": true,
 	"registrations-caught-up": true, "zone-evacuated": true, "zone-restored": true,
 }
 
-// Explain picks the lines of a job, and those around them that concern all jobs.
+// Explain returns the timeline of a job, with the context events that occurred meanwhile.
 func Explain(id string, lines []Line) Timeline {
 	t := Timeline{Job: id}
 	var first, last time.Time
@@ -121,12 +122,12 @@
 		}
 	}
 	if first.IsZero() {
-		t.Findings = []string{"no line names this job: it was never accepted by these daemons, or its lines were left out under load (see log_lines_left_out)"}
+		t.Findings = []string{"no log line contains this job: these daemons never accepted it, or its lines were dropped under load (see log_lines_left_out)"}
 		return t
 	}
 	for _, l := range lines {
-		around := surroundings[l.Event] && !l.Time.Before(first) && !l.Time.After(last)
-		if l.Job == id || around {
+		isContext := contextEvents[l.Event] && !l.Time.Before(first) && !l.Time.After(last)
+		if l.Job == id || isContext {
 			t.Lines = append(t.Lines, l)
 		}
 	}
@@ -135,7 +136,7 @@
 	return t
 }
 
-// findings says what is missing or contradicts in the lines of a job.
+// findings returns what is notable, missing or contradictory in the lines of a job.
 func findings(lines []Line, id string) []string {
 	at := map[string]Line{}
 	n := map[string]int{}
@@ -154,13 +155,13 @@
 		add("refused %d times, first with status %s: %s", n["request-refused"], at["request-refused"].Get("status"), at["request-refused"].Get("why"))
 	}
 	if n["job-accepted"] > 0 && n["job-known"] == 0 && n["jobs-loaded"] == 0 {
-		add("accepted, but no owner says that it knows the job")
+		add("accepted, but not seen by any owner")
 	}
 	if n["job-known"] > 0 && n["job-started"] == 0 && n["run-adopted"] == 0 && n["job-cancelled"] == 0 {
-		add("known, but no task of it was started")
+		add("seen by the owner, but no task was started")
 	}
 	if n["job-waits"] > 0 {
-		add("it had to wait: %s", at["job-waits"].Get("why"))
+		add("waited: %s", at["job-waits"].Get("why"))
 	}
 	if n["task-failed"] > 0 {
 		add("%d attempts failed, the first on worker %s", n["task-failed"], at["task-failed"].Get("worker"))
@@ -172,13 +173,13 @@
 		add("%d runs ended without a result", ended)
 	}
 	if n["task-crashed-with-worker"] > 0 {
-		add("%d times a worker crashed under a task of it, first %s", n["task-crashed-with-worker"], at["task-crashed-with-worker"].Get("worker"))
+		add("%d worker crashes while running one of its tasks, the first on worker %s", n["task-crashed-with-worker"], at["task-crashed-with-worker"].Get("worker"))
 	}
 	if n["task-given-up"] > 0 {
-		add("task %s crashes the workers that start it and is not started any more: %s", at["task-given-up"].Get("task"), at["task-given-up"].Get("why"))
+		add("task %s crashes its workers and is not started any more: %s", at["task-given-up"].Get("task"), at["task-given-up"].Get("why"))
 	}
 	if n["zone-evacuated"] > 0 {
-		add("zone %s was evacuated meanwhile: nothing of it starts there", at["zone-evacuated"].Get("why"))
+		add("zone %s was evacuated meanwhile: no tasks were started there", at["zone-evacuated"].Get("why"))
 	}
 	if n["owner"] > 0 {
 		add("the owner changed %d times meanwhile", n["owner"])
@@ -187,12 +188,12 @@
 		add("contradiction: more than one final state, %d completed, %d failed, %d cancelled", n["job-completed"], n["job-failed"], n["job-cancelled"])
 	}
 	if n["job-completed"]+n["job-failed"] > 0 && n["job-recorded"] == 0 {
-		add("its final state was not recorded in the store by these logs")
+		add("no log line says that its final state was recorded in the store")
 	}
 	return out
 }
 
-// Write prints the timeline, with times since its first line.
+// Write prints the timeline with times relative to its first line.
 func (t *Timeline) Write(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "job %s\n", t.Job); err != nil {
 		return err
--- a/jobs/explain/explain_test.go
+++ b/jobs/explain/explain_test.go
@@ -9,14 +9,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-const accepting = `
+const acceptorLog = `
 2 d1 {"level":"info","ts":"2030-01-01T00:00:01.000Z","msg":"job-accepted","job":"00000000000000aa","queue":"orders","configuration":7}
 2 d1 {"level":"info","ts":"2030-01-01T00:00:01.100Z","msg":"job-accepted","job":"00000000000000bb","queue":"orders","configuration":7}
 not a line of ours
 {"level":"broken
 `
 
-const owning = `
+const ownerLog = `
 {"level":"info","ts":"2030-01-01T00:00:01.010Z","msg":"job-known","job":"00000000000000aa","why":"desk"}
 {"level":"info","ts":"2030-01-01T00:00:01.020Z","msg":"job-waits","job":"00000000000000aa","why":"insufficient capacity: step 0 needs 2000 millicores and 100 MB, 3 workers are usable"}
 {"level":"info","ts":"2030-01-01T00:00:02.500Z","msg":"job-started","job":"00000000000000aa","task":"00000000000000aa.0.0.0","worker":"w1","run":1000001}
@@ -27,10 +27,10 @@
 `
 
 func readBoth(t *testing.T) []Line {
-	a, bad, err := Read("d1", strings.NewReader(accepting))
+	a, bad, err := Read("d1", strings.NewReader(acceptorLog))
 	require.NoError(t, err)
 	assert.Equal(t, 1, bad)
-	b, _, err := Read("d2", strings.NewReader(owning))
+	b, _, err := Read("d2", strings.NewReader(ownerLog))
 	require.NoError(t, err)
 	return append(b, a...)
 }
@@ -43,7 +43,7 @@
 	}
 	assert.Equal(t, []string{"job-accepted", "job-known", "job-waits", "job-started", "owner", "task-failed", "job-completed", "job-recorded"}, events)
 	assert.Equal(t, []string{
-		"it had to wait: insufficient capacity: step 0 needs 2000 millicores and 100 MB, 3 workers are usable",
+		"waited: insufficient capacity: step 0 needs 2000 millicores and 100 MB, 3 workers are usable",
 		"1 attempts failed, the first on worker w1",
 		"the owner changed 1 times meanwhile",
 	}, tl.Findings)
@@ -52,7 +52,7 @@
 	assert.Contains(t, out.String(), "     1.500 s  d2             job-started        run=1000001 task=00000000000000aa.0.0.0 worker=w1")
 }
 
-const crashing = `
+const crashLog = `
 {"level":"info","ts":"2030-01-01T00:00:01.010Z","msg":"run-lost","job":"00000000000000cd","task":"00000000000000cd.0.0.0","worker":"w1","run":1000001}
 {"level":"info","ts":"2030-01-01T00:00:01.410Z","msg":"task-crashed-with-worker","job":"00000000000000cd","task":"00000000000000cd.0.0.0","worker":"w1","run":1000001}
 {"level":"info","ts":"2030-01-01T00:00:01.420Z","msg":"task-isolated","job":"00000000000000cd","task":"00000000000000cd.0.0.0","worker":"w2","run":1000002}
@@ -64,23 +64,23 @@
 `
 
 func TestJobWithATaskThatCrashesItsWorkers(t *testing.T) {
-	lines, _, err := Read("d2", strings.NewReader(crashing))
+	lines, _, err := Read("d2", strings.NewReader(crashLog))
 	require.NoError(t, err)
 	assert.Equal(t, []string{
 		"2 runs ended without a result",
-		"2 times a worker crashed under a task of it, first w1",
-		"task 00000000000000cd.0.0.0 crashes the workers that start it and is not started any more: 2 workers have crashed under it; its job fails",
+		"2 worker crashes while running one of its tasks, the first on worker w1",
+		"task 00000000000000cd.0.0.0 crashes its workers and is not started any more: 2 workers have crashed under it; its job fails",
 	}, Explain("00000000000000cd", lines).Findings)
 }
 
 func TestJobThatNoOwnerKnew(t *testing.T) {
 	tl := Explain("00000000000000bb", readBoth(t))
-	assert.Equal(t, []string{"accepted, but no owner says that it knows the job"}, tl.Findings)
+	assert.Equal(t, []string{"accepted, but not seen by any owner"}, tl.Findings)
 }
 
 func TestUnknownJob(t *testing.T) {
 	tl := Explain("00000000000000cc", readBoth(t))
 	assert.Empty(t, tl.Lines)
 	require.Len(t, tl.Findings, 1)
-	assert.Contains(t, tl.Findings[0], "no line names this job")
+	assert.Contains(t, tl.Findings[0], "no log line contains this job")
 }
--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -1,6 +1,6 @@
-// Package late tells from the daemons' logs where the time of late and unserved
-// jobs went: it sums up, by cause, by queue and by time, what the owner says of
-// each late job and what callers were answered.
+// Package late reports from the daemons' logs why jobs were late, failed or were never
+// accepted. It aggregates the owner's account of each late job and the refusals that callers
+// received by cause, by queue and by time.
 package late
 
 import (
@@ -14,44 +14,46 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Causes beside those of the owner's accounts.
+// Causes in addition to those of the owner's accounts.
 const (
-	// NotAccepted is the time between a caller's first refused try and the try that
-	// was accepted.
+	// NotAccepted is the time between a caller's first refused attempt and the attempt that was
+	// accepted.
 	NotAccepted = "not-accepted"
-	// StoreAway, OwnerChanging and Overloaded are why a job was never accepted.
+	// StoreAway, OwnerChanging, Overloaded and OtherRefusal are reasons why a job was never
+	// accepted.
 	StoreAway     = "store-away"
 	OwnerChanging = "owner-changing"
 	Overloaded    = "overloaded"
 	OtherRefusal  = "refused-otherwise"
-	// JobFailed is an accepted job that used up its attempts.
+	// JobFailed means that a task of an accepted job used up its attempts.
 	JobFailed = "attempts-used-up"
-	// JobCrashes is one that failed as a task of it crashes the workers that start it.
+	// JobCrashes means that a job failed because one of its tasks crashes its workers.
 	JobCrashes = "crashes-its-workers"
 )
 
-// Outcome is how a job fared.
+// Outcome is the outcome of a job.
 type Outcome string
 
-// The outcomes that a report is about.
+// The outcomes that a report contains.
 const (
 	Late    Outcome = "late"
-	Refused Outcome = "refused" // no try of it was accepted
+	Refused Outcome = "refused" // no attempt was accepted
 	Failed  Outcome = "failed"
 )
 
-// Job is one job that was not served in time.
+// Job is a job that was not served in time.
 type Job struct {
 	ID      string
-	Queue   string // as far as the logs tell
-	At      time.Duration
+	Queue   string        // "" if the logs don't contain it
+	At      time.Duration // first attempt, since the first line of all logs
 	Outcome Outcome
 	Total   time.Duration
 	Allowed time.Duration
 	Spent   map[string]time.Duration // by cause
 }
 
-// MainCause returns the cause that took most of the job's avoidable time.
+// MainCause returns the cause of most of the job's avoidable time, which is all but the tasks'
+// own work.
 func (j Job) MainCause() string {
 	worst, most := "", time.Duration(-1)
 	for c, d := range j.Spent {
@@ -62,26 +64,26 @@
 	return worst
 }
 
-// Report is about all jobs in a set of logs.
+// Report summarizes all jobs in a set of logs.
 type Report struct {
 	Accepted int
-	Jobs     []Job // not in time, by their first sign
-	LeftOut  int   // lines that the logs say were dropped
+	Jobs     []Job // those not served in time, sorted by At
+	LeftOut  int   // dropped lines according to the logs
 }
 
-// jobTrace is what the lines say of one job.
+// jobTrace is the state of a job according to its lines.
 type jobTrace struct {
-	id       string
-	queue    string
-	first    time.Time // first try
-	accepted time.Time
-	refusals []string // why
-	late     *explain.Line
-	failed   bool
-	crashes  bool // and a task of it crashes its workers
+	id             string
+	queue          string
+	firstAttempt   time.Time // first try
+	acceptedAt     time.Time
+	refusals       []string // why
+	late           *explain.Line
+	failed         bool
+	crashesWorkers bool // and a task of it crashes its workers
 }
 
-// NewReport reads the lines of all daemons.
+// NewReport returns the report on the lines of all daemons.
 func NewReport(lines []explain.Line) Report {
 	var begin time.Time
 	traces := map[string]*jobTrace{}
@@ -92,7 +94,7 @@
 			begin = l.Time
 		}
 		if l.Event == "log-lines-dropped" {
-			n, _ := strconv.Atoi(l.Get("count")) // an old log may not say how many
+			n, _ := strconv.Atoi(l.Get("count")) // logs of old versions have no count
 			out.LeftOut += max(1, n)
 		}
 		if l.Job == "" {
@@ -106,7 +108,7 @@
 		t.add(l)
 	}
 	for _, t := range traces {
-		if !t.accepted.IsZero() {
+		if !t.acceptedAt.IsZero() {
 			out.Accepted++
 		}
 		if j, bad := t.job(begin); bad {
@@ -122,8 +124,8 @@
 func (t *jobTrace) add(l *explain.Line) {
 	switch l.Event {
 	case "job-accepted":
-		if t.accepted.IsZero() || l.Time.Before(t.accepted) {
-			t.accepted = l.Time
+		if t.acceptedAt.IsZero() || l.Time.Before(t.acceptedAt) {
+			t.acceptedAt = l.Time
 		}
 		t.queue = l.Get("queue")
 	case "request-refused":
@@ -138,7 +140,7 @@
 		}
 		return
 	case "task-given-up":
-		t.crashes = true
+		t.crashesWorkers = true
 		return
 	case "job-failed":
 		t.failed = true
@@ -146,46 +148,47 @@
 	default:
 		return
 	}
-	if t.first.IsZero() || l.Time.Before(t.first) {
-		t.first = l.Time
+	if t.firstAttempt.IsZero() || l.Time.Before(t.firstAttempt) {
+		t.firstAttempt = l.Time
 	}
 }
 
-// failure returns why the job failed.
-func (t *jobTrace) failure() string {
-	if t.crashes {
+// failureCause returns the cause of the job's failure.
+func (t *jobTrace) failureCause() string {
+	if t.crashesWorkers {
 		return JobCrashes
 	}
 	return JobFailed
 }
 
-// job returns what befell the job; bad is false if it was in time, as far as the
-// logs tell, or if they do not tell.
-func (t *jobTrace) job(begin time.Time) (j Job, bad bool) {
+// job returns the job's entry in the report. unserved is false if, according to the logs, the
+// job was served in time or its outcome is not known.
+func (t *jobTrace) job(begin time.Time) (j Job, unserved bool) {
 	j = Job{ID: t.id, Queue: t.queue, Spent: map[string]time.Duration{}}
-	if !t.first.IsZero() {
-		j.At = t.first.Sub(begin)
+	if !t.firstAttempt.IsZero() {
+		j.At = t.firstAttempt.Sub(begin)
 	}
 	switch {
 	case t.late != nil:
 		j.Outcome = Late
-		t.account(&j)
-		if t.first.IsZero() {
+		t.addSpentTimes(&j)
+		if t.firstAttempt.IsZero() {
 			j.At = t.late.Time.Sub(begin) - j.Total
 		}
 	case t.failed:
 		j.Outcome = Failed
-		j.Spent[t.failure()] = 0
-	case t.accepted.IsZero() && len(t.refusals) > 0:
+		j.Spent[t.failureCause()] = 0
+	case t.acceptedAt.IsZero() && len(t.refusals) > 0:
 		j.Outcome = Refused
-		j.Spent[refusal(t.refusals)] = 0
+		j.Spent[refusalCause(t.refusals)] = 0
 	default:
 		return j, false
 	}
 	return j, true
 }
 
-func (t *jobTrace) account(j *Job) {
+// addSpentTimes adds the times of the owner's account and the time until the job was accepted.
+func (t *jobTrace) addSpentTimes(j *Job) {
 	for _, f := range t.late.Fields {
 		ms, err := strconv.ParseInt(f.Value, 10, 64)
 		if err != nil {
@@ -201,15 +204,15 @@
 			j.Spent[f.Name] += d
 		}
 	}
-	if before := t.accepted.Sub(t.first); len(t.refusals) > 0 && !t.accepted.IsZero() && before > 0 {
-		j.Spent[NotAccepted] = before
-		j.Total += before
+	if waited := t.acceptedAt.Sub(t.firstAttempt); len(t.refusals) > 0 && !t.acceptedAt.IsZero() && waited > 0 {
+		j.Spent[NotAccepted] = waited
+		j.Total += waited
 	}
 }
 
-// refusal says why a job was never accepted, by its last answer.
-func refusal(whys []string) string {
-	last := whys[len(whys)-1]
+// refusalCause returns why a job was never accepted, derived from the text of the last refusal.
+func refusalCause(reasons []string) string {
+	last := reasons[len(reasons)-1]
 	switch {
 	case strings.Contains(last, "submissions wait"):
 		return Overloaded
@@ -221,22 +224,22 @@
 	return OtherRefusal
 }
 
-// CauseTotal is what one cause cost a group of jobs.
+// CauseTotal sums up a cause over a group of jobs.
 type CauseTotal struct {
 	Cause   string
-	Seconds float64 // of all jobs of the group
-	Jobs    int     // of which it took most of the avoidable time
+	Seconds float64 // summed over all jobs of the group
+	Jobs    int     // jobs of which it is the main cause
 }
 
-// Group is some of the jobs of a report.
+// Group sums up some jobs of a report.
 type Group struct {
 	Name     string
-	From     time.Duration // of a slice of time: when it begins
+	From     time.Duration // start of the time slice, in groups by time
 	Jobs     int
 	Outcomes map[Outcome]int
-	Causes   []CauseTotal // those that cost most first
+	Causes   []CauseTotal // main cause of most jobs first
 
-	at time.Duration // of its first job
+	firstAt time.Duration // of its first job
 }
 
 // All sums up the whole report.
@@ -244,7 +247,7 @@
 
 // ByQueue sums up each queue.
 func (r *Report) ByQueue() []Group {
-	return r.by(func(j *Job) string {
+	return r.groupBy(func(j *Job) string {
 		if j.Queue == "" {
 			return "(never accepted)"
 		}
@@ -252,30 +255,30 @@
 	})
 }
 
-// BySecond sums up slices of the time, by when callers first tried.
+// BySecond sums up time slices of the given width, by the callers' first attempts.
 func (r *Report) BySecond(width time.Duration) []Group {
-	out := r.by(func(j *Job) string { return sliceName(j.At, width) })
+	out := r.groupBy(func(j *Job) string { return sliceName(j.At, width) })
 	for i := range out {
-		out[i].From = out[i].at / width * width
+		out[i].From = out[i].firstAt / width * width
 	}
 	return out
 }
 
-// sliceName is such that names sort as their times do.
+// sliceName returns the name of a time slice. Names sort like their times.
 func sliceName(at, width time.Duration) string {
 	from := (at / width * width).Seconds()
 	text := strconv.FormatFloat(from, 'f', 1, 64)
 	return strings.Repeat(" ", max(0, 8-len(text))) + text + " s"
 }
 
-func (r *Report) by(name func(*Job) string) []Group {
-	parts := map[string][]Job{}
+func (r *Report) groupBy(name func(*Job) string) []Group {
+	byName := map[string][]Job{}
 	for i := range r.Jobs {
 		n := name(&r.Jobs[i])
-		parts[n] = append(parts[n], r.Jobs[i])
+		byName[n] = append(byName[n], r.Jobs[i])
 	}
 	var out []Group
-	for n, jobs := range parts {
+	for n, jobs := range byName {
 		out = append(out, group(n, jobs))
 	}
 	slices.SortFunc(out, func(a, b Group) int { return cmp.Compare(a.Name, b.Name) })
@@ -285,24 +288,24 @@
 func group(name string, jobs []Job) Group {
 	g := Group{Name: name, Jobs: len(jobs), Outcomes: map[Outcome]int{}}
 	if len(jobs) > 0 {
-		g.at = jobs[0].At
+		g.firstAt = jobs[0].At
 	}
-	sums := map[string]*CauseTotal{}
-	sum := func(c string) *CauseTotal {
-		if sums[c] == nil {
-			sums[c] = &CauseTotal{Cause: c}
+	totals := map[string]*CauseTotal{}
+	total := func(c string) *CauseTotal {
+		if totals[c] == nil {
+			totals[c] = &CauseTotal{Cause: c}
 		}
-		return sums[c]
+		return totals[c]
 	}
 	for i := range jobs {
 		j := &jobs[i]
 		g.Outcomes[j.Outcome]++
-		sum(j.MainCause()).Jobs++
+		total(j.MainCause()).Jobs++
 		for c, d := range j.Spent {
-			sum(c).Seconds += d.Seconds()
+			total(c).Seconds += d.Seconds()
 		}
 	}
-	for _, s := range sums {
+	for _, s := range totals {
 		g.Causes = append(g.Causes, *s)
 	}
 	slices.SortFunc(g.Causes, func(a, b CauseTotal) int {
--- a/jobs/late/late_test.go
+++ b/jobs/late/late_test.go
@@ -40,13 +40,13 @@
 	for _, j := range r.Jobs {
 		byID[j.ID] = j
 	}
-	require.Len(t, byID, 4, "b was in time, and of e only a question was refused")
+	require.Len(t, byID, 4, "b was in time, and only a status request of e was refused")
 
 	a := byID["a"]
 	assert.Equal(t, Late, a.Outcome)
 	assert.Equal(t, time.Second, a.At)
 	assert.Equal(t, "pool-short", a.MainCause())
-	assert.Equal(t, 5500*time.Millisecond, a.Total, "the tries that were refused count")
+	assert.Equal(t, 5500*time.Millisecond, a.Total, "the time of refused attempts counts")
 	assert.Equal(t, 1500*time.Millisecond, a.Spent[NotAccepted])
 
 	assert.Equal(t, Failed, byID["c"].Outcome)
@@ -70,8 +70,8 @@
 	assert.Empty(t, r.ByQueue())
 }
 
-// TestReportOfATakeover compares the report on a day of the stand-ins, of which the
-// log is kept, with a golden file: its owner is killed in a turn of demand.
+// TestReportOfATakeover compares the report on a recorded log of a simulated day with a golden
+// file. On that day the owner is killed while demand shifts between pools.
 func TestReportOfATakeover(t *testing.T) {
 	f, err := os.Open("testdata/takeover.log")
 	require.NoError(t, err)
@@ -89,7 +89,8 @@
 	goldie.New(t).Assert(t, "takeover", raw)
 }
 
-// TestReportOfATaskThatCrashesItsWorkers tells such a job from one that used up its attempts.
+// TestReportOfATaskThatCrashesItsWorkers: such a job is distinguished from one that used up its
+// attempts.
 func TestReportOfATaskThatCrashesItsWorkers(t *testing.T) {
 	lines, _, err := explain.Read("d", strings.NewReader(`
 {"ts":"2030-01-01T00:00:06Z","msg":"job-accepted","job":"g","queue":"q"}
