--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime tells how long the instance was suspended. The steady clock that the
-// runtime reads stands still meanwhile, while leases in the store and on workers run on.
+// Package boottime measures how long the instance was suspended. The monotonic clock of the Go
+// runtime stops during suspension, while leases in the store and on workers keep expiring.
 package boottime
 
 import (
@@ -10,24 +10,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// Meter measures suspension since it was made.
+// Meter measures the time in suspension since its creation.
 type Meter struct {
-	boot   time.Duration // boot time when it was made
-	steady time.Time     // the steady clock then
-	last   atomic.Int64  // newest reading, in ns
+	bootStart      time.Duration // CLOCK_BOOTTIME at creation
+	monotonicStart time.Time     // monotonic clock at creation
+	maxSuspended   atomic.Int64  // longest suspension measured, in ns
 }
 
-// NewMeter returns a meter; an error says that the system has no boot time.
+// NewMeter returns a meter. It fails if the system has no CLOCK_BOOTTIME.
 func NewMeter() (*Meter, error) {
-	boot, err := read()
+	boot, err := readBootClock()
 	if err != nil {
-		return nil, fmt.Errorf("boot time: %w", err)
+		return nil, fmt.Errorf("read CLOCK_BOOTTIME: %w", err)
 	}
-	return &Meter{boot: boot, steady: time.Now()}, nil
+	return &Meter{bootStart: boot, monotonicStart: time.Now()}, nil
 }
 
-// read returns the time since the system has booted, suspension included.
-func read() (time.Duration, error) {
+// readBootClock returns the time since the system booted, including suspension.
+func readBootClock() (time.Duration, error) {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, err
@@ -35,20 +35,20 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Suspended returns how long the instance was suspended since the meter was made. It never
-// falls. A reading costs a system call.
+// Suspended returns how long the instance was suspended since the meter was created. It never
+// decreases. Each call makes a system call.
 func (m *Meter) Suspended() time.Duration {
-	boot, err := read()
+	boot, err := readBootClock()
 	if err != nil {
-		return time.Duration(m.last.Load()) // it worked when the meter was made
+		return time.Duration(m.maxSuspended.Load()) // unlikely: NewMeter could read the clock
 	}
-	now := int64(boot - m.boot - time.Since(m.steady))
+	now := int64(boot - m.bootStart - time.Since(m.monotonicStart))
 	for {
-		last := m.last.Load()
+		last := m.maxSuspended.Load()
 		if now <= last {
 			return time.Duration(last)
 		}
-		if m.last.CompareAndSwap(last, now) {
+		if m.maxSuspended.CompareAndSwap(last, now) {
 			return time.Duration(now)
 		}
 	}
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAMeterOnAnInstanceThatIsNotSuspended: both clocks run alike.
+// TestAMeterOnAnInstanceThatIsNotSuspended: without suspension both clocks advance alike.
 func TestAMeterOnAnInstanceThatIsNotSuspended(t *testing.T) {
 	m, err := NewMeter()
 	require.NoError(t, err)
@@ -18,13 +18,13 @@
 		require.GreaterOrEqual(t, now, last)
 		last = now
 	}
-	assert.Less(t, last, time.Minute, "or this machine was suspended during the test")
+	assert.Less(t, last, time.Minute, "unless this machine was suspended during the test")
 }
 
-// TestAMeterCountsSuspension moves the clock of boot time on, as suspension does.
+// TestAMeterCountsSuspension simulates a suspension by an earlier start on the boot clock.
 func TestAMeterCountsSuspension(t *testing.T) {
 	m, err := NewMeter()
 	require.NoError(t, err)
-	m.boot -= 5 * time.Second
+	m.bootStart -= 5 * time.Second
 	assert.GreaterOrEqual(t, m.Suspended(), 5*time.Second)
 }
--- a/internal/cpuprobe/cpuprobe.go
+++ b/internal/cpuprobe/cpuprobe.go
@@ -1,4 +1,4 @@
-// Package cpuprobe times a fixed piece of work on the processor that this process gets.
+// Package cpuprobe measures the current speed of the processor by timing a fixed computation.
 package cpuprobe
 
 import (
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// rounds of the work take 20 to 50 µs: long against the reading of the clock, and short
-// enough that few of them are interrupted.
-const rounds = 5000
+// iterations is the length of the computation. It takes 20 to 50 µs: long compared to reading
+// the clock, and short enough to be rarely preempted.
+const iterations = 5000
 
-// result keeps the work from being left out by the compiler.
-var result atomic.Uint64
+// sink keeps the compiler from eliminating the computation.
+var sink atomic.Uint64
 
-// Run does the work and returns how long it took.
+// Run does the computation and returns how long it took.
 func Run() time.Duration {
 	began := time.Now()
 	x := uint64(88172645463325252)
-	for range rounds { // xorshift: no memory, no branches
+	for range iterations { // xorshift: no memory access, no branches
 		x ^= x << 13
 		x ^= x >> 7
 		x ^= x << 17
 	}
-	result.Store(x)
+	sink.Store(x)
 	return time.Since(began)
 }
--- a/internal/importrule/rule_test.go
+++ b/internal/importrule/rule_test.go
@@ -17,9 +17,9 @@
 
 const module = "github.com/postmount/postmount/"
 
-// pure lists the domain and decision packages and what of postmount each may
-// import. None of them may do I/O or start goroutines.
-var pure = map[string][]string{
+// pureImports lists the domain and decision packages, each with the packages of this module
+// that it may import. They must not do I/O or start goroutines.
+var pureImports = map[string][]string{
 	"verdict":             {},
 	"requests/fleet":      {},
 	"requests/rendezvous": {},
@@ -45,37 +45,37 @@
 	"jobs/owner":     {"jobs/job", "jobs/quota", "jobs/calls", "jobs/placement", "jobs/capacity"},
 }
 
-// impure are packages that decisions must not use.
-var impure = []string{"net", "net/http", "os", "io", "log", "go.uber.org/zap", "database/sql", "math/rand"}
+// sideEffectPackages are packages that the packages in pureImports must not import.
+var sideEffectPackages = []string{"net", "net/http", "os", "io", "log", "go.uber.org/zap", "database/sql", "math/rand"}
 
-// shells may not import adapters or stand-ins: they reach the outside through
-// ports.
-var shells = []string{"requests/cluster", "requests/control", "requests/entry", "requests/mirror", "requests/record", "operators/command", "requests/port", "jobs/ledger", "jobs/peer", "jobs/gateway", "jobs/node", "jobs/policy"}
+// portPackages must not import adapters or stand-ins: they access external systems through
+// interfaces.
+var portPackages = []string{"requests/cluster", "requests/control", "requests/entry", "requests/mirror", "requests/record", "operators/command", "requests/port", "jobs/ledger", "jobs/peer", "jobs/gateway", "jobs/node", "jobs/policy"}
 
 func TestImports(t *testing.T) {
 	imports := readImports(t)
-	for pkg, allowed := range pure {
+	for pkg, allowed := range pureImports {
 		require.Contains(t, imports, pkg)
 		for _, path := range imports[pkg] {
 			if own, ok := strings.CutPrefix(path, module); ok {
 				assert.Contains(t, allowed, own, "package %s imports %s", pkg, own)
 			}
-			assert.NotContains(t, impure, path, "package %s imports %s", pkg, path)
+			assert.NotContains(t, sideEffectPackages, path, "package %s imports %s", pkg, path)
 		}
 	}
-	for _, pkg := range shells {
+	for _, pkg := range portPackages {
 		require.Contains(t, imports, pkg)
 		for _, path := range imports[pkg] {
 			own := strings.TrimPrefix(path, module)
 			assert.False(t, strings.HasPrefix(own, "adapter/") || strings.HasPrefix(own, "standin/"), "package %s imports %s", pkg, own)
 		}
 	}
-	testPlatformStaysAtTheEdge(t, imports)
+	testOnlyTheDaemonImportsPlatform(t, imports)
 }
 
-// testPlatformStaysAtTheEdge checks that only the command knows the users'
+// testOnlyTheDaemonImportsPlatform checks that only cmd/postmountd depends on the users'
 // platform.
-func testPlatformStaysAtTheEdge(t *testing.T, imports map[string][]string) {
+func testOnlyTheDaemonImportsPlatform(t *testing.T, imports map[string][]string) {
 	for pkg, paths := range imports {
 		if pkg != "cmd/postmountd" {
 			assert.NotContains(t, paths, module+"platform", pkg)
@@ -83,11 +83,10 @@
 	}
 }
 
-// platformWords are names of the users' platform that mean nothing outside of
-// its folder.
+// platformWords are names of the users' platform that must not be used outside its folder.
 var platformWords = []string{"/-/", "enforcesCapacity", "savesProgress", "untilMs", "op/config", "servers/"}
 
-// TestPlatformsWordsStayInItsFolder looks for them in the code.
+// TestPlatformsWordsStayInItsFolder checks that platformWords appear in no other folder.
 func TestPlatformsWordsStayInItsFolder(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -106,7 +105,8 @@
 	require.NoError(t, err)
 }
 
-// TestNoProxyLibraryAndNoChildProcess checks what the brief rules out.
+// TestNoProxyLibraryAndNoChildProcess checks that packages excluded by the requirements are not
+// imported.
 func TestNoProxyLibraryAndNoChildProcess(t *testing.T) {
 	for pkg, paths := range readImports(t) {
 		assert.NotContains(t, paths, "net/http/httputil", pkg)
@@ -114,7 +114,7 @@
 	}
 }
 
-// readImports returns the imports of every package's files that are not tests.
+// readImports returns the imports of each package, without those of its tests.
 func readImports(t *testing.T) map[string][]string {
 	root := filepath.Join("..", "..")
 	out := map[string][]string{}
--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,6 +1,6 @@
-// Package netdial opens TCP connections that end when the other side has gone
-// silent: a partition, or a device on the way that dropped the connection's state,
-// sends no reset.
+// Package netdial opens TCP connections that are closed soon after the peer stops
+// acknowledging data. No reset arrives if the network is partitioned, or if a middlebox has
+// dropped the connection's state.
 package netdial
 
 import (
@@ -11,32 +11,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// Figures of all connections.
+// Parameters of all connections.
 const (
-	// unackedTimeout ends a connection whose bytes are not acknowledged by the
-	// other side's kernel: two retransmissions of 200 ms fit, at 1 to 8 ms a round
-	// trip. A process that is slow to answer is not concerned.
-	unackedTimeout = 500 * time.Millisecond
-	// probeIdle and probeEvery say when an idle connection is probed. They are
-	// the least that the kernel takes.
-	probeIdle  = time.Second
-	probeEvery = time.Second
-	probeCount = 1
+	// tcpUserTimeout closes a connection whose data is not acknowledged by the peer's kernel.
+	// It allows two retransmissions at 200 ms with round trips of 1 to 8 ms. A process that is
+	// slow to answer is not affected.
+	tcpUserTimeout = 500 * time.Millisecond
+	// keepAliveIdle and keepAliveInterval are the shortest times that the kernel accepts.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	keepAliveCount    = 1
 )
 
-// Dialer returns a dialer of such connections that gives up after timeout.
+// Dialer returns a dialer of such connections. timeout bounds the opening of a connection.
 func Dialer(timeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: probeIdle, Interval: probeEvery, Count: probeCount},
-		Control:         setUnackedTimeout,
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount},
+		Control:         setTCPUserTimeout,
 	}
 }
 
-func setUnackedTimeout(_, _ string, c syscall.RawConn) error {
+func setTCPUserTimeout(_, _ string, c syscall.RawConn) error {
 	var failed error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout.Milliseconds()))
+		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,4 +1,4 @@
-// Package sleep waits within a context.
+// Package sleep provides a sleep that a context can interrupt.
 package sleep
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For waits for d. It reports false if ctx ended first.
+// For sleeps for d. It returns false if ctx is done before.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -1,5 +1,5 @@
-// Package slopes measures how the cost of control grows with the fleet. The
-// points are kept in docs/capacity/points.txt and used in docs/CAPACITY.md:
+// Package slopes measures how the cost of the control plane grows with the fleet. The results
+// are kept in docs/capacity/points.txt and used in docs/CAPACITY.md:
 //
 //	go test ./internal/slopes -bench . -benchmem -run '^$'
 package slopes
@@ -22,15 +22,15 @@
 	"github.com/postmount/postmount/requests/wave"
 )
 
-// sizes are fleets in workers; a pool has 33 of them, as in letter 1 (13,000
-// workers in 392 pools).
+// sizes are fleet sizes in workers. The largest one is that of the requirements, 13,000 workers
+// in 392 pools, which makes 33 workers per pool.
 var sizes = []int{50, 500, 5000, 13000}
 
 const poolSize = 33
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// listing is the records of a fleet of n workers, as the store holds them.
+// listing returns the store's records of a fleet of n workers.
 func listing(n int) port.Listing {
 	var l port.Listing
 	add := func(key string, v any) {
@@ -81,7 +81,7 @@
 	return out
 }
 
-func loaded(n int) *mirror.Mirror {
+func newMirror(n int) *mirror.Mirror {
 	m := mirror.New()
 	m.Replace(listing(n))
 	return m
@@ -96,21 +96,21 @@
 	}
 }
 
-// BenchmarkDirectory is the cost of deriving the entry path's snapshot; it is
-// paid at every change of a record or of the instance list.
+// BenchmarkDirectory measures building the directory used for routing, which is done after each
+// change of a record or of the instance list.
 func BenchmarkDirectory(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		s, list := loaded(n).State(), instances(n)
+		s, list := newMirror(n).State(), instances(n)
 		for b.Loop() {
 			directory.Build(s, list)
 		}
 	})
 }
 
-// BenchmarkRecordChange is the cost of taking in one changed pool record.
+// BenchmarkRecordChange measures applying one changed pool record.
 func BenchmarkRecordChange(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		m := loaded(n)
+		m := newMirror(n)
 		l := listing(n)
 		rev := l.Revision
 		for b.Loop() {
@@ -122,20 +122,19 @@
 	})
 }
 
-// BenchmarkGroupMembers is the part of a reconcile round that looks at every
-// membership.
+// BenchmarkGroupMembers measures the part of a reconcile round that visits every membership.
 func BenchmarkGroupMembers(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		s := loaded(n).State()
+		s := newMirror(n).State()
 		for b.Loop() {
 			s.MembersByPool()
 		}
 	})
 }
 
-// BenchmarkReconcilePool is the decision for one pool of 33.
+// BenchmarkReconcilePool measures the reconciliation of one pool of 33 workers.
 func BenchmarkReconcilePool(b *testing.B) {
-	s, list := loaded(poolSize).State(), instances(poolSize)
+	s, list := newMirror(poolSize).State(), instances(poolSize)
 	in := wave.Input{
 		Now: t0, Pool: s.Pools["pool-000"].Value, Members: s.MembersOf("pool-000"), Instances: list, Waves: []*fleet.Wave{s.Waves["w"].Value},
 		Membership: s.Membership, NewID: func() fleet.CommandID { return "c" }, Options: wave.Options{RebootTimeout: time.Minute},
@@ -146,8 +145,8 @@
 	}
 }
 
-// BenchmarkPlaceJob is the placement of one urgent job over all workers of a
-// pool as large as the fleet.
+// BenchmarkPlaceJob measures the placement of one urgent job in a pool that contains the whole
+// fleet.
 func BenchmarkPlaceJob(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
 		in := place.Input{Now: t0, Jobs: []fleet.Job{{Name: "j", Urgent: true, State: fleet.JobPending, Need: fleet.Resources{CPUMilli: 1000, MemoryMB: 1024}}}}
@@ -160,7 +159,7 @@
 	})
 }
 
-// BenchmarkStanding is the cost of one heartbeat's decision.
+// BenchmarkStanding measures the decision after one heartbeat.
 func BenchmarkStanding(b *testing.B) {
 	c := member.New("m0", member.DefaultOptions)
 	v := &fleet.View{Epoch: 1}
@@ -175,7 +174,7 @@
 	}
 }
 
-// BenchmarkClaim is an owner's decision about a key it does not know.
+// BenchmarkClaim measures an owner's decision about an unknown key.
 func BenchmarkClaim(b *testing.B) {
 	v := &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "a"}}}
 	t := once.NewTable("a", once.DefaultOptions)
@@ -190,14 +189,14 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that the mirror, the instance list and the
-// directory of a fleet take, in bytes.
+// BenchmarkMemory reports the heap size of the mirror, the instance list and the directory of
+// a fleet, in bytes.
 func BenchmarkMemory(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		before := heap()
-		m, list := loaded(n), instances(n)
+		before := heapBytes()
+		m, list := newMirror(n), instances(n)
 		d := directory.Build(m.State(), list)
-		used := heap() - before
+		used := heapBytes() - before
 		for b.Loop() {
 			runtime.KeepAlive(d)
 		}
@@ -207,15 +206,14 @@
 	})
 }
 
-func heap() uint64 {
+func heapBytes() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
 	runtime.ReadMemStats(&s)
 	return s.HeapAlloc
 }
 
-// TestRecordsStayBelowTheStoresLimit checks the size of every record at the
-// size to design for.
+// TestRecordsStayBelowTheStoresLimit checks the size of every record in the largest fleet.
 func TestRecordsStayBelowTheStoresLimit(t *testing.T) {
 	const limit = 1 << 20
 	for _, kv := range listing(13000).KVs {
--- a/internal/strictoml/strictoml.go
+++ b/internal/strictoml/strictoml.go
@@ -1,5 +1,6 @@
-// Package strictoml reads settings from TOML, strictly: every mistake is reported
-// at once, with its line or key and what is allowed. Ranges stand in validate tags.
+// Package strictoml reads settings from TOML and rejects unknown keys, wrong types and values
+// out of range, which are defined by validate tags. All mistakes are reported at once, each
+// with its line or key and what is allowed.
 package strictoml
 
 import (
@@ -23,7 +24,7 @@
 func (d *Duration) UnmarshalText(b []byte) error {
 	v, err := time.ParseDuration(string(b))
 	if err != nil {
-		return fmt.Errorf("%q is no duration: want for example \"500ms\" or \"10s\"", b)
+		return fmt.Errorf("%q is not a duration: want for example \"500ms\" or \"10s\"", b)
 	}
 	*d = Duration(v)
 	return nil
@@ -32,8 +33,9 @@
 // D returns d as a time.Duration.
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
-// Load reads and checks a file over the defaults. The error lists every mistake.
-// rules checks what tags cannot say; nil: nothing.
+// Load reads and checks the settings in a file; missing settings have their values in defaults.
+// rules, if not nil, checks what validate tags cannot express. If the file has mistakes the
+// error is an *InvalidFileError that lists all of them.
 func Load[T any](path string, defaults T, rules func(T) []Problem) (T, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -46,16 +48,16 @@
 	return s, nil
 }
 
-// InvalidFileError lists the mistakes in a file.
+// InvalidFileError is the error of a file with mistakes.
 type InvalidFileError struct {
 	File     string
 	Problems []Problem
 }
 
-// Problem is one mistake.
+// Problem is a mistake in a file.
 type Problem struct {
-	Line int    // from 1; 0 if the mistake has no place of its own
-	Key  string // dotted, "" if unknown
+	Line int    // starts at 1; 0 if unknown
+	Key  string // dotted; "" if unknown
 	Text string // what is wrong and what is allowed
 }
 
@@ -80,7 +82,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads settings over the defaults and returns every mistake.
+// Parse is Load for a file's content; it returns all mistakes. Keys that could not be decoded
+// are not reported again by the checks.
 func Parse[T any](data []byte, defaults T, rules func(T) []Problem) (T, []Problem) {
 	s, problems := decode(data, defaults)
 	seen := map[string]bool{}
@@ -99,11 +102,11 @@
 	return s, problems
 }
 
-// typeMistake is how the decoder words a value of a wrong type.
-var typeMistake = regexp.MustCompile(`cannot decode TOML (\w+) into struct field \S+ of type (\S+)`)
+// typeError matches the decoder's error for a value of the wrong type.
+var typeError = regexp.MustCompile(`cannot decode TOML (\w+) into struct field \S+ of type (\S+)`)
 
-// decode reads the text. The decoder stops at the first value of a wrong type;
-// its line is then blanked and the text decoded again, to find the others too.
+// decode decodes the text over the defaults. The decoder stops at the first value of the wrong
+// type; decode then blanks its line and decodes again, to find all of them.
 func decode[T any](data []byte, defaults T) (T, []Problem) {
 	lines := strings.Split(string(data), "\n")
 	var problems []Problem
@@ -127,7 +130,7 @@
 			return s, append(problems, Problem{Text: err.Error()})
 		}
 		row, _ := wrong.Position()
-		problems = append(problems, Problem{row, strings.Join(wrong.Key(), "."), typeMistake.ReplaceAllString(strings.TrimPrefix(wrong.Error(), "toml: "), "is of type $1: want $2")})
+		problems = append(problems, Problem{row, strings.Join(wrong.Key(), "."), typeError.ReplaceAllString(strings.TrimPrefix(wrong.Error(), "toml: "), "is of type $1: want $2")})
 		if row < 1 || row > len(lines) || lines[row-1] == "" {
 			return s, problems
 		}
@@ -135,7 +138,7 @@
 	}
 }
 
-// check applies the ranges of the validate tags.
+// check checks the validate tags.
 func check(s any) []Problem {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
@@ -156,8 +159,8 @@
 	var out []Problem
 	if errors.As(v.Struct(s), &failed) {
 		for _, f := range failed {
-			_, key, _ := strings.Cut(f.Namespace(), ".") // without the type's name
-			out = append(out, Problem{Key: key, Text: explain(f)})
+			_, key, _ := strings.Cut(f.Namespace(), ".") // cut the type's name
+			out = append(out, Problem{Key: key, Text: describe(f)})
 		}
 	}
 	return out
@@ -169,7 +172,7 @@
 	}
 }
 
-// mustDuration reads the parameter of a validate tag.
+// mustDuration parses the parameter of a validate tag.
 func mustDuration(s string) time.Duration {
 	d, err := time.ParseDuration(s)
 	must(err)
@@ -185,7 +188,8 @@
 	return s != ""
 }
 
-func explain(f validator.FieldError) string {
+// describe returns the text of a failed check: the value and what is allowed.
+func describe(f validator.FieldError) string {
 	value := f.Value()
 	if d, ok := value.(Duration); ok {
 		value = d.D().String()
--- a/requests/settings/settings_test.go
+++ b/requests/settings/settings_test.go
@@ -58,7 +58,7 @@
 		}},
 		{"host name", valid + "[peers2]\n[limits]\n", []Problem{{Line: 15, Key: "peers2", Text: "unknown key"}}},
 		{"bad duration", valid + "[stop]\ntimeout = \"soon\"\n[log]\nlevel = 3\n", []Problem{
-			{Line: 16, Key: "stop.timeout", Text: "\"soon\" is no duration: want for example \"500ms\" or \"10s\""},
+			{Line: 16, Key: "stop.timeout", Text: "\"soon\" is not a duration: want for example \"500ms\" or \"10s\""},
 			{Line: 18, Key: "log.level", Text: "is of type integer: want string"},
 		}},
 	} {
--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -13,38 +13,38 @@
 
 // Bounds of a log.
 const (
-	// asyncLines is how many lines wait for a slow reader of the log; more are
-	// dropped and counted. At 200 bytes a line that is under a megabyte.
-	asyncLines = 4096
-	// sampleTick, sampleFirst and sampleEach bound the volume: of one event in a
-	// second the first lines are written, then one in so many.
-	sampleTick  = time.Second
-	sampleFirst = 60
-	sampleEach  = 50
+	// maxQueuedLines bounds the lines that wait for a slow reader of the log; further lines are
+	// dropped and counted. At 200 bytes per line the queue takes less than 1 MB.
+	maxQueuedLines = 4096
+	// Per sampleTick, the first sampleFirst lines of an event are written, then one in
+	// sampleThereafter.
+	sampleTick       = time.Second
+	sampleFirst      = 60
+	sampleThereafter = 50
 )
 
-// AsyncWriter writes lines from a goroutine of its own. A full buffer drops
-// lines; writers never wait.
+// AsyncWriter writes lines from its own goroutine. Writers never block: lines are dropped while
+// the queue is full.
 type AsyncWriter struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	out     io.Writer
-	ending  chan struct{} // closed by Close
-	done    chan struct{} // closed when what waited is written
-	end     sync.Once
+	lines     chan []byte
+	dropped   atomic.Int64
+	out       io.Writer
+	closing   chan struct{} // closed by Close
+	done      chan struct{} // closed once the queue is written
+	closeOnce sync.Once
 }
 
-// NewAsyncWriter returns a writer of lines to out.
+// NewAsyncWriter returns a writer to out. The caller must close it.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	w := &AsyncWriter{lines: make(chan []byte, asyncLines), out: out, ending: make(chan struct{}), done: make(chan struct{})}
+	w := &AsyncWriter{lines: make(chan []byte, maxQueuedLines), out: out, closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Write implements io.Writer for one whole line. After Close lines are dropped.
+// Write implements io.Writer. line must be one complete line. After Close lines are dropped.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
-	case <-w.ending:
+	case <-w.closing:
 		w.dropped.Add(1)
 		return len(line), nil
 	default:
@@ -57,50 +57,50 @@
 	return len(line), nil
 }
 
-// Dropped returns how many lines were dropped so far.
+// Dropped returns the number of lines dropped so far.
 func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits and ends the goroutine.
+// Close writes the queued lines and ends the goroutine.
 func (w *AsyncWriter) Close() error {
-	w.end.Do(func() { close(w.ending) })
+	w.closeOnce.Do(func() { close(w.closing) })
 	<-w.done
 	return nil
 }
 
 func (w *AsyncWriter) run() {
 	defer close(w.done)
-	said := int64(0)
+	reported := int64(0)
 	for {
 		select {
 		case line := <-w.lines:
-			w.put(line, &said)
+			w.writeLine(line, &reported)
 			continue
 		default:
 		}
 		select {
 		case line := <-w.lines:
-			w.put(line, &said)
-		case <-w.ending:
-			return // nothing waits
+			w.writeLine(line, &reported)
+		case <-w.closing:
+			return // the queue is empty
 		}
 	}
 }
 
-// put writes a line and, once the buffer is empty, how many were dropped. A log
-// that cannot be written has nowhere to say so.
-func (w *AsyncWriter) put(line []byte, said *int64) {
+// writeLine writes a line and, once the queue is empty, the number of lines dropped since the
+// last such report. Errors are ignored: there is no other log to report them to.
+func (w *AsyncWriter) writeLine(line []byte, reported *int64) {
 	_, _ = w.out.Write(line)
-	if n := w.dropped.Load(); n > *said && len(w.lines) == 0 {
-		_, _ = fmt.Fprintf(w.out, `{"level":"warn","msg":"log-lines-dropped","count":%d}`+"\n", n-*said)
-		*said = n
+	if n := w.dropped.Load(); n > *reported && len(w.lines) == 0 {
+		_, _ = fmt.Fprintf(w.out, `{"level":"warn","msg":"log-lines-dropped","count":%d}`+"\n", n-*reported)
+		*reported = n
 	}
 }
 
-// Sampled limits how often one event is written. onDrop is called for each line
-// that is left out.
+// Sampled limits how often each event is written to log. onDrop is called for each line that is
+// left out.
 func Sampled(log *zap.Logger, onDrop func()) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
-		return zapcore.NewSamplerWithOptions(c, sampleTick, sampleFirst, sampleEach,
+		return zapcore.NewSamplerWithOptions(c, sampleTick, sampleFirst, sampleThereafter,
 			zapcore.SamplerHook(func(_ zapcore.Entry, d zapcore.SamplingDecision) {
 				if d&zapcore.LogDropped != 0 {
 					onDrop()
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -9,34 +9,34 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuckWriter blocks until it is let go.
+// stuckWriter blocks until release is closed.
 type stuckWriter struct {
-	free chan struct{}
-	got  bytes.Buffer
+	release chan struct{}
+	got     bytes.Buffer
 }
 
 func (w *stuckWriter) Write(p []byte) (int, error) {
-	<-w.free
+	<-w.release
 	return w.got.Write(p)
 }
 
 func TestAsyncWriterNeverWaits(t *testing.T) {
-	out := &stuckWriter{free: make(chan struct{})}
+	out := &stuckWriter{release: make(chan struct{})}
 	w := NewAsyncWriter(out)
-	for range 3 * asyncLines {
+	for range 3 * maxQueuedLines {
 		n, err := w.Write([]byte("line\n"))
 		require.NoError(t, err)
 		require.Equal(t, 5, n)
 	}
-	assert.GreaterOrEqual(t, w.Dropped(), int64(2*asyncLines-2))
-	close(out.free)
+	assert.GreaterOrEqual(t, w.Dropped(), int64(2*maxQueuedLines-2))
+	close(out.release)
 	require.NoError(t, w.Close())
 	assert.Contains(t, out.got.String(), "log-lines-dropped")
 }
 
-// TestAsyncWriterAfterItsEnd: goroutines that outlive a planned stop may still
-// write; that must not end the process.
-func TestAsyncWriterAfterItsEnd(t *testing.T) {
+// TestAsyncWriterAfterClose: goroutines that outlive a planned stop may still write, which must
+// not panic.
+func TestAsyncWriterAfterClose(t *testing.T) {
 	var out bytes.Buffer
 	w := NewAsyncWriter(&out)
 	_, err := w.Write([]byte("before\n"))
@@ -47,21 +47,21 @@
 	assert.Equal(t, 6, n)
 	assert.Equal(t, int64(1), w.Dropped())
 	assert.Equal(t, "before\n", out.String())
-	require.NoError(t, w.Close(), "a second end does nothing")
+	require.NoError(t, w.Close(), "a second Close has no effect")
 }
 
-func TestBoundedLog(t *testing.T) {
+func TestSampledLog(t *testing.T) {
 	var out bytes.Buffer
 	log, err := NewLogger("info", "json", &out)
 	require.NoError(t, err)
-	left := 0
-	log = Sampled(log, func() { left++ })
+	dropped := 0
+	log = Sampled(log, func() { dropped++ })
 	for range 1000 {
 		log.Info("same event")
 	}
 	log.Info("another event")
 	lines := strings.Count(out.String(), "\n")
-	assert.Equal(t, 1001, lines+left)
+	assert.Equal(t, 1001, lines+dropped)
 	assert.Less(t, lines, 200)
 	assert.Contains(t, out.String(), "another event")
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,4 +1,4 @@
-// Package telemetry counts what the daemon does, and logs changes of state.
+// Package telemetry provides the daemon's metrics and logging.
 package telemetry
 
 import (
@@ -18,19 +18,19 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Metrics is the root of the daemon's metrics with its scrape endpoint.
+// Metrics is the root scope of the daemon's metrics with its scrape endpoint.
 type Metrics struct {
 	Scope   tally.Scope
 	Handler http.Handler
 	closer  io.Closer
 }
 
-// reportInterval is how often counters are handed to the scrape endpoint.
+// reportInterval is how often the scrape endpoint's values are updated.
 const reportInterval = time.Second
 
-// NewMetrics returns an empty set of metrics under the prefix "postmount".
+// NewMetrics returns an empty set of metrics with the prefix "postmount".
 func NewMetrics() *Metrics {
-	// Each daemon has a registry of its own: several may run in one process.
+	// Not the global registry, as several daemons may run in one process.
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -46,7 +46,7 @@
 // Close stops the reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// NewLogger returns a logger that writes to w.
+// NewLogger returns a logger that writes to w in format "console" or, otherwise, JSON.
 func NewLogger(level, format string, w io.Writer) (*zap.Logger, error) {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return zap.New(zapcore.NewCore(enc, zapcore.Lock(zapcore.AddSync(w)), lvl)), nil
 }
 
-// Traffic observes the entry path.
+// Traffic implements entry.Observer: it records metrics, the error budget and changes of
+// workers' health.
 type Traffic struct {
 	Scope     tally.Scope
 	Log       *zap.Logger
@@ -69,11 +70,11 @@
 	Directory func() *directory.Directory
 }
 
-// latencyBuckets of the request histogram.
+// latencyBuckets are the buckets of the request latency histogram, 1 ms to 33 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
-// Answered implements entry.Observer. A request that could not be routed is
-// the caller's mistake and counts against no objective.
+// Answered implements entry.Observer. A request that could not be routed is a client error and
+// counts against no objective.
 func (t *Traffic) Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration) {
 	tags := map[string]string{"service": string(service), "class": string(class), "verdict": v.String(), "code": string(code)}
 	scope := t.Scope.Tagged(tags)
@@ -85,9 +86,10 @@
 	t.Burn.Record(time.Now(), slo.Key{Service: service, Class: class}, t.good(service, class, v, status, took))
 }
 
+// good reports whether a request met its service's objective. Client errors count as good.
 func (t *Traffic) good(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
 	if v != verdict.Done {
-		return status < http.StatusInternalServerError // the caller's mistake
+		return status < http.StatusInternalServerError // 4xx: client error
 	}
 	if status >= http.StatusInternalServerError {
 		return false
@@ -120,8 +122,8 @@
 // Health implements entry.Observer.
 func (t *Traffic) Health(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
 	if ejected {
-		t.Log.Info("worker put aside", zap.String("service", string(service)), zap.String("worker", string(worker)))
+		t.Log.Info("worker ejected from rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
 		return
 	}
-	t.Log.Info("worker back in use", zap.String("service", string(service)), zap.String("worker", string(worker)))
+	t.Log.Info("worker returned to rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
 }
--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,4 +1,4 @@
-// Package verdict says, for every outcome, whether the request may have run.
+// Package verdict classifies outcomes of requests by whether the request may have run.
 //
 // A caller that sees NotRun may resend freely. A caller that sees MayHaveRun
 // may only resend an idempotent request, or the same Idempotency-Key.
@@ -15,16 +15,16 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value, so that an outcome nobody classified is
-	// never reported as safe to repeat.
+	// MayHaveRun is the zero value, so that an unclassified outcome is never
+	// reported as safe to retry.
 	MayHaveRun Verdict = iota
-	// NotRun means that it is proven that the request had no effect.
+	// NotRun means that the request had no effect for certain.
 	NotRun
-	// Done means that the request ran once and its whole answer is known.
+	// Done means that the request ran once and its complete response is known.
 	Done
 )
 
-// Header is the HTTP response header that carries the verdict to a caller.
+// Header is the HTTP response header with the verdict for the caller.
 const Header = "Postmount-Verdict"
 
 // String returns the wire form of v.
@@ -39,7 +39,7 @@
 	}
 }
 
-// Parse is the inverse of String. An unknown text is MayHaveRun.
+// Parse is the inverse of String. It returns MayHaveRun for an unknown string.
 func Parse(s string) Verdict {
 	switch s {
 	case "not-run":
@@ -60,10 +60,10 @@
 	return nil
 }
 
-// Code names a kind of failure; codes are stable and documented for callers.
+// Code identifies a kind of failure. Codes are stable and documented for callers.
 type Code string
 
-// Error is a failure together with its verdict and code.
+// Error is an error with a verdict and a code.
 type Error struct {
 	Verdict Verdict
 	Code    Code
@@ -88,8 +88,8 @@
 	return &Error{Verdict: v, Code: code, err: wrapped}
 }
 
-// Of returns the verdict carried by err. A nil error is Done; an error without
-// a verdict is MayHaveRun.
+// Of returns the verdict of err: Done for a nil error, MayHaveRun for an error without a
+// verdict.
 func Of(err error) Verdict {
 	if err == nil {
 		return Done
@@ -101,7 +101,7 @@
 	return MayHaveRun
 }
 
-// CodeOf returns the code carried by err, or "" if there is none.
+// CodeOf returns the code of err, "" if it has none.
 func CodeOf(err error) Code {
 	var e *Error
 	if errors.As(err, &e) {
@@ -110,7 +110,7 @@
 	return ""
 }
 
-// IsContext reports whether err comes from a cancelled or expired context.
+// IsContext reports whether err was caused by a cancelled or expired context.
 func IsContext(err error) bool {
 	return errors.Is(err, context.Canceled) || errors.Is(err, context.DeadlineExceeded)
 }
