--- a/jobs/node/calllimiter_test.go
+++ b/jobs/node/calllimiter_test.go
@@ -14,7 +14,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// hangingWorkers is a way to workers on which every start takes its whole timeout.
+// hangingWorkers lets every start time out.
 type hangingWorkers struct {
 	owner.WorkerClient
 	mu   sync.Mutex
@@ -29,8 +29,8 @@
 	return owner.Answer{Outcome: owner.Unanswered, Err: ctx.Err()}
 }
 
-// TestStaleStartIsNotSent: what was decided on more than orderAge ago may be wrong by now; the
-// core hears that it was not sent.
+// TestStaleStartIsNotSent: a start that waits for its slot for more than maxStartAge is not sent,
+// as its decision may be outdated, and the core is told so.
 func TestStaleStartIsNotSent(t *testing.T) {
 	const starts = 400
 	synctest.Test(t, func(t *testing.T) {
@@ -44,7 +44,7 @@
 		r.dispatch(owner.Effects{Starts: slices.Repeat([]owner.Start{{Timeout: owner.OrderTimeout}}, starts)})
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		assert.Len(t, r.events, starts, "each has an outcome")
+		assert.Len(t, r.events, starts, "the core gets an outcome for each")
 		assert.Less(t, len(workers.sent), starts)
 		assert.Greater(t, len(workers.sent), minSlots)
 		newest := workers.sent[len(workers.sent)-1]
--- a/jobs/node/metrics_test.go
+++ b/jobs/node/metrics_test.go
@@ -15,7 +15,7 @@
 	"github.com/postmount/postmount/telemetry"
 )
 
-// TestMetricsHandlerServesText scrapes the metrics of a daemon.
+// TestMetricsHandlerServesText checks the names and values of metrics as they are scraped.
 func TestMetricsHandlerServesText(t *testing.T) {
 	m := telemetry.NewMetrics()
 	n := NewMetrics(m.Scope, m.Handler)
@@ -27,7 +27,7 @@
 		Pools: []owner.PoolStats{{Name: "orders", Instances: 5, Arriving: 1, BusyCores: 12.5, WaitingCores: 3, ArrivalRate: 20}},
 	})
 	n.storeCall(ledger.StoreCall{Kind: "range", Stale: true, Outcome: "answered", Took: 4 * time.Millisecond})
-	require.NoError(t, m.Close()) // reports what was counted
+	require.NoError(t, m.Close()) // flushes the metrics
 	srv := httptest.NewServer(n.Handler())
 	defer srv.Close()
 	resp, err := http.Get(srv.URL)
--- a/jobs/node/ownerwatch_test.go
+++ b/jobs/node/ownerwatch_test.go
@@ -12,11 +12,11 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// fakePresences is a daemon's peers: what it sees of the owner itself, and what others say.
+// fakePresences fakes what this daemon and its peers see of the owner.
 type fakePresences struct {
 	Peers
 	own    peer.Presence
-	others map[string]peer.Presence // one that is missing cannot be asked
+	others map[string]peer.Presence // by the peer asked; one that is missing does not answer
 }
 
 func (s fakePresences) CheckPresence(context.Context, string) peer.Presence { return s.own }
@@ -28,8 +28,8 @@
 	return peer.Unknown, errors.New("no answer")
 }
 
-// TestOwnerGoneNeedsConfirmationByPeers: a partition that refuses connections must not cost
-// an owner its lock that others reach.
+// TestOwnerGoneNeedsConfirmationByPeers: an owner that other daemons reach must not lose its lock
+// to a partition that refuses connections.
 func TestOwnerGoneNeedsConfirmationByPeers(t *testing.T) {
 	const absent, present, unknown = peer.Absent, peer.Present, peer.Unknown
 	for _, c := range []struct {
@@ -38,13 +38,13 @@
 		others map[string]peer.Presence
 		gone   bool
 	}{
-		{"all find nobody", absent, map[string]peer.Presence{"b": absent, "c": absent}, true},
-		{"it is only reset", present, map[string]peer.Presence{"b": absent, "c": absent}, false},
-		{"it is silent", unknown, map[string]peer.Presence{"b": absent, "c": absent}, false},
+		{"all find no process", absent, map[string]peer.Presence{"b": absent, "c": absent}, true},
+		{"the connection was only reset", present, map[string]peer.Presence{"b": absent, "c": absent}, false},
+		{"the owner does not respond", unknown, map[string]peer.Presence{"b": absent, "c": absent}, false},
 		{"all others reach it", absent, map[string]peer.Presence{"b": present, "c": present}, false},
-		{"others are cut off", absent, map[string]peer.Presence{"b": unknown, "c": unknown}, false},
-		{"one other cannot be asked", absent, map[string]peer.Presence{"c": absent}, true},
-		{"no other can be asked", absent, nil, false},
+		{"others are partitioned from it", absent, map[string]peer.Presence{"b": unknown, "c": unknown}, false},
+		{"one peer does not answer", absent, map[string]peer.Presence{"c": absent}, true},
+		{"no peer answers", absent, nil, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			n := &Node{settings: Settings{Node: "a"}, clock: &fakeClock{}, peers: fakePresences{own: c.own, others: c.others}, log: zap.NewNop(), rng: newLockedRand("a")}
@@ -54,22 +54,23 @@
 	}
 }
 
-// TestMayReplaceOnlyOwnerWithSimilarCPU: it leaves the lease to end by itself.
+// TestMayReplaceOnlyOwnerWithSimilarCPU: a daemon with far less CPU than the owner leaves the
+// owner's lease to expire.
 func TestMayReplaceOnlyOwnerWithSimilarCPU(t *testing.T) {
-	list := []ledger.Member{{Node: "strong", Cores: 0.8}, {Node: "alike", Cores: 0.7}, {Node: "weak", Cores: 0.2}}
+	list := []ledger.Member{{Node: "large", Cores: 0.8}, {Node: "similar", Cores: 0.7}, {Node: "small", Cores: 0.2}}
 	for _, c := range []struct {
 		self  string
 		cores float64
 		owner string
 		may   bool
 	}{
-		{"alike", 0.7, "strong", true},
-		{"weak", 0.2, "strong", false},
-		{"strong", 0.8, "weak", true},
-		{"weak", 0.2, "unknown", true},
+		{"similar", 0.7, "large", true},
+		{"small", 0.2, "large", false},
+		{"large", 0.8, "small", true},
+		{"small", 0.2, "unknown", true},
 	} {
 		n := &Node{settings: Settings{Node: c.self, Cores: c.cores}, clock: &fakeClock{}}
 		n.members.Store(&list)
-		assert.Equal(t, c.may, n.mayReplace(c.owner), "%s for %s", c.self, c.owner)
+		assert.Equal(t, c.may, n.mayReplace(c.owner), "%s replaces %s", c.self, c.owner)
 	}
 }
--- a/jobs/node/slowdown_test.go
+++ b/jobs/node/slowdown_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// addProbes hands addProbes of an instance to the measurement: so many, each so many times longer
-// than usual. It returns the greatest slowness that was told.
+// addProbes adds n probes that take by times the usual duration. It returns the highest factor
+// that was reported.
 func (s *slowdownDetector) addProbes(at *time.Time, n int, by float64) float64 {
 	most := 0.0
 	for range n {
@@ -19,11 +19,13 @@
 	return most
 }
 
+// TestSustainedSlowdownIsDetected: short interruptions and a slightly slower instance are no
+// slowdown; a lasting one is detected within 500 ms.
 func TestSustainedSlowdownIsDetected(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	assert.Equal(t, 1.0, s.addProbes(&at, 20, 0.3), "a process that has just started runs faster")
 	assert.Equal(t, 1.0, s.addProbes(&at, 400, 1))
-	for range 20 { // threads that interrupt, and an instance that is a little slower
+	for range 20 { // interruptions by other threads, and a slightly slower instance
 		assert.Equal(t, 1.0, s.addProbes(&at, 2, 30))
 		assert.Equal(t, 1.0, s.addProbes(&at, 4, 1.5))
 	}
@@ -34,18 +36,18 @@
 		s.addProbes(&at, 1, 5)
 	}
 	assert.Less(t, at.Sub(began), 500*time.Millisecond)
-	assert.Greater(t, s.addProbes(&at, 100, 5), 3.0, "it does not get used to it within seconds")
+	assert.Greater(t, s.addProbes(&at, 100, 5), 3.0, "the baseline does not follow within seconds")
 	s.addProbes(&at, probeWindow, 1)
-	assert.Equal(t, 1.0, s.sustainedFactor(at), "it is over")
+	assert.Equal(t, 1.0, s.sustainedFactor(at), "the slowdown is over")
 }
 
-// TestBaselineFollowsLastingChange: a processor that becomes twice as slow for good, as one does that was
-// idle, and one that stays five times slower.
+// TestBaselineFollowsLastingChange: a CPU that becomes twice as slow for good, as an idle one does
+// under load, and one that stays several times slower.
 func TestBaselineFollowsLastingChange(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	s.addProbes(&at, 40, 1)
 	assert.Equal(t, 1.0, s.addProbes(&at, 300, 2))
-	assert.Equal(t, 1.0, s.addProbes(&at, 200, 4), "twice as slow as it has become")
+	assert.Equal(t, 1.0, s.addProbes(&at, 200, 4), "twice as slow as the new baseline")
 	s.addProbes(&at, maxBaselineSamples*int(time.Second/probeInterval)+2*probeWindow, 20)
-	assert.Equal(t, 1.0, s.sustainedFactor(at), "slow for a minute is what it has become")
+	assert.Equal(t, 1.0, s.sustainedFactor(at), "after a minute the slow speed is the baseline")
 }
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -13,13 +13,11 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Seen in the code, not on a day: every bound in time rested on the steady clock, which stands
-// still while an instance is suspended. An owner that was suspended for longer than its lease
-// took itself for the owner until the store said otherwise, up to half a second later, and
-// could order instances and give counts meanwhile.
-
-// TestLeaseExpiresDuringSuspension looks at what may be done by a lease that was renewed just
-// before a suspension.
+// TestLeaseExpiresDuringSuspension checks what a lease renewed just before a suspension still
+// allows. The monotonic clock stops during a suspension. When all deadlines relied on it, an owner
+// that was suspended for longer than its lease considered itself the owner until the store said
+// otherwise, up to half a second later, and could order instances and return counts meanwhile.
+// Found by review, not in operation.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	for _, c := range []struct {
 		suspended  time.Duration
@@ -54,8 +52,8 @@
 	return owner.Answer{Outcome: owner.Taken}
 }
 
-// TestStartDecidedBeforeSuspensionIsNotSent: what was known when it was decided may not hold
-// any more.
+// TestStartDecidedBeforeSuspensionIsNotSent: the state behind the decision may be outdated after a
+// suspension.
 func TestStartDecidedBeforeSuspensionIsNotSent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, r := newTestTerm(t, 1)
@@ -70,11 +68,11 @@
 		n.clock.(*fakeClock).suspended = maxStartAge + time.Millisecond
 		r.start(owner.Start{Timeout: owner.OrderTimeout}, decided)
 		assert.Equal(t, 1, w.starts)
-		assert.Len(t, r.events, 2, "the core hears of both")
+		assert.Len(t, r.events, 2, "the core gets an outcome for both")
 	})
 }
 
-// TestSuspensionIsReportedOnce before anything else is decided, and once.
+// TestSuspensionIsReportedOnce: the core is told of a suspension once, before any other decision.
 func TestSuspensionIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, r := newTestTerm(t, 1)
--- a/jobs/node/termlease_test.go
+++ b/jobs/node/termlease_test.go
@@ -15,14 +15,14 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// fakeClock is that of an instance that is suspended by hand.
+// fakeClock is the clock of an instance whose suspension a test sets.
 type fakeClock struct{ suspended time.Duration }
 
 func (c *fakeClock) Now() time.Time           { return time.Now() }
 func (c *fakeClock) Suspended() time.Duration { return c.suspended }
 
-// newTestTerm returns a daemon that holds lease 1, and its term under a lease. Whoever
-// brings an event to the core has to carry it out.
+// newTestTerm returns a daemon that holds lease 1, and its term under the given lease. The test
+// must apply the events of the term itself.
 func newTestTerm(t *testing.T, lease ledger.LeaseID) (*Node, *termRun) {
 	n := &Node{settings: Settings{Node: "a"}, log: zap.NewNop(), clock: &fakeClock{}, started: time.Now()}
 	n.lease.Store(1)
@@ -34,13 +34,10 @@
 	return n, r
 }
 
-// TestPendingRequiresTermLease.
-//
-// Seen in the code, not on a day. A daemon's lease may end, and the daemon be granted
-// another one, before it hears that its lock went with the first: it took itself for the
-// owner meanwhile, and gave counts. So it did if the lease ran out while the question
-// waited for the core, as in a process that was frozen. Cause: the count rested on any
-// lease, looked at before the question alone.
+// TestPendingRequiresTermLease: a daemon's lease may expire and a new one be granted before it
+// learns that its lock went with the first, and a lease may expire while the query is queued, as
+// in a suspended process. The daemon returned counts in both cases, as it accepted any lease and
+// checked it only before the query. Found by review, not in operation.
 func TestPendingRequiresTermLease(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -48,10 +45,10 @@
 		meanwhile func(n *Node)
 		answered  bool
 	}{
-		{"it is held", 1, func(*Node) {}, true},
-		{"the daemon has another one", 2, func(*Node) {}, false},
-		{"it ends while the question waits", 1, func(n *Node) { n.lease.Store(0) }, false},
-		{"it is not renewed in time while the question waits", 1, func(n *Node) { n.leaseRenewedAt.Store(-int64(storeLease)) }, false},
+		{"the lease is held", 1, func(*Node) {}, true},
+		{"the daemon has another lease", 2, func(*Node) {}, false},
+		{"the lease ends while the query is queued", 1, func(n *Node) { n.lease.Store(0) }, false},
+		{"the lease is not renewed in time while the query is queued", 1, func(n *Node) { n.leaseRenewedAt.Store(-int64(storeLease)) }, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -72,19 +69,19 @@
 	}
 }
 
-// expiredLeaseStore has no lease any more.
+// expiredLeaseStore is a store whose leases have expired.
 type expiredLeaseStore struct{ ledger.Store }
 
 func (expiredLeaseStore) KeepAlive(context.Context, ledger.LeaseID) (bool, error) { return false, nil }
 
-// noRelays is a daemon without peers.
+// noRelays is a daemon without peers to relay its calls.
 type noRelays struct{}
 
 func (noRelays) Relay() ledger.Store      { return nil }
 func (noRelays) RelayFailed(ledger.Store) {}
 
-// TestTermEndsWithItsLease: the lock went with it, whether or not the watch of the lock
-// has told so.
+// TestTermEndsWithItsLease: the lock is gone with the lease, even if the watch of the lock has not
+// reported it yet.
 func TestTermEndsWithItsLease(t *testing.T) {
 	n, r := newTestTerm(t, 1)
 	n.store = ledger.NewFailover(expiredLeaseStore{}, noRelays{}, time.Now, func(error) {})
--- a/jobs/node/termrun_test.go
+++ b/jobs/node/termrun_test.go
@@ -11,19 +11,17 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestQueuedEventsGetTheirOwnTime: an event is not given a time at which it had not come
-// yet. Seen: an owner with a fifth of a core gave a worker's answer a time 235 ms before
-// it was received. How: events that wait share the time at which the first of them was
-// taken, and others come while these are worked off. Cause: the end of a worker's lease
-// is reckoned from that time, so that the lease counts as over sooner than it is, by more
-// than the slack of 150 ms; its tasks may start elsewhere while they run. Proved by a log
-// of each answer with the times at which it was received and which it was given.
+// TestQueuedEventsGetTheirOwnTime: an event must not be applied with a time before its arrival.
+// Queued events used to share the time at which the first of them was taken, while more arrived.
+// An owner with 0.2 cores dated a worker's answer 235 ms before its receipt, according to a log of
+// both times. The end of a worker's lease is computed from that time, so it counted as expired too
+// early by more than the margin of 150 ms, and its tasks could start elsewhere while still running.
 func TestQueuedEventsGetTheirOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		run := &termRun{n: &Node{clock: &fakeClock{}}, events: make(chan event, eventQueueLen), ctx: t.Context()}
 		appliedAt := make(chan time.Time, 1)
 		var arrived time.Time
-		slow := func(*owner.Core, time.Time) { time.Sleep(time.Second) } // waits for the processor
+		slow := func(*owner.Core, time.Time) { time.Sleep(time.Second) } // waits for the CPU
 		run.enqueue(slow)
 		run.enqueue(slow)
 		go func() {
@@ -36,9 +34,8 @@
 	})
 }
 
-// TestAbandonedQueryIsSkipped: an owner that is short of processor time
-// answered questions after those who asked had given up, and asked again. A count goes over
-// all open jobs, so that the work grew as the owner fell behind.
+// TestAbandonedQueryIsSkipped: an owner short of CPU answered queries whose callers had given up
+// and asked again. A count goes over all open jobs, so the work grew as the owner fell behind.
 func TestAbandonedQueryIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
@@ -47,7 +44,7 @@
 		answered := 0
 		question := func(*owner.Core) int { answered++; return 1 }
 		began := time.Now()
-		for range 2 { // the second finds the queue full
+		for range 2 { // the queue is full for the second
 			_, ok := queryCore(run, question)
 			assert.False(t, ok)
 		}
