--- a/jobs/capacity/rate.go
+++ b/jobs/capacity/rate.go
@@ -32,13 +32,13 @@
 	work float64 // core-seconds
 }
 
-// Add records work in core-seconds that arrived at now.
-func (r *Rate) Add(work float64, now time.Time) {
+// Add records work in core-seconds that arrived at the given time.
+func (r *Rate) Add(work float64, at time.Time) {
 	if len(r.arrivals) < maxArrivals {
-		r.arrivals = append(r.arrivals, arrival{now, work})
+		r.arrivals = append(r.arrivals, arrival{at, work})
 		return
 	}
-	r.arrivals[r.next] = arrival{now, work}
+	r.arrivals[r.next] = arrival{at, work}
 	r.next = (r.next + 1) % maxArrivals
 }
 
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -54,7 +54,7 @@
 }
 
 // replayArrivals replays the arrivals of the stored jobs in order of acceptance, so that a
-// new owner knows the pools' arrival rates from the start.
+// new owner knows the pools' arrival rates and the use of tenants' shares from the start.
 func (c *Core) replayArrivals(loaded []Loaded, now time.Time) {
 	list := slices.Clone(loaded)
 	slices.SortStableFunc(list, func(a, b Loaded) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -19,10 +19,10 @@
 	reservedForWave       int // workers reserved for maintenance, as of the last sizing
 	estimateRatio         estimateRatio
 
-	queue  []*jobState  // jobs that may have tasks to place
-	claims []queueEntry // buffer reused by each placement
-	free   freeIndex    // index of usable workers by free capacity
-	supply poolSupply   // totals over its instances
+	queue   []*jobState  // jobs that may have tasks to place
+	entries []queueEntry // buffer reused by each placement
+	free    freeIndex    // index of usable workers by free capacity
+	supply  poolSupply   // totals over its instances
 }
 
 // sizingInterval is the interval between two sizings, short compared to a move.
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -148,7 +148,7 @@
 	takenOver := c.earlierRunsKnown(service, now)
 	leasesExpired := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
 	kept := pool.queue[:0]
-	entries := pool.claims[:0]
+	entries := pool.entries[:0]
 	for _, j := range pool.queue {
 		if !j.inherited || takenOver || leasesExpired && j.isLongRunning() {
 			if j.state.Final() || j.service != service || !mayNeedPlacement(j) {
@@ -163,7 +163,7 @@
 		kept = append(kept, j)
 	}
 	clear(pool.queue[len(kept):])
-	pool.queue, pool.claims = kept, entries
+	pool.queue, pool.entries = kept, entries
 	return entries
 }
 
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -147,7 +147,7 @@
 	}
 	j.criticalPath, j.workLeft = estimateCriticalPathAndWork(spec)
 	j.criticalPathLeft = j.criticalPath
-	ahead := len(c.startWindow.outstanding) + countTasksAhead(c.pool(j.service).claims, c.queueEntryOf(j, now), c.opt.SchedulingPolicy)
+	ahead := len(c.startWindow.outstanding) + countTasksAhead(c.pool(j.service).entries, c.queueEntryOf(j, now), c.opt.SchedulingPolicy)
 	wait := time.Duration(float64(ahead) / c.startWindow.outcomeRate * float64(time.Second))
 	return max(0, wait-j.deadline().Sub(now.Add(j.criticalPath)))
 }
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -15,7 +15,7 @@
 	counted supplyContribution // included in the totals of the pool
 	worker  *worker            // its worker when it was counted; nil: none is known
 
-	crashedAt time.Time // newest crash that a task may have caused
+	crashedAt time.Time // latest crash that a task may have caused
 	suspects  []*task   // tasks that ran on it then
 }
 
@@ -45,27 +45,27 @@
 	evacuatedIdle               []*instanceState // of these, the idle ones, ordered by ID
 }
 
-// add adds n times the contribution k of the instance; n is 1 or -1.
-func (s *poolSupply) add(i *instanceState, k *supplyContribution, n int) {
-	s.busyMilli += n * k.busyMilli
-	s.longRunningMilli += n * k.longRunningMilli
-	if k.evacuated {
+// add adds n times the contribution of the instance; n is 1 or -1.
+func (s *poolSupply) add(i *instanceState, contribution *supplyContribution, n int) {
+	s.busyMilli += n * contribution.busyMilli
+	s.longRunningMilli += n * contribution.longRunningMilli
+	if contribution.evacuated {
 		s.evacuated += n
-		if k.idle {
+		if contribution.idle {
 			s.evacuatedIdle = insertOrRemove(s.evacuatedIdle, i, n > 0)
 		}
 		return
 	}
 	s.instances += n
-	s.missingMilli += n * k.missingMilli
-	s.trackUndersized(i, k.missingMilli > 0 && n > 0)
+	s.missingMilli += n * contribution.missingMilli
+	s.trackUndersized(i, contribution.missingMilli > 0 && n > 0)
 	if s.sizes == nil {
 		s.sizes = map[int]int{}
 	}
-	if s.sizes[k.cpuMilli] += n; s.sizes[k.cpuMilli] == 0 {
-		delete(s.sizes, k.cpuMilli)
+	if s.sizes[contribution.cpuMilli] += n; s.sizes[contribution.cpuMilli] == 0 {
+		delete(s.sizes, contribution.cpuMilli)
 	}
-	if k.idle {
+	if contribution.idle {
 		s.idle = insertOrRemove(s.idle, i, n > 0)
 	}
 }
@@ -110,23 +110,23 @@
 	v.BusyCores = float64(s.busyMilli) / 1000
 	v.LongRunningCores = float64(s.longRunningMilli) / 1000
 	v.MissingCores = float64(s.missingMilli) / 1000
-	for room := range s.sizes {
-		v.CoresPerInstance = max(v.CoresPerInstance, float64(room)/1000)
+	for size := range s.sizes {
+		v.CoresPerInstance = max(v.CoresPerInstance, float64(size)/1000)
 	}
 }
 
 // updateSupply updates the totals of the instance's pool.
 func (c *Core) updateSupply(i *instanceState) {
 	i.worker = c.workers[i.Worker]
-	k := c.contributionOf(i)
-	if k == i.counted {
+	contribution := c.contributionOf(i)
+	if contribution == i.counted {
 		return
 	}
 	c.removeFromSupply(i)
-	if k.pool != "" {
-		c.pool(k.pool).supply.add(i, &k, 1)
+	if contribution.pool != "" {
+		c.pool(contribution.pool).supply.add(i, &contribution, 1)
 	}
-	i.counted = k
+	i.counted = contribution
 }
 
 // removeFromSupply removes the instance from the totals of its pool.
@@ -154,12 +154,12 @@
 	if w == nil {
 		return supplyContribution{pool: i.Pool, idle: i.Worker == "", evacuated: evacuated}
 	}
-	k := supplyContribution{evacuated: evacuated, pool: i.Pool, busyMilli: w.allocated.CPUMilli, longRunningMilli: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
-	k.cpuMilli, k.missingMilli = i.sizeWith(w)
-	if !k.idle {
+	contribution := supplyContribution{evacuated: evacuated, pool: i.Pool, busyMilli: w.allocated.CPUMilli, longRunningMilli: w.longRunningCPUMilli, idle: len(w.runs)+len(w.unknownRuns) == 0}
+	contribution.cpuMilli, contribution.missingMilli = i.sizeWith(w)
+	if !contribution.idle {
 		w.idleSince = time.Time{}
 	}
-	return k
+	return contribution
 }
 
 // undersizedBelow is the fraction of its instance's cores below which a worker counts as
@@ -169,11 +169,11 @@
 // sizeWith returns the size of the instance in thousandths of a core, and how many of them
 // its worker w doesn't offer at present.
 func (i *instanceState) sizeWith(w *worker) (cpuMilli, missingMilli int) {
-	has, whole := w.Capacity.CPUMilli, i.Capacity.CPUMilli
-	if float64(has) >= undersizedBelow*float64(whole) {
-		return has, 0
+	offered, full := w.Capacity.CPUMilli, i.Capacity.CPUMilli
+	if float64(offered) >= undersizedBelow*float64(full) {
+		return offered, 0
 	}
-	return whole, whole - has
+	return full, full - offered
 }
 
 // idleSnapshot returns an idle instance as input for capacity.Plan.
--- a/jobs/owner/timebreakdown.go
+++ b/jobs/owner/timebreakdown.go
@@ -133,29 +133,29 @@
 
 // timeBreakdown returns the time breakdown of a completed job that ran once.
 func (j *jobState) timeBreakdown(now time.Time) TimeBreakdown {
-	a := TimeBreakdown{Total: now.Sub(j.spec.AcceptedAt)}
-	before := CauseNotKnown
+	b := TimeBreakdown{Total: now.Sub(j.spec.AcceptedAt)}
+	beforeKnown := CauseNotKnown
 	if j.loadedFromStore {
-		before = CauseEarlierTerm
+		beforeKnown = CauseEarlierTerm
 	}
-	a.Spent[before] = max(0, j.knownAt.Sub(j.spec.AcceptedAt))
+	b.Spent[beforeKnown] = max(0, j.knownAt.Sub(j.spec.AcceptedAt))
 	work := time.Duration(0)
 	for s := j.lastStep(); s != nil; s = s.lastDependency() {
 		if s.lastDone == nil {
 			break // done in an earlier term
 		}
 		for c, d := range s.lastDone.timeSpent {
-			a.Spent[c] += d
+			b.Spent[c] += d
 		}
 		work += s.lastDone.timeSpent[CauseWork] + s.lastDone.timeSpent[CauseSlowTask]
 	}
-	a.Allowed = time.Duration(j.queue.ObjectiveFactor*float64(work)) + j.queue.ObjectiveOffset
-	rest := a.Total
-	for _, d := range a.Spent {
+	b.Allowed = time.Duration(j.queue.ObjectiveFactor*float64(work)) + j.queue.ObjectiveOffset
+	rest := b.Total
+	for _, d := range b.Spent {
 		rest -= d
 	}
-	a.Spent[CauseOther] += max(0, rest)
-	return a
+	b.Spent[CauseOther] += max(0, rest)
+	return b
 }
 
 // lastStep returns the step that was done last.
@@ -185,7 +185,7 @@
 	if j.state != job.Completed || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning {
 		return
 	}
-	if a := j.timeBreakdown(now); a.Total > a.Allowed {
-		c.note(Decision{Event: "job-late", Job: j.spec.ID, Reason: j.service, Account: &a})
+	if b := j.timeBreakdown(now); b.Total > b.Allowed {
+		c.note(Decision{Event: "job-late", Job: j.spec.ID, Reason: j.service, Account: &b})
 	}
 }
--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -38,8 +38,8 @@
 	PreferredMaxPerWorker int
 }
 
-// Weights of the score. The unit is the whole of a worker's cores, whose free part counts
-// between 0 and 1.
+// Weights of the score. The fraction of free cores counts between 0 and 1, so weights above 1
+// decide regardless of it.
 const (
 	// rackBonus prefers any worker on the rack of the task's data, where the task takes half
 	// the time.
