--- a/jobs/peer/late_test.go
+++ b/jobs/peer/late_test.go
@@ -12,10 +12,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// blockingHandler answers when it is let.
+// blockingHandler replies to Submitted and State only once release is closed.
 type blockingHandler struct {
 	Handler
-	received chan struct{} // one token for each job told
+	received chan struct{} // one token per Submitted call
 	release  chan struct{}
 }
 
@@ -27,11 +27,10 @@
 
 func (g blockingHandler) State(StateRequest) StateReply { <-g.release; return StateReply{Owner: true} }
 
-// TestLateAnswerDoesNotFailOtherCalls: with an owner short of processor time one question that
-// was answered late closed the one connection to it, and with it failed every other call
-// that was under way there: jobs told to the owner, questions, calls to the store by way
-// of it, all of which were then made again on a new connection. The owner had done their
-// work already, and did it twice. Each of them must get its answer all the same.
+// TestLateAnswerDoesNotFailOtherCalls: with an owner short of CPU, one late reply used to close the
+// only connection to it. That failed all other calls in flight there (new jobs, queries, relayed
+// store calls), which were then repeated on a new connection, so that the owner did their work
+// twice.
 func TestLateAnswerDoesNotFailOtherCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -41,10 +40,10 @@
 	addr := l.Addr().String()
 	c := NewClient()
 
-	told := make(chan error, 1)
+	submitted := make(chan error, 1)
 	go func() {
 		_, err := c.Submitted(context.Background(), addr, &job.Job{ID: "a"})
-		told <- err
+		submitted <- err
 	}()
 	<-h.received
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
@@ -52,8 +51,8 @@
 	_, err = c.State(ctx, addr, "b")
 	require.Error(t, err)
 	close(h.release)
-	assert.NoError(t, <-told)
+	assert.NoError(t, <-submitted)
 
 	_, err = c.State(context.Background(), addr, "b")
-	assert.NoError(t, err, "the next call goes by another connection")
+	assert.NoError(t, err, "the next call uses another connection")
 }
--- a/jobs/peer/peer.go
+++ b/jobs/peer/peer.go
@@ -1,6 +1,5 @@
-// Package peer is the protocol between daemons: net/rpc over TCP. A daemon asks
-// the owner for the state of jobs, and another daemon to make a call to the
-// store for it.
+// Package peer implements the protocol between daemons, net/rpc over TCP. A daemon queries the
+// owner and notifies it of jobs, and uses other daemons as relays to the store.
 package peer
 
 import (
@@ -17,51 +16,52 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// serviceName is the name of the methods on the wire.
+// serviceName is the net/rpc service name.
 const serviceName = "Peer"
 
-// dialTimeout bounds opening a connection to a peer: some round trips.
+// dialTimeout is for opening a connection to a peer, which takes a few round trips.
 const dialTimeout = 400 * time.Millisecond
 
-// CodePeerUnreachable says that a peer could not be asked.
+// CodePeerUnreachable means that a call to a peer failed.
 const CodePeerUnreachable verdict.Code = "peer-unreachable"
 
 // StateRequest asks for the state of a job.
 type StateRequest struct{ Job job.ID }
 
-// StateReply is the owner's answer. Known is false for a job that it has not
-// heard of; Owner is false if the peer is not the owner.
+// StateReply is the owner's reply. Known is false if it does not know the job; Owner is false if
+// the peer is not the owner.
 type StateReply struct {
 	Owner bool
 	Known bool
 	State job.State
-	// Tenant is whose job it is.
+	// Tenant is the tenant that submitted the job, "" if none.
 	Tenant string
 }
 
 // PendingRequest asks how many jobs of a queue wait for their first task.
 type PendingRequest struct{ Queue string }
 
-// PendingReply is the owner's answer.
+// PendingReply is the owner's reply. Owner is false if the peer is not, or may not be, the owner.
 type PendingReply struct {
 	Owner bool
 	Count int
 }
 
-// CancelRequest tells the owner of a cancellation that is in the store.
+// CancelRequest notifies the owner of a cancellation that is in the store.
 type CancelRequest struct{ Job job.ID }
 
-// SubmitRequest tells the owner of a job that is in the store.
+// SubmitRequest notifies the owner of a job that is in the store.
 type SubmitRequest struct{ Job job.Job }
 
-// SubmitReply says whether the owner cannot keep up: it is to be asked before the next job
-// is accepted.
+// SubmitReply tells whether the owner is backlogged and must be asked, by an AdmitRequest, before
+// the next job is accepted.
 type SubmitReply struct{ Behind bool }
 
-// AdmitRequest asks whether a job that was not accepted yet would be done in time.
+// AdmitRequest asks whether a job that is not accepted yet would be completed in time.
 type AdmitRequest struct{ Job job.Job }
 
-// AdmitReply is the owner's answer: by how much the job would be late, 0 if it would not.
+// AdmitReply is the owner's reply. LateBy is by how much the job would be late, 0 if it would be
+// in time.
 type AdmitReply struct {
 	Owner  bool
 	LateBy time.Duration
@@ -70,10 +70,10 @@
 // Empty is a reply without content.
 type Empty struct{ Ignored bool }
 
-// Operation is a call to the store.
+// Operation is a method of ledger.Store.
 type Operation int
 
-// The operations of a relay.
+// The operations that can be relayed.
 const (
 	OpGet Operation = iota
 	OpRange
@@ -84,19 +84,19 @@
 	OpEndLease
 )
 
-// RelayRequest is a call to the store for another daemon.
+// RelayRequest asks a peer to make a call to the store.
 type RelayRequest struct {
 	Op       Operation
 	Key      string // or prefix
 	After    string
 	Revision int64
 	Stale    bool
-	Wait     time.Duration // of a watch, or the time to live of a lease
+	Wait     time.Duration // of a watch; for OpGrant the time to live of the lease
 	Txn      ledger.Txn
 	Lease    ledger.LeaseID
 }
 
-// RelayReply is the store's answer. Message is empty if there was no error.
+// RelayReply holds the result of a relayed call. Message is its error, "" if there was none.
 type RelayReply struct {
 	Item    ledger.Item
 	Found   bool
@@ -109,7 +109,7 @@
 	Code    verdict.Code
 }
 
-// Handler answers peers.
+// Handler handles the calls of peers.
 type Handler interface {
 	State(r StateRequest) StateReply
 	Pending(r PendingRequest) PendingReply
@@ -120,7 +120,7 @@
 	CheckPresence(addr string) Presence
 }
 
-// server adapts a Handler to net/rpc's form of methods.
+// server adapts a Handler to the method signatures that net/rpc needs.
 type server struct{ h Handler }
 
 func (s *server) State(r StateRequest, out *StateReply) error {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Serve answers peers on l until it is closed.
+// Serve handles calls of peers on l until it is closed.
 func Serve(l net.Listener, h Handler) error {
 	srv := rpc.NewServer()
 	if err := srv.RegisterName(serviceName, &server{h}); err != nil {
@@ -163,18 +163,18 @@
 	return nil
 }
 
-// Client calls peers over one kept connection each.
+// Client calls peers over one persistent connection each.
 type Client struct{ conns rpcconn.Pool }
 
 // NewClient returns a client without connections.
 func NewClient() *Client { return &Client{} }
 
-// call makes one call. A connection that is broken is closed, and one that does not
-// answer in time is left.
+// call makes one call. It closes a connection that failed, and retires one whose reply did not
+// arrive in time.
 func (c *Client) call(ctx context.Context, addr, method string, req, reply any) error {
 	conn, err := c.conns.Get(addr, func() (net.Conn, error) { return netdial.Dialer(dialTimeout).DialContext(ctx, "tcp", addr) })
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "peer %s", addr)
+		return verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "connect to peer %s", addr)
 	}
 	defer c.conns.Release(conn)
 	pending := conn.Go(serviceName+"."+method, req, reply, make(chan *rpc.Call, 1))
@@ -183,30 +183,30 @@
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.conns.Retire(conn)
 		}
-		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s %s", addr, method)
+		return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s: call %s", addr, method)
 	case <-pending.Done:
 	}
 	if pending.Error == nil {
 		return nil
 	}
 	c.conns.Discard(conn)
-	return verdict.Wrap(pending.Error, verdict.MayHaveRun, CodePeerUnreachable, "peer %s %s", addr, method)
+	return verdict.Wrap(pending.Error, verdict.MayHaveRun, CodePeerUnreachable, "peer %s: call %s", addr, method)
 }
 
-// callRepeatable puts a question that may be repeated. A first try has half the time until
-// the deadline: its connection may have gone silent, and the second opens another.
-func callRepeatable[R any](ctx context.Context, c *Client, addr, method string, question any) (R, error) {
+// callRepeatable makes a call that may be repeated. The first attempt gets half of the time until
+// the deadline; if its connection does not respond, the second attempt opens another.
+func callRepeatable[R any](ctx context.Context, c *Client, addr, method string, request any) (R, error) {
 	var first, second R
 	half, cancel := withHalfTimeout(ctx)
 	defer cancel()
-	if err := c.call(half, addr, method, question, &first); err == nil || ctx.Err() != nil {
+	if err := c.call(half, addr, method, request, &first); err == nil || ctx.Err() != nil {
 		return first, err
 	}
-	err := c.call(ctx, addr, method, question, &second)
+	err := c.call(ctx, addr, method, request, &second)
 	return second, err
 }
 
-// withHalfTimeout returns a context with half of the time that ctx has.
+// withHalfTimeout returns a context with half of the remaining time of ctx.
 func withHalfTimeout(ctx context.Context) (context.Context, context.CancelFunc) {
 	end, bounded := ctx.Deadline()
 	if !bounded {
@@ -220,32 +220,32 @@
 	return callRepeatable[StateReply](ctx, c, addr, "State", StateRequest{id})
 }
 
-// Pending asks the peer at addr for the length of a queue.
+// Pending asks the peer at addr how many jobs of a queue are pending.
 func (c *Client) Pending(ctx context.Context, addr, queue string) (PendingReply, error) {
 	return callRepeatable[PendingReply](ctx, c, addr, "Pending", PendingRequest{queue})
 }
 
-// Cancelled tells the peer at addr of a cancellation.
+// Cancelled notifies the peer at addr of a cancellation.
 func (c *Client) Cancelled(ctx context.Context, addr string, id job.ID) error {
 	return c.call(ctx, addr, "Cancelled", CancelRequest{id}, &Empty{})
 }
 
-// Submitted tells the peer at addr of a job.
+// Submitted notifies the peer at addr of a new job.
 func (c *Client) Submitted(ctx context.Context, addr string, j *job.Job) (SubmitReply, error) {
 	var out SubmitReply
 	err := c.call(ctx, addr, "Submitted", SubmitRequest{*j}, &out)
 	return out, err
 }
 
-// Admit asks the peer at addr whether a job would be done in time. An owner that is behind
-// is not asked twice.
+// Admit asks the peer at addr whether a job would be completed in time. It is not repeated, as
+// the owner is asked while it is backlogged.
 func (c *Client) Admit(ctx context.Context, addr string, j *job.Job) (AdmitReply, error) {
 	var out AdmitReply
 	err := c.call(ctx, addr, "Admit", AdmitRequest{*j}, &out)
 	return out, err
 }
 
-// Relay makes a call to the store by way of the peer at addr.
+// Relay makes a call to the store through the peer at addr.
 func (c *Client) Relay(ctx context.Context, addr string, r RelayRequest) (RelayReply, error) {
 	var out RelayReply
 	err := c.call(ctx, addr, "Relay", r, &out)
--- a/jobs/peer/peer_test.go
+++ b/jobs/peer/peer_test.go
@@ -10,13 +10,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stateHandler answers every question for a state.
+// stateHandler replies to every State call as the owner.
 type stateHandler struct{ Handler }
 
 func (stateHandler) State(StateRequest) StateReply { return StateReply{Owner: true} }
 
-// TestBrokenConnectionIsReplaced: the next call after a connection ended goes
-// to a new one instead of failing.
+// TestBrokenConnectionIsReplaced: the call after a connection broke opens a new one instead of
+// failing.
 func TestBrokenConnectionIsReplaced(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,7 +39,7 @@
 	assert.True(t, reply.Owner)
 }
 
-// recordingListener hands accepted connections to a test, too.
+// recordingListener also sends accepted connections to the test.
 type recordingListener struct {
 	net.Listener
 	accepted chan net.Conn
--- a/jobs/peer/presence.go
+++ b/jobs/peer/presence.go
@@ -10,28 +10,28 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Presence is what a daemon can tell of another one's process.
+// Presence is what a daemon can tell about another daemon's process.
 type Presence int
 
-// The presences. Only Absent says that the process is gone: its kernel answered that
-// nobody listens there.
+// The presences. Only Absent indicates that the process has ended: the connection was refused, as
+// no process listens at the address. A partition that refuses connections looks the same.
 const (
 	Unknown Presence = iota
 	Present
 	Absent
 )
 
-// maxStay is how long one question to stay takes; it is put again after that.
+// maxStay is how long one Stay call takes; it is repeated after that.
 const maxStay = 10 * time.Second
 
-// StayRequest asks a peer to answer when Wait is over: an answer that breaks off
-// before tells at once that the connection, and perhaps the process, has ended.
+// StayRequest asks a peer to reply after Wait. A call that fails earlier shows at once that the
+// connection, and perhaps the process, has ended.
 type StayRequest struct{ Wait time.Duration }
 
 // LookRequest asks a peer whether a process listens at an address.
 type LookRequest struct{ Addr string }
 
-// LookReply is what the peer found.
+// LookReply is the result of a LookRequest.
 type LookReply struct{ Presence Presence }
 
 func (s *server) Stay(r StayRequest, _ *Empty) error {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// AwaitDisconnect returns when a connection to the peer at addr has ended, with nil if ctx
-// has. The connection is kept for that alone.
+// AwaitDisconnect blocks until a connection to the peer at addr breaks and returns the error, or
+// nil once ctx ends. The connection is used for nothing else.
 func (c *Client) AwaitDisconnect(ctx context.Context, addr string) error {
 	own := NewClient()
 	defer own.conns.Close()
@@ -74,7 +74,7 @@
 func (c *Client) CheckPresenceVia(ctx context.Context, by, addr string) (Presence, error) {
 	var out LookReply
 	if err := c.call(ctx, by, "Look", LookRequest{addr}, &out); err != nil {
-		return Unknown, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "look at %s", addr)
+		return Unknown, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "ask peer %s whether a process listens at %s", by, addr)
 	}
 	return out.Presence, nil
 }
--- a/jobs/peer/relay.go
+++ b/jobs/peer/relay.go
@@ -8,18 +8,19 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// relayTimeout bounds a call that is made for a peer.
+// relayTimeout is for a relayed call to the store.
 const relayTimeout = 1200 * time.Millisecond
 
-// Relayer makes calls to the store by way of peers.
+// Relayer makes calls to the store through peers.
 type Relayer interface {
 	Relay(ctx context.Context, addr string, r RelayRequest) (RelayReply, error)
 }
 
-// StoreVia returns the store as the peer at addr reaches it.
+// StoreVia returns the store with all calls relayed through the peer at addr.
 func StoreVia(client Relayer, addr string) ledger.Store { return &relayedStore{client, addr} }
 
-// RelayAddr returns the peer that a store of StoreVia goes by, "" for other stores.
+// RelayAddr returns the address of the peer that relays the calls of a store from StoreVia, "" for
+// other stores.
 func RelayAddr(s ledger.Store) string {
 	if r, ok := s.(*relayedStore); ok {
 		return r.addr
@@ -27,7 +28,7 @@
 	return ""
 }
 
-// relayedStore is the store by way of a peer.
+// relayedStore implements ledger.Store through a peer.
 type relayedStore struct {
 	client Relayer
 	addr   string
@@ -38,10 +39,10 @@
 	defer cancel()
 	out, err := s.client.Relay(ctx, s.addr, r)
 	if err != nil {
-		return out, verdict.Wrap(err, verdict.Of(err), ledger.CodeStoreUnavailable, "store by a peer")
+		return out, verdict.Wrap(err, verdict.Of(err), ledger.CodeStoreUnavailable, "call the store via peer %s", s.addr)
 	}
 	if out.Message != "" {
-		return out, verdict.New(out.Verdict, out.Code, "store by %s: %s", s.addr, out.Message)
+		return out, verdict.New(out.Verdict, out.Code, "call the store via peer %s: %s", s.addr, out.Message)
 	}
 	return out, nil
 }
@@ -81,7 +82,7 @@
 	return err
 }
 
-// ServeRelay makes a relayed call to the store.
+// ServeRelay makes a call to s for another daemon.
 func ServeRelay(s ledger.Store, r RelayRequest) RelayReply {
 	timeout := relayTimeout
 	if r.Op == OpWatch {
@@ -114,7 +115,7 @@
 	case OpEndLease:
 		err = s.EndLease(ctx, r.Lease)
 	default:
-		err = verdict.New(verdict.NotRun, CodePeerUnreachable, "unknown operation %d", r.Op)
+		err = verdict.New(verdict.NotRun, CodePeerUnreachable, "unknown store operation %d", r.Op)
 	}
 	return err
 }
