--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -1,4 +1,4 @@
-// Package rpcconn keeps one net/rpc connection to each peer, which all calls to it share.
+// Package rpcconn pools net/rpc connections: one per peer, shared by all calls to it.
 package rpcconn
 
 import (
@@ -8,23 +8,23 @@
 	"sync/atomic"
 )
 
-// Pool keeps connections by address. Its zero value is ready to use.
+// Pool holds connections by address. The zero value is ready to use.
 type Pool struct {
 	mu    sync.Mutex
 	conns map[string]*Conn
 }
 
-// Conn is a connection to a peer, held for one call.
+// Conn is a connection to a peer. Each call that uses it ends with Pool.Release.
 type Conn struct {
 	*rpc.Client
 	addr string
 	conn *trackedConn
 
-	inFlight int  // calls; under the pool's mu
-	retired  bool // it is for the calls under way alone; likewise
+	inFlight int  // calls that use the connection; guarded by Pool.mu
+	retired  bool // closed after the calls in flight; guarded by Pool.mu
 }
 
-// trackedConn is a connection that remembers that reading from it has ended.
+// trackedConn is a net.Conn that records when a read has failed.
 type trackedConn struct {
 	net.Conn
 	broken atomic.Bool
@@ -39,18 +39,18 @@
 	return n, err
 }
 
-// Broken reports whether the other side, or the network, has ended the connection.
+// Broken reports whether the connection was closed by the peer or failed.
 func (c *Conn) Broken() bool { return c.conn.broken.Load() }
 
-// Get returns the kept connection to addr, or one that dial opens if there is none or it
-// has ended. The call that it is for ends with Release.
+// Get returns the pooled connection to addr, or one that dial opens if there is none or it is
+// broken. The caller must call Release after its call.
 func (p *Pool) Get(addr string, dial func() (net.Conn, error)) (*Conn, error) {
-	if kept := p.acquire(addr); kept != nil {
-		if !kept.Broken() {
-			return kept, nil
+	if pooled := p.acquire(addr); pooled != nil {
+		if !pooled.Broken() {
+			return pooled, nil
 		}
-		p.Discard(kept)
-		p.Release(kept)
+		p.Discard(pooled)
+		p.Release(pooled)
 	}
 	raw, err := dial()
 	if err != nil {
@@ -59,18 +59,19 @@
 	return p.add(addr, raw), nil
 }
 
-// acquire returns the kept connection to addr for a call, nil if there is none.
+// acquire returns the pooled connection to addr for one more call, nil if there is none.
 func (p *Pool) acquire(addr string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kept := p.conns[addr]
-	if kept != nil {
-		kept.inFlight++
+	pooled := p.conns[addr]
+	if pooled != nil {
+		pooled.inFlight++
 	}
-	return kept
+	return pooled
 }
 
-// add stores a new connection, or closes it if another call was faster.
+// add adds a new connection to the pool and returns it. If another call has added one meanwhile,
+// add closes the new one and returns the other.
 func (p *Pool) add(addr string, raw net.Conn) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -82,26 +83,26 @@
 	if p.conns == nil {
 		p.conns = map[string]*Conn{}
 	}
-	noter := &trackedConn{Conn: raw}
-	c := &Conn{Client: rpc.NewClient(noter), addr: addr, conn: noter, inFlight: 1}
+	tracked := &trackedConn{Conn: raw}
+	c := &Conn{Client: rpc.NewClient(tracked), addr: addr, conn: tracked, inFlight: 1}
 	p.conns[addr] = c
 	return c
 }
 
-// Release ends a call. The last one closes a connection that was left.
+// Release ends a call. It closes a retired connection after the last call.
 func (p *Pool) Release(c *Conn) {
 	p.mu.Lock()
 	c.inFlight--
-	over := c.retired && c.inFlight == 0
+	unused := c.retired && c.inFlight == 0
 	p.mu.Unlock()
-	if over {
-		_ = c.Close() // it may have ended by itself
+	if unused {
+		_ = c.Close() // may be closed already
 	}
 }
 
-// Retire takes a connection on which an answer is late out of use: it may have gone
-// silent. Calls under way keep it, as the peer may be slow with that one answer alone;
-// a slow peer would else do the work of all of them twice.
+// Retire removes a connection from the pool after a call on it timed out, as it may be dead. Calls
+// in flight still use it, as the peer may be slow with only that one reply: if they were repeated
+// on a new connection, a slow peer would do all their work twice.
 func (p *Pool) Retire(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -109,27 +110,27 @@
 	p.remove(c)
 }
 
-// Discard closes a connection that failed.
+// Discard closes a connection that failed and removes it from the pool.
 func (p *Pool) Discard(c *Conn) {
 	p.mu.Lock()
 	p.remove(c)
 	p.mu.Unlock()
-	_ = c.Close() // it may have ended by itself
+	_ = c.Close() // may be closed already
 }
 
-// remove takes a connection out of those that are kept.
+// remove removes a connection from the pool. The caller holds mu.
 func (p *Pool) remove(c *Conn) {
 	if p.conns[c.addr] == c {
 		delete(p.conns, c.addr)
 	}
 }
 
-// Close closes all connections that are kept.
+// Close closes all pooled connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, c := range p.conns {
-		_ = c.Close() // it may have ended by itself
+		_ = c.Close() // may be closed already
 	}
 	clear(p.conns)
 }
--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway answers callers: it accepts jobs, tells their state, cancels
-// them and counts queues.
+// Package gateway is the HTTP API for callers: they submit jobs, read their state, cancel them and
+// count the pending jobs of a queue.
 package gateway
 
 import (
@@ -25,53 +25,56 @@
 type JobService interface {
 	// Catalog returns the configuration in force, nil before the first one.
 	Catalog() *job.Catalog
-	// ConfigConfirmed reports whether that is certain to be the newest one, or may pass for it.
+	// ConfigConfirmed reports whether keys may be checked against that configuration: it is recent
+	// enough, or the settings do not require that.
 	ConfigConfirmed() bool
+	// Accept stores a job.
 	Accept(ctx context.Context, j *job.Job) error
-	// Cancel cancels a job for a tenant; it reports whether the job is known.
+	// Cancel cancels a job for a tenant and reports whether the job is known.
 	Cancel(ctx context.Context, id job.ID, tenant string) (bool, error)
-	// State returns the state of a job and whose it is; known is false if there is none.
+	// State returns the state and the tenant of a job; known is false if there is no such job.
 	State(ctx context.Context, id job.ID) (state job.State, tenant string, known bool, err error)
+	// Pending returns the number of pending jobs of a queue.
 	Pending(ctx context.Context, queue string) (int, error)
 }
 
 // JobDecoder decodes the body of a submission.
 type JobDecoder func(raw []byte) (*job.Job, error)
 
-// KeyReader returns the key that a call carries, "" if it carries none.
+// KeyReader returns the key in a request's headers, "" if there is none.
 type KeyReader func(h http.Header) string
 
-// Observer counts answers and writes a line for each that is worth one.
+// Observer is told of every response, for metrics.
 type Observer interface {
-	Answered(kind string, status int, took time.Duration)
+	Answered(method string, status int, took time.Duration)
 }
 
-// Figures of answers.
+// Timeouts and limits of requests.
 const (
-	// defaultDeadline is for callers that do not say how long they wait.
+	// defaultDeadline is for requests without a deadlineHeader.
 	defaultDeadline = 3 * time.Second
-	// responseMargin is left of a caller's deadline for the way back.
+	// responseMargin is the part of a caller's deadline that is kept for sending the response.
 	responseMargin = 250 * time.Millisecond
-	// minHandlerTimeout is the least time given to a request whose deadline is close.
+	// minHandlerTimeout is the minimum for requests with a short deadline.
 	minHandlerTimeout = 50 * time.Millisecond
-	// defaultRetryAfter is what a refused caller is told: the time in which another
-	// daemon takes over, or the store is back after a short outage.
+	// defaultRetryAfter is the time in which another daemon takes over, or the store recovers from
+	// a short outage.
 	defaultRetryAfter = 1 * time.Second
-	// defaultBodyLimit bounds a body until the configuration says.
+	// defaultBodyLimit is the maximum body size in bytes if the configuration sets none.
 	defaultBodyLimit = 256 << 10
 )
 
-// deadlineHeader says how many milliseconds the caller waits.
+// deadlineHeader holds how many milliseconds the caller waits for the response.
 const deadlineHeader = "Deadline-Ms"
 
-// Gateway is an http.Handler.
+// Gateway is the http.Handler of callers' requests.
 type Gateway struct {
-	jobs     JobService
-	readKey  KeyReader
-	decode   JobDecoder
-	observe  Observer
-	log      *zap.Logger
-	stopping atomic.Bool
+	jobs               JobService
+	readKey            KeyReader
+	decode             JobDecoder
+	observe            Observer
+	log                *zap.Logger
+	keepAlivesDisabled atomic.Bool
 }
 
 // New returns a gateway.
@@ -79,24 +82,24 @@
 	return &Gateway{jobs: jobs, readKey: key, decode: decode, observe: observe, log: log}
 }
 
-// DisableKeepAlives makes each answer the last one on its connection.
-func (g *Gateway) DisableKeepAlives() { g.stopping.Store(true) }
+// DisableKeepAlives makes every further response close its connection.
+func (g *Gateway) DisableKeepAlives() { g.keepAlivesDisabled.Store(true) }
 
-// reply is what is answered to a caller.
+// reply is a response to a caller.
 type reply struct {
 	status     int
 	body       any
 	problem    string        // why a request was refused
-	retryAfter time.Duration // when to come back; 0: it is not said
+	retryAfter time.Duration // 0: no Retry-After header
 }
 
-// OverloadedError says that a job was refused because it could not be done in time, and after
-// which time it could.
+// OverloadedError means that a job was refused because it would be late. After RetryAfter it could
+// be in time.
 type OverloadedError struct{ RetryAfter time.Duration }
 
 // Error implements error.
 func (e *OverloadedError) Error() string {
-	return fmt.Sprintf("it would be late by %s", e.RetryAfter.Round(time.Millisecond))
+	return fmt.Sprintf("the job would be late by %s", e.RetryAfter.Round(time.Millisecond))
 }
 
 type stateBody struct {
@@ -127,6 +130,7 @@
 	}
 }
 
+// handlerTimeout returns the time for handling a request, from its deadlineHeader.
 func handlerTimeout(r *http.Request) time.Duration {
 	d := defaultDeadline
 	if n, err := strconv.Atoi(r.Header.Get(deadlineHeader)); err == nil && n > 0 {
@@ -135,10 +139,11 @@
 	return max(minHandlerTimeout, d-responseMargin)
 }
 
+// route handles a request and returns the response and the id of the job, "" if it names none.
 func (g *Gateway) route(ctx context.Context, r *http.Request) (reply, string) {
 	catalog := g.jobs.Catalog()
 	if catalog == nil {
-		return reply{status: http.StatusServiceUnavailable, problem: "no configuration yet", retryAfter: defaultRetryAfter}, ""
+		return reply{status: http.StatusServiceUnavailable, problem: "no configuration loaded yet", retryAfter: defaultRetryAfter}, ""
 	}
 	queue, rest := catalog.Match(r.Host, r.URL.Path)
 	if queue == nil {
@@ -152,7 +157,7 @@
 		return g.pending(ctx, queue), ""
 	}
 	if !job.ValidID(rest) {
-		return reply{status: http.StatusBadRequest, problem: "a job's id has 16 hexadecimal digits"}, rest
+		return reply{status: http.StatusBadRequest, problem: "invalid job id: must have 16 hexadecimal digits"}, rest
 	}
 	id := job.ID(rest)
 	switch r.Method {
@@ -163,12 +168,12 @@
 	case http.MethodDelete:
 		return g.cancel(ctx, id, tenant), rest
 	}
-	return reply{status: http.StatusMethodNotAllowed, problem: "POST, GET or DELETE"}, rest
+	return reply{status: http.StatusMethodNotAllowed, problem: "method not allowed: use POST, PUT, GET or DELETE"}, rest
 }
 
-// authenticate returns the tenant whose key the call carries, "" on a public queue, or else
-// why the call is refused. It comes after the queue was looked up: which paths there are is
-// no secret, and a path that is none has nothing to guard.
+// authenticate returns the tenant whose key the request carries, "" for a public queue, or else the
+// response that refuses the request. It is called after the queue was found: which paths exist is
+// not secret, and an unknown path protects nothing.
 func (g *Gateway) authenticate(r *http.Request, catalog *job.Catalog, queue *job.Queue) (tenant string, refused *reply) {
 	if queue.Public {
 		return "", nil
@@ -179,11 +184,11 @@
 	case ok && g.jobs.ConfigConfirmed():
 		return tenant, nil
 	case ok:
-		return "", &reply{status: http.StatusServiceUnavailable, problem: "whether the key is still good is not known at present", retryAfter: defaultRetryAfter}
+		return "", &reply{status: http.StatusServiceUnavailable, problem: "the key cannot be verified at present: the configuration may be outdated", retryAfter: defaultRetryAfter}
 	case key == "":
-		return "", &reply{status: http.StatusUnauthorized, problem: fmt.Sprintf("the call carries no key, configuration %d wants one", catalog.Version)}
+		return "", &reply{status: http.StatusUnauthorized, problem: fmt.Sprintf("the request has no key, which configuration %d requires", catalog.Version)}
 	}
-	return "", &reply{status: http.StatusUnauthorized, problem: fmt.Sprintf("configuration %d has no such key", catalog.Version)}
+	return "", &reply{status: http.StatusUnauthorized, problem: fmt.Sprintf("the key is not in configuration %d", catalog.Version)}
 }
 
 func (g *Gateway) submit(ctx context.Context, r *http.Request, catalog *job.Catalog, queue *job.Queue, tenant string, id job.ID) reply {
@@ -193,10 +198,10 @@
 	}
 	raw, err := io.ReadAll(io.LimitReader(r.Body, int64(limit)+1))
 	if err != nil {
-		return reply{status: http.StatusBadRequest, problem: "the body broke off"}
+		return reply{status: http.StatusBadRequest, problem: "the request body could not be read completely"}
 	}
 	if len(raw) > limit {
-		return reply{status: http.StatusRequestEntityTooLarge, problem: "the body is too large"}
+		return reply{status: http.StatusRequestEntityTooLarge, problem: fmt.Sprintf("the request body is too large: the limit is %d bytes", limit)}
 	}
 	j, err := g.decode(raw)
 	if err != nil {
@@ -250,8 +255,8 @@
 	return reply{status: http.StatusOK, body: pendingBody{n}}
 }
 
-// errorReply turns an error into an answer by its verdict: 503 says that the
-// request has not run, 504 that it may have.
+// errorReply returns the response for an error by its verdict: 503 if the request has not run, 504
+// if it may have.
 func errorReply(err error) reply {
 	if verdict.CodeOf(err) == ledger.CodeOtherTenant {
 		return reply{status: http.StatusForbidden, problem: err.Error()}
@@ -262,7 +267,7 @@
 	return reply{status: http.StatusGatewayTimeout, problem: err.Error(), retryAfter: defaultRetryAfter}
 }
 
-// retryAfterFor returns when a caller should come back whose request has not run.
+// retryAfterFor returns after which time a request that has not run should be repeated.
 func retryAfterFor(err error) time.Duration {
 	var overloaded *OverloadedError
 	if errors.As(err, &overloaded) {
@@ -274,7 +279,7 @@
 func (g *Gateway) write(w http.ResponseWriter, rep reply) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
-	if g.stopping.Load() {
+	if g.keepAlivesDisabled.Load() {
 		h.Set("Connection", "close")
 	}
 	if rep.retryAfter > 0 {
--- a/jobs/gateway/gateway_test.go
+++ b/jobs/gateway/gateway_test.go
@@ -21,12 +21,12 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// fakeJobs answers as it is told.
+// fakeJobs is a JobService with configurable results.
 type fakeJobs struct {
 	catalog     *job.Catalog
 	err         error
 	known       bool
-	jobTenant   string // tenant of every job
+	jobTenant   string // tenant of all jobs
 	configStale bool   // the configuration may not be the newest
 	accepted    []*job.Job
 }
@@ -53,7 +53,7 @@
 
 func (f *fakeJobs) Pending(context.Context, string) (int, error) { return 12, f.err }
 
-// readTestKey reads the key where the tests put it.
+// readTestKey reads the key from the header that the tests set.
 func readTestKey(h http.Header) string { return h.Get("Key") }
 
 type noObserver struct{}
@@ -81,7 +81,7 @@
 const id = "5c0e7a21d94b36f8"
 
 var (
-	notRun     = verdict.New(verdict.NotRun, "down", "the store is away")
+	notRun     = verdict.New(verdict.NotRun, "down", "the store is unavailable")
 	mayHaveRun = verdict.New(verdict.MayHaveRun, "lost", "the answer was lost")
 )
 
@@ -95,7 +95,7 @@
 	}{
 		{"accepted", "POST", "h.example", "/a/" + id, "good", known, 200, `{}`},
 		{"with a port", "POST", "h.example:80", "/a/" + id, "good", known, 200, `{}`},
-		{"a broken body", "POST", "h.example", "/a/" + id, "bad", known, 400, `not a job`},
+		{"an invalid body", "POST", "h.example", "/a/" + id, "bad", known, 400, `not a job`},
 		{"too large", "POST", "h.example", "/a/" + id, strings.Repeat("x", 11), known, 413, `too large`},
 		{"no such host", "POST", "other", "/a/" + id, "good", known, 404, `no such queue`},
 		{"no such prefix", "POST", "h.example", "/z/" + id, "good", known, 404, `no such queue`},
@@ -107,9 +107,9 @@
 		{"cancel of an unknown job", "DELETE", "h.example", "/a/" + id, "", &fakeJobs{catalog: catalog()}, 410, `no such job`},
 		{"length of a queue", "GET", "h.example", "/a/", "", known, 200, `{"pending":12}`},
 		{"before the first configuration", "POST", "h.example", "/a/" + id, "good", &fakeJobs{}, 503, `not-run`},
-		{"certainly not stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: notRun}, 503, `not-run`},
-		{"perhaps stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: mayHaveRun}, 504, `may-have-run`},
-		{"perhaps cancelled", "DELETE", "h.example", "/a/" + id, "", &fakeJobs{catalog: catalog(), err: mayHaveRun}, 504, `may-have-run`},
+		{"not stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: notRun}, 503, `not-run`},
+		{"may be stored", "POST", "h.example", "/a/" + id, "good", &fakeJobs{catalog: catalog(), err: mayHaveRun}, 504, `may-have-run`},
+		{"may be cancelled", "DELETE", "h.example", "/a/" + id, "", &fakeJobs{catalog: catalog(), err: mayHaveRun}, 504, `may-have-run`},
 	} {
 		g := New(c.jobs, readTestKey, decode, noObserver{}, zap.NewNop())
 		r := httptest.NewRequest(c.method, c.path, strings.NewReader(c.body))
@@ -130,7 +130,7 @@
 	r.Host = "h.example"
 	g.ServeHTTP(httptest.NewRecorder(), r)
 	assert.Len(t, f.accepted, 1)
-	assert.Equal(t, "longer", f.accepted[0].Queue, "the longest prefix")
+	assert.Equal(t, "longer", f.accepted[0].Queue, "the longest matching prefix")
 	assert.Equal(t, "t", f.accepted[0].Service)
 	assert.EqualValues(t, id, f.accepted[0].ID)
 }
@@ -146,8 +146,8 @@
 	assert.Equal(t, "close", w.Header().Get("Connection"))
 }
 
-// TestRetryAfter: a caller whose job would be late is told when it would not be, in
-// whole seconds as HTTP has it.
+// TestRetryAfter: Retry-After tells the caller of a refused job when it would be in time, rounded up
+// to whole seconds.
 func TestRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -167,20 +167,20 @@
 	}
 }
 
-// unreadableBody is a body that must not be read.
+// unreadableBody is a body that fails the test if it is read.
 type unreadableBody struct{ t *testing.T }
 
 func (u unreadableBody) Read([]byte) (int, error) {
-	u.t.Error("the body of a call without a key was read")
+	u.t.Error("the body of a request without a valid key was read")
 	return 0, io.EOF
 }
 
-// TestAuthentication: a queue that is not public wants a key of the configuration in force, on each
-// method; a job of one tenant is not shown to another, nor through a public queue; and no
-// answer or log line shows a key.
+// TestAuthentication: a queue that is not public requires a key of the current configuration for
+// every method; a tenant's job is not accessible to another tenant or through a public queue; and no
+// response or log line contains a key.
 func TestAuthentication(t *testing.T) {
 	c := catalog()
-	c.Queues = append(c.Queues, job.Queue{Name: "kept", Host: "h.example", Prefix: "/k/", Service: "s"})
+	c.Queues = append(c.Queues, job.Queue{Name: "restricted", Host: "h.example", Prefix: "/k/", Service: "s"})
 	require.NoError(t, c.SetTenants([]job.Tenant{{Name: "one"}, {Name: "two"}, {Name: "none"}}, [][]string{{"secret-1", "secret-1b"}, {"secret-2"}, nil}))
 	for _, call := range []struct {
 		name, method, path, key string
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -30,10 +30,10 @@
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
 // Answered implements gateway.Observer.
-func (m *Metrics) Answered(kind string, status int, took time.Duration) {
-	s := m.scope.Tagged(map[string]string{"method": kind, "status": strconv.Itoa(status)})
+func (m *Metrics) Answered(method string, status int, took time.Duration) {
+	s := m.scope.Tagged(map[string]string{"method": method, "status": strconv.Itoa(status)})
 	s.Counter("answers").Inc(1)
-	m.scope.Tagged(map[string]string{"method": kind}).Histogram("answer_time", latencyBuckets).RecordDuration(took)
+	m.scope.Tagged(map[string]string{"method": method}).Histogram("answer_time", latencyBuckets).RecordDuration(took)
 }
 
 func (m *Metrics) order(kind string, o owner.Outcome) {
