--- a/adapter/backendhttp/client.go
+++ b/adapter/backendhttp/client.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// Keep drops the connections to workers that are not in live.
-func (c *Client) Keep(live map[fleet.InstanceID]string) {
+// RetainConnections drops the connections to workers that are not in live.
+func (c *Client) RetainConnections(live map[fleet.InstanceID]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for k, t := range c.transports {
@@ -116,7 +116,7 @@
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: track.gotConn})
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Addr+r.URI, nil)
 	if err != nil {
-		return nil, verdict.Wrap(err, verdict.NotRun, port.CodeConnect, "request to %s", r.Worker)
+		return nil, verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "request to %s", r.Worker)
 	}
 	req.Body = opaqueBody{bytes.NewReader(r.Body)}
 	req.ContentLength = int64(len(r.Body))
@@ -135,12 +135,12 @@
 // ever handed to a connection.
 func classify(ctx context.Context, err error, untouched bool, w fleet.InstanceID) error {
 	if untouched {
-		return verdict.Wrap(err, verdict.NotRun, port.CodeConnect, "worker %s", w)
+		return verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "worker %s", w)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.Wrap(err, verdict.MayHaveRun, port.CodeTimeout, "worker %s", w)
+		return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendTimeout, "worker %s", w)
 	}
-	return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBroken, "worker %s", w)
+	return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendConnectionBroken, "worker %s", w)
 }
 
 // read takes in the whole answer; one that is cut, foreign or too large is an
@@ -149,17 +149,17 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.opts.MaxAnswerBytes+1))
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeTimeout, "answer of worker %s", r.Worker)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendTimeout, "answer of worker %s", r.Worker)
 	case err != nil:
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeTruncated, "answer of worker %s", r.Worker)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendAnswerTruncated, "answer of worker %s", r.Worker)
 	case int64(len(body)) > c.opts.MaxAnswerBytes:
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeTooLarge, "answer of worker %s exceeds %d bytes", r.Worker, c.opts.MaxAnswerBytes)
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerTooLarge, "answer of worker %s exceeds %d bytes", r.Worker, c.opts.MaxAnswerBytes)
 	}
 	if echo := resp.Header.Get(HeaderRequestID); echo != "" && echo != r.RequestID {
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeForeign, "worker %s answered request %q", r.Worker, echo)
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerForeign, "worker %s answered request %q", r.Worker, echo)
 	}
 	if resp.Header.Get(HeaderNotRun) == "true" {
-		return nil, verdict.New(verdict.NotRun, port.CodeRefused, "worker %s refused with status %d", r.Worker, resp.StatusCode)
+		return nil, verdict.New(verdict.NotRun, port.CodeBackendRefused, "worker %s refused with status %d", r.Worker, resp.StatusCode)
 	}
 	return &port.BackendAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
--- a/adapter/backendhttp/client_test.go
+++ b/adapter/backendhttp/client_test.go
@@ -64,14 +64,14 @@
 			_, _ = w.Write([]byte("half"))
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
-		}, verdict.MayHaveRun, port.CodeTruncated},
-		{"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, verdict.MayHaveRun, port.CodeBroken},
-		{"foreign answer", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRequestID, "id-2") }, verdict.MayHaveRun, port.CodeForeign},
-		{"too large", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 2<<10)) }, verdict.MayHaveRun, port.CodeTooLarge},
+		}, verdict.MayHaveRun, port.CodeBackendAnswerTruncated},
+		{"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, verdict.MayHaveRun, port.CodeBackendConnectionBroken},
+		{"foreign answer", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRequestID, "id-2") }, verdict.MayHaveRun, port.CodeBackendAnswerForeign},
+		{"too large", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 2<<10)) }, verdict.MayHaveRun, port.CodeBackendAnswerTooLarge},
 		{"says that it did not run", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(HeaderNotRun, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
-		}, verdict.NotRun, port.CodeRefused},
+		}, verdict.NotRun, port.CodeBackendRefused},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			addr, count := backendServer(t, tc.handle)
--- a/adapter/etcdkv/client.go
+++ b/adapter/etcdkv/client.go
@@ -121,7 +121,7 @@
 	if write && !dialFailed {
 		v = verdict.MayHaveRun
 	}
-	return verdict.Wrap(err, v, port.CodeStoreDown, "store call")
+	return verdict.Wrap(err, v, port.CodeStoreUnavailable, "store call")
 }
 
 // refused classifies an answer that says the call was not carried out.
@@ -129,16 +129,16 @@
 	c.Counts.Errors.Add(1)
 	switch status {
 	case http.StatusTooManyRequests:
-		return verdict.New(verdict.NotRun, port.CodeStoreLimited, "store: too many requests")
+		return verdict.New(verdict.NotRun, port.CodeStoreRateLimited, "store: too many requests")
 	case http.StatusServiceUnavailable:
 		// The service also answers 503 to a proposal that timed out, which may
 		// still take effect. Only "no leader" says that nothing was proposed.
 		if !bytes.Contains(body, []byte("no leader")) {
-			return verdict.New(verdict.MayHaveRun, port.CodeStoreDown, "store unavailable: %s", bytes.TrimSpace(body))
+			return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store unavailable: %s", bytes.TrimSpace(body))
 		}
-		return verdict.New(verdict.NotRun, port.CodeStoreDown, "store unavailable: %s", bytes.TrimSpace(body))
+		return verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "store unavailable: %s", bytes.TrimSpace(body))
 	default:
-		return verdict.New(verdict.MayHaveRun, port.CodeStoreDown, "store answered %d: %s", status, bytes.TrimSpace(body))
+		return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store answered %d: %s", status, bytes.TrimSpace(body))
 	}
 }
 
@@ -245,7 +245,7 @@
 		}
 		idle.Reset(c.opts.WatchIdle)
 		if m.Result.Canceled {
-			return verdict.New(verdict.NotRun, port.CodeCompacted, "watch cancelled: history before revision %d is gone", m.Result.CompactRevision)
+			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "watch cancelled: history before revision %d is gone", m.Result.CompactRevision)
 		}
 		fn(m.Result.events())
 	}
--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -136,9 +136,9 @@
 	return c.Conn.Write(p)
 }
 
-// Beat implements port.Peers.
-func (c *Client) Beat(ctx context.Context, addr string, b port.Beat) (port.BeatReply, error) {
-	return call[port.BeatReply](ctx, c, addr, "Beat", b)
+// Heartbeat implements port.Peers.
+func (c *Client) Heartbeat(ctx context.Context, addr string, b port.Heartbeat) (port.HeartbeatReply, error) {
+	return call[port.HeartbeatReply](ctx, c, addr, "Beat", b)
 }
 
 // Changes implements port.Peers.
--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -23,8 +23,8 @@
 	release chan struct{}
 }
 
-func (e *echo) OnBeat(b port.Beat) port.BeatReply {
-	return port.BeatReply{From: "echo", Epoch: b.Epoch, Revision: b.Revision}
+func (e *echo) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
+	return port.HeartbeatReply{From: "echo", Epoch: b.Epoch, Revision: b.Revision}
 }
 func (e *echo) OnClaim(once.Request) once.Reply {
 	<-e.release
@@ -52,9 +52,9 @@
 	close(e.release)
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
-	r, err := c.Beat(context.Background(), addr, port.Beat{Epoch: 7, Revision: fleet.Revision(9)})
+	r, err := c.Heartbeat(context.Background(), addr, port.Heartbeat{Epoch: 7, Revision: fleet.Revision(9)})
 	require.NoError(t, err)
-	assert.Equal(t, port.BeatReply{From: "echo", Epoch: 7, Revision: 9}, r)
+	assert.Equal(t, port.HeartbeatReply{From: "echo", Epoch: 7, Revision: 9}, r)
 	require.NoError(t, c.Return(context.Background(), addr, []slots.LoanID{"l"}))
 	reply, err := c.Claim(context.Background(), addr, once.Request{})
 	require.NoError(t, err)
@@ -97,11 +97,11 @@
 	<-e.claimed
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
-	_, err = c.Beat(ctx, addr, port.Beat{})
+	_, err = c.Heartbeat(ctx, addr, port.Heartbeat{})
 	require.Error(t, err)
 	close(e.release)
 	assert.NoError(t, <-claimed)
-	_, err = c.Beat(context.Background(), addr, port.Beat{})
+	_, err = c.Heartbeat(context.Background(), addr, port.Heartbeat{})
 	assert.NoError(t, err, "the next call goes by another connection")
 }
 
@@ -116,9 +116,9 @@
 	return e.echo.OnClaim(r)
 }
 
-func (e *slowEcho) OnBeat(b port.Beat) port.BeatReply {
+func (e *slowEcho) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
 	<-e.release
-	return e.echo.OnBeat(b)
+	return e.echo.OnHeartbeat(b)
 }
 
 func TestNobodyThereDidNotRun(t *testing.T) {
@@ -126,7 +126,7 @@
 	require.NoError(t, err)
 	addr := l.Addr().String()
 	l.Close()
-	_, err = NewClient(token, time.Second, time.Second).Beat(context.Background(), addr, port.Beat{})
+	_, err = NewClient(token, time.Second, time.Second).Heartbeat(context.Background(), addr, port.Heartbeat{})
 	assert.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
@@ -161,6 +161,6 @@
 	assert.Error(t, err)
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
-	_, err = c.Beat(context.Background(), addr, port.Beat{})
+	_, err = c.Heartbeat(context.Background(), addr, port.Heartbeat{})
 	assert.NoError(t, err, "others are served")
 }
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -170,7 +170,10 @@
 type Void struct{}
 
 // Beat is an RPC method.
-func (s *service) Beat(b port.Beat, out *port.BeatReply) error { *out = s.h.OnBeat(b); return nil }
+func (s *service) Beat(b port.Heartbeat, out *port.HeartbeatReply) error {
+	*out = s.h.OnHeartbeat(b)
+	return nil
+}
 
 // Changes is an RPC method.
 func (s *service) Changes(since fleet.Revision, out *port.Changes) error {
--- a/adapter/workerhttp/client.go
+++ b/adapter/workerhttp/client.go
@@ -72,7 +72,7 @@
 const maxAnswer = 4 << 20
 
 // Sync implements port.Tasks.
-func (c *Client) Sync(ctx context.Context, addr string, r port.TaskSync) ([]fleet.Task, error) {
+func (c *Client) Sync(ctx context.Context, addr string, r port.TaskSyncRequest) ([]fleet.Task, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	body, err := json.Marshal(message(r))
@@ -99,7 +99,7 @@
 	return tasks(answer), nil
 }
 
-func message(r port.TaskSync) SyncMessage {
+func message(r port.TaskSyncRequest) SyncMessage {
 	m := SyncMessage{LeaseMS: r.Lease.Milliseconds(), Checkpoint: r.Checkpoint, Keep: refs(r.Keep), Stop: refs(r.Stop)}
 	for _, s := range r.Start {
 		m.Start = append(m.Start, TaskMessage{
--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -348,8 +348,8 @@
 	}
 }
 
-func (p *peers) Beat(ctx context.Context, addr string, b port.Beat) (port.BeatReply, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) port.BeatReply { return s.OnBeat(b) })
+func (p *peers) Heartbeat(ctx context.Context, addr string, b port.Heartbeat) (port.HeartbeatReply, error) {
+	return call(p, ctx, addr, func(s port.PeerServer) port.HeartbeatReply { return s.OnHeartbeat(b) })
 }
 
 func (p *peers) Changes(ctx context.Context, addr string, since fleet.Revision) (port.Changes, error) {
@@ -443,7 +443,7 @@
 // hookedBackend is one daemon's way to the workers.
 type hookedBackend struct{ d *daemon }
 
-func (h *hookedBackend) Keep(map[fleet.InstanceID]string) {}
+func (h *hookedBackend) RetainConnections(map[fleet.InstanceID]string) {}
 
 const serviceTime = 100 * time.Millisecond
 
@@ -452,10 +452,10 @@
 func (h *hookedBackend) Send(ctx context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
 	b := h.d.in.backend
 	if !h.d.at(stepConnect) || ctx.Err() != nil || b.isDown() {
-		return nil, verdict.New(verdict.NotRun, port.CodeConnect, "refused")
+		return nil, verdict.New(verdict.NotRun, port.CodeBackendUnreachable, "refused")
 	}
 	if !h.d.at(stepWrite) || b.isDown() {
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeBroken, "broken")
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendConnectionBroken, "broken")
 	}
 	key := r.Header.Get(entry.HeaderKey)
 	b.set(func(b *backend) { b.ran[key] = append(b.ran[key], r.Header.Get(headerSend)) })
@@ -464,7 +464,7 @@
 	select {
 	case <-time.After(serviceTime):
 	case <-ctx.Done():
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeTimeout, "timeout")
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendTimeout, "timeout")
 	}
 	h.d.at(stepRead)
 	b.mu.Lock()
@@ -473,9 +473,9 @@
 	switch {
 	case hang:
 		<-ctx.Done()
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeTimeout, "timeout")
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendTimeout, "timeout")
 	case broken:
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeTruncated, "cut")
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerTruncated, "cut")
 	}
 	return &port.BackendAnswer{Status: http.StatusOK, Header: http.Header{}, Body: []byte("answer to " + key)}, nil
 }
--- a/operators/api/exec.go
+++ b/operators/api/exec.go
@@ -133,7 +133,7 @@
 func (e *Executor) reread(ctx context.Context) error {
 	l, err := e.Store.List(ctx, record.Root)
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreDown, "read the records")
+		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read the records")
 	}
 	e.Mirror.Replace(l)
 	return nil
@@ -143,7 +143,7 @@
 func (e *Executor) refresh(ctx context.Context, key string) error {
 	kv, found, err := e.Store.Get(ctx, key)
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreDown, "read %s", key)
+		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read %s", key)
 	}
 	if !found {
 		kv = port.KV{Key: key, Revision: kv.Revision}
--- a/requests/cluster/beat.go
+++ b/requests/cluster/beat.go
@@ -57,7 +57,7 @@
 	p.busy = true
 	b := n.ownBeat()
 	n.background(func() {
-		reply, err := n.deps.Peers.Beat(ctx, addr, b)
+		reply, err := n.deps.Peers.Heartbeat(ctx, addr, b)
 		n.post(func(answered time.Time) {
 			p.busy = false
 			if err == nil {
@@ -67,8 +67,8 @@
 	})
 }
 
-func (n *Node) ownBeat() port.Beat {
-	return port.Beat{
+func (n *Node) ownBeat() port.Heartbeat {
+	return port.Heartbeat{
 		From:     n.opts.Self.Incarnation,
 		ID:       n.opts.Self.ID,
 		Epoch:    n.core.View().Epoch,
@@ -79,7 +79,7 @@
 	}
 }
 
-func (n *Node) beatAnswered(ctx context.Context, now, sentAt time.Time, addr string, asked port.Beat, r port.BeatReply) {
+func (n *Node) beatAnswered(ctx context.Context, now, sentAt time.Time, addr string, asked port.Heartbeat, r port.HeartbeatReply) {
 	n.core.Confirmed(now, sentAt, r.From, asked.Epoch, r.Highest)
 	n.heard(now, r.From, r.Epoch, r.Revision, r.Settled, r.Stopping)
 	if r.Revision > n.deps.Mirror.State().Revision && n.wantsRecords() {
@@ -122,15 +122,15 @@
 	})
 }
 
-// OnBeat implements port.PeerServer. It runs on the control goroutine, so that
+// OnHeartbeat implements port.PeerServer. It runs on the control goroutine, so that
 // after the answer names a newer epoch this daemon serves no older one.
-func (n *Node) OnBeat(b port.Beat) port.BeatReply {
-	var r port.BeatReply
+func (n *Node) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
+	var r port.HeartbeatReply
 	n.do(func(now time.Time) {
 		n.core.Heard(now, b.From, b.Highest)
 		n.heard(now, b.From, b.Epoch, b.Revision, b.Settled, b.Stopping)
 		n.publish(now)
-		r = port.BeatReply{
+		r = port.HeartbeatReply{
 			From:     n.opts.Self.Incarnation,
 			Epoch:    n.core.View().Epoch,
 			Highest:  n.core.Highest(),
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -278,7 +278,7 @@
 // or stop. A round is due at once for something new, else well before the
 // leases lapse.
 func (r *roundState) syncWorkers(name fleet.PoolName, js *fleet.JobSet) {
-	rounds := map[fleet.InstanceID]*port.TaskSync{}
+	rounds := map[fleet.InstanceID]*port.TaskSyncRequest{}
 	urgent := map[fleet.InstanceID]bool{}
 	for i := range js.Jobs {
 		j := &js.Jobs[i]
@@ -287,7 +287,7 @@
 		}
 		s := rounds[j.Worker]
 		if s == nil {
-			s = &port.TaskSync{Lease: r.c.opts.TaskLease, Checkpoint: true}
+			s = &port.TaskSyncRequest{Lease: r.c.opts.TaskLease, Checkpoint: true}
 			rounds[j.Worker] = s
 		}
 		if r.addJob(name, j, s) {
@@ -300,7 +300,7 @@
 }
 
 // addJob puts a job into its worker's round and reports whether that is urgent.
-func (r *roundState) addJob(pool fleet.PoolName, j *fleet.Job, s *port.TaskSync) bool {
+func (r *roundState) addJob(pool fleet.PoolName, j *fleet.Job, s *port.TaskSyncRequest) bool {
 	t, known := r.c.tasks.find(j.Worker, pool, j)
 	ref := port.TaskRef{Pool: pool, Job: j.Name, Attempt: j.Attempt}
 	switch {
@@ -327,7 +327,7 @@
 	quietRound  = 700 * time.Millisecond
 )
 
-func (r *roundState) syncWorker(id fleet.InstanceID, s port.TaskSync, urgent bool) {
+func (r *roundState) syncWorker(id fleet.InstanceID, s port.TaskSyncRequest, urgent bool) {
 	b := r.c.tasks
 	due := quietRound
 	if urgent {
@@ -345,7 +345,7 @@
 	r.c.background(func() { r.c.syncTasks(r.ctx, id, inst.Addr, s) })
 }
 
-func (c *Controller) syncTasks(ctx context.Context, id fleet.InstanceID, addr string, s port.TaskSync) {
+func (c *Controller) syncTasks(ctx context.Context, id fleet.InstanceID, addr string, s port.TaskSyncRequest) {
 	c.Counts.TaskSync.Add(1)
 	asked := time.Now()
 	tasks, err := c.deps.Tasks.Sync(ctx, addr, s)
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -348,7 +348,7 @@
 func (d *Daemon) newSnapshot(s *control.Snapshot) {
 	dir := directory.Build(s.State, s.Instances)
 	d.dispatcher.SetDirectory(dir)
-	d.backend.Keep(dir.Addrs)
+	d.backend.RetainConnections(dir.Addrs)
 }
 
 func (d *Daemon) instances() []fleet.Instance {
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -306,7 +306,7 @@
 // says nothing about the worker.
 func (h *Handler) finish(ctx context.Context, c *call, grant *Grant, attempt int, answer *port.BackendAnswer, err error) {
 	h.Observer.Tried(c.route.Service, grant.Worker.ID, attempt, err)
-	if errors.Is(ctx.Err(), context.Canceled) || verdict.CodeOf(err) == port.CodeRefused {
+	if errors.Is(ctx.Err(), context.Canceled) || verdict.CodeOf(err) == port.CodeBackendRefused {
 		h.Dispatcher.Unused(grant)
 		return
 	}
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -37,7 +37,7 @@
 	errs []error // of the first sends
 }
 
-func (f *fakeBackend) Keep(map[fleet.InstanceID]string) {}
+func (f *fakeBackend) RetainConnections(map[fleet.InstanceID]string) {}
 func (f *fakeBackend) Send(_ context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
 	f.sent = append(f.sent, r)
 	if n := len(f.sent); n <= len(f.errs) && f.errs[n-1] != nil {
@@ -132,8 +132,8 @@
 }
 
 func TestRetriesOnlyWhatMayBeRepeated(t *testing.T) {
-	broken := verdict.New(verdict.MayHaveRun, port.CodeBroken, "broken")
-	refused := verdict.New(verdict.NotRun, port.CodeConnect, "refused")
+	broken := verdict.New(verdict.MayHaveRun, port.CodeBackendConnectionBroken, "broken")
+	refused := verdict.New(verdict.NotRun, port.CodeBackendUnreachable, "refused")
 	for _, tc := range []struct {
 		name, method string
 		err          error
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -112,7 +112,7 @@
 		Number:     attempt,
 		Verdict:    verdict.Of(err), // Done for an answer that reports a failure
 		Idempotent: c.idempotent,
-		Overloaded: verdict.CodeOf(err) == port.CodeRefused,
+		Overloaded: verdict.CodeOf(err) == port.CodeBackendRefused,
 		Remaining:  time.Until(c.deadline),
 	})
 }
@@ -121,7 +121,7 @@
 // at once and not tried again.
 func (h *Handler) final(err error) bool {
 	switch verdict.CodeOf(err) {
-	case port.CodeConnect, port.CodeBroken, port.CodeTruncated, port.CodeForeign, port.CodeTimeout:
+	case port.CodeBackendUnreachable, port.CodeBackendConnectionBroken, port.CodeBackendAnswerTruncated, port.CodeBackendAnswerForeign, port.CodeBackendTimeout:
 		return false
 	default:
 		return true
--- a/requests/entry/problem.go
+++ b/requests/entry/problem.go
@@ -61,7 +61,7 @@
 	switch {
 	case verdict.Of(err) == verdict.NotRun:
 		return http.StatusServiceUnavailable
-	case verdict.CodeOf(err) == port.CodeTimeout:
+	case verdict.CodeOf(err) == port.CodeBackendTimeout:
 		return http.StatusGatewayTimeout
 	default:
 		return http.StatusBadGateway
--- a/requests/mirror/feed.go
+++ b/requests/mirror/feed.go
@@ -41,7 +41,7 @@
 	for ctx.Err() == nil {
 		err := f.follow(ctx, &relist, &pause)
 		f.setConnected(false, err)
-		if verdict.CodeOf(err) == port.CodeCompacted {
+		if verdict.CodeOf(err) == port.CodeStoreCompacted {
 			relist = true
 		}
 		if !sleep.For(ctx, jitter(f.Rand, pause)) {
--- a/requests/port/backend.go
+++ b/requests/port/backend.go
@@ -8,39 +8,40 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Codes of a failed send to a worker.
+// Codes of a request to a worker that failed.
 const (
-	CodeConnect   verdict.Code = "backend-unreachable"
-	CodeBroken    verdict.Code = "backend-connection-broken"
-	CodeTruncated verdict.Code = "backend-answer-truncated"
-	CodeForeign   verdict.Code = "backend-answer-foreign"
-	CodeTooLarge  verdict.Code = "backend-answer-too-large"
-	CodeTimeout   verdict.Code = "backend-timeout"
-	CodeRefused   verdict.Code = "backend-refused" // it said that it did not run
+	CodeBackendUnreachable      verdict.Code = "backend-unreachable"
+	CodeBackendConnectionBroken verdict.Code = "backend-connection-broken"
+	CodeBackendAnswerTruncated  verdict.Code = "backend-answer-truncated"
+	CodeBackendAnswerForeign    verdict.Code = "backend-answer-foreign"
+	CodeBackendAnswerTooLarge   verdict.Code = "backend-answer-too-large"
+	CodeBackendTimeout          verdict.Code = "backend-timeout"
+	CodeBackendRefused          verdict.Code = "backend-refused" // the worker reported that the request did not run
 )
 
-// BackendRequest is one try of a caller's request at one worker.
+// BackendRequest is one attempt to send a caller's request to one worker.
 type BackendRequest struct {
 	Worker    fleet.InstanceID
 	Addr      string // IP:port
-	RequestID string // unique for the try
+	RequestID string // unique per attempt
 	Method    string
 	URI       string // path and query, as received
 	Host      string
-	Header    http.Header // owned by the callee
+	Header    http.Header // the callee may change it
 	Body      []byte
 }
 
-// BackendAnswer is a whole answer.
+// BackendAnswer is a worker's complete response.
 type BackendAnswer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Backend sends requests to workers. An error carries the verdict.
+// Backend sends requests to workers. Its errors carry a verdict.
 type Backend interface {
 	Send(ctx context.Context, r BackendRequest) (*BackendAnswer, error)
-	// Keep tells which workers are in use; others' connections may be dropped.
-	Keep(live map[fleet.InstanceID]string)
+	// RetainConnections closes idle connections to workers that are not in live,
+	// which maps each worker in use to its address.
+	RetainConnections(live map[fleet.InstanceID]string)
 }
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -8,20 +8,20 @@
 	"github.com/postmount/postmount/requests/slots"
 )
 
-// Beat is one member's heartbeat to another. It asks the receiver to confirm
-// that it knows nothing newer than Epoch.
-type Beat struct {
+// Heartbeat is sent by one member to another. It asks the receiver to confirm
+// that it knows of no view newer than Epoch.
+type Heartbeat struct {
 	From     fleet.Incarnation
 	ID       fleet.EntryID
 	Epoch    fleet.Epoch    // of the view in force at the sender
 	Highest  fleet.Epoch    // newest epoch the sender has heard of
 	Revision fleet.Revision // up to which the sender's records are complete
 	Settled  bool           // the sender's slot shares are settled under Epoch
-	Stopping bool           // the sender has nothing in flight and leaves
+	Stopping bool           // the sender is leaving the view and has nothing in flight
 }
 
-// BeatReply answers a Beat with the receiver's own standing.
-type BeatReply struct {
+// HeartbeatReply answers a Heartbeat with the receiver's own state.
+type HeartbeatReply struct {
 	From     fleet.Incarnation
 	Epoch    fleet.Epoch
 	Highest  fleet.Epoch
@@ -30,12 +30,12 @@
 	Stopping bool
 }
 
-// Changes are records that a peer knows, newer than asked for.
+// Changes are a peer's records that are newer than the requested revision.
 type Changes struct {
 	Events     []Event
 	CompleteTo fleet.Revision
-	// Instances is the peer's newest instance list; it comes along when the
-	// records were asked for from the start.
+	// Instances is the peer's newest instance list. It is set only if the
+	// requested revision was 0.
 	Instances []fleet.Instance
 }
 
@@ -55,11 +55,11 @@
 
 // Peers reaches the other entry daemons by the address of their peer listener.
 type Peers interface {
-	Beat(ctx context.Context, addr string, b Beat) (BeatReply, error)
+	Heartbeat(ctx context.Context, addr string, b Heartbeat) (HeartbeatReply, error)
 	Changes(ctx context.Context, addr string, since fleet.Revision) (Changes, error)
 	Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error)
-	// Note tells the owner of a key what became of an attempt. noted is false
-	// if the peer does not own the key's partition.
+	// Note reports the outcome of an attempt to the owner of its key. noted is
+	// false if the peer does not own the key's partition.
 	Note(ctx context.Context, addr string, n once.Claim) (noted bool, err error)
 	Transfer(ctx context.Context, addr string, t once.Transfer) (taken bool, err error)
 	Borrow(ctx context.Context, addr string, r BorrowRequest) (BorrowReply, error)
@@ -67,9 +67,9 @@
 	Burn(ctx context.Context, addr string) (BurnCounts, error)
 }
 
-// PeerServer is what a daemon offers to its peers.
+// PeerServer handles the calls of peers.
 type PeerServer interface {
-	OnBeat(b Beat) BeatReply
+	OnHeartbeat(b Heartbeat) HeartbeatReply
 	OnChanges(since fleet.Revision) Changes
 	OnClaim(r once.Request) once.Reply
 	OnNote(n once.Claim) bool
@@ -91,5 +91,5 @@
 	Class   fleet.ClassName
 	Seconds int // length of the window
 	Total   int64
-	Bad     int64 // not answered well and in time
+	Bad     int64 // failed or later than the latency objective
 }
--- a/requests/port/port.go
+++ b/requests/port/port.go
@@ -1,6 +1,6 @@
-// Package port declares the interfaces through which decisions and the entry
-// path reach the outside: the platform's store, its instance list and pool
-// actions, workers' tasks, and peers. Adapters implement them.
+// Package port declares the interfaces to external systems: the platform's
+// store, instance list and instance actions, workers' task APIs, backend
+// servers, and peers. Packages under adapter implement them.
 package port
 
 import (
@@ -21,7 +21,7 @@
 	Revision fleet.Revision // modification revision
 }
 
-// Listing is the content of a prefix at one revision.
+// Listing is every key under a prefix at one revision.
 type Listing struct {
 	KVs      []KV
 	Revision fleet.Revision
@@ -35,39 +35,39 @@
 
 // Store is the platform's key-value service. Every method makes one call.
 //
-// A write that fails carries a verdict: NotRun if it is proven not to have
-// taken effect, MayHaveRun otherwise.
+// The error of a failed write carries a verdict: NotRun if the write certainly
+// had no effect, MayHaveRun otherwise.
 type Store interface {
 	Get(ctx context.Context, key string) (kv KV, found bool, err error)
 	List(ctx context.Context, prefix string) (Listing, error)
 	// CompareAndSwap writes value if key is at revision expect (0: absent).
-	// A lost race returns swapped == false and no error.
+	// If key is at another revision, swapped is false and err is nil.
 	CompareAndSwap(ctx context.Context, key string, expect fleet.Revision, value []byte, lease LeaseID) (rev fleet.Revision, swapped bool, err error)
 	// CompareAndDelete removes key if it is at revision expect.
 	CompareAndDelete(ctx context.Context, key string, expect fleet.Revision) (deleted bool, err error)
-	// Watch calls fn for each change under prefix after revision from, until
+	// Watch calls fn with the changes under prefix after revision from, until
 	// ctx ends or the stream breaks; it always returns an error. fn is also
-	// called with no events when the stream is known to be alive.
+	// called without events when the stream is known to be alive.
 	Watch(ctx context.Context, prefix string, from fleet.Revision, fn func([]Event)) error
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// KeepAlive renews a lease; alive is false if it had lapsed.
+	// KeepAlive renews a lease; alive is false if it had expired.
 	KeepAlive(ctx context.Context, id LeaseID) (alive bool, err error)
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
 
 // Codes of store errors.
 const (
-	CodeStoreDown    verdict.Code = "store-unavailable"
-	CodeStoreLimited verdict.Code = "store-rate-limited"
-	CodeCompacted    verdict.Code = "store-compacted"
+	CodeStoreUnavailable verdict.Code = "store-unavailable"
+	CodeStoreRateLimited verdict.Code = "store-rate-limited"
+	CodeStoreCompacted   verdict.Code = "store-compacted"
 )
 
 // InstanceChanges are the instances whose entry in the platform's list changed
 // after a version.
 type InstanceChanges struct {
-	Version int64 // to ask from the next time
-	// Full tells that Instances is the whole list, because the version asked
-	// from is unknown to the platform.
+	Version int64 // to pass to the next call of Changes
+	// Full reports that Instances is the whole list, because the platform does
+	// not know the requested version.
 	Full      bool
 	Instances []fleet.Instance
 	// GoneEntries lists the incarnations of entry daemons that the platform
@@ -75,23 +75,24 @@
 	GoneEntries []fleet.Incarnation
 }
 
-// InstanceList is the platform's list of live and leaving instances. It lags.
+// InstanceList is the platform's list of live and leaving instances. It lags
+// behind their actual state.
 type InstanceList interface {
 	// Changes returns what changed after version since; 0 asks for everything.
 	Changes(ctx context.Context, since int64) (InstanceChanges, error)
 }
 
-// Actions carries out commands on instances. A command is idempotent by its
-// id, and refused when its generation is not the instance's.
+// Actions sends commands for instances to the platform. A command is idempotent
+// by its ID and is refused if its generation is not the instance's.
 type Actions interface {
 	Send(ctx context.Context, instance fleet.InstanceID, cmd fleet.Command) error
 }
 
 // Tasks reaches the task API of one worker.
 type Tasks interface {
-	// Sync renews the leases of the tasks in keep, starts those of start and
-	// stops those of stop, then returns every task the worker knows.
-	Sync(ctx context.Context, addr string, req TaskSync) ([]fleet.Task, error)
+	// Sync renews the leases of the tasks in req.Keep, starts those in
+	// req.Start, stops those in req.Stop, and returns every task the worker knows.
+	Sync(ctx context.Context, addr string, req TaskSyncRequest) ([]fleet.Task, error)
 }
 
 // TaskStart asks a worker to run one attempt of a job.
@@ -103,16 +104,16 @@
 	RunFor  time.Duration
 }
 
-// TaskRef names one attempt of a job.
+// TaskRef identifies one attempt of a job.
 type TaskRef struct {
 	Pool    fleet.PoolName
 	Job     fleet.JobName
 	Attempt int
 }
 
-// TaskSync is one round with a worker.
-type TaskSync struct {
-	Lease time.Duration // how long a renewed or started task may run unrenewed
+// TaskSyncRequest lists the tasks that a worker is to start, keep and stop.
+type TaskSyncRequest struct {
+	Lease time.Duration // how long a task may run without renewal
 	Start []TaskStart
 	Keep  []TaskRef
 	Stop  []TaskRef
--- a/requests/record/record_test.go
+++ b/requests/record/record_test.go
@@ -38,14 +38,14 @@
 		between(s)
 	}
 	if lose || drop {
-		return 0, false, verdict.New(verdict.MayHaveRun, port.CodeStoreDown, "lost")
+		return 0, false, verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "lost")
 	}
 	return s.kv.Revision, ok, nil
 }
 
 func (s *lossyStore) Get(context.Context, string) (port.KV, bool, error) {
 	if s.down {
-		return port.KV{}, false, verdict.New(verdict.NotRun, port.CodeStoreDown, "down")
+		return port.KV{}, false, verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "down")
 	}
 	return s.kv, s.kv.Revision > 0, nil
 }
--- a/standin/store/direct.go
+++ b/standin/store/direct.go
@@ -39,7 +39,7 @@
 
 // errDown is what a call to a service that is down returns.
 func errDown() error {
-	return verdict.New(verdict.NotRun, port.CodeStoreDown, "the store is down")
+	return verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "the store is down")
 }
 
 // enter counts a call and applies the faults before its effect.
@@ -74,7 +74,7 @@
 		return nil
 	}
 	d.faults.LoseAnswers--
-	return verdict.New(verdict.MayHaveRun, port.CodeStoreDown, "the answer was lost")
+	return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "the answer was lost")
 }
 
 // Get implements port.Store.
@@ -142,7 +142,7 @@
 	for {
 		events, upTo, changed, ok := d.Engine.Since(prefix, prefix+"\xff", next)
 		if !ok {
-			return verdict.New(verdict.NotRun, port.CodeCompacted, "history is gone")
+			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "history is gone")
 		}
 		var out []port.Event
 		for _, c := range events {
