--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -407,8 +407,8 @@
 func (h *hookedObserver) Answered(fleet.ServiceName, fleet.ClassName, verdict.Verdict, verdict.Code, int, time.Duration) {
 	h.d.at(stepAnswer)
 }
-func (h *hookedObserver) Tried(fleet.ServiceName, fleet.InstanceID, int, error) {}
-func (h *hookedObserver) Health(fleet.ServiceName, fleet.InstanceID, bool)      {}
+func (h *hookedObserver) AttemptEnded(fleet.ServiceName, fleet.InstanceID, int, error) {}
+func (h *hookedObserver) HealthChanged(fleet.ServiceName, fleet.InstanceID, bool)      {}
 
 // backend is the workers of all daemons.
 type backend struct {
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -185,7 +185,7 @@
 	for b.Loop() {
 		i++
 		key := once.Key(fmt.Sprintf("%08x-%04x-7000-8000-%012x", now.UnixMilli()>>16, now.UnixMilli()&0xffff, i))
-		t.Claim(now, once.Standing{Confirmed: true, Retired: true}, once.Request{Epoch: 1, Key: key, Attempt: "x", Claimer: "a"})
+		t.Claim(now, once.ViewStatus{Confirmed: true, Retired: true}, once.Request{Epoch: 1, Key: key, Attempt: "x", Claimer: "a"})
 	}
 }
 
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -154,7 +154,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.node.Standing().Serving(now) {
-		c.table.Serve(now)
+		c.table.StartServing(now)
 	}
 	c.table.Tick(now)
 }
@@ -172,14 +172,14 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	s := c.node.Standing()
-	return c.table.Claim(now, once.Standing{Confirmed: s.Confirmed(now) && s.Epoch == r.Epoch, Retired: s.Retired}, r)
+	return c.table.Claim(now, once.ViewStatus{Confirmed: s.Confirmed(now) && s.Epoch == r.Epoch, Retired: s.Retired}, r)
 }
 
 // OnNote takes in what became of an attempt.
 func (c *Claims) OnNote(n once.Claim) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.Note(n)
+	return c.table.RecordAttempt(n)
 }
 
 // OnTransfer takes in a partition from its old owner.
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -166,7 +166,7 @@
 	policies.Admit.MaxQueue = s.Limits.MaxQueue
 	policies.Pick = route.Policy(s.Policies.Pick)
 	policies.Retry.Policy = retry.Policy(s.Policies.Retry)
-	policies.NoLoans = s.Policies.Loans == "off"
+	policies.DisableLoans = s.Policies.Loans == "off"
 	d.dispatcher = entry.NewDispatcher(d.self.Incarnation, d.self.Zone, s.Limits.MaxTimeout.D()+member.DefaultOptions.ConfirmWindow, policies, newRand())
 	d.node = cluster.New(cluster.Options{
 		Self: d.self, Seeds: s.Peers.Seeds, Heartbeat: s.Peers.Heartbeat.D(), LeaseTTL: s.Peers.LeaseTTL.D(), Grace: s.Peers.Grace.D(),
--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -18,9 +18,9 @@
 
 // Codes of refusals by the dispatcher.
 const (
-	CodeNoWorkers verdict.Code = "no-workers"
-	CodeOverload  verdict.Code = "overloaded"
-	CodeGone      verdict.Code = "caller-gone"
+	CodeNoWorkers  verdict.Code = "no-workers"
+	CodeOverloaded verdict.Code = "overloaded"
+	CodeCallerGone verdict.Code = "caller-gone"
 )
 
 // Policies are the decisions that can be exchanged for a baseline.
@@ -28,8 +28,8 @@
 	Admit admit.Options
 	Pick  route.Policy
 	Retry retry.Options
-	// NoLoans keeps every slot with the daemon whose share it is.
-	NoLoans bool
+	// DisableLoans keeps every slot with the daemon whose share it is.
+	DisableLoans bool
 }
 
 // DefaultPolicies are those of production.
@@ -136,7 +136,7 @@
 	case out := <-ch:
 		return out.grant, out.err
 	case <-ctx.Done():
-		return d.giveUp(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeGone, "the caller went away while waiting"))
+		return d.giveUp(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeCallerGone, "the caller went away while waiting"))
 	case <-timer.C:
 		return d.giveUp(name, id, ch, overload(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second}))
 	}
@@ -264,15 +264,15 @@
 	select {
 	case out := <-ch:
 		if out.grant != nil {
-			d.Unused(out.grant)
+			d.ReleaseUnsent(out.grant)
 		}
 	default:
 	}
 	return nil, err
 }
 
-// Unused gives back a slot on which nothing was sent.
-func (d *Dispatcher) Unused(g *Grant) {
+// ReleaseUnsent gives back a slot on which nothing was sent.
+func (d *Dispatcher) ReleaseUnsent(g *Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if s := d.services[g.service]; s != nil {
@@ -329,4 +329,4 @@
 	return s.budget.Next(a, d.rnd)
 }
 
-func overload(r admit.Refusal) error { return refuse(CodeOverload, r.Reason, r.RetryAfter) }
+func overload(r admit.Refusal) error { return refuse(CodeOverloaded, r.Reason, r.RetryAfter) }
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -33,19 +33,19 @@
 
 // Codes of answers by the handler.
 const (
-	CodeNoRoute     verdict.Code = "no-route"
-	CodeBadRequest  verdict.Code = "bad-request"
-	CodeTooLarge    verdict.Code = "request-too-large"
-	CodeBadKey      verdict.Code = "bad-idempotency-key"
-	CodeKeyReused   verdict.Code = "idempotency-key-reused"
-	CodeKeyExpired  verdict.Code = "idempotency-key-expired"
-	CodeKeyFuture   verdict.Code = "idempotency-key-from-future"
-	CodeNotRetained verdict.Code = "answer-not-retained"
-	CodeUnknown     verdict.Code = "earlier-attempt-unknown"
-	CodeInProgress  verdict.Code = "earlier-attempt-running"
-	CodeCutOff      verdict.Code = "cut-off-from-peers"
-	CodeNoOwner     verdict.Code = "key-owner-unavailable"
-	CodeStopping    verdict.Code = "stopping"
+	CodeNoRoute               verdict.Code = "no-route"
+	CodeBadRequest            verdict.Code = "bad-request"
+	CodeTooLarge              verdict.Code = "request-too-large"
+	CodeBadKey                verdict.Code = "bad-idempotency-key"
+	CodeKeyReused             verdict.Code = "idempotency-key-reused"
+	CodeKeyExpired            verdict.Code = "idempotency-key-expired"
+	CodeKeyFromFuture         verdict.Code = "idempotency-key-from-future"
+	CodeAnswerNotRetained     verdict.Code = "answer-not-retained"
+	CodeEarlierAttemptUnknown verdict.Code = "earlier-attempt-unknown"
+	CodeEarlierAttemptRunning verdict.Code = "earlier-attempt-running"
+	CodeCutOff                verdict.Code = "cut-off-from-peers"
+	CodeKeyOwnerUnavailable   verdict.Code = "key-owner-unavailable"
+	CodeStopping              verdict.Code = "stopping"
 )
 
 // Claims is what the handler needs of the claims on idempotency keys.
@@ -88,8 +88,8 @@
 // Observer is told of every answer and every try. Its methods must be fast.
 type Observer interface {
 	Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration)
-	Tried(service fleet.ServiceName, worker fleet.InstanceID, attempt int, err error)
-	Health(service fleet.ServiceName, worker fleet.InstanceID, ejected bool)
+	AttemptEnded(service fleet.ServiceName, worker fleet.InstanceID, attempt int, err error)
+	HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool)
 }
 
 // Stop makes every new request be refused; those in flight go on.
@@ -157,9 +157,9 @@
 	switch verdict.CodeOf(err) {
 	case CodeKeyReused:
 		return http.StatusUnprocessableEntity
-	case CodeKeyExpired, CodeNotRetained, CodeInProgress, CodeUnknown:
+	case CodeKeyExpired, CodeAnswerNotRetained, CodeEarlierAttemptRunning, CodeEarlierAttemptUnknown:
 		return http.StatusConflict
-	case CodeKeyFuture:
+	case CodeKeyFromFuture:
 		return http.StatusBadRequest
 	}
 	return statusOf(err)
@@ -171,7 +171,7 @@
 		return nil, http.StatusServiceUnavailable, refuse(CodeStopping, "this entry instance is stopping", 0)
 	}
 	if inFlight > h.Limits.MaxInFlight || h.buffered.Load() > h.Limits.MaxBuffered {
-		return nil, http.StatusServiceUnavailable, refuse(CodeOverload, "too many requests in flight", time.Second)
+		return nil, http.StatusServiceUnavailable, refuse(CodeOverloaded, "too many requests in flight", time.Second)
 	}
 	route, ok := h.Dispatcher.Directory().Routes.Match(r.Host, r.URL.Path)
 	if !ok {
@@ -265,7 +265,7 @@
 		return nil, refuse(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
 	}
 	if c.key != "" && !h.Claims.Reachable(c.key) {
-		return nil, refuse(CodeNoOwner, "the entry instance that knows about this key cannot be reached", time.Second)
+		return nil, refuse(CodeKeyOwnerUnavailable, "the entry instance that knows about this key cannot be reached", time.Second)
 	}
 	grant, err := h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline)
 	if err != nil {
@@ -280,7 +280,7 @@
 // send sends the request to the granted worker and gives the slot back.
 func (h *Handler) send(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
 	if !h.Standing().Current(time.Now()) {
-		h.Dispatcher.Unused(grant)
+		h.Dispatcher.ReleaseUnsent(grant)
 		return nil, refuse(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
 	}
 	if !c.idempotent {
@@ -305,15 +305,15 @@
 // finish gives the slot back and judges the worker. A caller's own going away
 // says nothing about the worker.
 func (h *Handler) finish(ctx context.Context, c *call, grant *Grant, attempt int, answer *port.BackendAnswer, err error) {
-	h.Observer.Tried(c.route.Service, grant.Worker.ID, attempt, err)
+	h.Observer.AttemptEnded(c.route.Service, grant.Worker.ID, attempt, err)
 	if errors.Is(ctx.Err(), context.Canceled) || verdict.CodeOf(err) == port.CodeBackendRefused {
-		h.Dispatcher.Unused(grant)
+		h.Dispatcher.ReleaseUnsent(grant)
 		return
 	}
 	good := err == nil && answer.Status < http.StatusInternalServerError
 	ejected, restored := h.Dispatcher.Release(grant, good)
 	if ejected || restored {
-		h.Observer.Health(c.route.Service, grant.Worker.ID, ejected)
+		h.Observer.HealthChanged(c.route.Service, grant.Worker.ID, ejected)
 	}
 }
 
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -50,8 +50,8 @@
 
 func (noObserver) Answered(fleet.ServiceName, fleet.ClassName, verdict.Verdict, verdict.Code, int, time.Duration) {
 }
-func (noObserver) Tried(fleet.ServiceName, fleet.InstanceID, int, error) {}
-func (noObserver) Health(fleet.ServiceName, fleet.InstanceID, bool)      {}
+func (noObserver) AttemptEnded(fleet.ServiceName, fleet.InstanceID, int, error) {}
+func (noObserver) HealthChanged(fleet.ServiceName, fleet.InstanceID, bool)      {}
 
 func newHandler(claims *fakeClaims, backend *fakeBackend) *Handler {
 	view := &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "a"}}}
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -22,18 +22,18 @@
 	fp := fingerprint(c)
 	id, reply, err := h.Claims.Ask(ctx, c.key, fp)
 	if err != nil || reply.Result != once.Granted {
-		h.Dispatcher.Unused(grant)
+		h.Dispatcher.ReleaseUnsent(grant)
 	}
 	if err != nil {
 		return nil, &refusal{cause: asVerdict(err), retryAfter: time.Second}
 	}
 	for reply.Result == once.InProgress {
 		if !sleep.For(ctx, inProgressPause) {
-			return nil, verdict.New(verdict.MayHaveRun, CodeInProgress, "an earlier attempt with this key is still running")
+			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key is still running")
 		}
 		// The earlier attempt may be abandoned, and this one granted.
 		if id, reply, err = h.Claims.Ask(ctx, c.key, fp); err != nil {
-			return nil, verdict.New(verdict.MayHaveRun, CodeInProgress, "an earlier attempt with this key was running")
+			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running")
 		}
 		if reply.Result == once.Granted {
 			if grant, err = h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline); err != nil {
@@ -90,15 +90,15 @@
 		header.Set(HeaderReplayed, "true")
 		return &port.BackendAnswer{Status: r.Answer.Status, Header: header, Body: r.Answer.Body}, nil
 	case once.NotRetained:
-		return nil, verdict.New(verdict.MayHaveRun, CodeNotRetained, "the request ran, and its answer is no longer kept")
+		return nil, verdict.New(verdict.MayHaveRun, CodeAnswerNotRetained, "the request ran, and its answer is no longer kept")
 	case once.Mismatch:
 		return nil, verdict.New(verdict.NotRun, CodeKeyReused, "the key was used for another request")
 	case once.Expired:
 		return nil, verdict.New(verdict.MayHaveRun, CodeKeyExpired, "the key is older than answers are kept")
 	case once.FromFuture:
-		return nil, verdict.New(verdict.NotRun, CodeKeyFuture, "the key's time lies in the future")
+		return nil, verdict.New(verdict.NotRun, CodeKeyFromFuture, "the key's time lies in the future")
 	default:
-		return nil, verdict.New(verdict.MayHaveRun, CodeUnknown, "an earlier attempt with this key may have run")
+		return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptUnknown, "an earlier attempt with this key may have run")
 	}
 }
 
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -111,7 +111,7 @@
 		case <-ctx.Done():
 			return
 		case name := <-d.needs:
-			if !d.policies.NoLoans {
+			if !d.policies.DisableLoans {
 				d.borrowFor(ctx, name, self, peers)
 			}
 		case <-t.C:
--- a/requests/once/handover.go
+++ b/requests/once/handover.go
@@ -26,22 +26,22 @@
 func (t *Table) SetView(now time.Time, v *fleet.View) []Transfer {
 	old := t.view
 	t.view = v
-	t.adoptedAt = now
-	t.servingAt = time.Time{}
+	t.viewSetAt = now
+	t.servingSince = time.Time{}
 	var out []Transfer
-	for p := range Partition(Partitions) {
+	for p := range Partition(PartitionCount) {
 		owner := Owner(v, p)
-		mine := t.parts[p]
+		mine := t.partitions[p]
 		switch {
 		case owner == t.self && mine == nil:
-			t.parts[p] = t.takeOver(old, v, p)
+			t.partitions[p] = t.newPartition(old, v, p)
 		case owner == t.self:
-			t.carryOver(old, v, p, mine)
+			t.revalidate(old, v, p, mine)
 		case owner != t.self && mine != nil:
 			out = append(out, t.export(p, owner))
 		}
-		if mine = t.parts[p]; mine != nil {
-			mine.sole = t.soleOwner(v, p)
+		if mine = t.partitions[p]; mine != nil {
+			mine.soleOwner = t.soleOwner(v, p)
 		}
 	}
 	return out
@@ -56,22 +56,22 @@
 	return true
 }
 
-// takeOver prepares a partition that this daemon owns from view v on. The
+// newPartition prepares a partition that this daemon owns from view v on. The
 // first view of all has nothing to wait for.
-func (t *Table) takeOver(old, v *fleet.View, p Partition) *partition {
-	n := &partition{claims: map[Key]*Claim{}, takenAt: v.Epoch}
+func (t *Table) newPartition(old, v *fleet.View, p Partition) *partition {
+	n := &partition{claims: map[Key]*Claim{}, ownedSince: v.Epoch}
 	if v.Epoch == 1 {
 		n.ready = true
 		return n
 	}
-	n.from = previousOwner(old, v, p)
+	n.previousOwner = previousOwner(old, v, p)
 	return n
 }
 
-// carryOver keeps a partition that this daemon owned before and owns again.
+// revalidate keeps a partition that this daemon owned before and owns again.
 // Where views in between were missed, another daemon may have owned it there,
 // and the table is only complete once that one's has come.
-func (t *Table) carryOver(old, v *fleet.View, p Partition, mine *partition) {
+func (t *Table) revalidate(old, v *fleet.View, p Partition, mine *partition) {
 	missed := v.Epoch - old.Epoch - 1
 	if missed == 0 {
 		return
@@ -81,8 +81,8 @@
 		return
 	}
 	mine.ready = false
-	mine.from = prev
-	mine.takenAt = v.Epoch
+	mine.previousOwner = prev
+	mine.ownedSince = v.Epoch
 }
 
 // previousOwner returns who owned p in the view before v. A daemon that missed
@@ -105,29 +105,29 @@
 }
 
 func (t *Table) export(p Partition, to fleet.Incarnation) Transfer {
-	mine := t.parts[p]
-	delete(t.parts, p)
-	tr := Transfer{Epoch: t.view.Epoch, From: t.self, To: to, Partition: p, Complete: mine.ready, Since: mine.since}
+	mine := t.partitions[p]
+	delete(t.partitions, p)
+	tr := Transfer{Epoch: t.view.Epoch, From: t.self, To: to, Partition: p, Complete: mine.ready, Since: mine.completeSince}
 	for _, c := range mine.claims {
 		tr.Claims = append(tr.Claims, *c)
-		t.forget(c)
+		t.uncount(c)
 	}
 	slices.SortFunc(tr.Claims, func(a, b Claim) int { return cmp.Compare(a.Key, b.Key) })
 	return tr
 }
 
-// forget takes c out of the counts.
-func (t *Table) forget(c *Claim) {
-	t.count--
+// uncount takes c out of the counts.
+func (t *Table) uncount(c *Claim) {
+	t.claimCount--
 	if c.Answer != nil {
-		t.bytes -= c.Answer.size()
+		t.answerBytes -= c.Answer.size()
 	}
 }
 
-// Serve notes that the view is served here from now on.
-func (t *Table) Serve(now time.Time) {
-	if t.servingAt.IsZero() {
-		t.servingAt = now
+// StartServing notes that the view is served here from now on.
+func (t *Table) StartServing(now time.Time) {
+	if t.servingSince.IsZero() {
+		t.servingSince = now
 	}
 }
 
@@ -137,19 +137,19 @@
 // Claims are knowledge and always welcome. The completeness is taken over only
 // from the owner that this daemon follows directly.
 func (t *Table) Receive(tr Transfer) bool {
-	mine := t.parts[tr.Partition]
+	mine := t.partitions[tr.Partition]
 	if mine == nil {
 		return false
 	}
 	for _, c := range tr.Claims {
 		t.merge(mine, c)
 	}
-	if tr.Complete && tr.Epoch >= mine.takenAt && tr.From == mine.from {
+	if tr.Complete && tr.Epoch >= mine.ownedSince && tr.From == mine.previousOwner {
 		// A table that was given up on and arrives late still completes ours:
 		// what was unknown meanwhile was refused, never run.
-		mine.since = tr.Since
+		mine.completeSince = tr.Since
 		mine.ready = true
-		mine.from = ""
+		mine.previousOwner = ""
 	}
 	return true
 }
--- a/requests/once/key.go
+++ b/requests/once/key.go
@@ -36,15 +36,15 @@
 	return time.UnixMilli(ms)
 }
 
-// Partitions is the number of partitions of the key space.
-const Partitions = 64
+// PartitionCount is the number of partitions of the key space.
+const PartitionCount = 64
 
 // Partition is one part of the key space.
 type Partition int
 
 // Partition returns the partition k belongs to.
 func (k Key) Partition() Partition {
-	return Partition(rendezvous.Hash(string(k)) % Partitions)
+	return Partition(rendezvous.Hash(string(k)) % PartitionCount)
 }
 
 // Owner returns the member of v that owns partition p.
--- a/requests/once/once.go
+++ b/requests/once/once.go
@@ -109,47 +109,47 @@
 type partition struct {
 	// ready is false while the old owner's table is awaited.
 	ready bool
-	// from is the old owner whose table is awaited or was given up on, and
-	// takenAt the epoch from which on this daemon owns the partition.
-	from    fleet.Incarnation
-	takenAt fleet.Epoch
-	// sole tells that this daemon owns the partition under every view that may
+	// previousOwner is the old owner whose table is awaited or was given up on, and
+	// takenAt the epoch previousOwner which on this daemon owns the partition.
+	previousOwner fleet.Incarnation
+	ownedSince    fleet.Epoch
+	// soleOwner tells that this daemon owns the partition under every view that may
 	// still be served, so that it need not wait for them to stop.
-	sole bool
-	// since is the time from which the table is complete: any key made at or
+	soleOwner bool
+	// completeSince is the time from which the table is complete: any key made at or
 	// after it that was ever claimed is in claims.
-	since  time.Time
-	claims map[Key]*Claim
+	completeSince time.Time
+	claims        map[Key]*Claim
 }
 
 // Table is one daemon's share of the claims. It is not safe for concurrent use.
 type Table struct {
-	opts       Options
-	self       fleet.Incarnation
-	view       *fleet.View
-	adoptedAt  time.Time // when the view was put in force here
-	servingAt  time.Time // when the view began to be served here; zero before
-	parts      map[Partition]*partition
-	finished   []Key // keys with a retained answer, oldest first
-	bytes      int
-	count      int
-	Forgotten  int // claims dropped to stay within MaxClaims
-	DroppedAns int // answers dropped to stay within MaxAnswerBytes
+	opts           Options
+	self           fleet.Incarnation
+	view           *fleet.View
+	viewSetAt      time.Time // when the view was put in force here
+	servingSince   time.Time // when the view began to be served here; zero before
+	partitions     map[Partition]*partition
+	answeredKeys   []Key // keys with a retained answer, oldest first
+	answerBytes    int
+	claimCount     int
+	DroppedClaims  int // claims dropped to stay within MaxClaims
+	DroppedAnswers int // answers dropped to stay within MaxAnswerBytes
 }
 
 // NewTable returns an empty table of daemon self.
 func NewTable(self fleet.Incarnation, opts Options) *Table {
-	return &Table{opts: opts, self: self, view: &fleet.View{}, parts: map[Partition]*partition{}}
+	return &Table{opts: opts, self: self, view: &fleet.View{}, partitions: map[Partition]*partition{}}
 }
 
 func (t *Table) insert(p *partition, c *Claim) {
 	p.claims[c.Key] = c
-	t.count++
+	t.claimCount++
 	if c.Answer != nil {
-		t.bytes += c.Answer.size()
-		t.finished = append(t.finished, c.Key)
+		t.answerBytes += c.Answer.size()
+		t.answeredKeys = append(t.answeredKeys, c.Key)
 	}
-	t.bound()
+	t.enforceLimits()
 }
 
 // ready reports whether p can answer, giving up on the old owner's table when
@@ -158,14 +158,14 @@
 	if p.ready {
 		return true
 	}
-	if t.servingAt.IsZero() || now.Sub(t.adoptedAt) < t.opts.HandoverWait {
+	if t.servingSince.IsZero() || now.Sub(t.viewSetAt) < t.opts.HandoverWait {
 		return false
 	}
 	p.ready = true
 	// Any key the old owner granted was made at most MaxSkew after its grant
 	// by the caller's clock, and the old owner's clock differs from ours by at
 	// most MaxSkew.
-	p.since = t.servingAt.Add(2 * t.opts.MaxSkew)
+	p.completeSince = t.servingSince.Add(2 * t.opts.MaxSkew)
 	return true
 }
 
@@ -178,8 +178,8 @@
 	Claimer     fleet.Incarnation
 }
 
-// Standing is what the owner's daemon may do under the table's view.
-type Standing struct {
+// ViewStatus is what the owner's daemon may do under the table's view.
+type ViewStatus struct {
 	// Confirmed tells that a quorum recently knew of no newer view.
 	Confirmed bool
 	// Retired tells that every earlier view has certainly stopped.
@@ -192,24 +192,24 @@
 // none of the earlier ones was abandoned. Reason: a grant is noted before it
 // is given, an owner grants only what its table is complete for, and two views
 // are never served at once for one partition.
-func (t *Table) Claim(now time.Time, s Standing, r Request) Reply {
-	p := t.parts[r.Key.Partition()]
-	if !s.Confirmed || p == nil || r.Epoch != t.view.Epoch || !(s.Retired || p.sole) {
+func (t *Table) Claim(now time.Time, s ViewStatus, r Request) Reply {
+	p := t.partitions[r.Key.Partition()]
+	if !s.Confirmed || p == nil || r.Epoch != t.view.Epoch || !(s.Retired || p.soleOwner) {
 		return Reply{Result: NotOwner}
 	}
 	if s.Retired {
-		t.Serve(now)
+		t.StartServing(now)
 	}
 	c, found := p.claims[r.Key]
 	if found && c.Status != Abandoned {
-		return t.known(c, r)
+		return t.replyKnown(c, r)
 	}
 	if found && c.Attempt == r.Attempt {
 		return Reply{Result: NotOwner} // given up before this message came
 	}
 	// An abandoned attempt proves nothing about others: a key that the table
 	// is not complete for stays refused.
-	if refusal, ok := t.unfit(now, p, r.Key); ok {
+	if refusal, ok := t.refuseUnknown(now, p, r.Key); ok {
 		return refusal
 	}
 	if found {
@@ -220,9 +220,9 @@
 	return Reply{Result: Granted}
 }
 
-// unfit refuses a key that nothing is known of when the table cannot vouch
+// refuseUnknown refuses a key that nothing is known of when the table cannot vouch
 // that it was never granted.
-func (t *Table) unfit(now time.Time, p *partition, k Key) (Reply, bool) {
+func (t *Table) refuseUnknown(now time.Time, p *partition, k Key) (Reply, bool) {
 	made := k.Time()
 	switch {
 	case now.Sub(made) > t.opts.Retention:
@@ -231,18 +231,18 @@
 		return Reply{Result: FromFuture}, true
 	case !t.ready(now, p):
 		return Reply{Result: NotReady}, true
-	case made.Before(p.since) && now.Before(p.since):
+	case made.Before(p.completeSince) && now.Before(p.completeSince):
 		// Every key of this moment is in doubt, also those that are new. Their
 		// callers are better served by coming back with a new key.
 		return Reply{Result: NotReady}, true
-	case made.Before(p.since):
+	case made.Before(p.completeSince):
 		return Reply{Result: MayHaveRun}, true
 	}
 	return Reply{}, false
 }
 
-// known replies to a claim for a key in the table.
-func (t *Table) known(c *Claim, r Request) Reply {
+// replyKnown replies to a claim for a key in the table.
+func (t *Table) replyKnown(c *Claim, r Request) Reply {
 	if c.Fingerprint != r.Fingerprint {
 		return Reply{Result: Mismatch}
 	}
@@ -262,12 +262,12 @@
 	}
 }
 
-// Note records what a claimer knows of its own attempt: that it runs, has
+// RecordAttempt records what a claimer knows of its own attempt: that it runs, has
 // finished, was abandoned, or will stay unknown. It also tells a new owner of
 // a claim that the old owner's table took with it. It reports false if the
 // partition is not this daemon's.
-func (t *Table) Note(n Claim) bool {
-	p := t.parts[n.Key.Partition()]
+func (t *Table) RecordAttempt(n Claim) bool {
+	p := t.partitions[n.Key.Partition()]
 	if p == nil {
 		return false
 	}
@@ -284,7 +284,7 @@
 	case !known:
 		t.insert(p, &n)
 	case c.Status == Abandoned && n.Status != Abandoned:
-		t.forget(c)
+		t.uncount(c)
 		t.insert(p, &n)
 	case c.Attempt == n.Attempt && c.Status == Running:
 		t.end(c, n)
@@ -296,8 +296,8 @@
 	c.Status = n.Status
 	c.Answer = n.Answer
 	if c.Answer != nil {
-		t.bytes += c.Answer.size()
-		t.finished = append(t.finished, c.Key)
-		t.bound()
+		t.answerBytes += c.Answer.size()
+		t.answeredKeys = append(t.answeredKeys, c.Key)
+		t.enforceLimits()
 	}
 }
--- a/requests/once/once_test.go
+++ b/requests/once/once_test.go
@@ -40,7 +40,7 @@
 	return v
 }
 
-var serving = Standing{Confirmed: true, Retired: true}
+var confirmedAndRetired = ViewStatus{Confirmed: true, Retired: true}
 
 func ask(v *fleet.View, k Key, attempt Attempt) Request {
 	return Request{Epoch: v.Epoch, Key: k, Fingerprint: Fingerprint{1}, Attempt: attempt, Claimer: "a"}
@@ -63,15 +63,15 @@
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
 	k := keyAt(t0, v, "a")
-	require.Equal(t, Granted, table.Claim(t0, serving, ask(v, k, "1")).Result)
-	assert.Equal(t, Granted, table.Claim(t0, serving, ask(v, k, "1")).Result, "the same message again")
-	assert.Equal(t, InProgress, table.Claim(t0, serving, ask(v, k, "2")).Result)
+	require.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "1")).Result)
+	assert.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "1")).Result, "the same message again")
+	assert.Equal(t, InProgress, table.Claim(t0, confirmedAndRetired, ask(v, k, "2")).Result)
 	other := ask(v, k, "3")
 	other.Fingerprint = Fingerprint{2}
-	assert.Equal(t, Mismatch, table.Claim(t0, serving, other).Result)
+	assert.Equal(t, Mismatch, table.Claim(t0, confirmedAndRetired, other).Result)
 	answer := &Answer{Status: 200, Body: []byte("x")}
-	table.Note(Claim{Key: k, Attempt: "1", Status: Finished, Answer: answer})
-	assert.Equal(t, Reply{Result: Answered, Answer: answer}, table.Claim(t0, serving, ask(v, k, "4")))
+	table.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Finished, Answer: answer})
+	assert.Equal(t, Reply{Result: Answered, Answer: answer}, table.Claim(t0, confirmedAndRetired, ask(v, k, "4")))
 }
 
 func TestRefusesWithoutStandingOrUnderAnotherEpoch(t *testing.T) {
@@ -79,18 +79,18 @@
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
 	k := keyAt(t0, v, "a")
-	assert.Equal(t, NotOwner, table.Claim(t0, Standing{}, ask(v, k, "1")).Result)
+	assert.Equal(t, NotOwner, table.Claim(t0, ViewStatus{}, ask(v, k, "1")).Result)
 	old := ask(v, k, "1")
 	old.Epoch = 0
-	assert.Equal(t, NotOwner, table.Claim(t0, serving, old).Result)
+	assert.Equal(t, NotOwner, table.Claim(t0, confirmedAndRetired, old).Result)
 }
 
 func TestKeysOutOfTime(t *testing.T) {
 	v := view(1, nil, "a")
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
-	assert.Equal(t, Expired, table.Claim(t0, serving, ask(v, keyAt(t0.Add(-11*time.Minute), v, "a"), "1")).Result)
-	assert.Equal(t, FromFuture, table.Claim(t0, serving, ask(v, keyAt(t0.Add(time.Second), v, "a"), "1")).Result)
+	assert.Equal(t, Expired, table.Claim(t0, confirmedAndRetired, ask(v, keyAt(t0.Add(-11*time.Minute), v, "a"), "1")).Result)
+	assert.Equal(t, FromFuture, table.Claim(t0, confirmedAndRetired, ask(v, keyAt(t0.Add(time.Second), v, "a"), "1")).Result)
 }
 
 // TestOwnerLost checks that a key which the lost owner may have granted is never
@@ -102,11 +102,11 @@
 	table.SetView(t0, v1)
 	table.SetView(t0, v2)
 	now := t0.Add(DefaultOptions.HandoverWait / 2)
-	assert.Equal(t, NotReady, table.Claim(now, serving, ask(v2, k, "2")).Result, "the old owner's table may still come")
+	assert.Equal(t, NotReady, table.Claim(now, confirmedAndRetired, ask(v2, k, "2")).Result, "the old owner's table may still come")
 	now = now.Add(DefaultOptions.HandoverWait)
-	assert.Equal(t, MayHaveRun, table.Claim(now, serving, ask(v2, k, "2")).Result)
+	assert.Equal(t, MayHaveRun, table.Claim(now, confirmedAndRetired, ask(v2, k, "2")).Result)
 	fresh := keyAt(t0.Add(5*time.Second), v1, "a")
-	assert.Equal(t, Granted, table.Claim(t0.Add(5*time.Second), serving, ask(v2, fresh, "3")).Result)
+	assert.Equal(t, Granted, table.Claim(t0.Add(5*time.Second), confirmedAndRetired, ask(v2, fresh, "3")).Result)
 }
 
 func TestHandOver(t *testing.T) {
@@ -115,15 +115,15 @@
 	from, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
 	from.SetView(t0, v1)
 	to.SetView(t0, v1)
-	require.Equal(t, Granted, from.Claim(t0, serving, ask(v1, k, "1")).Result)
-	from.Note(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Status: 201}})
+	require.Equal(t, Granted, from.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
+	from.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Status: 201}})
 	to.SetView(t0, v2)
 	for _, tr := range from.SetView(t0, v2) {
 		assert.True(t, to.Receive(tr))
 	}
-	assert.Equal(t, NotOwner, from.Claim(t0, serving, ask(v2, k, "2")).Result)
-	assert.Equal(t, Answered, to.Claim(t0, serving, ask(v2, k, "2")).Result)
-	assert.Equal(t, Granted, to.Claim(t0, serving, ask(v2, keyAt(t0.Add(time.Millisecond), v1, "a"), "3")).Result, "a complete table grants keys of its own time")
+	assert.Equal(t, NotOwner, from.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
+	assert.Equal(t, Answered, to.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
+	assert.Equal(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, keyAt(t0.Add(time.Millisecond), v1, "a"), "3")).Result, "a complete table grants keys of its own time")
 }
 
 // TestAbandonedAttemptDoesNotVouchForOthers: an owner that lost its
@@ -135,10 +135,10 @@
 	table := NewTable("b", DefaultOptions)
 	table.SetView(t0, v1)
 	table.SetView(t0, v2)
-	table.Serve(t0)
+	table.StartServing(t0)
 	now := t0.Add(2 * time.Second)
-	require.True(t, table.Note(Claim{Key: k, Attempt: "2", Status: Abandoned}))
-	assert.Equal(t, MayHaveRun, table.Claim(now, serving, ask(v2, k, "3")).Result)
+	require.True(t, table.RecordAttempt(Claim{Key: k, Attempt: "2", Status: Abandoned}))
+	assert.Equal(t, MayHaveRun, table.Claim(now, confirmedAndRetired, ask(v2, k, "3")).Result)
 }
 
 // TestHandOverOutweighsAnAbandonedAttempt: the new owner hears first of another
@@ -149,13 +149,13 @@
 	from, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
 	from.SetView(t0, v1)
 	to.SetView(t0, v1)
-	require.Equal(t, Granted, from.Claim(t0, serving, ask(v1, k, "1")).Result)
+	require.Equal(t, Granted, from.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
 	to.SetView(t0, v2)
-	require.True(t, to.Note(Claim{Key: k, Attempt: "2", Status: Abandoned}))
+	require.True(t, to.RecordAttempt(Claim{Key: k, Attempt: "2", Status: Abandoned}))
 	for _, tr := range from.SetView(t0, v2) {
 		require.True(t, to.Receive(tr))
 	}
-	assert.NotEqual(t, Granted, to.Claim(t0, serving, ask(v2, k, "3")).Result)
+	assert.NotEqual(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, k, "3")).Result)
 }
 
 func TestAbandonOvertakesItsClaim(t *testing.T) {
@@ -163,9 +163,9 @@
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
 	k := keyAt(t0, v, "a")
-	table.Note(Claim{Key: k, Attempt: "1", Status: Abandoned})
-	assert.Equal(t, NotOwner, table.Claim(t0, serving, ask(v, k, "1")).Result)
-	assert.Equal(t, Granted, table.Claim(t0, serving, ask(v, k, "2")).Result)
+	table.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Abandoned})
+	assert.Equal(t, NotOwner, table.Claim(t0, confirmedAndRetired, ask(v, k, "1")).Result)
+	assert.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "2")).Result)
 }
 
 // TestMissedViews: a daemon that slept through a view in which another daemon
@@ -179,18 +179,18 @@
 	other := NewTable("b", DefaultOptions)
 	other.SetView(t0, v1)
 	other.SetView(t0, v2)
-	other.Serve(t0)
+	other.StartServing(t0)
 	later := t0.Add(5 * time.Second)
 	k2 := keyAt(later, v1, "a")
-	require.Equal(t, Granted, other.Claim(later, serving, ask(v2, k2, "1")).Result)
+	require.Equal(t, Granted, other.Claim(later, confirmedAndRetired, ask(v2, k2, "1")).Result)
 	other.Tick(later)
 	sleeper.SetView(later, v3)
-	assert.Equal(t, NotReady, sleeper.Claim(later, serving, ask(v3, k2, "2")).Result)
+	assert.Equal(t, NotReady, sleeper.Claim(later, confirmedAndRetired, ask(v3, k2, "2")).Result)
 	for _, tr := range other.SetView(later, v3) {
 		sleeper.Receive(tr)
 	}
-	assert.Equal(t, InProgress, sleeper.Claim(later, serving, ask(v3, k2, "2")).Result)
-	assert.Equal(t, MayHaveRun, sleeper.Claim(later, serving, ask(v3, k, "3")).Result, "b never had a's first table")
+	assert.Equal(t, InProgress, sleeper.Claim(later, confirmedAndRetired, ask(v3, k2, "2")).Result)
+	assert.Equal(t, MayHaveRun, sleeper.Claim(later, confirmedAndRetired, ask(v3, k, "3")).Result, "b never had a's first table")
 }
 
 func TestBounds(t *testing.T) {
@@ -203,11 +203,11 @@
 	for i := range 30 {
 		k := keyAt(t0.Add(time.Duration(i)*time.Millisecond), v, "a")
 		keys = append(keys, k)
-		table.Claim(t0.Add(time.Second), serving, ask(v, k, "1"))
-		table.Note(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Body: make([]byte, 40)}})
+		table.Claim(t0.Add(time.Second), confirmedAndRetired, ask(v, k, "1"))
+		table.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Body: make([]byte, 40)}})
 	}
 	claims, bytes := table.Size()
 	assert.LessOrEqual(t, claims, 10)
 	assert.LessOrEqual(t, bytes, 100)
-	assert.Equal(t, MayHaveRun, table.Claim(t0.Add(time.Second), serving, ask(v, keys[0], "2")).Result, "a forgotten key is not run again")
+	assert.Equal(t, MayHaveRun, table.Claim(t0.Add(time.Second), confirmedAndRetired, ask(v, keys[0], "2")).Result, "a forgotten key is not run again")
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -106,8 +106,8 @@
 	return true
 }
 
-// Tried implements entry.Observer.
-func (t *Traffic) Tried(service fleet.ServiceName, _ fleet.InstanceID, attempt int, err error) {
+// AttemptEnded implements entry.Observer.
+func (t *Traffic) AttemptEnded(service fleet.ServiceName, _ fleet.InstanceID, attempt int, err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = string(verdict.CodeOf(err))
@@ -119,8 +119,8 @@
 	t.Scope.Tagged(map[string]string{"service": string(service), "outcome": outcome, "retry": retried}).Counter("tries").Inc(1)
 }
 
-// Health implements entry.Observer.
-func (t *Traffic) Health(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
+// HealthChanged implements entry.Observer.
+func (t *Traffic) HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
 	if ejected {
 		t.Log.Info("worker ejected from rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
 		return
