--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -22,11 +22,11 @@
 	Number uint64
 	// SucceedsSelf says that the previous owner was an earlier incarnation of this daemon.
 	SucceedsSelf bool
-	// PreviousOrders are the orders that the previous owner may have sent within the last
+	// PriorOrders are the orders that the previous owner may have sent within the last
 	// seconds of its term.
-	PreviousOrders []owner.RecentOrder
-	// PreviousOrdersUnknown says that PreviousOrders could not be read.
-	PreviousOrdersUnknown bool
+	PriorOrders []owner.RecentOrder
+	// PriorOrdersUnknown says that PreviousOrders could not be read.
+	PriorOrdersUnknown bool
 
 	store            Store
 	lock             Condition
@@ -114,8 +114,8 @@
 	t := &Term{Number: number, store: s, lock: Condition{keyLock, lockRevision}, sequence: seq.Revision}
 	if seq.Revision != 0 {
 		last, err := decode[sequenceValue](seq)
-		t.PreviousOrdersUnknown = err != nil // not written by an owner; the next write replaces it
-		t.PreviousOrders = last.orders()
+		t.PriorOrdersUnknown = err != nil // not written by an owner; the next write replaces it
+		t.PriorOrders = last.orders()
 	}
 	return t, nil
 }
--- a/jobs/ledger/term_test.go
+++ b/jobs/ledger/term_test.go
@@ -41,12 +41,12 @@
 		ctx := context.Background()
 		s := jobfleet.NewStore().Client("d", &jobfleet.Gate{}, noFailure)
 		first := elect(t, s, "d1")
-		assert.Empty(t, first.PreviousOrders)
+		assert.Empty(t, first.PriorOrders)
 		sent := []owner.RecentOrder{{Instance: "i1", Age: time.Second}, {Instance: "i2", Age: -time.Second}}
 		require.NoError(t, first.Write(ctx, nil, nil, sent))
 		require.NoError(t, first.Release(ctx, nil, nil, sent[:1]))
 		second := elect(t, s, "d2")
-		assert.Equal(t, sent[:1], second.PreviousOrders)
+		assert.Equal(t, sent[:1], second.PriorOrders)
 		require.Error(t, first.Write(ctx, nil, nil, nil), "its term has ended")
 	})
 }
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -66,7 +66,7 @@
 	snap, err := ledger.Load(ctx, n.store)
 	if err != nil {
 		n.log.Error("jobs-not-loaded", zap.Error(err))
-		if err := term.Release(ctx, nil, nil, term.PreviousOrders); err != nil {
+		if err := term.Release(ctx, nil, nil, term.PriorOrders); err != nil {
 			n.log.Warn("lock-not-released", zap.Error(err))
 		}
 		return
@@ -75,7 +75,7 @@
 	t.startCalls = newCallLimiter(startSlotsPerCore, n.settings.Cores, callSlotTimeout)
 	t.holdCalls = newCallLimiter(holdSlotsPerCore, n.settings.Cores, holdSlotTimeout)
 	t.otherCalls = newCallLimiter(otherSlotsPerCore, n.settings.Cores, callSlotTimeout)
-	t.orders = newInstanceOrders(n.settings.Node, n.settings.DutyHandover, term.PreviousOrders, began)
+	t.orders = newInstanceOrders(n.settings.Node, n.settings.DutyHandover, term.PriorOrders, began)
 	t.ctx, t.cancel = context.WithCancel(ctx)
 	defer t.cancel()
 	t.core = owner.New(owner.Options{
@@ -83,7 +83,7 @@
 		TaskLease: min(taskLease, n.settings.MaxTaskLease), MaxWorkerLease: n.settings.MaxTaskLease, HoldWait: holdWait, IdleHoldWait: idleHoldWait,
 		MaxHoldsPerSec: lossyHoldsPerCoreSecond * n.settings.Cores,
 		MaxMovesPerSec: n.settings.MovesPerSec,
-		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PreviousOrders), ElectedAt: began, PriorOrdersUnknown: term.PreviousOrdersUnknown, SucceedsSelf: term.SucceedsSelf,
+		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PriorOrders), ElectedAt: began, PriorOrdersUnknown: term.PriorOrdersUnknown, SucceedsSelf: term.SucceedsSelf,
 		StatusRetention:  n.settings.StatusRetention,
 		MaxPendingStarts: startsPerSlot * cap(t.startCalls.slots),
 		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, SchedulingPolicy: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
