--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -46,7 +46,7 @@
 
 // Observer is told of every response, for metrics.
 type Observer interface {
-	Answered(method string, status int, took time.Duration)
+	ObserveResponse(method string, status int, took time.Duration)
 }
 
 // Timeouts and limits of requests.
@@ -123,7 +123,7 @@
 	rep, id := g.route(ctx, r)
 	g.write(w, rep)
 	took := time.Since(began)
-	g.observe.Answered(r.Method, rep.status, took)
+	g.observe.ObserveResponse(r.Method, rep.status, took)
 	if rep.status >= http.StatusTooManyRequests || rep.status == http.StatusUnauthorized || rep.status == http.StatusForbidden {
 		g.log.Info("request-refused", zap.String("method", r.Method), zap.String("job", id),
 			zap.Int("status", rep.status), zap.String("why", rep.problem), zap.Duration("took", took))
--- a/jobs/gateway/gateway_test.go
+++ b/jobs/gateway/gateway_test.go
@@ -58,7 +58,7 @@
 
 type noObserver struct{}
 
-func (noObserver) Answered(string, int, time.Duration) {}
+func (noObserver) ObserveResponse(string, int, time.Duration) {}
 
 func decode(raw []byte) (*job.Job, error) {
 	if string(raw) != "good" {
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -42,13 +42,13 @@
 func (n *Node) grantLease(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	asked := n.uptimeNanos()
+	askedAt := n.uptimeNanos()
 	id, err := n.store.GrantLease(ctx, max(storeLease, n.settings.MinStoreLease))
 	if err != nil {
 		return // logged by onStoreFailure; keepLease retries
 	}
 	n.writeMemberEntry(ctx, id)
-	n.leaseRenewedAt.Store(asked)
+	n.leaseRenewedAt.Store(askedAt)
 	n.lease.Store(int64(id))
 	n.log.Info("lease-granted", zap.Int64("lease", int64(id)))
 	n.wakeElection()
@@ -59,7 +59,7 @@
 	key := ledger.PrefixMembers + n.settings.Node
 	_, err := n.store.Commit(ctx, ledger.Txn{Puts: []ledger.Put{{Key: key, Value: ledger.EncodeMember(n.memberEntry()), Lease: id}}})
 	if err != nil {
-		n.log.Warn("entry-not-written", zap.Error(err))
+		n.log.Warn("member-entry-not-written", zap.Error(err))
 	}
 }
 
@@ -67,12 +67,12 @@
 	ctx, cancel := context.WithTimeout(ctx, renewTimeout)
 	defer cancel()
 	id := ledger.LeaseID(n.lease.Load())
-	asked := n.uptimeNanos()
+	askedAt := n.uptimeNanos()
 	alive, err := n.store.KeepAlive(ctx, id)
 	switch {
 	case err != nil: // logged by onStoreFailure
 	case alive:
-		n.leaseRenewedAt.Store(asked)
+		n.leaseRenewedAt.Store(askedAt)
 	default:
 		n.log.Warn("lease-ended", zap.Int64("lease", int64(id)))
 		n.lease.Store(0)
@@ -92,7 +92,7 @@
 func (n *Node) pollMembers(ctx context.Context) {
 	for ctx.Err() == nil {
 		n.listMembers(ctx)
-		n.yieldToFasterPeer()
+		n.yieldToPeerWithMoreCPU()
 		if !sleep.For(ctx, membersInterval) {
 			return
 		}
@@ -121,10 +121,10 @@
 	return true
 }
 
-// yieldToFasterPeer releases the lock if this daemon is the owner, another one has more CPU,
+// yieldToPeerWithMoreCPU releases the lock if this daemon is the owner, another one has more CPU,
 // and a change of owner pays off: no job is open, this daemon is short of CPU, or it has far
 // less CPU than the other.
-func (n *Node) yieldToFasterPeer() {
+func (n *Node) yieldToPeerWithMoreCPU() {
 	t := n.term.Load()
 	if t == nil || !n.hasPeerWithMoreCPU(electionCPUFactor) {
 		return
@@ -136,7 +136,7 @@
 	case t.cpuStarved.Load():
 		why = "the owner is short of CPU"
 	case n.hasPeerWithMoreCPU(yieldCPUFactor):
-		why = "the owner has far less CPU"
+		why = "the owner has far too little CPU"
 	default:
 		return
 	}
@@ -168,19 +168,19 @@
 
 // watchPrefix reads all keys with a prefix, then every change. It starts over if the store has
 // compacted changes that were not read.
-func (n *Node) watchPrefix(ctx context.Context, f prefixWatch) {
+func (n *Node) watchPrefix(ctx context.Context, w prefixWatch) {
 	for ctx.Err() == nil {
-		items, revision, err := n.listPrefix(ctx, f.prefix)
+		items, revision, err := n.listPrefix(ctx, w.prefix)
 		if err != nil {
 			sleep.For(ctx, retryPause)
 			continue
 		}
-		callIfSet(f.reset)
+		callIfSet(w.reset)
 		for _, i := range items {
-			f.apply(ledger.Event{Item: i})
+			w.apply(ledger.Event{Item: i})
 		}
-		callIfSet(f.synced)
-		n.watchChanges(ctx, f, revision)
+		callIfSet(w.synced)
+		n.watchChanges(ctx, w, revision)
 	}
 }
 
@@ -199,12 +199,12 @@
 
 // watchChanges applies the changes after a revision. It returns when ctx ends or the store has
 // compacted changes that were not read.
-func (n *Node) watchChanges(ctx context.Context, f prefixWatch, revision int64) {
+func (n *Node) watchChanges(ctx context.Context, w prefixWatch, revision int64) {
 	for ctx.Err() == nil {
 		known := n.store.LatestRevision()
-		ch, err := n.watchFor(ctx, f.prefix, revision, watchWait)
+		ch, err := n.watchFor(ctx, w.prefix, revision, watchWait)
 		if verdict.CodeOf(err) == ledger.CodeCompacted {
-			n.log.Warn("history-gone", zap.String("prefix", f.prefix), zap.Int64("after", revision))
+			n.log.Warn("history-gone", zap.String("prefix", w.prefix), zap.Int64("after", revision))
 			return
 		}
 		if err != nil {
@@ -212,13 +212,13 @@
 			continue
 		}
 		for _, e := range ch.Events {
-			f.apply(e)
+			w.apply(e)
 		}
-		callIfSet(f.synced)
+		callIfSet(w.synced)
 		revision = max(revision, ch.Revision)
 		current := ch.Revision >= known // otherwise the reply was truncated, and more changes are ready
-		if current && len(ch.Events) > 0 && f.minInterval > 0 {
-			sleep.For(ctx, f.minInterval)
+		if current && len(ch.Events) > 0 && w.minInterval > 0 {
+			sleep.For(ctx, w.minInterval)
 		}
 	}
 }
@@ -372,7 +372,7 @@
 	if l != nil && l.Lease != lease && l.Node != n.settings.Node {
 		return
 	}
-	if left := weakerElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.hasPeerWithMoreCPU(electionCPUFactor) {
+	if left := lowCPUElectionDelay - time.Duration(n.uptimeNanos()-n.lockGoneAt.Load()); l == nil && left > 0 && n.hasPeerWithMoreCPU(electionCPUFactor) {
 		time.AfterFunc(left, n.wakeElection)
 		return
 	}
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -29,8 +29,8 @@
 // latencyBuckets range from 1 ms to 16 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 15)
 
-// Answered implements gateway.Observer.
-func (m *Metrics) Answered(method string, status int, took time.Duration) {
+// ObserveResponse implements gateway.Observer.
+func (m *Metrics) ObserveResponse(method string, status int, took time.Duration) {
 	s := m.scope.Tagged(map[string]string{"method": method, "status": strconv.Itoa(status)})
 	s.Counter("answers").Inc(1)
 	m.scope.Tagged(map[string]string{"method": method}).Histogram("answer_time", latencyBuckets).RecordDuration(took)
--- a/jobs/node/metrics_test.go
+++ b/jobs/node/metrics_test.go
@@ -19,7 +19,7 @@
 func TestMetricsHandlerServesText(t *testing.T) {
 	m := telemetry.NewMetrics()
 	n := NewMetrics(m.Scope, m.Handler)
-	n.Answered("POST", 200, 3*time.Millisecond)
+	n.ObserveResponse("POST", 200, 3*time.Millisecond)
 	n.order("start", owner.NoRoom)
 	n.commit(nil, 5*time.Millisecond)
 	n.ownerStats(owner.Stats{
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -91,7 +91,7 @@
 	term              atomic.Pointer[termRun]     // nil: this daemon is not the owner
 	members           atomic.Pointer[[]ledger.Member]
 	rng               *lockedRand
-	ownerBacklogged   atomic.Bool            // the owner's last reply said that it cannot keep up
+	ownerBacklogged   atomic.Bool            // the owner's last reply to Submitted said so
 	lastRelay         atomic.Pointer[string] // address of the relay in use
 	failedRelays      sync.Map               // peer address to the time.Time until which it is not used as a relay
 	lease             atomic.Int64           // ledger.LeaseID; 0: none
@@ -101,7 +101,7 @@
 	lockGoneAt        atomic.Int64           // when the lock was last seen to be free, as uptimeNanos
 	clock             Clock
 	slowdown          slowdownDetector
-	started           time.Time
+	startedAt         time.Time
 	stopping          atomic.Bool
 
 	suspendedAtStart time.Duration // clock.Suspended() at the start
@@ -116,7 +116,7 @@
 func New(settings Settings, p Platform, log *zap.Logger, m *Metrics) *Node {
 	n := &Node{
 		settings: settings, platform: p, log: log, metrics: m,
-		peers: p.Peers, clock: p.Clock, started: p.Clock.Now(), suspendedAtStart: p.Clock.Suspended(), rng: newLockedRand(settings.Node),
+		peers: p.Peers, clock: p.Clock, startedAt: p.Clock.Now(), suspendedAtStart: p.Clock.Suspended(), rng: newLockedRand(settings.Node),
 		waves: map[int]owner.WaveRequest{}, electionWake: make(chan struct{}, 1),
 	}
 	n.refusedEntries = newRefusedEntries(log, m)
@@ -191,16 +191,16 @@
 type listeners struct{ callers, ready, peers, metrics net.Listener }
 
 func (n *Node) listen() (l listeners, err error) {
-	for _, e := range []struct {
-		to   *net.Listener
-		addr string
+	for _, listener := range []struct {
+		target *net.Listener
+		addr   string
 	}{
 		{&l.callers, n.settings.CallersAddr},
 		{&l.ready, n.settings.ReadyAddr},
 		{&l.peers, n.settings.peerAddr()},
 		{&l.metrics, fmt.Sprintf("%s:%d", n.settings.IP, n.settings.MetricsPort)},
 	} {
-		if *e.to, err = net.Listen("tcp", e.addr); err != nil {
+		if *listener.target, err = net.Listen("tcp", listener.addr); err != nil {
 			return l, err
 		}
 	}
@@ -236,7 +236,7 @@
 // uptimeNanos returns the time since this daemon started, in ns. It includes time of
 // suspension, during which leases go on expiring.
 func (n *Node) uptimeNanos() int64 {
-	return int64(n.clock.Now().Sub(n.started) + n.clock.Suspended() - n.suspendedAtStart)
+	return int64(n.clock.Now().Sub(n.startedAt) + n.clock.Suspended() - n.suspendedAtStart)
 }
 
 // leaseHeld reports whether the lease in the store certainly lasts for at least
@@ -307,14 +307,14 @@
 
 // notifyOwner tells the owner of a change in the store before its watch delivers it. If the
 // call fails the watch does so.
-func (n *Node) notifyOwner(id job.ID, tell func(ctx context.Context, addr string) error) {
+func (n *Node) notifyOwner(id job.ID, call func(ctx context.Context, addr string) error) {
 	lock := n.lock.Load()
 	if lock == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
-	if err := tell(ctx, lock.Addr); err != nil {
+	if err := call(ctx, lock.Addr); err != nil {
 		n.log.Info("owner-not-told", zap.String("job", string(id)), zap.Error(err))
 	}
 }
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -101,7 +101,7 @@
 	// electionCPUFactor is how many times more CPU another daemon must have for this one to delay
 	// its candidacy by weakerElectionDelay. The other one becomes a candidate within milliseconds.
 	electionCPUFactor   = 1.25
-	weakerElectionDelay = 250 * time.Millisecond
+	lowCPUElectionDelay = 250 * time.Millisecond
 	// yieldCPUFactor is how many times more CPU another daemon must have for an owner with open
 	// jobs to yield to it at once: such an owner falls behind for as long as a queue lasts, while
 	// a change of owner takes 0.3 s.
--- a/jobs/node/termlease_test.go
+++ b/jobs/node/termlease_test.go
@@ -24,7 +24,7 @@
 // newTestTerm returns a daemon that holds lease 1, and its term under the given lease. The test
 // must apply the events of the term itself.
 func newTestTerm(t *testing.T, lease ledger.LeaseID) (*Node, *termRun) {
-	n := &Node{settings: Settings{Node: "a"}, log: zap.NewNop(), clock: &fakeClock{}, started: time.Now()}
+	n := &Node{settings: Settings{Node: "a"}, log: zap.NewNop(), clock: &fakeClock{}, startedAt: time.Now()}
 	n.lease.Store(1)
 	r := &termRun{n: n, term: &ledger.Term{Number: 1}, lease: lease, events: make(chan event, 1)}
 	r.core = owner.New(owner.Options{Term: 1}, &job.Catalog{}, nil, time.Now())
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -285,13 +285,13 @@
 	if t.leavingSince.IsZero() {
 		t.leavingSince = now
 	}
-	away := t.n.store.Unavailable()
+	unavailable := t.n.store.Unavailable()
 	if t.committing && now.Sub(t.leavingSince) < releaseCommitWait || now.Sub(t.releaseTriedAt) < retryPause {
 		return false
 	}
 	t.releaseTriedAt = now
 	timeout := storeTimeout
-	if away {
+	if unavailable {
 		timeout = releaseProbeTimeout
 	}
 	puts, deletes := t.finalWrites()
