--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -44,7 +44,7 @@
 // KeyReader returns the key in a request's headers, "" if there is none.
 type KeyReader func(h http.Header) string
 
-// Observer is told of every response, for metrics.
+// Observer receives every response, for metrics.
 type Observer interface {
 	ObserveResponse(method string, status int, took time.Duration)
 }
--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -18,17 +18,17 @@
 type evacuations struct {
 	mu     sync.Mutex
 	zones  map[string]bool
-	listed map[string]bool // zones read so far while all entries are read anew; otherwise nil
+	listed map[string]bool // zones read so far while all entries are read again; otherwise nil
 }
 
-// beginList is called before all entries are read anew.
+// beginList is called before all entries are read again.
 func (e *evacuations) beginList() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.listed = map[string]bool{}
 }
 
-// endList is called after entries were read. If all were read anew it removes the zones that
+// endList is called after entries were read. If all were read again it removes the zones that
 // were not among them, and reports whether there were any.
 func (e *evacuations) endList() (changed bool) {
 	e.mu.Lock()
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -142,7 +142,7 @@
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", why+", and another daemon has more CPU"))
 	if !t.handOver() && !t.idle.Load() && !n.store.Unavailable() {
-		n.revokeLease() // the lock goes with it
+		n.revokeLease() // the store removes the lock with it
 	}
 }
 
@@ -331,7 +331,7 @@
 }
 
 // setLock records the owner's lock, and ends this daemon's term if the lock is gone or held in
-// a newer term. revision is that of the change, 0 if all keys are read anew.
+// a newer term. revision is that of the change, 0 if all keys are read again.
 func (n *Node) setLock(l ledger.Lock, held bool, revision int64) {
 	if !held {
 		n.lock.Store(nil)
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -88,7 +88,7 @@
 	for _, addr := range others[:min(len(others), maxPeersAsked)] {
 		seen, err := n.peers.CheckPresenceVia(ctx, addr, l.Addr)
 		if err != nil {
-			n.log.Info("witness-not-asked", zap.String("addr", addr), zap.Error(err))
+			n.log.Info("presence-query-failed", zap.String("addr", addr), zap.Error(err))
 			continue
 		}
 		switch seen {
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -99,7 +99,7 @@
 	// retryPause follows a failed call.
 	retryPause = 100 * time.Millisecond
 	// electionCPUFactor is how many times more CPU another daemon must have for this one to delay
-	// its candidacy by weakerElectionDelay. The other one becomes a candidate within milliseconds.
+	// its candidacy by lowCPUElectionDelay. The other one becomes a candidate within milliseconds.
 	electionCPUFactor   = 1.25
 	lowCPUElectionDelay = 250 * time.Millisecond
 	// yieldCPUFactor is how many times more CPU another daemon must have for an owner with open
@@ -109,8 +109,8 @@
 	// cpuStarvedAfter is how long an owner is short of CPU before it yields to a daemon with more.
 	// It is longer than the load of a takeover lasts, which a change of owner would repeat.
 	cpuStarvedAfter = 3 * time.Second
-	// partitionedYieldAfter is how long an owner that is partitioned from the store goes on by
-	// way of relays. A change of owner takes 0.3 s. Relays may be partitioned as well, and then
+	// partitionedYieldAfter is how long an owner that is partitioned from the store continues
+	// through relays. A change of owner takes 0.3 s. Relays may be partitioned as well, and then
 	// records and instance orders are late by up to a second each time.
 	partitionedYieldAfter = 700 * time.Millisecond
 	// partitionedElectionDelay is how long a daemon that is partitioned from the store delays its
--- a/jobs/node/slowdown.go
+++ b/jobs/node/slowdown.go
@@ -188,6 +188,6 @@
 	}
 	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "the owner's instance is slow, and another daemon's is not"))
 	if !t.handOver() && !n.store.Unavailable() {
-		n.revokeLease() // the lock goes with it
+		n.revokeLease() // the store removes the lock with it
 	}
 }
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -17,7 +17,7 @@
 	n.stopping.Store(true)
 	n.gateway.DisableKeepAlives()
 	if t := n.term.Load(); t != nil && !t.handOver() && !n.store.Unavailable() {
-		n.revokeLease() // the lock goes with it
+		n.revokeLease() // the store removes the lock with it
 	}
 }
 
--- a/jobs/node/termrun_test.go
+++ b/jobs/node/termrun_test.go
@@ -42,10 +42,10 @@
 		defer cancel()
 		run := &termRun{n: &Node{clock: &fakeClock{}}, events: make(chan event, 1), ctx: ctx}
 		answered := 0
-		question := func(*owner.Core) int { answered++; return 1 }
+		query := func(*owner.Core) int { answered++; return 1 }
 		began := time.Now()
 		for range 2 { // the queue is full for the second
-			_, ok := queryCore(run, question)
+			_, ok := queryCore(run, query)
 			assert.False(t, ok)
 		}
 		assert.Equal(t, 2*peerTimeout, time.Since(began))
