--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -194,7 +194,7 @@
 			MaxBody: s.Limits.MaxBody, DefaultTimeout: s.Limits.DefaultTimeout.D(), MaxTimeout: s.Limits.MaxTimeout.D(),
 			MaxInFlight: s.Limits.MaxInFlight, MaxBuffered: s.Limits.MaxBuffered, MaxRetained: s.Limits.MaxRetained,
 		},
-		Observer: &telemetry.Traffic{Scope: d.metrics.Scope, Log: d.log, Burn: d.burn, Directory: d.dispatcher.Directory},
+		Observer: &telemetry.RequestObserver{Scope: d.metrics.Scope, Log: d.log, Burn: d.burn, Directory: d.dispatcher.Directory},
 	}
 }
 
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -61,9 +61,9 @@
 	return zap.New(zapcore.NewCore(enc, zapcore.Lock(zapcore.AddSync(w)), lvl)), nil
 }
 
-// Traffic implements entry.Observer: it records metrics, the error budget and changes of
+// RequestObserver implements entry.Observer: it records metrics, the error budget and changes of
 // workers' health.
-type Traffic struct {
+type RequestObserver struct {
 	Scope     tally.Scope
 	Log       *zap.Logger
 	Burn      *slo.Recorder
@@ -75,7 +75,7 @@
 
 // Answered implements entry.Observer. A request that could not be routed is a client error and
 // counts against no objective.
-func (t *Traffic) Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration) {
+func (t *RequestObserver) Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration) {
 	tags := map[string]string{"service": string(service), "class": string(class), "verdict": v.String(), "code": string(code)}
 	scope := t.Scope.Tagged(tags)
 	scope.Counter("requests").Inc(1)
@@ -87,7 +87,7 @@
 }
 
 // good reports whether a request met its service's objective. Client errors count as good.
-func (t *Traffic) good(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
+func (t *RequestObserver) good(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
 	if v != verdict.Done {
 		return status < http.StatusInternalServerError // 4xx: client error
 	}
@@ -107,7 +107,7 @@
 }
 
 // AttemptEnded implements entry.Observer.
-func (t *Traffic) AttemptEnded(service fleet.ServiceName, _ fleet.InstanceID, attempt int, err error) {
+func (t *RequestObserver) AttemptEnded(service fleet.ServiceName, _ fleet.InstanceID, attempt int, err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = string(verdict.CodeOf(err))
@@ -120,7 +120,7 @@
 }
 
 // HealthChanged implements entry.Observer.
-func (t *Traffic) HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
+func (t *RequestObserver) HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
 	if ejected {
 		t.Log.Info("worker ejected from rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
 		return
