--- a/internal/matrix/control_test.go
+++ b/internal/matrix/control_test.go
@@ -117,10 +117,10 @@
 	c, name := m.daemon(t), m.pool(t)
 	base := c.pools[name]
 	plan := wave.Reconcile(m.input(c, name))
-	for _, s := range plan.Sends {
+	for _, s := range plan.Commands {
 		m.network = append(m.network, sent{s.Instance, s.Command})
 	}
-	for _, ch := range plan.Changes {
+	for _, ch := range plan.MembershipChanges {
 		if m.memberRev[ch.Instance] == c.memberRev[ch.Instance] && m.members[ch.Instance].Pool == ch.From {
 			m.members[ch.Instance] = fleet.Membership{Instance: ch.Instance, Pool: ch.To, Joining: ch.Joining}
 			m.memberRev[ch.Instance]++
@@ -342,11 +342,11 @@
 	m.readList(c)
 	for _, name := range []fleet.PoolName{"a", "b"} {
 		plan := wave.Reconcile(m.input(c, name))
-		for _, s := range plan.Sends {
+		for _, s := range plan.Commands {
 			m.network = []sent{{s.Instance, s.Command}}
 			m.deliverAll()
 		}
-		for _, ch := range plan.Changes {
+		for _, ch := range plan.MembershipChanges {
 			m.members[ch.Instance] = fleet.Membership{Instance: ch.Instance, Pool: ch.To, Joining: ch.Joining}
 		}
 		if plan.Pool != nil {
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -38,7 +38,7 @@
 		body, _ := json.Marshal(map[string]any{"tokens": make([]string, 16), "data": json.RawMessage(data)})
 		l.KVs = append(l.KVs, port.KV{Key: key, Value: body, Revision: fleet.Revision(len(l.KVs) + 1)})
 	}
-	shards := make([]fleet.MemberShard, fleet.MemberShards)
+	shards := make([]fleet.MemberShard, fleet.MemberShardCount)
 	pools := (n + poolSize - 1) / poolSize
 	cfg := fleet.Config{}
 	for p := range pools {
@@ -51,7 +51,7 @@
 			pool.Disruptions = append(pool.Disruptions, fleet.Disruption{Instance: id(p*poolSize + i), Kind: fleet.DisruptByWave, Wave: "w", Phase: fleet.PhaseReboot, Since: t0, PhaseAt: t0})
 		}
 		for i := 3; i < 20; i++ {
-			pool.Maintained = append(pool.Maintained, fleet.Maintained{Wave: "w", Instance: id(p*poolSize + i)})
+			pool.Maintained = append(pool.Maintained, fleet.MaintenanceResult{Wave: "w", Instance: id(p*poolSize + i)})
 		}
 		add(record.PoolKey(name), pool)
 	}
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -15,7 +15,7 @@
 		return p.createPool(s.Pool)
 	}
 	cfg := p.state.Config
-	if cfg.Value.Applied.Has(p.ID) {
+	if cfg.Value.Applied.Contains(p.ID) {
 		return done(cfg.Revision, "created")
 	}
 	next := cfg.Value.Clone()
@@ -31,7 +31,7 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.ConfigKey, cfg, next)
 }
 
@@ -117,7 +117,7 @@
 func (p *planner) createPool(s *query.CreatePool) (Plan, error) {
 	name := fleet.PoolName(s.Name)
 	if old, ok := p.state.Pools[name]; ok {
-		if old.Value.Applied.Has(p.ID) {
+		if old.Value.Applied.Contains(p.ID) {
 			return done(old.Revision, "pool %s created", name)
 		}
 		return Plan{}, refuse(CodeExists, "there is a pool %q already", name)
@@ -138,7 +138,7 @@
 		return p.setBudget(s.Budget)
 	}
 	cfg := p.state.Config
-	if cfg.Value.Applied.Has(p.ID) {
+	if cfg.Value.Applied.Contains(p.ID) {
 		return done(cfg.Revision, "set")
 	}
 	next := cfg.Value.Clone()
@@ -147,7 +147,7 @@
 	} else if err := setObjective(next, s.Objective); err != nil {
 		return Plan{}, err
 	}
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.ConfigKey, cfg, next)
 }
 
@@ -174,7 +174,7 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	if v.Value.Applied.Has(p.ID) {
+	if v.Value.Applied.Contains(p.ID) {
 		account := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snap.Instances)
 		return done(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, account.Explain())
 	}
@@ -184,6 +184,6 @@
 	}
 	next := v.Value.Clone()
 	next.Budget = b
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.PoolKey(v.Value.Name), v, next)
 }
--- a/operators/command/instance.go
+++ b/operators/command/instance.go
@@ -30,7 +30,7 @@
 // move that is not the instance's pool any more.
 func (p *planner) appliedIn() (fleet.Versioned[fleet.Pool], bool) {
 	for _, v := range p.state.Pools {
-		if v.Value.Applied.Has(p.ID) {
+		if v.Value.Applied.Contains(p.ID) {
 			return v, true
 		}
 	}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	if v.Value.Applied.Has(p.ID) {
+	if v.Value.Applied.Contains(p.ID) {
 		return done(v.Revision, "%s of instance %s recorded; %s", r.Kind, r.Instance, p.account(v.Value).Explain())
 	}
 	if other, d := p.claimOn(r.Instance); d != nil && d.Kind != fleet.DisruptByWave {
@@ -53,7 +53,7 @@
 		return Plan{}, refuse(CodeNotAllowed, "a %s of instance %s waits already, since %s", old.Kind, r.Instance, old.At.Format("15:04:05"))
 	}
 	next := v.Value.Clone()
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	next.Requests = append(next.Requests, r)
 	return write(p, record.PoolKey(v.Value.Name), v, next)
 }
@@ -65,13 +65,13 @@
 	if err != nil {
 		return Plan{}, err
 	}
-	if v.Value.Applied.Has(p.ID) {
+	if v.Value.Applied.Contains(p.ID) {
 		return done(v.Revision, "return of instance %s recorded", id)
 	}
 	next := v.Value.Clone()
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	if v.Value.Request(id) != nil {
-		next.Withdraw(id)
+		next.RemoveRequest(id)
 		return write(p, record.PoolKey(v.Value.Name), v, next)
 	}
 	claim, d := p.claimOn(id)
--- a/operators/command/job.go
+++ b/operators/command/job.go
@@ -24,7 +24,7 @@
 	base := p.state.Jobs[pool]
 	next := &fleet.JobSet{Pool: pool}
 	if base.Value != nil {
-		if base.Value.Applied.Has(p.ID) {
+		if base.Value.Applied.Contains(p.ID) {
 			return done(base.Revision, "%d job(s) submitted to pool %s", max(s.Count, 1), pool)
 		}
 		next = base.Value.Clone()
@@ -39,7 +39,7 @@
 	if len(next.Jobs) > maxJobs {
 		return Plan{}, refuse(CodeNotAllowed, "pool %s would have %d jobs; at most %d are kept", pool, len(next.Jobs), maxJobs)
 	}
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.JobsKey(pool), base, next)
 }
 
@@ -88,7 +88,7 @@
 	if !ok {
 		return Plan{}, refuse(CodeUnknownName, "pool %q has no jobs", pool)
 	}
-	if base.Value.Applied.Has(p.ID) {
+	if base.Value.Applied.Contains(p.ID) {
 		return done(base.Revision, "cancelled")
 	}
 	next := base.Value.Clone()
@@ -104,6 +104,6 @@
 	if cancelled == 0 && !s.All {
 		return Plan{}, refuse(CodeUnknownName, "pool %s has no job %q that goes on", pool, s.Name)
 	}
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.JobsKey(pool), base, next)
 }
--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -110,7 +110,7 @@
 	members := p.state.MembersByPool()
 	for _, name := range p.state.SortedWaves() {
 		v := p.state.Waves[name]
-		c := control.TallyWave(p.Snap, members, v.Value)
+		c := control.ComputeWaveProgress(p.Snap, members, v.Value)
 		var pools []string
 		for _, n := range v.Value.Pools {
 			pools = append(pools, string(n))
--- a/operators/command/wave.go
+++ b/operators/command/wave.go
@@ -12,7 +12,7 @@
 func (p *planner) startWave(s *query.StartWave) (Plan, error) {
 	name := fleet.WaveName(s.Name)
 	if old, ok := p.state.Waves[name]; ok {
-		if old.Value.Applied.Has(p.ID) {
+		if old.Value.Applied.Contains(p.ID) {
 			return done(old.Revision, "wave %s started on %d pools", name, len(old.Value.Pools))
 		}
 		return Plan{}, refuse(CodeExists, "there was a wave %q already", name)
@@ -28,7 +28,7 @@
 		if _, err := p.pool(fleet.PoolName(pool)); err != nil {
 			return Plan{}, err
 		}
-		if w.Includes(fleet.PoolName(pool)) {
+		if w.Covers(fleet.PoolName(pool)) {
 			return Plan{}, refuse(CodeNotAllowed, "pool %q is named twice", pool)
 		}
 		w.Pools = append(w.Pools, fleet.PoolName(pool))
@@ -44,7 +44,7 @@
 	if !ok {
 		return Plan{}, refuse(CodeUnknownName, "there is no wave %q", s.Name)
 	}
-	if v.Value.Applied.Has(p.ID) {
+	if v.Value.Applied.Contains(p.ID) {
 		return done(v.Revision, "wave %s is %s", s.Name, v.Value.State)
 	}
 	if v.Value.Ended() {
@@ -57,13 +57,13 @@
 	case "resume":
 		next.State = fleet.WaveRunning
 		next.Reason = ""
-		next.Forgiven = control.TallyWave(p.Snap, p.state.MembersByPool(), v.Value).Failed
+		next.Forgiven = control.ComputeWaveProgress(p.Snap, p.state.MembersByPool(), v.Value).Failed
 	case "cancel":
-		t := control.TallyWave(p.Snap, p.state.MembersByPool(), v.Value)
+		t := control.ComputeWaveProgress(p.Snap, p.state.MembersByPool(), v.Value)
 		next.Finished, next.Failed = t.Finished, t.Failed
 		next.State = fleet.WaveCancelled
 		next.EndedAt = p.Now
 	}
-	next.Applied = next.Applied.With(p.ID)
+	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.WaveKey(v.Value.Name), v, next)
 }
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -81,7 +81,7 @@
 	for _, name := range p.state.SortedWaves() {
 		w := p.state.Waves[name].Value
 		switch {
-		case w.Ended() || !w.Includes(pool):
+		case w.Ended() || !w.Covers(pool):
 		case v.Value.MaintainedBy(name, id):
 			add("wave %s has finished with it", name)
 		case w.State != fleet.WaveRunning:
@@ -133,7 +133,7 @@
 		return refuse(CodeUnknownName, "there is no wave %q", name)
 	}
 	w := v.Value
-	c := control.TallyWave(p.Snap, p.state.MembersByPool(), w)
+	c := control.ComputeWaveProgress(p.Snap, p.state.MembersByPool(), w)
 	add("wave %s is %s %s", name, w.State, w.Reason)
 	if w.Ended() {
 		add("it ran from %s to %s", clock(w.StartedAt), clock(w.EndedAt))
--- a/requests/control/controller.go
+++ b/requests/control/controller.go
@@ -55,12 +55,12 @@
 	List    port.InstanceList
 	Actions port.Actions
 	Tasks   port.Tasks
-	// Live lists the members of the view that were heard of lately. They
+	// LiveMembers lists the members of the view that were heard of lately. They
 	// divide the work among themselves.
-	Live      func() []fleet.Incarnation
-	Connected func() bool // whether the store's watch is alive
-	// OnGone is told of entry daemons that the platform knows to have ended.
-	OnGone func([]fleet.Incarnation)
+	LiveMembers    func() []fleet.Incarnation
+	StoreConnected func() bool // whether the store's watch is alive
+	// OnEntriesEnded is told of entry daemons that the platform knows to have ended.
+	OnEntriesEnded func([]fleet.Incarnation)
 	// OnSnapshot is told of every new snapshot.
 	OnSnapshot func(*Snapshot)
 	Log        *zap.Logger
@@ -76,19 +76,19 @@
 	Notes map[fleet.PoolName][]wave.Note
 }
 
-// Counts are the controller's counters.
-type Counts struct {
-	Writes, Conflicts, WriteErrors   atomic.Int64
-	Commands, CommandErrors          atomic.Int64
-	ListErrors, TaskErrors, TaskSync atomic.Int64
+// Counters are the controller's counters.
+type Counters struct {
+	Writes, Conflicts, WriteErrors    atomic.Int64
+	Commands, CommandErrors           atomic.Int64
+	ListErrors, TaskErrors, TaskSyncs atomic.Int64
 }
 
 // Controller runs the loops of one daemon.
 type Controller struct {
-	opts   Options
-	deps   Deps
-	writer *record.Writer
-	Counts Counts
+	opts     Options
+	deps     Deps
+	writer   *record.Writer
+	Counters Counters
 	// History is how the pools' availability changed.
 	History *History
 
@@ -208,7 +208,7 @@
 	asked := time.Now()
 	ch, err := c.deps.List.Changes(ctx, c.listFrom)
 	if err != nil {
-		c.Counts.ListErrors.Add(1)
+		c.Counters.ListErrors.Add(1)
 		return
 	}
 	c.listFrom = ch.Version
@@ -219,7 +219,7 @@
 			c.listVersion++
 		}
 	})
-	c.deps.OnGone(ch.GoneEntries)
+	c.deps.OnEntriesEnded(ch.GoneEntries)
 }
 
 // merge returns the list with the changes taken in. The old one is left as it
@@ -247,7 +247,7 @@
 func (c *Controller) round(ctx context.Context, now time.Time) {
 	before := c.snapshot.Load()
 	s := c.publish()
-	up := c.deps.Connected()
+	up := c.deps.StoreConnected()
 	if up && !c.wasUp {
 		c.reconnected = now
 	}
@@ -317,7 +317,7 @@
 
 // mine reports whether this daemon is the one that tries for a key.
 func (c *Controller) mine(key string) bool {
-	return rendezvous.Owner(c.deps.Live(), key) == c.opts.Self
+	return rendezvous.Owner(c.deps.LiveMembers(), key) == c.opts.Self
 }
 
 func (c *Controller) publish() *Snapshot {
@@ -349,14 +349,14 @@
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
 		w, err := record.Write(ctx, c.writer, key, base, value, 0)
-		c.Counts.Writes.Add(1)
+		c.Counters.Writes.Add(1)
 		switch {
 		case err == nil:
 			c.deps.Mirror.Apply([]port.Event{{KV: w.KV}}, 0)
 		case verdict.CodeOf(err) == record.CodeConflict:
-			c.Counts.Conflicts.Add(1)
+			c.Counters.Conflicts.Add(1)
 		default:
-			c.Counts.WriteErrors.Add(1)
+			c.Counters.WriteErrors.Add(1)
 		}
 		c.post(func() { delete(c.busy, key) })
 	})
@@ -366,15 +366,15 @@
 const resendEvery = time.Second
 
 // send passes a recorded command on to the platform, at least once.
-func (c *Controller) send(ctx context.Context, now time.Time, s wave.Send) {
+func (c *Controller) send(ctx context.Context, now time.Time, s wave.InstanceCommand) {
 	if at, ok := c.sent[s.Command.ID]; ok && now.Sub(at) < resendEvery {
 		return
 	}
 	c.sent[s.Command.ID] = now
 	c.background(func() {
-		c.Counts.Commands.Add(1)
+		c.Counters.Commands.Add(1)
 		if err := c.deps.Actions.Send(ctx, s.Instance, s.Command); err != nil {
-			c.Counts.CommandErrors.Add(1)
+			c.Counters.CommandErrors.Add(1)
 		}
 	})
 }
--- a/requests/control/history.go
+++ b/requests/control/history.go
@@ -45,9 +45,9 @@
 	h.pools[a.Pool] = append(old, s)
 }
 
-// Between returns the samples of a pool that were in force from one time to
+// SamplesBetween returns the samples of a pool that were in force from one time to
 // another.
-func (h *History) Between(name fleet.PoolName, from, to time.Time) []Sample {
+func (h *History) SamplesBetween(name fleet.PoolName, from, to time.Time) []Sample {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var out []Sample
--- a/requests/control/history_test.go
+++ b/requests/control/history_test.go
@@ -29,7 +29,7 @@
 	opts := DefaultOptions
 	opts.Self = "another daemon tries for the pool"
 	c := New(opts, Deps{
-		Mirror: m, Connected: func() bool { return false }, Live: func() []fleet.Incarnation { return nil },
+		Mirror: m, StoreConnected: func() bool { return false }, LiveMembers: func() []fleet.Incarnation { return nil },
 		OnSnapshot: func(*Snapshot) {}, Log: zap.NewNop(),
 	})
 	members := fleet.MemberShard{Members: []fleet.Membership{{Instance: "a", Pool: "p"}, {Instance: "b", Pool: "p"}}}
@@ -42,10 +42,10 @@
 	}
 	list(t0, fleet.InstanceDrained)
 	c.round(context.Background(), t0.Add(time.Second))
-	assert.Empty(t, c.History.Between("p", t0, t0.Add(time.Hour)))
+	assert.Empty(t, c.History.SamplesBetween("p", t0, t0.Add(time.Hour)))
 	list(t0.Add(2*time.Second), fleet.InstanceReady)
 	c.round(context.Background(), t0.Add(3*time.Second))
-	got := c.History.Between("p", t0, t0.Add(time.Hour))
+	got := c.History.SamplesBetween("p", t0, t0.Add(time.Hour))
 	if assert.Len(t, got, 1) {
 		assert.Equal(t, 1, got[0].Out)
 	}
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -240,7 +240,7 @@
 func (r *roundState) runningWaves(name fleet.PoolName) []fleet.WaveName {
 	var out []fleet.WaveName
 	for _, w := range r.snap.State.SortedWaves() {
-		if v := r.snap.State.Waves[w].Value; !v.Ended() && v.Includes(name) {
+		if v := r.snap.State.Waves[w].Value; !v.Ended() && v.Covers(name) {
 			out = append(out, w)
 		}
 	}
@@ -346,11 +346,11 @@
 }
 
 func (c *Controller) syncTasks(ctx context.Context, id fleet.InstanceID, addr string, s port.TaskSyncRequest) {
-	c.Counts.TaskSync.Add(1)
+	c.Counters.TaskSyncs.Add(1)
 	asked := time.Now()
 	tasks, err := c.deps.Tasks.Sync(ctx, addr, s)
 	if err != nil {
-		c.Counts.TaskErrors.Add(1)
+		c.Counters.TaskErrors.Add(1)
 	}
 	c.post(func() {
 		delete(c.tasks.busy, id)
--- a/requests/control/reconcile.go
+++ b/requests/control/reconcile.go
@@ -41,13 +41,13 @@
 	p := r.snap.State.Pools[name]
 	plan := wave.Reconcile(r.input(name, p.Value))
 	r.c.notes[name] = plan.Notes
-	for _, s := range plan.Sends {
+	for _, s := range plan.Commands {
 		r.c.send(r.ctx, r.now, s)
 	}
 	if !r.mayWrite {
 		return
 	}
-	for _, ch := range plan.Changes {
+	for _, ch := range plan.MembershipChanges {
 		r.changeMembership(ch)
 	}
 	if plan.Pool != nil {
@@ -69,7 +69,7 @@
 		NewID:      newCommandID,
 	}
 	for _, w := range r.snap.State.SortedWaves() {
-		if v := r.snap.State.Waves[w].Value; v.Includes(name) {
+		if v := r.snap.State.Waves[w].Value; v.Covers(name) {
 			in.Waves = append(in.Waves, v)
 		}
 	}
@@ -78,7 +78,7 @@
 }
 
 // changeMembership changes the one record that says where an instance belongs.
-func (r *roundState) changeMembership(ch wave.Change) {
+func (r *roundState) changeMembership(ch wave.MembershipChange) {
 	shard := fleet.ShardOf(ch.Instance)
 	base := r.snap.State.Shards[shard]
 	if base.Value == nil {
@@ -101,7 +101,7 @@
 	if !r.mayWrite || w.Value.Ended() {
 		return
 	}
-	t := TallyWave(r.snap, r.members, w.Value)
+	t := ComputeWaveProgress(r.snap, r.members, w.Value)
 	next := w.Value.Clone()
 	switch {
 	case t.Remaining == 0 && t.Known:
@@ -119,8 +119,8 @@
 	write(r.ctx, r.c, record.WaveKey(name), w, next)
 }
 
-// WaveTally counts how far a wave is.
-type WaveTally struct {
+// WaveProgress counts how far a wave is.
+type WaveProgress struct {
 	Remaining int // members it has not finished with
 	Finished  int // members it rebooted
 	Failed    int // members it gave up
@@ -130,12 +130,12 @@
 	End time.Time
 }
 
-// TallyWave works out how far a wave is.
-func TallyWave(s *Snapshot, members map[fleet.PoolName][]fleet.Membership, w *fleet.Wave) WaveTally {
+// ComputeWaveProgress works out how far a wave is.
+func ComputeWaveProgress(s *Snapshot, members map[fleet.PoolName][]fleet.Membership, w *fleet.Wave) WaveProgress {
 	if w.Ended() {
-		return WaveTally{Finished: w.Finished, Failed: w.Failed, Known: true}
+		return WaveProgress{Finished: w.Finished, Failed: w.Failed, Known: true}
 	}
-	t := WaveTally{Known: len(s.Instances) > 0}
+	t := WaveProgress{Known: len(s.Instances) > 0}
 	for _, name := range w.Pools {
 		p, ok := s.State.Pools[name]
 		if !ok {
@@ -158,7 +158,7 @@
 			}
 		}
 		allowed := budget.Compute(p.Value, members[name], s.Instances).Allowed
-		if end, ok := wave.Forecast(time.Now(), p.Value, len(left), allowed); ok && end.After(t.End) {
+		if end, ok := wave.EstimateEnd(time.Now(), p.Value, len(left), allowed); ok && end.After(t.End) {
 			t.End = end
 		}
 	}
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -182,11 +182,11 @@
 	opts.ListMaxAge = max(opts.ListMaxAge, 3*opts.ListInterval)
 	opts.TaskLease = s.Control.TaskLease.D()
 	opts.Wave.RebootTimeout = s.Control.RebootTimeout.D()
-	opts.Wave.Concurrency = s.Control.WaveWidth
+	opts.Wave.MaxConcurrent = s.Control.WaveWidth
 	opts.Place = place.Policy(s.Policies.Place)
 	d.controller = control.New(opts, control.Deps{
-		Store: d.store, Mirror: d.mirror, List: d.list, Actions: d.list, Tasks: d.tasks, Live: d.node.Live,
-		Connected: d.feed.Connected.Load, OnGone: d.node.MarkGone, OnSnapshot: d.newSnapshot, Log: d.log,
+		Store: d.store, Mirror: d.mirror, List: d.list, Actions: d.list, Tasks: d.tasks, LiveMembers: d.node.Live,
+		StoreConnected: d.feed.Connected.Load, OnEntriesEnded: d.node.MarkGone, OnSnapshot: d.newSnapshot, Log: d.log,
 	})
 	d.handler = &entry.Handler{
 		Dispatcher: d.dispatcher, Claims: d.node.Claims, Backend: d.backend, Standing: d.node.Standing,
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -45,7 +45,7 @@
 		StoreBytesOut: counts.BytesOut.Load(),
 		ControlBytes: counts.BytesIn.Load() + counts.BytesOut.Load() + d.peers.Bytes.In.Load() + d.peers.Bytes.Out.Load() +
 			d.list.BytesIn.Load() + d.list.BytesOut.Load(),
-		Conflicts: d.controller.Counts.Conflicts.Load(),
+		Conflicts: d.controller.Counters.Conflicts.Load(),
 	}
 	for _, m := range d.node.View().Members {
 		s.Members = append(s.Members, string(m.ID))
@@ -124,7 +124,7 @@
 		return api.WaveReport{}, false
 	}
 	w := v.Value
-	tally := control.TallyWave(snap, snap.State.MembersByPool(), w)
+	tally := control.ComputeWaveProgress(snap, snap.State.MembersByPool(), w)
 	r := api.WaveReport{
 		Wave: name, State: string(w.State), Started: w.StartedAt, Ended: w.EndedAt, Deadline: w.Deadline,
 		Finished: tally.Finished, Failed: tally.Failed,
@@ -134,7 +134,7 @@
 		to = time.Now()
 	}
 	for _, pool := range w.Pools {
-		r.Pools = append(r.Pools, wavePool(pool, d.controller.History.Between(pool, w.StartedAt, to)))
+		r.Pools = append(r.Pools, wavePool(pool, d.controller.History.SamplesBetween(pool, w.StartedAt, to)))
 	}
 	return r, true
 }
@@ -175,7 +175,7 @@
 			"store_reads": s.StoreReads, "store_writes": s.StoreWrites, "store_watches": s.StoreWatches,
 			"store_bytes_in": s.StoreBytesIn, "store_bytes_out": s.StoreBytesOut,
 			"control_bytes": s.ControlBytes, "write_conflicts": s.Conflicts, "peer_rejected": d.peerServer.Rejected.Load(), "bad_records": d.mirror.BadRecords.Load(),
-			"commands": d.controller.Counts.Commands.Load(), "list_errors": d.controller.Counts.ListErrors.Load(),
+			"commands": d.controller.Counters.Commands.Load(), "list_errors": d.controller.Counters.ListErrors.Load(),
 		} {
 			scope.Gauge(name).Update(float64(v))
 		}
--- a/requests/fleet/pool.go
+++ b/requests/fleet/pool.go
@@ -95,8 +95,8 @@
 	LeaveWanted bool `json:",omitempty"`
 }
 
-// Maintained records that a wave has finished with an instance.
-type Maintained struct {
+// MaintenanceResult records that a wave has finished with an instance.
+type MaintenanceResult struct {
 	Wave     WaveName
 	Instance InstanceID
 	// Skipped is the reason why the wave gave the instance up, "" if it was
@@ -120,9 +120,9 @@
 	Name        PoolName
 	Service     ServiceName
 	Budget      AvailabilityBudget
-	Requests    []Request    `json:",omitempty"`
-	Disruptions []Disruption `json:",omitempty"`
-	Maintained  []Maintained `json:",omitempty"`
+	Requests    []Request           `json:",omitempty"`
+	Disruptions []Disruption        `json:",omitempty"`
+	Maintained  []MaintenanceResult `json:",omitempty"`
 	// MeanOut is the moving average of how long an instance is out for
 	// maintenance; forecasts are made with it. Zero before the first.
 	MeanOut time.Duration `json:",omitempty"`
@@ -159,19 +159,19 @@
 	return nil
 }
 
-// Withdraw drops the operator's request for instance id.
-func (p *Pool) Withdraw(id InstanceID) {
+// RemoveRequest drops the operator's request for instance id.
+func (p *Pool) RemoveRequest(id InstanceID) {
 	p.Requests = slices.DeleteFunc(p.Requests, func(r Request) bool { return r.Instance == id })
 }
 
-// Release drops the claim on instance id.
-func (p *Pool) Release(id InstanceID) {
+// RemoveDisruption drops the claim on instance id.
+func (p *Pool) RemoveDisruption(id InstanceID) {
 	p.Disruptions = slices.DeleteFunc(p.Disruptions, func(d Disruption) bool { return d.Instance == id })
 }
 
 // MaintainedBy reports whether wave w has finished with instance id.
 func (p *Pool) MaintainedBy(w WaveName, id InstanceID) bool {
-	return slices.ContainsFunc(p.Maintained, func(m Maintained) bool {
+	return slices.ContainsFunc(p.Maintained, func(m MaintenanceResult) bool {
 		return m.Wave == w && m.Instance == id
 	})
 }
@@ -183,11 +183,11 @@
 // that a repeated command is answered and not carried out again.
 type CommandLog []CommandID
 
-// Has reports whether id is in the log.
-func (l CommandLog) Has(id CommandID) bool { return slices.Contains(l, id) }
+// Contains reports whether id is in the log.
+func (l CommandLog) Contains(id CommandID) bool { return slices.Contains(l, id) }
 
-// With returns the log with id appended, the oldest dropped over the bound.
-func (l CommandLog) With(id CommandID) CommandLog {
+// Append returns the log with id appended, the oldest dropped over the bound.
+func (l CommandLog) Append(id CommandID) CommandLog {
 	out := append(slices.Clone(l), id)
 	if len(out) > commandLogSize {
 		out = out[len(out)-commandLogSize:]
--- a/requests/fleet/state.go
+++ b/requests/fleet/state.go
@@ -145,9 +145,9 @@
 // SortedWaves lists the wave names in order.
 func (s *State) SortedWaves() []WaveName { return slices.Sorted(maps.Keys(s.Waves)) }
 
-// MemberShards is the number of shard records. At 13,000 instances a shard
+// MemberShardCount is the number of shard records. At 13,000 instances a shard
 // holds about 200 memberships, roughly 10 KB.
-const MemberShards = 64
+const MemberShardCount = 64
 
 // ShardOf returns the shard that holds the membership of id (FNV-1a).
 func ShardOf(id InstanceID) int {
@@ -160,5 +160,5 @@
 		h ^= uint32(id[i])
 		h *= prime
 	}
-	return int(h % MemberShards)
+	return int(h % MemberShardCount)
 }
--- a/requests/fleet/wave.go
+++ b/requests/fleet/wave.go
@@ -48,8 +48,8 @@
 	return &c
 }
 
-// Includes reports whether the wave covers pool p.
-func (w *Wave) Includes(p PoolName) bool { return slices.Contains(w.Pools, p) }
+// Covers reports whether the wave covers pool p.
+func (w *Wave) Covers(p PoolName) bool { return slices.Contains(w.Pools, p) }
 
 // Ended reports whether no new disruption will come from the wave.
 func (w *Wave) Ended() bool { return w.State == WaveCancelled || w.State == WaveDone }
--- a/requests/record/record_test.go
+++ b/requests/record/record_test.go
@@ -107,7 +107,7 @@
 }
 
 func TestKeys(t *testing.T) {
-	for i := range fleet.MemberShards {
+	for i := range fleet.MemberShardCount {
 		n, err := ParseShardKey(ShardKey(i))
 		require.NoError(t, err)
 		assert.Equal(t, i, n)
--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -29,19 +29,19 @@
 	// RebootTimeout is how long a reboot may take before the instance counts
 	// as not coming back.
 	RebootTimeout time.Duration
-	// Concurrency bounds how many instances a wave takes out of one pool at
+	// MaxConcurrent bounds how many instances a wave takes out of one pool at
 	// once; 0 leaves it to the budget.
-	Concurrency int
+	MaxConcurrent int
 }
 
-// Send is a command to pass on to the platform.
-type Send struct {
+// InstanceCommand is a command to pass on to the platform.
+type InstanceCommand struct {
 	Instance fleet.InstanceID
 	Command  fleet.Command
 }
 
-// Change is a membership record to change.
-type Change struct {
+// MembershipChange is a membership record to change.
+type MembershipChange struct {
 	Instance fleet.InstanceID
 	From, To fleet.PoolName
 	Joining  bool
@@ -51,9 +51,9 @@
 // observed, so that any daemon may apply any part of it any number of times.
 type Plan struct {
 	// Pool is the record to write, nil if it does not change.
-	Pool    *fleet.Pool
-	Sends   []Send
-	Changes []Change
+	Pool              *fleet.Pool
+	Commands          []InstanceCommand
+	MembershipChanges []MembershipChange
 	// Notes explain what was decided and what was left, for "why".
 	Notes []Note
 }
@@ -117,7 +117,7 @@
 	case inst.Generation > d.Command.Generation:
 		p.overtaken(d, inst)
 	default:
-		p.plan.Sends = append(p.plan.Sends, Send{Instance: d.Instance, Command: d.Command})
+		p.plan.Commands = append(p.plan.Commands, InstanceCommand{Instance: d.Instance, Command: d.Command})
 	}
 }
 
@@ -190,7 +190,7 @@
 		p.enter(d, fleet.PhaseReturn, inst)
 		return
 	}
-	p.plan.Changes = append(p.plan.Changes, Change{Instance: d.Instance, From: p.in.Pool.Name, To: d.Target, Joining: true})
+	p.plan.MembershipChanges = append(p.plan.MembershipChanges, MembershipChange{Instance: d.Instance, From: p.in.Pool.Name, To: d.Target, Joining: true})
 }
 
 // commandOf is the action that belongs to a phase.
@@ -218,12 +218,12 @@
 
 // release ends a disruption whose instance was seen back in service.
 func (p *planner) release(d fleet.Disruption) {
-	p.next.Release(d.Instance)
+	p.next.RemoveDisruption(d.Instance)
 	p.touched = true
 	if d.Kind != fleet.DisruptByWave || p.next.MaintainedBy(d.Wave, d.Instance) {
 		return
 	}
-	p.next.Maintained = append(p.next.Maintained, fleet.Maintained{Wave: d.Wave, Instance: d.Instance})
+	p.next.Maintained = append(p.next.Maintained, fleet.MaintenanceResult{Wave: d.Wave, Instance: d.Instance})
 	out := p.in.Now.Sub(d.Since)
 	if p.next.MeanOut == 0 {
 		p.next.MeanOut = out
@@ -237,11 +237,11 @@
 func (p *planner) giveUp(d fleet.Disruption, why string) {
 	p.note(d.Instance, "given up: %s", why)
 	if d.Kind == fleet.DisruptByWave && !p.next.MaintainedBy(d.Wave, d.Instance) {
-		p.next.Maintained = append(p.next.Maintained, fleet.Maintained{Wave: d.Wave, Instance: d.Instance, Skipped: why})
+		p.next.Maintained = append(p.next.Maintained, fleet.MaintenanceResult{Wave: d.Wave, Instance: d.Instance, Skipped: why})
 		p.touched = true
 	}
 	if p.in.Instances[d.Instance].State == fleet.InstanceFailed {
-		p.next.Release(d.Instance)
+		p.next.RemoveDisruption(d.Instance)
 		p.touched = true
 	}
 }
@@ -251,7 +251,7 @@
 	for _, m := range p.in.Members {
 		inst := p.in.Instances[m.Instance]
 		if m.Joining && inst.Serving() {
-			p.plan.Changes = append(p.plan.Changes, Change{Instance: m.Instance, From: p.in.Pool.Name, To: p.in.Pool.Name})
+			p.plan.MembershipChanges = append(p.plan.MembershipChanges, MembershipChange{Instance: m.Instance, From: p.in.Pool.Name, To: p.in.Pool.Name})
 		}
 	}
 }
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -59,7 +59,7 @@
 }
 
 func (p *planner) withdraw(id fleet.InstanceID) {
-	p.next.Withdraw(id)
+	p.next.RemoveRequest(id)
 	p.touched = true
 }
 
@@ -122,22 +122,22 @@
 // budget.
 func (p *planner) width(w *fleet.Wave, account budget.Status) int {
 	left := len(p.candidates(w)) + p.outBy(w.Name)
-	n := Width(left, account.Allowed, p.in.Weights)
-	if end, known := Forecast(p.in.Now, p.next, left, n); known && !w.Deadline.IsZero() && end.After(w.Deadline) {
+	n := ChooseConcurrency(left, account.Allowed, p.in.Weights)
+	if end, known := EstimateEnd(p.in.Now, p.next, left, n); known && !w.Deadline.IsZero() && end.After(w.Deadline) {
 		n = account.Allowed
 	}
-	if p.in.Options.Concurrency > 0 {
-		n = min(n, p.in.Options.Concurrency)
+	if p.in.Options.MaxConcurrent > 0 {
+		n = min(n, p.in.Options.MaxConcurrent)
 	}
 	return n
 }
 
-// Width chooses how many of n instances to take out at once, at most allowed.
+// ChooseConcurrency chooses how many of n instances to take out at once, at most allowed.
 // A wider wave is over sooner and holds more capacity back meanwhile: the width
 // with the least weighted sum of roll-out time and of instances out is taken,
 // each as a ratio to that of the whole budget. Without weights it is the whole
 // budget.
-func Width(n, allowed int, w fleet.Weights) int {
+func ChooseConcurrency(n, allowed int, w fleet.Weights) int {
 	if allowed <= 1 || n <= 1 || (w.RollOut == 0 && w.Buffer == 0) {
 		return allowed
 	}
@@ -206,9 +206,9 @@
 	return n >= haltLeast && n*haltShare > granted
 }
 
-// Forecast estimates when a wave ends in one pool: the remaining instances in
+// EstimateEnd estimates when a wave ends in one pool: the remaining instances in
 // rounds as wide as the budget allows, each as long as the pool's mean.
-func Forecast(now time.Time, p *fleet.Pool, remaining, allowed int) (time.Time, bool) {
+func EstimateEnd(now time.Time, p *fleet.Pool, remaining, allowed int) (time.Time, bool) {
 	if p.MeanOut == 0 || allowed <= 0 {
 		return time.Time{}, false
 	}
--- a/requests/wave/wave_test.go
+++ b/requests/wave/wave_test.go
@@ -48,7 +48,7 @@
 	plan := Reconcile(input(6, fleet.AvailabilityBudget{MaxUnavailable: 2}))
 	require.NotNil(t, plan.Pool)
 	assert.Equal(t, []fleet.InstanceID{"i0", "i2"}, claimed(plan.Pool), "both in one zone")
-	assert.Empty(t, plan.Sends, "a command goes out only once its claim is recorded")
+	assert.Empty(t, plan.Commands, "a command goes out only once its claim is recorded")
 }
 
 func TestFailuresCountFirst(t *testing.T) {
@@ -99,9 +99,9 @@
 		require.Equal(t, want, in.Pool.Disruptions[0].Phase)
 	}
 	step(fleet.PhaseDrain)
-	assert.Len(t, Reconcile(in).Sends, 1)
+	assert.Len(t, Reconcile(in).Commands, 1)
 	set(in, "i0", fleet.InstanceDraining, 2, "new")
-	assert.Empty(t, Reconcile(in).Sends, "it was carried out")
+	assert.Empty(t, Reconcile(in).Commands, "it was carried out")
 	set(in, "i0", fleet.InstanceDrained, 2, "new")
 	step(fleet.PhaseReboot)
 	set(in, "i0", fleet.InstanceDrained, 3, "new")
@@ -145,7 +145,7 @@
 	in.Pool.Disruptions = []fleet.Disruption{{Instance: "i0", Kind: fleet.DisruptByMove, Target: "q", Phase: fleet.PhaseMove, PhaseAt: t0}}
 	set(in, "i0", fleet.InstanceDrained, 2, "c")
 	plan := Reconcile(in)
-	assert.Equal(t, []Change{{Instance: "i0", From: "p", To: "q", Joining: true}}, plan.Changes)
+	assert.Equal(t, []MembershipChange{{Instance: "i0", From: "p", To: "q", Joining: true}}, plan.MembershipChanges)
 	assert.Nil(t, plan.Pool)
 	in.Membership = func(fleet.InstanceID) *fleet.Membership {
 		return &fleet.Membership{Instance: "i0", Pool: "q", Joining: true}
@@ -165,7 +165,7 @@
 		{12, 4, fleet.Weights{}, 4}, {12, 4, orderDesks, 4}, {12, 4, alumniHub, 2}, {12, 1, alumniHub, 1}, {12, 0, orderDesks, 0},
 		{7, 6, orderDesks, 4}, // two rounds either way
 	} {
-		assert.Equal(t, tc.want, Width(tc.n, tc.allowed, tc.weights), "%+v", tc)
+		assert.Equal(t, tc.want, ChooseConcurrency(tc.n, tc.allowed, tc.weights), "%+v", tc)
 	}
 	in := input(12, fleet.AvailabilityBudget{MaxUnavailable: 4})
 	in.Weights = alumniHub
@@ -185,7 +185,7 @@
 }
 
 func TestForecast(t *testing.T) {
-	end, ok := Forecast(t0, &fleet.Pool{MeanOut: time.Minute}, 5, 2)
+	end, ok := EstimateEnd(t0, &fleet.Pool{MeanOut: time.Minute}, 5, 2)
 	assert.True(t, ok)
 	assert.Equal(t, t0.Add(3*time.Minute), end)
 }
