--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -50,7 +50,7 @@
 	view     *fleet.View
 	nextID   admit.ID
 
-	needs chan fleet.ServiceName // services whose requests wait for a slot
+	borrowNeeded chan fleet.ServiceName // services whose requests wait for a slot
 }
 
 // service is the dispatcher's state of one service.
@@ -60,9 +60,9 @@
 	budget  *retry.Budget
 	waiting map[admit.ID]chan outcome
 	inUse   int
-	// peak is the highest recent number of requests in flight here; that many
+	// recentPeak is the highest recent number of requests in flight here; that many
 	// slots are not lent.
-	peak float64
+	recentPeak float64
 }
 
 // outcome is what a waiting request gets: a grant, or the reason why not.
@@ -73,23 +73,23 @@
 
 // Grant is a slot on a worker. It must be released.
 type Grant struct {
-	Worker  directory.Worker
-	service fleet.ServiceName
-	at      time.Time
+	Worker    directory.Worker
+	service   fleet.ServiceName
+	grantedAt time.Time
 }
 
 // NewDispatcher returns a dispatcher of an entry daemon. longest is the
 // longest time that a request may run on a worker.
 func NewDispatcher(self fleet.Incarnation, zone fleet.AvailabilityZone, longest time.Duration, policies Policies, rnd *rand.Rand) *Dispatcher {
 	return &Dispatcher{
-		zone:     zone,
-		policies: policies,
-		rnd:      rnd,
-		dir:      directory.Empty(),
-		slots:    slots.New(self, longest),
-		services: map[fleet.ServiceName]*service{},
-		view:     &fleet.View{},
-		needs:    make(chan fleet.ServiceName, 64),
+		zone:         zone,
+		policies:     policies,
+		rnd:          rnd,
+		dir:          directory.Empty(),
+		slots:        slots.New(self, longest),
+		services:     map[fleet.ServiceName]*service{},
+		view:         &fleet.View{},
+		borrowNeeded: make(chan fleet.ServiceName, 64),
 	}
 }
 
@@ -113,7 +113,7 @@
 		s.queue.SetClasses(svc.Classes)
 		s.health.RemoveAbsent(dir.Slots)
 	}
-	d.pumpAll(time.Now())
+	d.grantAllWaiting(time.Now())
 }
 
 // Directory returns the directory in force.
@@ -136,9 +136,9 @@
 	case out := <-ch:
 		return out.grant, out.err
 	case <-ctx.Done():
-		return d.giveUp(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeCallerGone, "the caller went away while waiting"))
+		return d.cancelWait(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeCallerGone, "the caller went away while waiting"))
 	case <-timer.C:
-		return d.giveUp(name, id, ch, overload(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second}))
+		return d.cancelWait(name, id, ch, overloadedError(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second}))
 	}
 }
 
@@ -151,7 +151,7 @@
 	svc := d.dir.Services[name]
 	s := d.services[name]
 	if svc == nil || s == nil || len(svc.Workers) == 0 {
-		return nil, 0, outcome{err: refuse(CodeNoWorkers, "no worker of the service is in use", time.Second)}
+		return nil, 0, outcome{err: newRefusal(CodeNoWorkers, "no worker of the service is in use", time.Second)}
 	}
 	if s.queue.Waiting() == 0 {
 		if g := d.tryGrant(now, name, s, svc); g != nil {
@@ -162,21 +162,21 @@
 	id = d.nextID
 	s.queue.SetSlots(d.capacity(svc))
 	if r := s.queue.Push(now, id, class, deadline); r != nil {
-		return nil, 0, outcome{err: overload(*r)}
+		return nil, 0, outcome{err: overloadedError(*r)}
 	}
 	ch = make(chan outcome, 1)
 	s.waiting[id] = ch
-	d.pump(now, name, s)
+	d.grantWaiting(now, name, s)
 	if s.queue.Waiting() > 0 {
-		d.wake(name)
+		d.requestBorrow(name)
 	}
 	return ch, id, outcome{}
 }
 
-// wake tells the borrower that a service's requests wait.
-func (d *Dispatcher) wake(name fleet.ServiceName) {
+// requestBorrow tells the borrower that a service's requests wait.
+func (d *Dispatcher) requestBorrow(name fleet.ServiceName) {
 	select {
-	case d.needs <- name:
+	case d.borrowNeeded <- name:
 	default:
 	}
 }
@@ -210,17 +210,17 @@
 	}
 	s.health.RecordSent(now, id)
 	s.inUse++
-	s.peak = max(s.peak, float64(s.inUse))
+	s.recentPeak = max(s.recentPeak, float64(s.inUse))
 	for _, w := range svc.Workers {
 		if w.ID == id {
-			return &Grant{Worker: w, service: name, at: now}
+			return &Grant{Worker: w, service: name, grantedAt: now}
 		}
 	}
 	return nil
 }
 
-// pump grants free slots to those who wait.
-func (d *Dispatcher) pump(now time.Time, name fleet.ServiceName, s *service) {
+// grantWaiting grants free slots to those who wait.
+func (d *Dispatcher) grantWaiting(now time.Time, name fleet.ServiceName, s *service) {
 	svc := d.dir.Services[name]
 	for svc != nil && s.queue.Waiting() > 0 {
 		g := d.tryGrant(now, name, s, svc)
@@ -229,33 +229,33 @@
 		}
 		id, ok, expired := s.queue.Pop(now)
 		for _, e := range expired {
-			s.answer(e, outcome{err: overload(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second})})
+			s.deliver(e, outcome{err: overloadedError(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second})})
 		}
 		if !ok {
 			d.slots.Release(g.Worker.ID)
 			s.inUse--
 			return
 		}
-		s.answer(id, outcome{grant: g})
+		s.deliver(id, outcome{grant: g})
 	}
 }
 
-func (s *service) answer(id admit.ID, out outcome) {
+func (s *service) deliver(id admit.ID, out outcome) {
 	if ch := s.waiting[id]; ch != nil {
 		delete(s.waiting, id)
 		ch <- out
 	}
 }
 
-func (d *Dispatcher) pumpAll(now time.Time) {
+func (d *Dispatcher) grantAllWaiting(now time.Time) {
 	for name, s := range d.services {
-		d.pump(now, name, s)
+		d.grantWaiting(now, name, s)
 	}
 }
 
-// giveUp takes a request out of the queue. If it was granted a slot in the
+// cancelWait takes a request out of the queue. If it was granted a slot in the
 // meantime, the slot goes back.
-func (d *Dispatcher) giveUp(name fleet.ServiceName, id admit.ID, ch chan outcome, err error) (*Grant, error) {
+func (d *Dispatcher) cancelWait(name fleet.ServiceName, id admit.ID, ch chan outcome, err error) (*Grant, error) {
 	d.mu.Lock()
 	s := d.services[name]
 	s.queue.Remove(id)
@@ -288,20 +288,20 @@
 	defer d.mu.Unlock()
 	now := time.Now()
 	if s := d.services[g.service]; s != nil {
-		s.queue.ObserveServiceTime(now.Sub(g.at))
-		s.health.ObserveLatency(now, g.Worker.ID, now.Sub(g.at))
+		s.queue.ObserveServiceTime(now.Sub(g.grantedAt))
+		s.health.ObserveLatency(now, g.Worker.ID, now.Sub(g.grantedAt))
 		if good {
 			restored = s.health.RecordSuccess(g.Worker.ID)
 			s.budget.RecordSuccess()
 		} else {
-			ejected = s.health.RecordFailure(now, g.Worker.ID, d.total(g.service))
+			ejected = s.health.RecordFailure(now, g.Worker.ID, d.workerCount(g.service))
 		}
 	}
 	d.release(g)
 	return ejected, restored
 }
 
-func (d *Dispatcher) total(name fleet.ServiceName) int {
+func (d *Dispatcher) workerCount(name fleet.ServiceName) int {
 	if svc := d.dir.Services[name]; svc != nil {
 		return len(svc.Workers)
 	}
@@ -315,7 +315,7 @@
 		return
 	}
 	s.inUse--
-	d.pump(time.Now(), g.service, s)
+	d.grantWaiting(time.Now(), g.service, s)
 }
 
 // Retry decides whether a failed try of a service's request is repeated.
@@ -329,4 +329,6 @@
 	return s.budget.Next(a, d.rnd)
 }
 
-func overload(r admit.Refusal) error { return refuse(CodeOverloaded, r.Reason, r.RetryAfter) }
+func overloadedError(r admit.Refusal) error {
+	return newRefusal(CodeOverloaded, r.Reason, r.RetryAfter)
+}
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -79,10 +79,10 @@
 	Limits     Limits
 	Observer   Observer
 
-	inFlight atomic.Int64
-	buffered atomic.Int64 // bytes reserved for request bodies
-	closing  atomic.Bool
-	stopping atomic.Bool
+	inFlight     atomic.Int64
+	reservedBody atomic.Int64 // bytes reserved for request bodies
+	closing      atomic.Bool
+	stopping     atomic.Bool
 }
 
 // Observer is told of every answer and every try. Its methods must be fast.
@@ -121,33 +121,33 @@
 	if h.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	reserved := h.reserve(r)
-	defer h.buffered.Add(-reserved)
+	reserved := h.reserveBody(r)
+	defer h.reservedBody.Add(-reserved)
 	c, status, err := h.accept(w, r, started, n)
 	if err != nil {
-		h.fail(w, fleet.Route{}, started, status, err)
+		h.writeFailure(w, fleet.Route{}, started, status, err)
 		return
 	}
 	answer, err := h.serve(c)
 	if err != nil {
-		h.fail(w, c.route, started, h.status(err), err)
+		h.writeFailure(w, c.route, started, h.status(err), err)
 		return
 	}
 	h.Observer.Answered(c.route.Service, c.route.Class, verdict.Done, "", answer.Status, time.Since(started))
 	writeAnswer(w, answer)
 }
 
-// reserve sets aside room for a request's body and returns its size.
-func (h *Handler) reserve(r *http.Request) int64 {
+// reserveBody sets aside room for a request's body and returns its size.
+func (h *Handler) reserveBody(r *http.Request) int64 {
 	size := r.ContentLength
 	if size < 0 || size > h.Limits.MaxBody {
 		size = h.Limits.MaxBody
 	}
-	h.buffered.Add(size)
+	h.reservedBody.Add(size)
 	return size
 }
 
-func (h *Handler) fail(w http.ResponseWriter, route fleet.Route, started time.Time, status int, err error) {
+func (h *Handler) writeFailure(w http.ResponseWriter, route fleet.Route, started time.Time, status int, err error) {
 	h.Observer.Answered(route.Service, route.Class, verdict.Of(err), verdict.CodeOf(err), status, time.Since(started))
 	writeProblem(w, status, err)
 }
@@ -168,10 +168,10 @@
 // accept checks a request and reads it whole. Nothing has run when it fails.
 func (h *Handler) accept(w http.ResponseWriter, r *http.Request, started time.Time, inFlight int64) (*call, int, error) {
 	if h.stopping.Load() {
-		return nil, http.StatusServiceUnavailable, refuse(CodeStopping, "this entry instance is stopping", 0)
+		return nil, http.StatusServiceUnavailable, newRefusal(CodeStopping, "this entry instance is stopping", 0)
 	}
-	if inFlight > h.Limits.MaxInFlight || h.buffered.Load() > h.Limits.MaxBuffered {
-		return nil, http.StatusServiceUnavailable, refuse(CodeOverloaded, "too many requests in flight", time.Second)
+	if inFlight > h.Limits.MaxInFlight || h.reservedBody.Load() > h.Limits.MaxBuffered {
+		return nil, http.StatusServiceUnavailable, newRefusal(CodeOverloaded, "too many requests in flight", time.Second)
 	}
 	route, ok := h.Dispatcher.Directory().Routes.Match(r.Host, r.URL.Path)
 	if !ok {
@@ -242,30 +242,30 @@
 	ctx, cancel := context.WithDeadline(c.req.Context(), c.deadline)
 	defer cancel()
 	for attempt := 1; ; attempt++ {
-		answer, err := h.try(ctx, c, attempt)
-		if err == nil && !h.worthRetry(c, answer) {
+		answer, err := h.attempt(ctx, c, attempt)
+		if err == nil && !h.failedAnswerRetryable(c, answer) {
 			return answer, nil
 		}
-		again, ok := h.again(ctx, c, attempt, err)
+		again, ok := h.shouldRetry(ctx, c, attempt, err)
 		if !ok || !sleep.For(ctx, again) {
 			return answer, err
 		}
 	}
 }
 
-// worthRetry reports whether another worker may answer better: the request may
+// failedAnswerRetryable reports whether another worker may answer better: the request may
 // be repeated and the worker failed.
-func (h *Handler) worthRetry(c *call, answer *port.BackendAnswer) bool {
+func (h *Handler) failedAnswerRetryable(c *call, answer *port.BackendAnswer) bool {
 	return c.idempotent && answer.Status >= http.StatusInternalServerError
 }
 
-// try gets a slot, claims the key and sends the request once.
-func (h *Handler) try(ctx context.Context, c *call, attempt int) (*port.BackendAnswer, error) {
+// attempt gets a slot, claims the key and sends the request once.
+func (h *Handler) attempt(ctx context.Context, c *call, attempt int) (*port.BackendAnswer, error) {
 	if !h.Standing().Current(time.Now()) {
-		return nil, refuse(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
+		return nil, newRefusal(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
 	}
 	if c.key != "" && !h.Claims.Reachable(c.key) {
-		return nil, refuse(CodeKeyOwnerUnavailable, "the entry instance that knows about this key cannot be reached", time.Second)
+		return nil, newRefusal(CodeKeyOwnerUnavailable, "the entry instance that knows about this key cannot be reached", time.Second)
 	}
 	grant, err := h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline)
 	if err != nil {
@@ -281,7 +281,7 @@
 func (h *Handler) send(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
 	if !h.Standing().Current(time.Now()) {
 		h.Dispatcher.ReleaseUnsent(grant)
-		return nil, refuse(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
+		return nil, newRefusal(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
 	}
 	if !c.idempotent {
 		var cancel context.CancelFunc
@@ -295,16 +295,16 @@
 		Method:    c.req.Method,
 		URI:       c.req.URL.RequestURI(),
 		Host:      c.req.Host,
-		Header:    forwarded(c.req.Header),
+		Header:    forwardedHeader(c.req.Header),
 		Body:      c.body,
 	})
-	h.finish(ctx, c, grant, attempt, answer, err)
+	h.finishAttempt(ctx, c, grant, attempt, answer, err)
 	return answer, err
 }
 
-// finish gives the slot back and judges the worker. A caller's own going away
+// finishAttempt gives the slot back and judges the worker. A caller's own going away
 // says nothing about the worker.
-func (h *Handler) finish(ctx context.Context, c *call, grant *Grant, attempt int, answer *port.BackendAnswer, err error) {
+func (h *Handler) finishAttempt(ctx context.Context, c *call, grant *Grant, attempt int, answer *port.BackendAnswer, err error) {
 	h.Observer.AttemptEnded(c.route.Service, grant.Worker.ID, attempt, err)
 	if errors.Is(ctx.Err(), context.Canceled) || verdict.CodeOf(err) == port.CodeBackendRefused {
 		h.Dispatcher.ReleaseUnsent(grant)
@@ -317,28 +317,28 @@
 	}
 }
 
-// forwarded copies a caller's headers without those of the connection and of
+// forwardedHeader copies a caller's headers without those of the connection and of
 // postmount.
-func forwarded(in http.Header) http.Header {
+func forwardedHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, field := range strings.Split(in.Get("Connection"), ",") {
 		out.Del(strings.TrimSpace(field))
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// hopHeaders are not passed on (RFC 9110, section 7.6.1), nor is the deadline.
-var hopHeaders = []string{
+// hopByHopHeaders are not passed on (RFC 9110, section 7.6.1), nor is the deadline.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", HeaderDeadline,
 }
 
 func writeAnswer(w http.ResponseWriter, a *port.BackendAnswer) {
 	header := w.Header()
-	for name, values := range forwarded(a.Header) {
+	for name, values := range forwardedHeader(a.Header) {
 		header[name] = values
 	}
 	header.Set(verdict.Header, verdict.Done.String())
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -12,9 +12,9 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// inProgressPause is the pause between questions about an attempt that runs
+// inProgressPollInterval is the pause between questions about an attempt that runs
 // elsewhere.
-const inProgressPause = 30 * time.Millisecond
+const inProgressPollInterval = 30 * time.Millisecond
 
 // sendKeyed claims the request's key before it sends anything. A request whose
 // key was claimed before gets the first attempt's answer instead.
@@ -25,10 +25,10 @@
 		h.Dispatcher.ReleaseUnsent(grant)
 	}
 	if err != nil {
-		return nil, &refusal{cause: asVerdict(err), retryAfter: time.Second}
+		return nil, &refusal{cause: claimError(err), retryAfter: time.Second}
 	}
 	for reply.Result == once.InProgress {
-		if !sleep.For(ctx, inProgressPause) {
+		if !sleep.For(ctx, inProgressPollInterval) {
 			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key is still running")
 		}
 		// The earlier attempt may be abandoned, and this one granted.
@@ -43,12 +43,12 @@
 		}
 	}
 	if reply.Result != once.Granted {
-		return earlierAnswer(reply)
+		return earlierAttemptAnswer(reply)
 	}
 	return h.sendClaimed(ctx, c, grant, id, attempt)
 }
 
-func asVerdict(err error) *verdict.Error {
+func claimError(err error) *verdict.Error {
 	return verdict.Wrap(err, verdict.Of(err), verdict.CodeOf(err), "claim the key")
 }
 
@@ -57,7 +57,7 @@
 	answer, err := h.send(ctx, c, grant, attempt)
 	switch {
 	case err == nil:
-		h.Claims.End(id, once.Finished, h.retained(answer))
+		h.Claims.End(id, once.Finished, h.retainedAnswer(answer))
 	case verdict.Of(err) == verdict.NotRun:
 		h.Claims.End(id, once.Abandoned, nil)
 	default:
@@ -66,8 +66,8 @@
 	return answer, err
 }
 
-// retained returns the answer as it is kept for a resend, nil if too large.
-func (h *Handler) retained(a *port.BackendAnswer) *once.Answer {
+// retainedAnswer returns the answer as it is kept for a resend, nil if too large.
+func (h *Handler) retainedAnswer(a *port.BackendAnswer) *once.Answer {
 	if len(a.Body) > h.Limits.MaxRetained {
 		return nil
 	}
@@ -78,9 +78,9 @@
 // same key.
 const HeaderReplayed = "Postmount-Replayed"
 
-// earlierAnswer turns the owner's reply about an earlier attempt into the
+// earlierAttemptAnswer turns the owner's reply about an earlier attempt into the
 // answer of this one.
-func earlierAnswer(r once.Reply) (*port.BackendAnswer, error) {
+func earlierAttemptAnswer(r once.Reply) (*port.BackendAnswer, error) {
 	switch r.Result {
 	case once.Answered:
 		header := http.Header(r.Answer.Header).Clone()
@@ -102,10 +102,10 @@
 	}
 }
 
-// again decides whether a failed try is repeated. A keyed request that may
+// shouldRetry decides whether a failed try is repeated. A keyed request that may
 // have run never is: its key stays claimed.
-func (h *Handler) again(ctx context.Context, c *call, attempt int, err error) (time.Duration, bool) {
-	if ctx.Err() != nil || (err != nil && h.final(err)) {
+func (h *Handler) shouldRetry(ctx context.Context, c *call, attempt int, err error) (time.Duration, bool) {
+	if ctx.Err() != nil || (err != nil && h.isFinal(err)) {
 		return 0, false
 	}
 	return h.Dispatcher.Retry(c.route.Service, retry.Attempt{
@@ -117,9 +117,9 @@
 	})
 }
 
-// final reports whether a failure was postmount's own decision: it is answered
+// isFinal reports whether a failure was postmount's own decision: it is answered
 // at once and not tried again.
-func (h *Handler) final(err error) bool {
+func (h *Handler) isFinal(err error) bool {
 	switch verdict.CodeOf(err) {
 	case port.CodeBackendUnreachable, port.CodeBackendConnectionBroken, port.CodeBackendAnswerTruncated, port.CodeBackendAnswerForeign, port.CodeBackendTimeout:
 		return false
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -15,15 +15,15 @@
 
 // Times of lending.
 const (
-	// loanIdle is how long a borrowed slot may lie idle before it goes back.
-	loanIdle = 300 * time.Millisecond
-	loanTick = 100 * time.Millisecond
+	// loanIdleTimeout is how long a borrowed slot may lie idle before it goes back.
+	loanIdleTimeout  = 300 * time.Millisecond
+	loanTickInterval = 100 * time.Millisecond
 	// peakDecay is by how much the remembered peak shrinks at each tick.
 	peakDecay = 0.97
-	// borrowPause is the pause after every peer has refused.
-	borrowPause = 20 * time.Millisecond
-	// returnDeadline bounds the tries to give a loan back.
-	returnDeadline = 30 * time.Second
+	// borrowRetryDelay is the pause after every peer has refused.
+	borrowRetryDelay = 20 * time.Millisecond
+	// returnTimeout bounds the tries to give a loan back.
+	returnTimeout = 30 * time.Second
 )
 
 // SetView implements cluster.Shares.
@@ -32,7 +32,7 @@
 	defer d.mu.Unlock()
 	d.view = v
 	d.slots.SetView(v)
-	d.pumpAll(time.Now())
+	d.grantAllWaiting(time.Now())
 }
 
 // SelfSettled implements cluster.Shares.
@@ -55,37 +55,37 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.ActivateShares(now, retired)
-	d.pumpAll(now)
+	d.grantAllWaiting(now)
 }
 
 // OnBorrow implements cluster.Shares: it lends a slot that is not needed here.
 func (d *Dispatcher) OnBorrow(r port.BorrowRequest) port.BorrowReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	l, ok := d.slots.Lend(time.Now(), r.Loan, r.Borrower, r.Epoch, r.Workers, d.keep)
+	l, ok := d.slots.Lend(time.Now(), r.Loan, r.Borrower, r.Epoch, r.Workers, d.keepIdle)
 	return port.BorrowReply{Granted: ok, Loan: l}
 }
 
-// keep returns how many idle slots of a worker stay here: all of them while
+// keepIdle returns how many idle slots of a worker stay here: all of them while
 // requests wait, none while the idle slots of its service outnumber what the
 // recent peak would need.
-func (d *Dispatcher) keep(id fleet.InstanceID) int {
+func (d *Dispatcher) keepIdle(id fleet.InstanceID) int {
 	for name, svc := range d.dir.Services {
 		for _, w := range svc.Workers {
 			if w.ID == id {
-				return d.keepOf(d.services[name], svc, id)
+				return d.keepIdleOf(d.services[name], svc, id)
 			}
 		}
 	}
 	return 0
 }
 
-func (d *Dispatcher) keepOf(s *service, svc *directory.Service, id fleet.InstanceID) int {
+func (d *Dispatcher) keepIdleOf(s *service, svc *directory.Service, id fleet.InstanceID) int {
 	idle := 0
 	for _, w := range svc.Workers {
 		idle += d.slots.Free(w.ID)
 	}
-	if s.queue.Waiting() == 0 && float64(idle) > s.peak-float64(s.inUse) {
+	if s.queue.Waiting() == 0 && float64(idle) > s.recentPeak-float64(s.inUse) {
 		return 0
 	}
 	return d.slots.Free(id)
@@ -98,41 +98,41 @@
 	for _, id := range ids {
 		d.slots.TakeBack(id)
 	}
-	d.pumpAll(time.Now())
+	d.grantAllWaiting(time.Now())
 }
 
 // RunLoans borrows slots for waiting requests and returns idle ones, until ctx
 // ends.
 func (d *Dispatcher) RunLoans(ctx context.Context, self fleet.Incarnation, peers port.Peers) {
-	t := time.NewTicker(loanTick)
+	t := time.NewTicker(loanTickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case name := <-d.needs:
+		case name := <-d.borrowNeeded:
 			if !d.policies.DisableLoans {
 				d.borrowFor(ctx, name, self, peers)
 			}
 		case <-t.C:
-			d.tick(ctx, peers)
+			d.loanTick(ctx, peers)
 		}
 	}
 }
 
-// tick gives idle loans back and lets the remembered peaks fade.
-func (d *Dispatcher) tick(ctx context.Context, peers port.Peers) {
+// loanTick gives idle loans back and lets the remembered peaks fade.
+func (d *Dispatcher) loanTick(ctx context.Context, peers port.Peers) {
 	d.mu.Lock()
 	now := time.Now()
-	idle := d.slots.ReleaseIdle(now.Add(-loanIdle))
+	idle := d.slots.ReleaseIdle(now.Add(-loanIdleTimeout))
 	view := d.view
 	for name, s := range d.services {
-		s.peak = max(float64(s.inUse), s.peak*peakDecay)
+		s.recentPeak = max(float64(s.inUse), s.recentPeak*peakDecay)
 		if s.queue.Waiting() > 0 {
-			d.wake(name)
+			d.requestBorrow(name)
 		}
 	}
-	d.pumpAll(now)
+	d.grantAllWaiting(now)
 	d.mu.Unlock()
 	byLender := map[fleet.Incarnation][]slots.LoanID{}
 	for _, l := range idle {
@@ -140,17 +140,17 @@
 	}
 	for lender, ids := range byLender {
 		if m := view.Member(lender); m != nil {
-			go giveBack(ctx, peers, m.PeerAddr, ids)
+			go returnLoans(ctx, peers, m.PeerAddr, ids)
 		}
 	}
 }
 
-// giveBack returns loans until the lender has heard of it.
-func giveBack(ctx context.Context, peers port.Peers, addr string, ids []slots.LoanID) {
-	ctx, cancel := context.WithTimeout(ctx, returnDeadline)
+// returnLoans returns loans until the lender has heard of it.
+func returnLoans(ctx context.Context, peers port.Peers, addr string, ids []slots.LoanID) {
+	ctx, cancel := context.WithTimeout(ctx, returnTimeout)
 	defer cancel()
 	for peers.Return(ctx, addr, ids) != nil {
-		if !sleep.For(ctx, loanIdle) {
+		if !sleep.For(ctx, loanIdleTimeout) {
 			return
 		}
 	}
@@ -169,16 +169,16 @@
 		switch {
 		case err != nil:
 			// The loan may have been granted unheard.
-			go giveBack(ctx, peers, lender.PeerAddr, []slots.LoanID{req.Loan})
+			go returnLoans(ctx, peers, lender.PeerAddr, []slots.LoanID{req.Loan})
 			refused++
 		case reply.Granted:
-			d.borrowed(ctx, name, reply.Loan, peers, lender.PeerAddr)
+			d.addLoan(ctx, name, reply.Loan, peers, lender.PeerAddr)
 			refused = 0
 		default:
 			refused++
 		}
 		if refused >= d.peerCount() {
-			sleep.For(ctx, borrowPause)
+			sleep.For(ctx, borrowRetryDelay)
 			return
 		}
 	}
@@ -216,14 +216,14 @@
 	return others[d.rnd.IntN(len(others))], req, len(req.Workers) > 0
 }
 
-func (d *Dispatcher) borrowed(ctx context.Context, name fleet.ServiceName, l slots.Loan, peers port.Peers, addr string) {
+func (d *Dispatcher) addLoan(ctx context.Context, name fleet.ServiceName, l slots.Loan, peers port.Peers, addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if !d.slots.AddBorrowed(l) {
-		go giveBack(ctx, peers, addr, []slots.LoanID{l.ID})
+		go returnLoans(ctx, peers, addr, []slots.LoanID{l.ID})
 		return
 	}
-	d.pump(time.Now(), name, d.services[name])
+	d.grantWaiting(time.Now(), name, d.services[name])
 }
 
 // Settled reports whether the slot shares of the view in force are taken up.
--- a/requests/entry/problem.go
+++ b/requests/entry/problem.go
@@ -68,8 +68,8 @@
 	}
 }
 
-// refuse returns an error of verdict NotRun that tells when to come back.
-func refuse(code verdict.Code, text string, after time.Duration) error {
+// newRefusal returns an error of verdict NotRun that tells when to come back.
+func newRefusal(code verdict.Code, text string, after time.Duration) error {
 	return &refusal{verdict.New(verdict.NotRun, code, "%s", text), after}
 }
 
