--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -83,11 +83,11 @@
 		return
 	}
 	t.Scope.Tagged(map[string]string{"service": string(service), "class": string(class)}).Histogram("latency", latencyBuckets).RecordDuration(took)
-	t.Burn.Record(time.Now(), slo.Key{Service: service, Class: class}, t.good(service, class, v, status, took))
+	t.Burn.Record(time.Now(), slo.Key{Service: service, Class: class}, t.meetsObjective(service, class, v, status, took))
 }
 
-// good reports whether a request met its service's objective. Client errors count as good.
-func (t *RequestObserver) good(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
+// meetsObjective reports whether a request met its service's objective. Client errors count as meetsObjective.
+func (t *RequestObserver) meetsObjective(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
 	if v != verdict.Done {
 		return status < http.StatusInternalServerError // 4xx: client error
 	}
