--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -31,7 +31,7 @@
 		return nil // accepted before, or unknown: Accept decides
 	}
 	n.log.Info("job-not-admitted", zap.String("job", string(j.ID)), zap.String("queue", j.Queue), zap.Duration("late-by", late))
-	return verdict.Wrap(&gateway.OverloadedError{RetryAfter: late}, verdict.NotRun, codeOverloaded, "job %s", j.ID)
+	return verdict.Wrap(&gateway.OverloadedError{RetryAfter: late}, verdict.NotRun, codeOverloaded, "job %s refused", j.ID)
 }
 
 // estimateLateness asks the owner by how much the job would be late. It returns 0 if the job
