--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -64,7 +64,7 @@
 func FuzzLock(f *testing.F) {
 	f.Add([]byte(`{"Node":"d1","Addr":"10.0.0.1:7","Term":3}`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		l, held, ok, err := ledger.LockOf(ledger.Event{Item: ledger.Item{Key: "owner/lock", Value: raw, Revision: 4}})
+		l, held, ok, err := ledger.DecodeLockEvent(ledger.Event{Item: ledger.Item{Key: "owner/lock", Value: raw, Revision: 4}})
 		require.True(t, ok)
 		if err == nil && held {
 			require.NotEmpty(t, l.Addr)
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -138,14 +138,14 @@
 	if err != nil || !held {
 		return Lock{}, 0, held, err
 	}
-	l, err = lockOf(item)
+	l, err = decodeLock(item)
 	if err != nil {
 		return Lock{}, item.Revision, false, nil
 	}
 	return l, item.Revision, true, nil
 }
 
-func lockOf(i Item) (Lock, error) {
+func decodeLock(i Item) (Lock, error) {
 	l, err := decode[Lock](i)
 	l.Lease = i.Lease
 	if err == nil && (l.Node == "" || l.Addr == "" || l.Term == 0) {
@@ -154,15 +154,15 @@
 	return l, err
 }
 
-// LockOf decodes an event under PrefixOwner; ok is false if it does not concern the lock.
-func LockOf(e Event) (l Lock, held, ok bool, err error) {
+// DecodeLockEvent decodes an event under PrefixOwner; ok is false if it does not concern the lock.
+func DecodeLockEvent(e Event) (l Lock, held, ok bool, err error) {
 	if e.Key != keyLock {
 		return Lock{}, false, false, nil
 	}
 	if e.Deleted {
 		return Lock{}, false, true, nil
 	}
-	l, err = lockOf(e.Item)
+	l, err = decodeLock(e.Item)
 	return l, true, true, err
 }
 
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -308,7 +308,7 @@
 }
 
 func (n *Node) applyLock(e ledger.Event) {
-	l, held, ok, err := ledger.LockOf(e)
+	l, held, ok, err := ledger.DecodeLockEvent(e)
 	switch {
 	case err != nil: // an invalid lock has no holder; an election replaces it
 		n.refusedEntries.add(e.Key, e.Revision, err)
