--- a/adapter/etcdkv/client.go
+++ b/adapter/etcdkv/client.go
@@ -24,19 +24,19 @@
 type Options struct {
 	Addr    string        // IP:port of the service
 	Timeout time.Duration // of every call except a watch
-	// WatchIdle is how long a watch may be silent before it counts as broken.
-	WatchIdle time.Duration
+	// WatchIdleTimeout is how long a watch may be silent before it counts as broken.
+	WatchIdleTimeout time.Duration
 }
 
 // Client implements port.Store.
 type Client struct {
-	opts   Options
-	http   *http.Client
-	Counts Counts
+	opts     Options
+	http     *http.Client
+	Counters Counters
 }
 
-// Counts are the calls and bytes since the start.
-type Counts struct {
+// Counters are the calls and bytes since the start.
+type Counters struct {
 	Reads, Writes, Watches, Errors, BytesIn, BytesOut atomic.Int64
 }
 
@@ -73,7 +73,7 @@
 	}
 	defer httpResp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxAnswer))
-	c.Counts.BytesIn.Add(int64(len(body)))
+	c.Counters.BytesIn.Add(int64(len(body)))
 	if err != nil {
 		return c.failed(err, write)
 	}
@@ -88,10 +88,10 @@
 
 func (c *Client) count(write bool) {
 	if write {
-		c.Counts.Writes.Add(1)
+		c.Counters.Writes.Add(1)
 		return
 	}
-	c.Counts.Reads.Add(1)
+	c.Counters.Reads.Add(1)
 }
 
 func (c *Client) post(ctx context.Context, path string, req any) (*http.Response, error) {
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.Counts.BytesOut.Add(int64(len(body)))
+	c.Counters.BytesOut.Add(int64(len(body)))
 	// A reader of a type that net/http does not know gives the request no
 	// GetBody, so the transport never replays a write on its own.
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.opts.Addr+path, struct{ io.Reader }{bytes.NewReader(body)})
@@ -114,7 +114,7 @@
 // failed classifies a call that got no whole answer. A write may have taken
 // effect unless the connection was never made.
 func (c *Client) failed(err error, write bool) error {
-	c.Counts.Errors.Add(1)
+	c.Counters.Errors.Add(1)
 	v := verdict.NotRun
 	var op *net.OpError
 	dialFailed := errors.As(err, &op) && op.Op == "dial"
@@ -126,7 +126,7 @@
 
 // refused classifies an answer that says the call was not carried out.
 func (c *Client) refused(status int, body []byte) error {
-	c.Counts.Errors.Add(1)
+	c.Counters.Errors.Add(1)
 	switch status {
 	case http.StatusTooManyRequests:
 		return verdict.New(verdict.NotRun, port.CodeStoreRateLimited, "store: too many requests")
@@ -220,9 +220,9 @@
 func (c *Client) Watch(ctx context.Context, prefix string, from fleet.Revision, fn func([]port.Event)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(c.opts.WatchIdle, cancel)
+	idle := time.AfterFunc(c.opts.WatchIdleTimeout, cancel)
 	defer idle.Stop()
-	c.Counts.Watches.Add(1)
+	c.Counters.Watches.Add(1)
 	resp, err := c.post(ctx, "/v3/watch", watchRequest{Create: watchCreate{
 		Key: []byte(prefix), RangeEnd: prefixEnd(prefix), StartRevision: int64Text(from + 1), ProgressNotify: true,
 	}})
@@ -234,7 +234,7 @@
 		body, _ := io.ReadAll(io.LimitReader(resp.Body, 1024))
 		return c.refused(resp.StatusCode, body)
 	}
-	return c.readWatch(json.NewDecoder(countingReader{resp.Body, &c.Counts.BytesIn}), idle, fn)
+	return c.readWatch(json.NewDecoder(countingReader{resp.Body, &c.Counters.BytesIn}), idle, fn)
 }
 
 func (c *Client) readWatch(dec *json.Decoder, idle *time.Timer, fn func([]port.Event)) error {
@@ -243,7 +243,7 @@
 		if err := dec.Decode(&m); err != nil {
 			return c.failed(err, false)
 		}
-		idle.Reset(c.opts.WatchIdle)
+		idle.Reset(c.opts.WatchIdleTimeout)
 		if m.Result.Canceled {
 			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "watch cancelled: history before revision %d is gone", m.Result.CompactRevision)
 		}
--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -17,8 +17,8 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// CodePeer is the code of a failed call to a peer.
-const CodePeer verdict.Code = "peer-unreachable"
+// CodePeerUnreachable is the code of a failed call to a peer.
+const CodePeerUnreachable verdict.Code = "peer-unreachable"
 
 // Client implements port.Peers with one connection per peer, made on demand.
 type Client struct {
@@ -29,14 +29,14 @@
 	conns rpcconn.Pool
 	// Bytes counts what was sent and received, also as a server if the server
 	// was given this client's counter.
-	Bytes Bytes
-	// Cut drops the traffic to the addresses it returns true for; tests and
+	Bytes ByteCounts
+	// Blocked drops the traffic to the addresses it returns true for; tests and
 	// the demo use it to part peers. Nil cuts nothing.
-	Cut func(addr string) bool
+	Blocked func(addr string) bool
 }
 
-// Bytes counts the traffic between daemons.
-type Bytes struct{ In, Out atomic.Int64 }
+// ByteCounts counts the traffic between daemons.
+type ByteCounts struct{ In, Out atomic.Int64 }
 
 var _ port.Peers = (*Client)(nil)
 
@@ -75,14 +75,14 @@
 // writing to the reply of a call that was given up.
 func call[R any](ctx context.Context, c *Client, addr, method string, args any) (R, error) {
 	var none R
-	if c.Cut != nil && c.Cut(addr) {
-		return none, verdict.New(verdict.NotRun, CodePeer, "peer %s: cut off", addr)
+	if c.Blocked != nil && c.Blocked(addr) {
+		return none, verdict.New(verdict.NotRun, CodePeerUnreachable, "peer %s: cut off", addr)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	conn, err := c.conns.Get(addr, func() (net.Conn, error) { return c.dial(ctx, addr) })
 	if err != nil {
-		return none, verdict.Wrap(err, verdict.NotRun, CodePeer, "peer %s", addr)
+		return none, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "peer %s", addr)
 	}
 	defer c.conns.Release(conn)
 	reply := new(R)
@@ -97,7 +97,7 @@
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.conns.Retire(conn)
 		}
-		return none, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeer, "peer %s", addr)
+		return none, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
 	}
 }
 
@@ -109,7 +109,7 @@
 	if !errors.As(err, &answered) {
 		c.conns.Discard(conn)
 	}
-	return verdict.Wrap(err, verdict.MayHaveRun, CodePeer, "peer %s", addr)
+	return verdict.Wrap(err, verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
 }
 
 // writeDeadlineConn bounds every write, so that a peer that reads nothing
@@ -117,7 +117,7 @@
 type writeDeadlineConn struct {
 	net.Conn
 	timeout time.Duration
-	bytes   *Bytes
+	bytes   *ByteCounts
 }
 
 // Read implements net.Conn.
--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -36,7 +36,7 @@
 
 func start(t *testing.T) (addr string, s *Server, e *echo) {
 	e = &echo{release: make(chan struct{})}
-	s = NewServer(token, e, &Bytes{})
+	s = NewServer(token, e, &ByteCounts{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go s.Serve(l)
@@ -80,7 +80,7 @@
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	e := &slowEcho{echo: &echo{release: make(chan struct{})}, claimed: make(chan struct{}, 1)}
-	s := NewServer(token, e, &Bytes{})
+	s := NewServer(token, e, &ByteCounts{})
 	go s.Serve(l)
 	t.Cleanup(func() {
 		l.Close()
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -37,7 +37,7 @@
 // Server serves a port.PeerServer.
 type Server struct {
 	token    string
-	bytes    *Bytes
+	bytes    *ByteCounts
 	rpc      *rpc.Server
 	mu       sync.Mutex
 	conns    map[net.Conn]bool
@@ -48,7 +48,7 @@
 
 // NewServer returns a server that accepts peers with the given token and counts
 // its traffic into bytes.
-func NewServer(token string, handler port.PeerServer, bytes *Bytes) *Server {
+func NewServer(token string, handler port.PeerServer, bytes *ByteCounts) *Server {
 	s := &Server{token: token, bytes: bytes, rpc: rpc.NewServer(), conns: map[net.Conn]bool{}}
 	// The only error is a receiver without suitable methods.
 	if err := s.rpc.RegisterName(serviceName, &service{handler}); err != nil {
@@ -142,7 +142,7 @@
 type idleConn struct {
 	net.Conn
 	r     io.Reader
-	bytes *Bytes
+	bytes *ByteCounts
 }
 
 // Write implements net.Conn.
--- a/adapter/platformhttp/client.go
+++ b/adapter/platformhttp/client.go
@@ -20,8 +20,8 @@
 
 // Codes of failed calls.
 const (
-	CodePlatformDown verdict.Code = "platform-unavailable"
-	CodeGeneration   verdict.Code = "generation-mismatch"
+	CodePlatformUnavailable verdict.Code = "platform-unavailable"
+	CodeGenerationMismatch  verdict.Code = "generation-mismatch"
 )
 
 // Client implements port.InstanceList and port.Actions.
@@ -98,7 +98,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformDown, "platform")
+		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
@@ -106,16 +106,16 @@
 	c.BytesIn.Add(int64(len(answer)))
 	switch {
 	case err != nil:
-		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformDown, "platform")
+		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
 	case resp.StatusCode == http.StatusConflict:
-		return verdict.New(verdict.NotRun, CodeGeneration, "platform: %s", bytes.TrimSpace(answer))
+		return verdict.New(verdict.NotRun, CodeGenerationMismatch, "platform: %s", bytes.TrimSpace(answer))
 	case resp.StatusCode != http.StatusOK:
-		return verdict.New(verdict.MayHaveRun, CodePlatformDown, "platform answered %d", resp.StatusCode)
+		return verdict.New(verdict.MayHaveRun, CodePlatformUnavailable, "platform answered %d", resp.StatusCode)
 	case out == nil:
 		return nil
 	}
 	if err := json.Unmarshal(answer, out); err != nil {
-		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformDown, "platform")
+		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
 	}
 	return nil
 }
--- a/adapter/workerhttp/client.go
+++ b/adapter/workerhttp/client.go
@@ -16,11 +16,11 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// CodeWorkerDown is the code of a failed call to a worker's task API.
-const CodeWorkerDown verdict.Code = "worker-unavailable"
+// CodeWorkerUnavailable is the code of a failed call to a worker's task API.
+const CodeWorkerUnavailable verdict.Code = "worker-unavailable"
 
-// SyncPath is where a worker takes task rounds.
-const SyncPath = "/_worker/tasks"
+// TasksPath is where a worker takes task rounds.
+const TasksPath = "/_worker/tasks"
 
 // Client implements port.Tasks.
 type Client struct {
@@ -64,8 +64,8 @@
 	Checkpoint bool          `json:"checkpoint,omitempty"`
 }
 
-// SyncAnswer lists the tasks that the worker knows.
-type SyncAnswer struct {
+// SyncResponse lists the tasks that the worker knows.
+type SyncResponse struct {
 	Tasks []TaskMessage `json:"tasks"`
 }
 
@@ -79,22 +79,22 @@
 	if err != nil {
 		return nil, err
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+SyncPath, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+TasksPath, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerDown, "worker %s", addr)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s", addr)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return nil, verdict.New(verdict.MayHaveRun, CodeWorkerDown, "worker %s answered %d", addr, resp.StatusCode)
+		return nil, verdict.New(verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s answered %d", addr, resp.StatusCode)
 	}
-	var answer SyncAnswer
+	var answer SyncResponse
 	if err := json.Unmarshal(data, &answer); err != nil {
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerDown, "worker %s", addr)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s", addr)
 	}
 	return tasks(answer), nil
 }
@@ -118,7 +118,7 @@
 	return out
 }
 
-func tasks(a SyncAnswer) []fleet.Task {
+func tasks(a SyncResponse) []fleet.Task {
 	out := make([]fleet.Task, 0, len(a.Tasks))
 	for _, t := range a.Tasks {
 		out = append(out, fleet.Task{
--- a/cmd/postmount/exec.go
+++ b/cmd/postmount/exec.go
@@ -53,10 +53,10 @@
 		return exitUsage
 	}
 	c := o.client()
-	var answer api.ExecAnswer
+	var answer api.ExecResponse
 	var err error
 	if id != "" {
-		answer, err = c.ExecID(ctx, id, text)
+		answer, err = c.ExecWithID(ctx, id, text)
 	} else {
 		answer, err = c.Exec(ctx, text)
 	}
@@ -73,7 +73,7 @@
 	return exitDone
 }
 
-func printResults(output string, a api.ExecAnswer) {
+func printResults(output string, a api.ExecResponse) {
 	if output == "json" {
 		printJSON(a)
 		return
--- a/cmd/postmount/report_wave.go
+++ b/cmd/postmount/report_wave.go
@@ -56,7 +56,7 @@
 				least, floor = s.Available, s.Floor
 			}
 		}
-		rows = append(rows, []string{p.Pool, strconv.Itoa(least), strconv.Itoa(floor), strconv.Itoa(p.MostOut), strconv.FormatBool(!p.Broken)})
+		rows = append(rows, []string{p.Pool, strconv.Itoa(least), strconv.Itoa(floor), strconv.Itoa(p.MaxOut), strconv.FormatBool(!p.BudgetExceeded)})
 	}
 	printTable([]string{"pool", "least available", "floor then", "most out", "budget held"}, rows)
 }
@@ -85,8 +85,8 @@
 		}
 		color := chart.GetDefaultColor(i)
 		graph.Series = append(graph.Series,
-			stepSeries(p.Pool, r, p, chart.Style{StrokeColor: color, StrokeWidth: 2}, func(s api.PoolAtATime) float64 { return float64(s.Available) }),
-			stepSeries(p.Pool+" floor", r, p, chart.Style{StrokeColor: color, StrokeDashArray: []float64{4, 4}}, func(s api.PoolAtATime) float64 { return float64(s.Floor) }))
+			stepSeries(p.Pool, r, p, chart.Style{StrokeColor: color, StrokeWidth: 2}, func(s api.PoolSample) float64 { return float64(s.Available) }),
+			stepSeries(p.Pool+" floor", r, p, chart.Style{StrokeColor: color, StrokeDashArray: []float64{4, 4}}, func(s api.PoolSample) float64 { return float64(s.Floor) }))
 	}
 	if len(graph.Series) == 0 {
 		return fmt.Errorf("there is nothing to plot")
@@ -110,7 +110,7 @@
 }
 
 // stepSeries turns samples, each in force until the next, into a line.
-func stepSeries(name string, r api.WaveReport, p api.WavePool, style chart.Style, value func(api.PoolAtATime) float64) chart.ContinuousSeries {
+func stepSeries(name string, r api.WaveReport, p api.WavePool, style chart.Style, value func(api.PoolSample) float64) chart.ContinuousSeries {
 	end := r.Ended
 	if end.IsZero() {
 		end = time.Now()
--- a/operators/api/exec.go
+++ b/operators/api/exec.go
@@ -21,9 +21,9 @@
 	Writer   *record.Writer
 	Mirror   *mirror.Mirror
 	Snapshot func() *control.Snapshot
-	// InForce waits until every member has taken in a revision and returns
+	// WaitInForce waits until every member has taken in a revision and returns
 	// those that have not.
-	InForce func(ctx context.Context, rev fleet.Revision) []fleet.EntryID
+	WaitInForce func(ctx context.Context, rev fleet.Revision) []fleet.EntryID
 }
 
 // Times of carrying out a statement.
@@ -61,11 +61,11 @@
 	if plan.Table != nil {
 		return Result{Verdict: verdict.Done, Table: plan.Table, InForce: true}
 	}
-	r := Result{Verdict: verdict.Done, Message: plan.Done, Revision: int64(plan.Revision)}
+	r := Result{Verdict: verdict.Done, Message: plan.Summary, Revision: int64(plan.Revision)}
 	recorded := time.Now()
 	wait, cancel := context.WithTimeout(ctx, inForceWait)
 	defer cancel()
-	for _, m := range e.InForce(wait, plan.Revision) {
+	for _, m := range e.WaitInForce(wait, plan.Revision) {
 		r.Behind = append(r.Behind, string(m))
 	}
 	r.InForce = len(r.Behind) == 0
@@ -81,7 +81,7 @@
 	defer cancel()
 	wrote, read := false, s.ReadOnly()
 	for range maxPlans {
-		plan, err := command.Make(s, command.Input{ID: id, Now: time.Now(), Snap: e.fresh()})
+		plan, err := command.PlanStep(s, command.Input{ID: id, Now: time.Now(), Snapshot: e.fresh()})
 		if err != nil && !read {
 			// The refusal may come from records that lag behind the store, where
 			// the same command may have been carried out by another daemon.
--- a/operators/api/messages.go
+++ b/operators/api/messages.go
@@ -17,8 +17,8 @@
 	Text string `json:"text"`
 }
 
-// ExecAnswer holds one result per statement, up to the first that failed.
-type ExecAnswer struct {
+// ExecResponse holds one result per statement, up to the first that failed.
+type ExecResponse struct {
 	Results []Result `json:"results"`
 }
 
@@ -105,14 +105,14 @@
 
 // WavePool is one pool's availability over the wave.
 type WavePool struct {
-	Pool    string        `json:"pool"`
-	MostOut int           `json:"most_out"`
-	Broken  bool          `json:"broken"` // more was out than allowed at some time
-	Samples []PoolAtATime `json:"samples"`
+	Pool           string       `json:"pool"`
+	MaxOut         int          `json:"most_out"`
+	BudgetExceeded bool         `json:"broken"` // more was out than allowed at some time
+	Samples        []PoolSample `json:"samples"`
 }
 
-// PoolAtATime is a pool's availability from a time on.
-type PoolAtATime struct {
+// PoolSample is a pool's availability from a time on.
+type PoolSample struct {
 	At        time.Time `json:"at"`
 	Available int       `json:"available"`
 	Floor     int       `json:"floor"` // least that the budget allows
@@ -120,8 +120,8 @@
 	Allowed   int       `json:"allowed"`
 }
 
-// ErrorAnswer is the body of a request that was refused as a whole.
-type ErrorAnswer struct {
+// ErrorResponse is the body of a request that was refused as a whole.
+type ErrorResponse struct {
 	Verdict verdict.Verdict `json:"verdict"`
 	Code    verdict.Code    `json:"code"`
 	Message string          `json:"message"`
--- a/operators/api/server.go
+++ b/operators/api/server.go
@@ -47,7 +47,7 @@
 func (s *Server) wave(w http.ResponseWriter, r *http.Request) {
 	report, ok := s.Wave(chi.URLParam(r, "wave"))
 	if !ok {
-		writeJSON(w, http.StatusNotFound, ErrorAnswer{Verdict: verdict.NotRun, Code: command.CodeUnknownName, Message: "there is no such wave"})
+		writeJSON(w, http.StatusNotFound, ErrorResponse{Verdict: verdict.NotRun, Code: command.CodeUnknownName, Message: "there is no such wave"})
 		return
 	}
 	writeJSON(w, http.StatusOK, report)
@@ -55,7 +55,7 @@
 
 func (s *Server) ready(w http.ResponseWriter, _ *http.Request) {
 	if err := s.Ready(); err != nil {
-		writeJSON(w, http.StatusServiceUnavailable, ErrorAnswer{Verdict: verdict.NotRun, Code: "not-ready", Message: err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, ErrorResponse{Verdict: verdict.NotRun, Code: "not-ready", Message: err.Error()})
 		return
 	}
 	w.WriteHeader(http.StatusOK)
@@ -66,12 +66,12 @@
 	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&req); err != nil || req.ID == "" {
-		writeJSON(w, http.StatusBadRequest, ErrorAnswer{Verdict: verdict.NotRun, Code: CodeBadRequest, Message: "want a JSON object with id and text"})
+		writeJSON(w, http.StatusBadRequest, ErrorResponse{Verdict: verdict.NotRun, Code: CodeBadRequest, Message: "want a JSON object with id and text"})
 		return
 	}
 	program, err := query.Parse(req.Text)
 	if err != nil {
-		answer := ErrorAnswer{Verdict: verdict.NotRun, Code: CodeSyntax, Message: err.Error()}
+		answer := ErrorResponse{Verdict: verdict.NotRun, Code: CodeSyntax, Message: err.Error()}
 		var at *query.Error
 		if errors.As(err, &at) {
 			answer.Line, answer.Column = at.Line, at.Column
@@ -79,7 +79,7 @@
 		writeJSON(w, http.StatusBadRequest, answer)
 		return
 	}
-	writeJSON(w, http.StatusOK, ExecAnswer{Results: s.Exec.Exec(r.Context(), req.ID, program)})
+	writeJSON(w, http.StatusOK, ExecResponse{Results: s.Exec.Exec(r.Context(), req.ID, program)})
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/operators/client/client.go
+++ b/operators/client/client.go
@@ -42,17 +42,17 @@
 // Exec carries out the statements of text. The same id goes to every server
 // that is tried, so that a command which may have run at one of them is not
 // run again by the next.
-func (c *Client) Exec(ctx context.Context, text string) (api.ExecAnswer, error) {
-	return c.ExecID(ctx, uuid.NewString(), text)
+func (c *Client) Exec(ctx context.Context, text string) (api.ExecResponse, error) {
+	return c.ExecWithID(ctx, uuid.NewString(), text)
 }
 
-// ExecID is Exec under an id of the caller's.
-func (c *Client) ExecID(ctx context.Context, id, text string) (api.ExecAnswer, error) {
+// ExecWithID is Exec under an id of the caller's.
+func (c *Client) ExecWithID(ctx context.Context, id, text string) (api.ExecResponse, error) {
 	body, err := json.Marshal(api.ExecRequest{ID: id, Text: text})
 	if err != nil {
-		return api.ExecAnswer{}, err
+		return api.ExecResponse{}, err
 	}
-	var out api.ExecAnswer
+	var out api.ExecResponse
 	uncertain, err := c.try(ctx, http.MethodPost, "/v1/exec", body, &out)
 	if uncertain {
 		doubt(out.Results)
@@ -155,7 +155,7 @@
 }
 
 func refusal(server string, status int, data []byte) error {
-	var e api.ErrorAnswer
+	var e api.ErrorResponse
 	if err := json.Unmarshal(data, &e); err != nil || e.Code == "" {
 		return verdict.New(verdict.MayHaveRun, CodeUnreachable, "%s answered %d", server, status)
 	}
--- a/operators/command/command_test.go
+++ b/operators/command/command_test.go
@@ -73,7 +73,7 @@
 
 func (s *session) one(id fleet.CommandID, st *query.Statement) {
 	for range 10 {
-		plan, err := Make(st, Input{ID: id, Now: s.now, Snap: s.snapshot()})
+		plan, err := PlanStep(st, Input{ID: id, Now: s.now, Snapshot: s.snapshot()})
 		switch {
 		case err != nil:
 			fmt.Fprintf(&s.out, "  %s (%s): %s\n", verdict.Of(err), verdict.CodeOf(err), err)
@@ -82,7 +82,7 @@
 			s.table(plan.Table)
 			return
 		case plan.Write == nil:
-			fmt.Fprintf(&s.out, "  %s, revision %d\n", plan.Done, plan.Revision)
+			fmt.Fprintf(&s.out, "  %s, revision %d\n", plan.Summary, plan.Revision)
 			return
 		}
 		w, err := plan.Write.Do(context.Background(), s.writer)
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -87,7 +87,7 @@
 // milli is the number of thousandths of a core in one.
 const milli = 1000
 
-func resources(needs []*query.Needs) fleet.Resources {
+func resources(needs []*query.ResourceAmount) fleet.Resources {
 	var r fleet.Resources
 	for _, n := range needs {
 		switch {
@@ -175,7 +175,7 @@
 		return Plan{}, err
 	}
 	if v.Value.Applied.Contains(p.ID) {
-		account := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snap.Instances)
+		account := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snapshot.Instances)
 		return done(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, account.Explain())
 	}
 	b, err := availabilityBudget(s.Budget)
--- a/operators/command/plan.go
+++ b/operators/command/plan.go
@@ -22,8 +22,8 @@
 	Rows    [][]string `json:"rows"`
 }
 
-// Write is one record to store.
-type Write struct {
+// RecordWrite is one record to store.
+type RecordWrite struct {
 	Key  string
 	Base fleet.Revision
 	// Do stores the record by compare-and-swap.
@@ -32,10 +32,10 @@
 
 // Plan is the next step of a statement.
 type Plan struct {
-	Table *Table // set for a statement that shows something
-	Write *Write // set while something is left to write
-	// Done says what the statement has brought about, once nothing is left.
-	Done     string
+	Table *Table       // set for a statement that shows something
+	Write *RecordWrite // set while something is left to write
+	// Summary says what the statement has brought about, once nothing is left.
+	Summary  string
 	Revision fleet.Revision // of the record that holds the effect
 }
 
@@ -53,14 +53,14 @@
 
 // Input is what a statement is planned against.
 type Input struct {
-	ID   fleet.CommandID // repeats of a command have the same id
-	Now  time.Time
-	Snap *control.Snapshot
+	ID       fleet.CommandID // repeats of a command have the same id
+	Now      time.Time
+	Snapshot *control.Snapshot
 }
 
-// Make plans the next step of statement s. An error has verdict NotRun.
-func Make(s *query.Statement, in Input) (Plan, error) {
-	p := &planner{Input: in, state: in.Snap.State, at: fleet.Revision(s.AtRevision)}
+// PlanStep plans the next step of statement s. An error has verdict NotRun.
+func PlanStep(s *query.Statement, in Input) (Plan, error) {
+	p := &planner{Input: in, state: in.Snapshot.State, at: fleet.Revision(s.AtRevision)}
 	switch {
 	case s.Show != nil:
 		return p.show(s.Show)
@@ -78,14 +78,14 @@
 		return p.add(s.Add)
 	case s.Set != nil:
 		return p.set(s.Set)
-	case s.Start != nil:
-		return p.startWave(s.Start)
-	case s.Wave != nil:
-		return p.changeWave(s.Wave)
+	case s.StartWave != nil:
+		return p.startWave(s.StartWave)
+	case s.ChangeWave != nil:
+		return p.changeWave(s.ChangeWave)
 	case s.Submit != nil:
 		return p.submit(s.Submit)
-	case s.Cancel != nil:
-		return p.cancelJobs(s.Cancel)
+	case s.CancelJobs != nil:
+		return p.cancelJobs(s.CancelJobs)
 	}
 	return Plan{}, refuse(CodeNotAllowed, "empty statement")
 }
@@ -101,13 +101,13 @@
 	if p.at != 0 && base.Revision > p.at {
 		return Plan{}, refuse(CodeChanged, "%s was changed at revision %d, after revision %d", key, base.Revision, p.at)
 	}
-	return Plan{Write: &Write{Key: key, Base: base.Revision, Do: func(ctx context.Context, w *record.Writer) (record.Written, error) {
+	return Plan{Write: &RecordWrite{Key: key, Base: base.Revision, Do: func(ctx context.Context, w *record.Writer) (record.Written, error) {
 		return record.Write(ctx, w, key, base, value, 0)
 	}}}, nil
 }
 
 func done(rev fleet.Revision, format string, args ...any) (Plan, error) {
-	return Plan{Done: fmt.Sprintf(format, args...), Revision: rev}, nil
+	return Plan{Summary: fmt.Sprintf(format, args...), Revision: rev}, nil
 }
 
 // pool returns a pool's record or a refusal that names it.
--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -21,7 +21,7 @@
 		if col < 0 {
 			return Plan{}, refuse(CodeUnknownName, "%s have no field %q; they have %s", s.What, c.Field, strings.Join(t.Columns, ", "))
 		}
-		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return (row[col] == string(c.Value)) == c.Not })
+		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return (row[col] == string(c.Value)) == c.Negated })
 	}
 	return Plan{Table: t}, nil
 }
@@ -52,7 +52,7 @@
 	members := p.state.MembersByPool()
 	for _, name := range p.state.SortedPools() {
 		v := p.state.Pools[name]
-		a := budget.Compute(v.Value, members[name], p.Snap.Instances)
+		a := budget.Compute(v.Value, members[name], p.Snapshot.Instances)
 		t.Rows = append(t.Rows, []string{
 			string(name), string(v.Value.Service), strconv.Itoa(a.Size), strconv.Itoa(a.Allowed), strconv.Itoa(a.Out()),
 			strconv.Itoa(len(a.Failed)), v.Value.Budget.String(), revision(v.Revision),
@@ -65,8 +65,8 @@
 
 func (p *planner) instances() *Table {
 	t := &Table{Columns: []string{"instance", "pool", "zone", "rack", "state", "phase", "reason", "generation"}}
-	for _, id := range slices.Sorted(maps.Keys(p.Snap.Instances)) {
-		inst := p.Snap.Instances[id]
+	for _, id := range slices.Sorted(maps.Keys(p.Snapshot.Instances)) {
+		inst := p.Snapshot.Instances[id]
 		pool, phase, reason := "", "", ""
 		if m := p.state.Membership(id); m != nil {
 			pool = string(m.Pool)
@@ -110,7 +110,7 @@
 	members := p.state.MembersByPool()
 	for _, name := range p.state.SortedWaves() {
 		v := p.state.Waves[name]
-		c := control.ComputeWaveProgress(p.Snap, members, v.Value)
+		c := control.ComputeWaveProgress(p.Snapshot, members, v.Value)
 		var pools []string
 		for _, n := range v.Value.Pools {
 			pools = append(pools, string(n))
--- a/operators/command/wave.go
+++ b/operators/command/wave.go
@@ -57,9 +57,9 @@
 	case "resume":
 		next.State = fleet.WaveRunning
 		next.Reason = ""
-		next.Forgiven = control.ComputeWaveProgress(p.Snap, p.state.MembersByPool(), v.Value).Failed
+		next.Forgiven = control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), v.Value).Failed
 	case "cancel":
-		t := control.ComputeWaveProgress(p.Snap, p.state.MembersByPool(), v.Value)
+		t := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), v.Value)
 		next.Finished, next.Failed = t.Finished, t.Failed
 		next.State = fleet.WaveCancelled
 		next.EndedAt = p.Now
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -35,7 +35,7 @@
 
 func (p *planner) whyInstance(id fleet.InstanceID, add adder) error {
 	m := p.state.Membership(id)
-	inst, listed := p.Snap.Instances[id]
+	inst, listed := p.Snapshot.Instances[id]
 	if m == nil && !listed {
 		return refuse(CodeUnknownName, "there is no instance %q", id)
 	}
@@ -43,7 +43,7 @@
 		add("the platform does not list %s", id)
 	} else {
 		add("the platform reports %s as %s in zone %s, rack %s, generation %d (list read at %s)",
-			id, inst.State, inst.Zone, inst.Rack, inst.Generation, clock(p.Snap.ListedAt))
+			id, inst.State, inst.Zone, inst.Rack, inst.Generation, clock(p.Snapshot.ListedAt))
 	}
 	if m == nil {
 		add("%s belongs to no pool", id)
@@ -93,11 +93,11 @@
 }
 
 func (p *planner) account(pool *fleet.Pool) budget.Status {
-	return budget.Compute(pool, p.state.MembersOf(pool.Name), p.Snap.Instances)
+	return budget.Compute(pool, p.state.MembersOf(pool.Name), p.Snapshot.Instances)
 }
 
 func (p *planner) notesAbout(pool fleet.PoolName, id fleet.InstanceID, add adder) {
-	for _, n := range p.Snap.Notes[pool] {
+	for _, n := range p.Snapshot.Notes[pool] {
 		if n.Instance == id {
 			add("%s", n.Text)
 		}
@@ -119,9 +119,9 @@
 		add("%s: %s, in phase %s since %s", d.Instance, describe(&d), d.Phase, clock(d.PhaseAt))
 	}
 	for _, id := range a.Failed {
-		add("%s: out by itself, the platform reports %q", id, p.Snap.Instances[id].State)
+		add("%s: out by itself, the platform reports %q", id, p.Snapshot.Instances[id].State)
 	}
-	for _, n := range p.Snap.Notes[name] {
+	for _, n := range p.Snapshot.Notes[name] {
 		add("%s", n.Text)
 	}
 	return nil
@@ -133,7 +133,7 @@
 		return refuse(CodeUnknownName, "there is no wave %q", name)
 	}
 	w := v.Value
-	c := control.ComputeWaveProgress(p.Snap, p.state.MembersByPool(), w)
+	c := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), w)
 	add("wave %s is %s %s", name, w.State, w.Reason)
 	if w.Ended() {
 		add("it ran from %s to %s", clock(w.StartedAt), clock(w.EndedAt))
@@ -150,7 +150,7 @@
 		if pv, ok := p.state.Pools[pool]; ok {
 			add("%s", p.account(pv.Value).Explain())
 		}
-		for _, n := range p.Snap.Notes[pool] {
+		for _, n := range p.Snapshot.Notes[pool] {
 			add("%s: %s", pool, n.Text)
 		}
 	}
--- a/operators/query/grammar.go
+++ b/operators/query/grammar.go
@@ -19,19 +19,19 @@
 
 // Statement is one command. Exactly one of the fields is set.
 type Statement struct {
-	Pos    lexer.Position
-	Show   *Show       `parser:"( 'show' @@"`
-	Why    *Why        `parser:"| 'why' @@"`
-	Drain  *Drain      `parser:"| 'drain' 'instance' @@"`
-	Return *Return     `parser:"| 'return' 'instance' @@"`
-	Move   *Move       `parser:"| 'move' 'instance' @@"`
-	Create *Create     `parser:"| 'create' @@"`
-	Add    *Add        `parser:"| 'add' 'instance' @@"`
-	Set    *Set        `parser:"| 'set' @@"`
-	Start  *StartWave  `parser:"| 'start' 'wave' @@"`
-	Wave   *ChangeWave `parser:"| @@"`
-	Submit *Submit     `parser:"| 'submit' 'job' @@"`
-	Cancel *CancelJobs `parser:"| 'cancel' @@ )"`
+	Pos        lexer.Position
+	Show       *Show       `parser:"( 'show' @@"`
+	Why        *Why        `parser:"| 'why' @@"`
+	Drain      *Drain      `parser:"| 'drain' 'instance' @@"`
+	Return     *Return     `parser:"| 'return' 'instance' @@"`
+	Move       *Move       `parser:"| 'move' 'instance' @@"`
+	Create     *Create     `parser:"| 'create' @@"`
+	Add        *Add        `parser:"| 'add' 'instance' @@"`
+	Set        *Set        `parser:"| 'set' @@"`
+	StartWave  *StartWave  `parser:"| 'start' 'wave' @@"`
+	ChangeWave *ChangeWave `parser:"| @@"`
+	Submit     *Submit     `parser:"| 'submit' 'job' @@"`
+	CancelJobs *CancelJobs `parser:"| 'cancel' @@ )"`
 	// AtRevision is the newest revision of the changed record that the
 	// operator has seen; 0 if not said.
 	AtRevision int64 `parser:"( 'at' 'revision' @Number )?"`
@@ -48,9 +48,9 @@
 
 // Condition compares a column with a value.
 type Condition struct {
-	Field string `parser:"@Ident"`
-	Not   bool   `parser:"( @'!' )? '='"`
-	Value Text   `parser:"@( Ident | Number | String )"`
+	Field   string `parser:"@Ident"`
+	Negated bool   `parser:"( @'!' )? '='"`
+	Value   Text   `parser:"@( Ident | Number | String )"`
 }
 
 // Why asks for the facts and rules behind what is seen.
@@ -107,12 +107,12 @@
 
 // CreateTeam makes a team with a quota.
 type CreateTeam struct {
-	Name  string   `parser:"@Ident"`
-	Quota []*Needs `parser:"'quota' @@+"`
+	Name  string            `parser:"@Ident"`
+	Quota []*ResourceAmount `parser:"'quota' @@+"`
 }
 
-// Needs is an amount of one resource.
-type Needs struct {
+// ResourceAmount is an amount of one resource.
+type ResourceAmount struct {
 	CPU          *Number `parser:"  'cpu' @Number"`
 	Memory       *Memory `parser:"| 'memory' @Number"`
 	Accelerators *int    `parser:"| 'accelerators' @Number"`
@@ -183,14 +183,14 @@
 
 // Submit submits one job, or Count equal ones.
 type Submit struct {
-	Name   string   `parser:"@Ident"`
-	Pool   string   `parser:"'to' 'pool' @Ident"`
-	Team   string   `parser:"( 'team' @Ident )?"`
-	Count  int      `parser:"( 'count' @Number )?"`
-	Needs  []*Needs `parser:"@@*"`
-	Run    Duration `parser:"( 'run' @Number )?"`
-	Within Duration `parser:"( 'within' @Number )?"`
-	Urgent bool     `parser:"( @'urgent' )?"`
+	Name   string            `parser:"@Ident"`
+	Pool   string            `parser:"'to' 'pool' @Ident"`
+	Team   string            `parser:"( 'team' @Ident )?"`
+	Count  int               `parser:"( 'count' @Number )?"`
+	Needs  []*ResourceAmount `parser:"@@*"`
+	Run    Duration          `parser:"( 'run' @Number )?"`
+	Within Duration          `parser:"( 'within' @Number )?"`
+	Urgent bool              `parser:"( @'urgent' )?"`
 }
 
 // CancelJobs cancels one job, or all jobs of a pool in one change.
@@ -318,7 +318,7 @@
 	"(expected Budget)", "(expected max-unavailable and a number or percentage)",
 	"(expected Class", "(expected class NAME weight NUMBER",
 	"(expected Condition", "(expected FIELD = VALUE",
-	"(expected Needs", "(expected cpu, memory, accelerators or slots with an amount",
+	"(expected ResourceAmount", "(expected cpu, memory, accelerators or slots with an amount",
 	"<ident>", "a name", "<number>", "a number", "<string>", "a quoted text",
 )
 
--- a/operators/query/grammar_test.go
+++ b/operators/query/grammar_test.go
@@ -31,13 +31,13 @@
 	require.NoError(t, err)
 	require.Len(t, p.Statements, 21)
 	assert.Equal(t, Text("ready"), p.Statements[0].Show.Where[1].Value)
-	assert.True(t, p.Statements[0].Show.Where[1].Not)
+	assert.True(t, p.Statements[0].Show.Where[1].Negated)
 	assert.EqualValues(t, 12, p.Statements[4].AtRevision)
 	assert.Equal(t, "10%", p.Statements[8].Create.Pool.Budget.MaxUnavailable)
-	assert.Equal(t, Duration(2*time.Hour), p.Statements[13].Start.Within)
-	assert.Equal(t, "cancel", p.Statements[17].Wave.Verb)
+	assert.Equal(t, Duration(2*time.Hour), p.Statements[13].StartWave.Within)
+	assert.Equal(t, "cancel", p.Statements[17].ChangeWave.Verb)
 	assert.EqualValues(t, 512, *p.Statements[18].Submit.Needs[1].Memory)
-	assert.True(t, p.Statements[20].Cancel.All)
+	assert.True(t, p.Statements[20].CancelJobs.All)
 }
 
 func TestParseSaysWhereAndWhatWasExpected(t *testing.T) {
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -144,7 +144,7 @@
 
 func (d *Daemon) adapters() {
 	s := d.set
-	d.store = etcdkv.New(etcdkv.Options{Addr: s.Store.Addr, Timeout: s.Store.Timeout.D(), WatchIdle: watchIdle})
+	d.store = etcdkv.New(etcdkv.Options{Addr: s.Store.Addr, Timeout: s.Store.Timeout.D(), WatchIdleTimeout: watchIdle})
 	d.peers = peerrpc.NewClient(s.Peers.Token, s.Peers.Timeout.D(), s.Peers.Timeout.D())
 	d.list = platformhttp.New(s.Platform.Addr, s.Platform.Timeout.D())
 	d.tasks = workerhttp.New(s.Platform.Timeout.D())
@@ -213,7 +213,7 @@
 	operators := &api.Server{
 		Exec: &api.Executor{
 			Store: d.store, Writer: record.NewWriter(d.store), Mirror: d.mirror,
-			Snapshot: d.controller.Snapshot, InForce: d.node.InForce,
+			Snapshot: d.controller.Snapshot, WaitInForce: d.node.InForce,
 		},
 		Status: d.status, Burn: d.burnReport, Wave: d.waveReport, Ready: d.Ready, Metrics: d.metrics.Handler,
 	}
@@ -333,7 +333,7 @@
 // SetCut makes the daemon drop its messages to the peers at the addresses that
 // cut returns true for. The demo and tests part peers with it; call it before
 // Run.
-func (d *Daemon) SetCut(cut func(addr string) bool) { d.peers.Cut = cut }
+func (d *Daemon) SetCut(cut func(addr string) bool) { d.peers.Blocked = cut }
 
 func (d *Daemon) storeChanged(up bool, err error) {
 	if up {
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -22,7 +22,7 @@
 	standing := d.node.Standing()
 	snap := d.controller.Snapshot()
 	claims, bytes := d.node.Claims.Size()
-	counts := &d.store.Counts
+	counts := &d.store.Counters
 	s := api.Status{
 		Entry:         string(d.self.ID),
 		Zone:          string(d.self.Zone),
@@ -145,9 +145,9 @@
 		if s.Size == 0 {
 			continue // the pool had no instances yet
 		}
-		out.MostOut = max(out.MostOut, s.Out)
-		out.Broken = out.Broken || s.Out > s.Allowed
-		out.Samples = append(out.Samples, api.PoolAtATime{
+		out.MaxOut = max(out.MaxOut, s.Out)
+		out.BudgetExceeded = out.BudgetExceeded || s.Out > s.Allowed
+		out.Samples = append(out.Samples, api.PoolSample{
 			At: s.At, Available: s.Size - s.Out, Floor: s.Size - s.Allowed, Out: s.Out, Allowed: s.Allowed,
 		})
 	}
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -94,8 +94,8 @@
 	}
 }
 
-func (w *Worker) report() workerhttp.SyncAnswer {
-	var a workerhttp.SyncAnswer
+func (w *Worker) report() workerhttp.SyncResponse {
+	var a workerhttp.SyncResponse
 	for _, t := range w.tasks {
 		a.Tasks = append(a.Tasks, workerhttp.TaskMessage{
 			Pool: t.msg.Pool, Job: t.msg.Job, Attempt: t.msg.Attempt, State: string(t.state),
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -163,7 +163,7 @@
 
 // ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
-	if r.URL.Path == workerhttp.SyncPath {
+	if r.URL.Path == workerhttp.TasksPath {
 		w.sync(rw, r)
 		return
 	}
