--- a/requests/admit/admit.go
+++ b/requests/admit/admit.go
@@ -1,9 +1,10 @@
-// Package admit decides which waiting request of a service runs next and which
-// is refused at once. One core serves one service; its classes share the
-// service's slots by weight, so that a flood of one class cannot stand before
-// another, and no class starves.
+// Package admit implements admission control: it decides which waiting request
+// of a service runs next and which is refused immediately. There is one
+// controller per service. Priority classes share the service's slots by weight
+// (stride scheduling), so a burst in one class doesn't delay the others and no
+// class starves.
 //
-// Everything here is pure: time comes in as an argument.
+// The package does no I/O and reads no clock: time is passed in.
 package admit
 
 import (
@@ -13,88 +14,90 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// ID identifies a waiting request within its core.
+// ID identifies a waiting request within its controller.
 type ID uint64
 
-// waitingRequest is one request that asks for a slot.
+// waitingRequest is a queued request.
 type waitingRequest struct {
 	ID         ID
 	Class      fleet.ClassName
 	Deadline   time.Time
-	enqueuedAt time.Time
-	heapIndex  int // position in its class's heap
+	enqueuedAt time.Time // under PolicyFIFO an arrival number instead of a time
+	heapIndex  int       // position in the heap of its class
 }
 
 // Policy selects the order in which waiting requests run.
 type Policy string
 
-// Policies. FIFO is the baseline that the measurements compare with.
+// Policies. FIFO is the baseline of the measurements.
 const (
 	PolicyWeighted Policy = "weighted" // by class weight, then earliest deadline
-	PolicyFIFO     Policy = "fifo"     // one queue for all classes, no early refusal
+	PolicyFIFO     Policy = "fifo"     // by arrival over all classes; refuses only at a full queue
 )
 
-// Options of a core.
+// Options configure a Controller.
 type Options struct {
 	Policy Policy
-	// MaxQueue bounds the waiting requests of one class.
+	// MaxQueue is the maximum number of waiting requests per class.
 	MaxQueue int
-	// MinRetryAfter is the least time a refused caller is told to wait.
+	// MinRetryAfter is the minimum retry delay returned with a refusal.
 	MinRetryAfter time.Duration
 }
 
-// DefaultOptions are those of production.
+// DefaultOptions are the production settings.
 var DefaultOptions = Options{Policy: PolicyWeighted, MaxQueue: 1024, MinRetryAfter: time.Second}
 
-// Refusal says why a request got no place and when to come back. A refused
-// request certainly did not run.
+// Refusal says why a request was not queued and when to retry. A refused
+// request never ran.
 type Refusal struct {
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Reasons of a refusal.
+// Refusal reasons.
 const (
 	ReasonQueueFull           = "queue-full"
 	ReasonDeadlineUnreachable = "deadline-cannot-be-met"
 	ReasonDeadlinePassed      = "deadline-passed"
 )
 
-// class is one priority class with its queue.
+// class is a priority class with its queue.
 type class struct {
 	weight int
 	queue  queue
-	// virtualTime is the class's virtual time: it grows by 1/weight for each request
-	// that is let through, and the class with the least goes next.
+	// virtualTime grows by 1/weight with each dispatched request; the class with
+	// the lowest value is served next.
 	virtualTime float64
-	// lastDispatch is when the class last had a request let through while more
-	// waited; interval is the moving average of the time between two such.
+	// lastDispatch is the time of the last dispatch that left requests waiting,
+	// zero if the queue was emptied; dispatchInterval is the moving average of
+	// the time between dispatches.
 	lastDispatch     time.Time
 	dispatchInterval time.Duration
 }
 
-// Controller is the admission state of one service. It is not safe for concurrent
-// use.
+// Controller holds the admission state of one service. It is not safe for
+// concurrent use.
 type Controller struct {
 	opts        Options
 	classes     map[fleet.ClassName]*class
 	classOrder  []fleet.ClassName
 	waiting     map[ID]*waitingRequest
-	virtualTime float64 // virtual time of the last request let through
-	// serviceTime is the moving average of the time a request holds its slot.
+	virtualTime float64 // virtual time of the last dispatched request
+	// serviceTime is the moving average of how long a request holds its slot.
 	serviceTime time.Duration
-	// slots is how many requests of the service may run here at once.
+	// slots is the maximum number of concurrent requests to the service from
+	// this daemon.
 	slots    int
-	arrivals uint64
+	arrivals uint64 // number of queued requests so far; orders them under PolicyFIFO
 }
 
-// initialServiceTime is assumed until the first request has ended.
+// initialServiceTime is assumed until the first request has completed.
 const initialServiceTime = 20 * time.Millisecond
 
-// averageNewWeight is the weight of the newest observation in the moving average.
+// averageNewWeight is the weight of the newest sample in the moving averages.
 const averageNewWeight = 0.1
 
-// New returns an empty core.
+// New returns a controller with no classes and one slot.
 func New(opts Options) *Controller {
 	return &Controller{
 		opts:        opts,
@@ -105,8 +108,8 @@
 	}
 }
 
-// SetClasses puts the service's classes in force. Waiting requests of a class
-// that is gone keep their place.
+// SetClasses sets the service's classes. Requests waiting in a removed class
+// stay queued.
 func (c *Controller) SetClasses(classes []fleet.Class) {
 	c.classOrder = c.classOrder[:0]
 	for _, k := range classes {
@@ -133,18 +136,18 @@
 	return false
 }
 
-// SetSlots tells how many requests of the service may run here at once.
+// SetSlots sets the maximum number of concurrent requests, at least 1.
 func (c *Controller) SetSlots(n int) { c.slots = max(n, 1) }
 
-// ObserveServiceTime notes how long a request held its slot.
+// ObserveServiceTime records how long a request held its slot.
 func (c *Controller) ObserveServiceTime(held time.Duration) {
 	c.serviceTime += time.Duration(averageNewWeight * float64(held-c.serviceTime))
 }
 
-// Waiting returns how many requests wait.
+// Waiting returns the number of waiting requests.
 func (c *Controller) Waiting() int { return len(c.waiting) }
 
-// WaitingIn returns how many requests of one class wait.
+// WaitingIn returns the number of waiting requests of one class.
 func (c *Controller) WaitingIn(name fleet.ClassName) int {
 	if k := c.classes[name]; k != nil {
 		return k.queue.Len()
@@ -152,8 +155,8 @@
 	return 0
 }
 
-// Push gives a request a place, or refuses it at once: when its class's queue
-// is full, or when it would not be answered before its deadline.
+// Push queues a request, or returns a refusal if the queue of its class is full
+// or its expected completion is after its deadline.
 func (c *Controller) Push(now time.Time, id ID, name fleet.ClassName, deadline time.Time) *Refusal {
 	k := c.classes[name]
 	if k == nil {
@@ -182,10 +185,10 @@
 	return nil
 }
 
-// expectedWait estimates how long a new request of class k waits: those of its
-// class before it, at the class's share of the service's rate. Classes that do
-// not use their share up leave it to others, so that the rate at which the class
-// was lately served counts if it is higher.
+// expectedWait estimates how long a new request of class k would wait: the queue
+// of its class divided by the class's share of the service rate. Other classes
+// may leave part of their share unused, so the recent dispatch rate of the class
+// is used if it is higher.
 func (c *Controller) expectedWait(k *class) time.Duration {
 	weights := k.weight
 	for _, other := range c.classes {
@@ -201,7 +204,7 @@
 	return wait
 }
 
-// recordDispatch notes that class k had a request let through.
+// recordDispatch updates the dispatch interval of class k.
 func (c *Controller) recordDispatch(now time.Time, k *class) {
 	if !k.lastDispatch.IsZero() {
 		sample := now.Sub(k.lastDispatch)
@@ -220,8 +223,8 @@
 	return &Refusal{Reason: reason, RetryAfter: max(wait, c.opts.MinRetryAfter)}
 }
 
-// Pop takes out the request that runs next. Those that can no longer be answered
-// in time are taken out as well and returned apart; they did not run.
+// Pop removes and returns the request to run next. Requests that can no longer
+// meet their deadline are removed too and returned in expired; they did not run.
 func (c *Controller) Pop(now time.Time) (next ID, ok bool, expired []ID) {
 	for {
 		k := c.nextClass()
@@ -241,8 +244,8 @@
 	}
 }
 
-// cannotMeetDeadline reports whether a request would certainly be answered too late: a
-// slot spent on it is lost to one that can still be answered.
+// cannotMeetDeadline reports whether a request started now would be answered
+// after its deadline. A slot is better used for a request that can meet its own.
 func (c *Controller) cannotMeetDeadline(now time.Time, it *waitingRequest) bool {
 	if c.opts.Policy == PolicyFIFO {
 		return !now.Before(it.Deadline)
@@ -271,7 +274,8 @@
 	return a.virtualTime < b.virtualTime
 }
 
-// Expire takes out every request whose deadline has passed.
+// Expire removes the requests at the head of each queue whose deadline has
+// passed and returns their IDs.
 func (c *Controller) Expire(now time.Time) []ID {
 	var out []ID
 	for _, name := range c.classOrder {
@@ -285,8 +289,8 @@
 	return out
 }
 
-// Remove takes out a request whose caller has gone away. It reports false if
-// the request no longer waits.
+// Remove removes a request whose caller has disconnected. It returns false if
+// the request is no longer waiting.
 func (c *Controller) Remove(id ID) bool {
 	it, ok := c.waiting[id]
 	if !ok {
@@ -297,7 +301,8 @@
 	return true
 }
 
-// queue orders one class's requests by deadline, or by arrival under FIFO.
+// queue is a heap of one class's requests, ordered by deadline, then arrival, or
+// by arrival alone under PolicyFIFO.
 type queue struct {
 	items []*waitingRequest
 	fifo  bool
--- a/requests/admit/admit_test.go
+++ b/requests/admit/admit_test.go
@@ -37,7 +37,7 @@
 	return out
 }
 
-func TestBulkDoesNotStandBeforeRetail(t *testing.T) {
+func TestLowWeightBacklogDoesNotDelayHighWeightClass(t *testing.T) {
 	c := newCore(PolicyWeighted)
 	for i := range 50 {
 		push(t, c, ID(i), "bulk", time.Minute)
@@ -52,7 +52,7 @@
 		push(t, fifo, ID(i), "bulk", time.Minute)
 	}
 	push(t, fifo, 100, "retail", time.Minute)
-	assert.NotContains(t, order(fifo, 50), ID(100), "the baseline does")
+	assert.NotContains(t, order(fifo, 50), ID(100), "under FIFO the backlog runs first")
 }
 
 func TestNoClassStarves(t *testing.T) {
@@ -61,7 +61,7 @@
 		push(t, c, ID(i), "retail", time.Minute)
 	}
 	push(t, c, 100, "bulk", time.Minute)
-	assert.Contains(t, order(c, 18), ID(100), "one in nine goes to bulk")
+	assert.Contains(t, order(c, 18), ID(100), "by weight, one dispatch in nine goes to bulk")
 }
 
 func TestEarliestDeadlineFirstWithinAClass(t *testing.T) {
@@ -72,7 +72,7 @@
 	assert.Equal(t, []ID{2, 3, 1}, order(c, 3))
 }
 
-func TestRefusesAtOnceWhatWouldBeLate(t *testing.T) {
+func TestRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
 	c := newCore(PolicyWeighted)
 	for range 100 {
 		c.ObserveServiceTime(time.Second)
@@ -83,12 +83,13 @@
 	r := c.Push(t0, 99, "retail", t0.Add(3*time.Second))
 	require.NotNil(t, r)
 	assert.Equal(t, ReasonDeadlineUnreachable, r.Reason)
-	assert.InDelta(t, 4.1, r.RetryAfter.Seconds(), 0.2, "41 requests before it at 10 a second")
+	assert.InDelta(t, 4.1, r.RetryAfter.Seconds(), 0.2, "41 requests at 10 per second")
 }
 
-// TestSharesThatOthersLeaveCount: by its weight bulk would wait four seconds,
-// but retail leaves most of its share and bulk is served every 10 ms.
-func TestSharesThatOthersLeaveCount(t *testing.T) {
+// TestExpectedWaitUsesRecentDispatchRate checks that a class is not refused for
+// its weight alone: by weight bulk would wait four seconds, but retail leaves
+// most of its share unused and bulk is dispatched every 10 ms.
+func TestExpectedWaitUsesRecentDispatchRate(t *testing.T) {
 	c := newCore(PolicyWeighted)
 	for range 100 {
 		c.ObserveServiceTime(100 * time.Millisecond)
@@ -112,7 +113,7 @@
 		push(t, c, ID(i), "bulk", time.Hour)
 	}
 	assert.Equal(t, ReasonQueueFull, c.Push(t0, 101, "bulk", t0.Add(time.Hour)).Reason)
-	assert.Nil(t, c.Push(t0, 102, "retail", t0.Add(time.Hour)), "each class has its own")
+	assert.Nil(t, c.Push(t0, 102, "retail", t0.Add(time.Hour)), "the limit is per class")
 }
 
 func TestExpiredAndRemovedRequestsAreNotRun(t *testing.T) {
