--- a/requests/place/place.go
+++ b/requests/place/place.go
@@ -1,5 +1,5 @@
-// Package place chooses workers for jobs. It is pure: a snapshot comes in, and
-// assignments with their reasons go out.
+// Package place assigns pending jobs to workers. It works on a snapshot and does
+// no I/O.
 package place
 
 import (
@@ -11,36 +11,36 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Worker is one worker of the pool as placement sees it.
+// Worker is the state of one worker of the pool that placement uses.
 type Worker struct {
 	ID       fleet.InstanceID
 	Zone     fleet.AvailabilityZone
 	Rack     fleet.Rack
 	Capacity fleet.Resources
-	// Used is what is in use: as observed where the report is fresh, as
-	// declared otherwise.
+	// Used sums the use of the placed jobs: as observed where the worker's report
+	// is fresh, else as declared.
 	Used fleet.Resources
-	// Usable is false for workers that are out, about to be, or put aside.
+	// Usable is false for a worker that is still joining the pool, not serving or
+	// under a disruption; it gets no new jobs.
 	Usable bool
-	// Maintained is true for a worker that the running waves have finished
-	// with: a job placed there does not have to move again.
-	Maintained bool
-	// ConsecutiveFailures counts tasks that failed on the worker in a row.
-	ConsecutiveFailures int
+	// Maintained is true if no running maintenance wave will still take the worker
+	// out, so that a job placed there doesn't have to move again.
+	Maintained          bool
+	ConsecutiveFailures int // tasks that failed on the worker in a row
 }
 
-// TeamUsage is a team's quota and what it uses fleet-wide.
+// TeamUsage is a team's quota and its fleet-wide use.
 type TeamUsage struct {
 	Quota fleet.Resources
 	Used  fleet.Resources
-	// HasQuota is false for a team without a quota.
+	// HasQuota is false if the team's use is not limited.
 	HasQuota bool
 }
 
-// Policy selects how a worker is chosen. FirstFit is the baseline.
+// Policy selects how a worker is chosen.
 type Policy string
 
-// Policies.
+// Policies. PolicyFirstFit is the baseline of the measurements.
 const (
 	PolicyBestFit  Policy = "best-fit"
 	PolicyFirstFit Policy = "first-fit"
@@ -53,25 +53,25 @@
 	Workers []Worker
 	Teams   map[string]TeamUsage
 	Policy  Policy
-	// PreferTightFit puts a tight fit before a worker that needs no further
-	// maintenance: less capacity is held back, and jobs may move again.
+	// PreferTightFit ranks a tight fit above Maintained. This fragments capacity
+	// less, but jobs may have to move again.
 	PreferTightFit bool
 }
 
-// Decision is what becomes of one pending job.
+// Decision is the result for one pending job.
 type Decision struct {
 	Job    fleet.JobName
 	State  fleet.JobState // JobPlaced, JobPending or JobUnplaceable
 	Worker fleet.InstanceID
-	Reason string
+	Reason string // why the job was not placed
 }
 
-// MaxConsecutiveFailures is how many tasks in a row may fail on a worker before it gets
-// no more.
+// MaxConsecutiveFailures is the number of tasks failed in a row after which a
+// worker gets no new jobs.
 const MaxConsecutiveFailures = 3
 
-// Plan decides about every pending job: urgent ones first, then by deadline,
-// then by age.
+// Plan decides on every pending job: urgent jobs first, then by deadline, then by
+// submission time.
 func Plan(in Input) []Decision {
 	workers := slices.Clone(in.Workers)
 	teams := make(map[string]TeamUsage, len(in.Teams))
@@ -113,7 +113,7 @@
 	}
 }
 
-// byDeadline puts jobs without a deadline last.
+// byDeadline sorts jobs without a deadline last.
 func byDeadline(a, b fleet.Job) int {
 	if a.Deadline.IsZero() || b.Deadline.IsZero() {
 		return trueFirst(!a.Deadline.IsZero(), !b.Deadline.IsZero())
@@ -126,7 +126,7 @@
 		return Decision{Job: j.Name, State: fleet.JobUnplaceable, Reason: unplaceableReason(workers, j.Need)}
 	}
 	if t := teams[j.Team]; t.HasQuota && !t.Quota.Sub(t.Used).Fits(j.Need) {
-		return Decision{Job: j.Name, State: fleet.JobPending, Reason: fmt.Sprintf("team %s has used up its quota", j.Team)}
+		return Decision{Job: j.Name, State: fleet.JobPending, Reason: fmt.Sprintf("team %s has exhausted its quota", j.Team)}
 	}
 	best, why := chooseWorker(in, workers, j)
 	if best == nil {
@@ -137,12 +137,12 @@
 
 func fitsAnywhere(workers []Worker, need fleet.Resources) bool {
 	if len(workers) == 0 {
-		return true // an empty pool may get workers; the job waits
+		return true // an empty pool may get workers later, so the job stays pending
 	}
 	return slices.ContainsFunc(workers, func(w Worker) bool { return w.Capacity.Fits(need) })
 }
 
-// unplaceableReason names the resource that no worker of the pool has enough of.
+// unplaceableReason names the resource of which no worker has enough.
 func unplaceableReason(workers []Worker, need fleet.Resources) string {
 	var most fleet.Resources
 	for _, w := range workers {
@@ -161,18 +161,18 @@
 	case need.Slots > most.Slots:
 		return fmt.Sprintf("asks for %d slots; the largest worker has %d", need.Slots, most.Slots)
 	default:
-		return "no single worker has all that it asks for"
+		return "no single worker has enough of every requested resource"
 	}
 }
 
 func chooseWorker(in Input, workers []Worker, j fleet.Job) (*Worker, string) {
 	var best *Worker
-	aside, full := 0, 0
+	unavailable, full := 0, 0
 	for i := range workers {
 		w := &workers[i]
 		switch {
 		case !w.Usable || w.ConsecutiveFailures >= MaxConsecutiveFailures:
-			aside++
+			unavailable++
 			continue
 		case !w.Capacity.Sub(w.Used).Fits(j.Need):
 			full++
@@ -189,14 +189,14 @@
 			best = w
 		}
 	}
-	return best, fmt.Sprintf("no room: %d workers are full, %d are out of service", full, aside)
+	return best, fmt.Sprintf("no worker has room: %d full, %d out of service", full, unavailable)
 }
 
-// isBetter prefers workers that need no further maintenance, then those without
-// failures, then the one that is left with the least memory to spare: large
-// jobs keep finding room.
-func isBetter(a, b *Worker, need fleet.Resources, packing bool) bool {
-	if a.Maintained != b.Maintained && !packing {
+// isBetter prefers workers that need no further maintenance, then those with
+// fewer failures, then the one with the least free memory after placement, which
+// keeps large gaps for large jobs.
+func isBetter(a, b *Worker, need fleet.Resources, preferTightFit bool) bool {
+	if a.Maintained != b.Maintained && !preferTightFit {
 		return a.Maintained
 	}
 	if a.ConsecutiveFailures != b.ConsecutiveFailures {
@@ -206,6 +206,7 @@
 	return left(a) < left(b)
 }
 
+// reserve counts job j as placed, so that later jobs of the same plan see it.
 func reserve(workers []Worker, teams map[string]TeamUsage, j fleet.Job, id fleet.InstanceID) {
 	for i := range workers {
 		if workers[i].ID == id {
--- a/requests/place/place_test.go
+++ b/requests/place/place_test.go
@@ -28,7 +28,7 @@
 	return j
 }
 
-func TestChoice(t *testing.T) {
+func TestPlanOneJob(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		workers []Worker
@@ -37,16 +37,16 @@
 	}{
 		{"tightest fit", []Worker{worker("a", nil), worker("b", func(w *Worker) { w.Used.MemoryMB = 100000 })}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "b"}},
-		{"maintained worker before a tighter one", []Worker{worker("a", func(w *Worker) { w.Maintained = true }), worker("b", func(w *Worker) { w.Used.MemoryMB = 100000 })}, job("j", 1000, nil),
+		{"maintained worker before a tighter fit", []Worker{worker("a", func(w *Worker) { w.Maintained = true }), worker("b", func(w *Worker) { w.Used.MemoryMB = 100000 })}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "a"}},
-		{"not on a worker that fails every task", []Worker{worker("a", func(w *Worker) { w.ConsecutiveFailures = MaxConsecutiveFailures }), worker("b", nil)}, job("j", 1000, nil),
+		{"not on a worker with too many failures", []Worker{worker("a", func(w *Worker) { w.ConsecutiveFailures = MaxConsecutiveFailures }), worker("b", nil)}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "b"}},
-		{"not on one that is leaving", []Worker{worker("a", func(w *Worker) { w.Usable = false })}, job("j", 1000, nil),
-			Decision{Job: "j", State: fleet.JobPending, Reason: "no room: 0 workers are full, 1 are out of service"}},
-		{"can never run", []Worker{worker("a", nil)}, job("j", 1000, func(j *fleet.Job) { j.Need.Accelerators = 4 }),
+		{"not on an unusable worker", []Worker{worker("a", func(w *Worker) { w.Usable = false })}, job("j", 1000, nil),
+			Decision{Job: "j", State: fleet.JobPending, Reason: "no worker has room: 0 full, 1 out of service"}},
+		{"larger than any worker", []Worker{worker("a", nil)}, job("j", 1000, func(j *fleet.Job) { j.Need.Accelerators = 4 }),
 			Decision{Job: "j", State: fleet.JobUnplaceable, Reason: "asks for 4 accelerators; the largest worker has 2"}},
-		{"full for now", []Worker{worker("a", func(w *Worker) { w.Used.MemoryMB = 131072 })}, job("j", 1000, nil),
-			Decision{Job: "j", State: fleet.JobPending, Reason: "no room: 1 workers are full, 0 are out of service"}},
+		{"no free capacity", []Worker{worker("a", func(w *Worker) { w.Used.MemoryMB = 131072 })}, job("j", 1000, nil),
+			Decision{Job: "j", State: fleet.JobPending, Reason: "no worker has room: 1 full, 0 out of service"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := Plan(Input{Now: t0, Jobs: []fleet.Job{tc.job}, Workers: tc.workers, Policy: PolicyBestFit})
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestUrgentFirstThenByDeadline(t *testing.T) {
+func TestUrgentJobsFirstThenByDeadline(t *testing.T) {
 	jobs := []fleet.Job{
 		job("old", 1, nil),
 		job("late", 1, func(j *fleet.Job) { j.Deadline = t0.Add(time.Hour) }),
@@ -69,7 +69,7 @@
 	assert.Equal(t, []fleet.JobName{"urgent", "soon", "late", "old"}, order)
 }
 
-func TestQuotaCoversWhatIsPlacedInTheSamePlan(t *testing.T) {
+func TestQuotaCountsJobsPlacedInTheSamePlan(t *testing.T) {
 	var jobs []fleet.Job
 	for i := range 3 {
 		jobs = append(jobs, job(fmt.Sprint(i), 1000, func(j *fleet.Job) { j.Team = "t" }))
@@ -77,5 +77,5 @@
 	quota := TeamUsage{Quota: fleet.Resources{CPUMilli: 2000, MemoryMB: 10000}, HasQuota: true}
 	got := Plan(Input{Now: t0, Jobs: jobs, Workers: []Worker{worker("a", nil)}, Teams: map[string]TeamUsage{"t": quota}})
 	assert.Equal(t, fleet.JobPlaced, got[1].State)
-	assert.Equal(t, Decision{Job: "2", State: fleet.JobPending, Reason: "team t has used up its quota"}, got[2])
+	assert.Equal(t, Decision{Job: "2", State: fleet.JobPending, Reason: "team t has exhausted its quota"}, got[2])
 }
--- a/requests/route/pick.go
+++ b/requests/route/pick.go
@@ -7,36 +7,37 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Policy selects how a worker is picked.
+// Policy selects how a worker is chosen for a request.
 type Policy string
 
-// Policies. Random is the baseline that the measurements compare with.
+// Policies. PolicyRandom is the baseline of the measurements.
 const (
-	PolicyLeastLoaded Policy = "least-loaded" // own zone first, then least used
+	PolicyLeastLoaded Policy = "least-loaded" // local zone preferred, then lowest load
 	PolicyRandom      Policy = "random"
 )
 
-// Candidate is one worker that may take a request now.
+// Candidate is a worker with a free slot.
 type Candidate struct {
 	Worker   fleet.InstanceID
 	Zone     fleet.AvailabilityZone
-	Free     int // slots this daemon may still use, at least 1
-	Capacity int // slots this daemon may use in all
-	Probe    bool
-	// Latency is how long the worker's requests lately took; 0 if unknown.
+	Free     int  // free slots of this daemon, at least 1
+	Capacity int  // slots this daemon may use in total
+	Probe    bool // ejected worker that is due for a probe
+	// Latency is the worker's recent average latency, 0 if unknown.
 	Latency time.Duration
 }
 
-// maxLocalZoneUse is the share of used slots above which the own zone is no longer
-// preferred, so that preference never overloads a zone.
+// maxLocalZoneUse is the share of used slots in the local zone from which on it is
+// no longer preferred, so that the preference doesn't overload a zone.
 const maxLocalZoneUse = 0.8
 
-// localLoadFactor is how many times as loaded a worker of the own zone may be to be
-// preferred all the same.
+// localLoadFactor is how many times the load of the best candidate a worker in
+// the local zone may have and still be preferred.
 const localLoadFactor = 8
 
-// Pick chooses among the candidates; it returns false if there are none. A
-// worker that is due for a probe goes first, so that it is tried at all.
+// Pick chooses one of the candidates; it returns false if there are none. Under
+// PolicyLeastLoaded a worker due for a probe goes first, as it would rarely be
+// chosen by load.
 func Pick(candidates []Candidate, zone fleet.AvailabilityZone, rnd *rand.Rand, policy Policy) (fleet.InstanceID, bool) {
 	if len(candidates) == 0 {
 		return "", false
@@ -51,8 +52,8 @@
 	}
 	best := leastLoaded(candidates, rnd)
 	if local := inZone(candidates, zone); len(local) > 0 && usedShare(local) < maxLocalZoneUse {
-		if near := leastLoaded(local, rnd); load(near) <= localLoadFactor*load(best) {
-			best = near
+		if bestLocal := leastLoaded(local, rnd); load(bestLocal) <= localLoadFactor*load(best) {
+			best = bestLocal
 		}
 	}
 	return best.Worker, true
@@ -77,11 +78,12 @@
 	return 1 - float64(free)/float64(max(capacity, 1))
 }
 
-// minLatency keeps small differences from outweighing the slots in use.
+// minLatency is the lower bound of the latency used in load, so that small
+// latency differences don't outweigh slot use.
 const minLatency = 20 * time.Millisecond
 
-// leastLoaded returns the candidate with the lowest load, starting at a random
-// one so that ties spread.
+// leastLoaded returns the candidate with the lowest load. It starts at a random
+// candidate so that ties are spread.
 func leastLoaded(candidates []Candidate, rnd *rand.Rand) Candidate {
 	start := rnd.IntN(len(candidates))
 	best := candidates[start]
@@ -94,8 +96,8 @@
 	return best
 }
 
-// load is the expected cost of one more request: the share of slots then in
-// use, times how long each holds one.
+// load is the expected cost of one more request: the share of slots in use
+// including it, times the latency.
 func load(c Candidate) float64 {
 	share := float64(c.Capacity-c.Free+1) / float64(max(c.Capacity, 1))
 	return share * max(c.Latency, minLatency).Seconds()
--- a/requests/route/route_test.go
+++ b/requests/route/route_test.go
@@ -29,8 +29,8 @@
 
 func TestPick(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	here := Candidate{Worker: "here", Zone: "a", Free: 2, Capacity: 8}
-	there := Candidate{Worker: "there", Zone: "b", Free: 8, Capacity: 8}
+	local := Candidate{Worker: "here", Zone: "a", Free: 2, Capacity: 8}
+	remote := Candidate{Worker: "there", Zone: "b", Free: 8, Capacity: 8}
 	slow := Candidate{Worker: "slow", Zone: "a", Free: 8, Capacity: 8, Latency: 500 * time.Millisecond}
 	probe := Candidate{Worker: "probe", Zone: "b", Free: 1, Capacity: 8, Probe: true}
 	for _, tc := range []struct {
@@ -38,11 +38,11 @@
 		candidates []Candidate
 		want       fleet.InstanceID
 	}{
-		{"own zone first", []Candidate{here, there}, "here"},
-		{"own zone nearly full", []Candidate{{Worker: "here", Zone: "a", Free: 1, Capacity: 8}, there}, "there"},
-		{"not the slow one, though idle", []Candidate{here, slow}, "here"},
-		{"not the slow one, though the only one near", []Candidate{slow, there}, "there"},
-		{"a due probe goes first", []Candidate{here, probe}, "probe"},
+		{"local zone preferred", []Candidate{local, remote}, "here"},
+		{"local zone nearly full", []Candidate{{Worker: "here", Zone: "a", Free: 1, Capacity: 8}, remote}, "there"},
+		{"slow worker avoided although idle", []Candidate{local, slow}, "here"},
+		{"slow worker avoided although the only local one", []Candidate{slow, remote}, "there"},
+		{"due probe first", []Candidate{local, probe}, "probe"},
 	} {
 		got, ok := Pick(tc.candidates, "a", rnd, PolicyLeastLoaded)
 		assert.True(t, ok)
--- a/requests/route/table.go
+++ b/requests/route/table.go
@@ -1,6 +1,5 @@
-// Package route decides where a request goes: which route, service and class
-// it matches, and which worker of the service's pools serves it. Everything
-// here is pure.
+// Package route matches a request to its route and chooses the worker that serves
+// it. The package does no I/O.
 package route
 
 import (
@@ -11,12 +10,12 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Table finds the route of a request. It is immutable.
+// Table maps hosts and path prefixes to routes. It is immutable.
 type Table struct {
 	byHost map[string][]fleet.Route // longest prefix first
 }
 
-// NewTable compiles the routes of a configuration.
+// NewTable builds the table of the routes of a configuration.
 func NewTable(routes []fleet.Route) *Table {
 	t := &Table{byHost: map[string][]fleet.Route{}}
 	for _, r := range routes {
@@ -29,8 +28,8 @@
 	return t
 }
 
-// Match returns the route for a host (a port is ignored) and path: the longest
-// prefix of that host, else of the routes for every host.
+// Match returns the route with the longest matching path prefix among the routes
+// of the host, or else among those without a host. A port in host is ignored.
 func (t *Table) Match(host, path string) (fleet.Route, bool) {
 	if r, ok := longestPrefix(t.byHost[hostname(host)], path); ok {
 		return r, true
@@ -54,7 +53,7 @@
 	return fleet.Route{}, false
 }
 
-// prefixMatches reports whether path lies under prefix, on a segment boundary.
+// prefixMatches reports whether prefix matches path at a segment boundary.
 func prefixMatches(prefix, path string) bool {
 	if !strings.HasPrefix(path, prefix) {
 		return false
--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -1,8 +1,8 @@
 // Package slots divides the request slots of every worker among the entry
-// daemons, so that all of them together never use more than the worker has.
+// daemons so that together they never exceed the worker's capacity.
 //
-// Each daemon has a base share of each worker, worked out from the view alone.
-// Shares that lie idle are lent to peers. Everything here is pure.
+// Each daemon has a base share of each worker, computed from the view alone.
+// Idle slots are lent to peers. The package does no I/O and reads no clock.
 package slots
 
 import (
@@ -13,24 +13,25 @@
 	"github.com/postmount/postmount/requests/rendezvous"
 )
 
-// LoanID identifies one loan; the borrower chooses it.
+// LoanID identifies a loan. The borrower generates it.
 type LoanID string
 
-// Loan is one slot of a worker lent from one daemon to another.
+// Loan is one slot of a worker lent by one daemon to another. It is valid only
+// under the view of its epoch.
 type Loan struct {
 	ID       LoanID
 	Epoch    fleet.Epoch
 	Worker   fleet.InstanceID
 	Lender   fleet.Incarnation
 	Borrower fleet.Incarnation
-	At       time.Time
+	At       time.Time // when it was granted, by the lender's clock
 }
 
-// workerSlots is this daemon's account of one workerSlots.
+// workerSlots counts the slots of one worker as this daemon sees them.
 type workerSlots struct {
 	total    int
-	base     int // usable base share: the least of all unsettled views' shares
-	nextBase int // base share under the view in force
+	base     int // usable base share: the minimum over all unsettled views
+	nextBase int // base share under the current view
 	lent     int
 	borrowed int
 	inUse    int
@@ -39,32 +40,32 @@
 func (w *workerSlots) capacity() int { return max(w.base-w.lent, 0) + w.borrowed }
 func (w *workerSlots) free() int     { return w.capacity() - w.inUse }
 
-// Allocator is one daemon's account of all workers. It is not safe for concurrent
-// use.
+// Allocator tracks one daemon's slots on all workers. It is not safe for
+// concurrent use.
 type Allocator struct {
 	self    fleet.Incarnation
 	view    *fleet.View
 	workers map[fleet.InstanceID]*workerSlots
-	// settledPeers holds the members that have no more than their new base share
-	// in use under the view in force.
+	// settledPeers holds the members that use no more than their base share under
+	// the current view.
 	settledPeers map[fleet.Incarnation]bool
-	// memberLost tells that a member of an earlier view ended without leaving;
-	// its requests may still run on workers. quietSince is when every member
-	// of the view had settled and every earlier view had stopped.
+	// memberLost is true if a member of an earlier view is gone without having
+	// left; its requests may still run on workers. drainStart is when every
+	// member of the current view had settled and every earlier view had retired.
 	memberLost    bool
 	drainStart    time.Time
-	settled       bool // every member settled: base == next
+	settled       bool // every member settled: base == nextBase
 	lent          map[LoanID]Loan
 	borrowed      map[LoanID]Loan
-	returnedEarly map[LoanID]bool // loans returned before they were asked for
-	// drainTime is how long after its view stopped a vanished daemon's requests may
-	// still run on workers.
+	returnedEarly map[LoanID]bool // loans returned before their request arrived
+	// drainTime is how long the requests of a lost member may still run on
+	// workers after its view retired.
 	drainTime time.Duration
 }
 
-// New returns the account of daemon self. drain is the longest time that a
-// request may run on a worker, and the time that a confirmation of a view
-// counts.
+// New returns the allocator of daemon self. drain is the maximum time that a
+// request runs on a worker plus the time for which a confirmation of a view
+// is valid.
 func New(self fleet.Incarnation, drain time.Duration) *Allocator {
 	return &Allocator{
 		self:          self,
@@ -79,7 +80,7 @@
 }
 
 // BaseShare returns daemon self's base share of a worker with total slots under
-// view v. The shares of all members add up to total.
+// view v, 0 if it isn't a member. The shares of all members sum to total.
 func BaseShare(v *fleet.View, self fleet.Incarnation, w fleet.InstanceID, total int) int {
 	n := len(v.Members)
 	if n == 0 || v.Member(self) == nil {
@@ -92,8 +93,9 @@
 	return share
 }
 
-// SetWorkers tells which workers there are and how many slots each has. A
-// worker that is new to this daemon is also new to the others.
+// SetWorkers sets the known workers and their number of slots. A worker that is
+// new to this daemon is new to its peers too, so nothing of it is in use and its
+// base share is available at once if the current view has settled.
 func (c *Allocator) SetWorkers(totals map[fleet.InstanceID]int) {
 	for id, total := range totals {
 		w, ok := c.workers[id]
@@ -118,13 +120,13 @@
 	}
 }
 
-// SetView puts a newer view in force.
+// SetView switches to a newer view.
 //
-// Invariant: over all daemons, the slots in use of a worker never exceed its
-// total. Reason: until every member of the new view has settled, and the
-// requests of those that vanished have ended, each may take up new slots only
-// below the least of its shares in all unsettled views, less what it lent; loans
-// end with their view, but the lender's account keeps them until then.
+// Invariant: over all daemons, the slots in use on a worker never exceed its
+// total. Until every member of the new view has settled and the requests of lost
+// members have ended, each daemon may acquire slots only up to the minimum of
+// its shares in all unsettled views, less what it has lent. Borrowers drop their
+// loans when the view changes; lenders count them as lent until then.
 func (c *Allocator) SetView(v *fleet.View) {
 	c.memberLost = c.memberLost || c.anyMemberLost(v)
 	c.drainStart = time.Time{}
@@ -145,19 +147,19 @@
 	c.settled = first
 }
 
-// anyMemberLost reports whether a member of an earlier view that is not known to
-// have stopped is missing from v without having left. A daemon that is new to
-// the views learns of earlier members from v itself.
+// anyMemberLost reports whether a member of an unretired earlier view is missing
+// from v without having left. A daemon that has just joined learns of earlier
+// members from v itself.
 func (c *Allocator) anyMemberLost(v *fleet.View) bool {
-	gone := func(m fleet.Incarnation) bool { return v.Member(m) == nil && !slices.Contains(v.Departed, m) }
-	if slices.ContainsFunc(c.view.Incarnations(), gone) {
+	lost := func(m fleet.Incarnation) bool { return v.Member(m) == nil && !slices.Contains(v.Departed, m) }
+	if slices.ContainsFunc(c.view.Incarnations(), lost) {
 		return true
 	}
-	return slices.ContainsFunc(v.Unretired, func(old fleet.RetiringView) bool { return slices.ContainsFunc(old.Members, gone) })
+	return slices.ContainsFunc(v.Unretired, func(old fleet.RetiringView) bool { return slices.ContainsFunc(old.Members, lost) })
 }
 
-// SelfSettled reports whether this daemon has at most its new share in use,
-// loans of the new view aside.
+// SelfSettled reports whether this daemon uses no more than its base share under
+// the current view, not counting slots borrowed under it.
 func (c *Allocator) SelfSettled() bool {
 	for _, w := range c.workers {
 		if w.inUse-w.borrowed > w.nextBase {
@@ -167,15 +169,16 @@
 	return c.view.Epoch > 0
 }
 
-// PeerSettled notes that a member reported itself settled under epoch e.
+// PeerSettled records that a member reported itself settled under epoch e.
 func (c *Allocator) PeerSettled(peer fleet.Incarnation, e fleet.Epoch) {
 	if e == c.view.Epoch {
 		c.settledPeers[peer] = true
 	}
 }
 
-// ActivateShares takes up the new base shares once everyone has settled. retired tells
-// that every earlier view has certainly stopped.
+// ActivateShares puts the base shares of the current view into use once all
+// members have settled and earlier views have drained. retired means that no
+// earlier view can still be served. It is called periodically.
 func (c *Allocator) ActivateShares(now time.Time, retired bool) {
 	if c.settled || !c.earlierViewsDrained(now, retired) {
 		return
@@ -193,9 +196,9 @@
 	}
 }
 
-// earlierViewsDrained reports whether nothing of earlier views can still be in use: every
-// member has settled, and if one vanished, its requests have certainly ended.
-// A vanished member may go on sending until its last confirmation lapses.
+// earlierViewsDrained reports whether no slots of earlier views can still be in
+// use: every member has settled and the requests of lost members have ended. A
+// lost member may keep sending until its last confirmation expires.
 func (c *Allocator) earlierViewsDrained(now time.Time, retired bool) bool {
 	if !c.allSettled() {
 		return false
@@ -221,10 +224,10 @@
 	return c.SelfSettled()
 }
 
-// Settled reports whether the shares of the view in force are all taken up.
+// Settled reports whether the base shares of the current view are in use.
 func (c *Allocator) Settled() bool { return c.settled }
 
-// Free returns how many more requests this daemon may send to worker id now.
+// Free returns the number of slots on worker id that this daemon can acquire now.
 func (c *Allocator) Free(id fleet.InstanceID) int {
 	w := c.workers[id]
 	if w == nil {
@@ -233,7 +236,7 @@
 	return max(w.free(), 0)
 }
 
-// Capacity returns how many requests this daemon may have on worker id.
+// Capacity returns the number of slots on worker id that this daemon may use.
 func (c *Allocator) Capacity(id fleet.InstanceID) int {
 	w := c.workers[id]
 	if w == nil {
@@ -242,7 +245,7 @@
 	return w.capacity()
 }
 
-// InUse returns how many requests this daemon has on worker id.
+// InUse returns the number of slots on worker id that this daemon uses.
 func (c *Allocator) InUse(id fleet.InstanceID) int {
 	w := c.workers[id]
 	if w == nil {
@@ -251,7 +254,7 @@
 	return w.inUse
 }
 
-// Acquire takes one slot of worker id if there is one.
+// Acquire takes a slot of worker id. It returns false if none is free.
 func (c *Allocator) Acquire(id fleet.InstanceID) bool {
 	w := c.workers[id]
 	if w == nil || w.free() <= 0 {
@@ -261,17 +264,18 @@
 	return true
 }
 
-// Release gives a slot of worker id back.
+// Release frees a slot of worker id.
 func (c *Allocator) Release(id fleet.InstanceID) {
 	if w := c.workers[id]; w != nil && w.inUse > 0 {
 		w.inUse--
 	}
 }
 
-// Lend lends one idle slot of one of the wanted workers. keep tells how many
-// idle slots of a worker stay here.
+// Lend lends one idle slot of the first wanted worker that has one to spare.
+// keep returns the number of idle slots of a worker that are not lent. Repeated
+// calls with the same ID return the same loan.
 func (c *Allocator) Lend(now time.Time, id LoanID, borrower fleet.Incarnation, epoch fleet.Epoch, wanted []fleet.InstanceID, keep func(fleet.InstanceID) int) (Loan, bool) {
-	if l, again := c.lent[id]; again {
+	if l, repeated := c.lent[id]; repeated {
 		return l, true
 	}
 	if epoch != c.view.Epoch || c.returnedEarly[id] || c.view.Member(borrower) == nil {
@@ -290,22 +294,22 @@
 	return Loan{}, false
 }
 
-// AddBorrowed takes up a loan that a peer granted. It reports false if the loan
-// is of another view and must not be used.
+// AddBorrowed adds a loan that a peer granted. It returns false if the loan
+// belongs to another view or its worker is unknown; it must not be used then.
 func (c *Allocator) AddBorrowed(l Loan) bool {
 	w := c.workers[l.Worker]
 	if l.Epoch != c.view.Epoch || w == nil {
 		return false
 	}
-	if _, again := c.borrowed[l.ID]; !again {
+	if _, repeated := c.borrowed[l.ID]; !repeated {
 		c.borrowed[l.ID] = l
 		w.borrowed++
 	}
 	return true
 }
 
-// TakeBack takes back a loan. A loan that was never asked for is remembered,
-// so that a request for it that comes later is refused.
+// TakeBack ends a loan on the lender's side. If the ID is unknown, it is
+// remembered so that a request for the loan that arrives later is refused.
 func (c *Allocator) TakeBack(id LoanID) {
 	l, ok := c.lent[id]
 	if !ok {
@@ -318,8 +322,8 @@
 	}
 }
 
-// ReleaseIdle lists the loans taken before the given time whose slot is free; they
-// are given up here, and the shell tells the lenders.
+// ReleaseIdle drops and returns the borrowed slots that are free and were granted
+// before the given time. The caller returns them to their lenders.
 func (c *Allocator) ReleaseIdle(before time.Time) []Loan {
 	var out []Loan
 	for id, l := range c.borrowed {
@@ -333,7 +337,7 @@
 	return out
 }
 
-// Lent returns how many slots of worker id are lent out.
+// Lent returns the number of slots of worker id that are lent to peers.
 func (c *Allocator) Lent(id fleet.InstanceID) int {
 	if w := c.workers[id]; w != nil {
 		return w.lent
--- a/requests/slots/slots_test.go
+++ b/requests/slots/slots_test.go
@@ -15,7 +15,7 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// The property tests give the same verdict on every run.
+// A fixed seed makes the property tests reproducible.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "500")
@@ -32,7 +32,7 @@
 	return v
 }
 
-func TestSharesAddUpToTheWhole(t *testing.T) {
+func TestBaseSharesSumToTotal(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, total := rapid.IntRange(1, 8).Draw(t, "members"), rapid.IntRange(0, 64).Draw(t, "total")
 		v := &fleet.View{Epoch: 1}
@@ -64,7 +64,7 @@
 	require.True(t, ok)
 	again, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	require.True(t, ok)
-	assert.Equal(t, l, again, "a repeated question lends nothing more")
+	assert.Equal(t, l, again, "a repeated request doesn't lend a second slot")
 	require.True(t, b.AddBorrowed(l))
 	assert.Equal(t, 3, a.Free("w"))
 	assert.Equal(t, 5, b.Free("w"))
@@ -75,43 +75,43 @@
 	assert.Equal(t, 4, b.Free("w"))
 }
 
-func TestLoanReturnedBeforeItWasAskedForIsRefused(t *testing.T) {
+func TestLoanReturnedBeforeItsRequestIsRefused(t *testing.T) {
 	a := newAllocator("a", view(1, nil, "a", "b"))
 	a.TakeBack("l1")
 	_, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	assert.False(t, ok)
 }
 
-func TestLoanOfAnEarlierViewIsNotUsed(t *testing.T) {
+func TestLoanOfEarlierViewIsNotUsed(t *testing.T) {
 	a, b := newAllocator("a", view(1, nil, "a", "b")), newAllocator("b", view(1, nil, "a", "b"))
 	l, ok := a.Lend(t0, "l1", "b", 1, []fleet.InstanceID{"w"}, keepNone)
 	require.True(t, ok)
 	b.SetView(view(2, nil, "a", "b"))
 	assert.False(t, b.AddBorrowed(l))
 	_, ok = a.Lend(t0, "l2", "b", 2, []fleet.InstanceID{"w"}, keepNone)
-	assert.False(t, ok, "the lender does not know the borrower's view yet")
+	assert.False(t, ok, "the lender doesn't have the borrower's view yet")
 }
 
-func TestVanishedMembersShareIsTakenUpOnlyAfterItsRequestsEnded(t *testing.T) {
+func TestShareOfLostMemberIsUsedOnlyAfterItsRequestsEnded(t *testing.T) {
 	a := newAllocator("a", view(1, nil, "a", "b"))
 	a.SetView(view(2, nil, "a"))
 	a.ActivateShares(t0, false)
-	assert.Equal(t, 4, a.Free("w"), "the earlier view may still be in use")
+	assert.Equal(t, 4, a.Free("w"), "the earlier view may still be served")
 	a.ActivateShares(t0, true)
 	assert.Equal(t, 4, a.Free("w"))
 	a.ActivateShares(t0.Add(drain), true)
 	assert.Equal(t, 8, a.Free("w"))
 }
 
-func TestDepartedMembersShareIsTakenUpAtOnce(t *testing.T) {
+func TestShareOfDepartedMemberIsUsedImmediately(t *testing.T) {
 	a := newAllocator("a", view(1, nil, "a", "b"))
 	a.SetView(view(2, []fleet.Incarnation{"b"}, "a"))
 	a.ActivateShares(t0, false)
 	assert.Equal(t, 8, a.Free("w"))
 }
 
-// simulation runs several cores against each other with messages that are lost,
-// late or repeated, and counts what is truly in use on the worker.
+// simulation runs the allocators of several daemons with lost, delayed and
+// repeated messages and counts the slots actually in use on one worker.
 type simulation struct {
 	allocators    map[fleet.Incarnation]*Allocator
 	inUse         map[fleet.Incarnation]int
@@ -123,9 +123,9 @@
 	nextID        int
 }
 
-// TestSlotsNeverExceedTheWorker drives cores through views, loans and lost
-// messages at random, and checks after every step that no more than the
-// worker's slots are in use.
+// TestSlotsNeverExceedTheWorker drives allocators through random view changes,
+// loans and lost messages, and checks after every step that no more slots are in
+// use than the worker has.
 func TestSlotsNeverExceedTheWorker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := &simulation{allocators: map[fleet.Incarnation]*Allocator{}, inUse: map[fleet.Incarnation]int{}, now: t0, removedAt: map[fleet.Incarnation]time.Time{}}
@@ -184,7 +184,8 @@
 	}
 }
 
-// deliver hands a grant over, perhaps a second time, perhaps under a later view.
+// deliver delivers a granted loan to its borrower, possibly repeatedly or under
+// a later view.
 func (f *simulation) deliver(t *rapid.T) {
 	if len(f.loans) == 0 {
 		return
@@ -213,7 +214,8 @@
 	}
 }
 
-// tick lets members learn how the others are, some of them, and time pass.
+// tick advances the clock, lets some members learn that others have settled, and
+// activates shares.
 func (f *simulation) tick(t *rapid.T) {
 	f.now = f.now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "seconds")) * time.Second)
 	for id, ended := range f.removedAt {
@@ -231,8 +233,8 @@
 	}
 }
 
-// replaceMember replaces a member: it vanishes with its requests under way, or leaves
-// with none. Every daemon adopts the new view.
+// replaceMember replaces a member, which is either lost with requests running or
+// leaves with none. All remaining members switch to the new view.
 func (f *simulation) replaceMember(t *rapid.T) {
 	old := f.pick(t)
 	f.nextID++
