--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -16,28 +16,29 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Codes of refusals by the dispatcher.
+// Codes of refusals by the dispatcher. All have verdict NotRun.
 const (
 	CodeNoWorkers  verdict.Code = "no-workers"
 	CodeOverloaded verdict.Code = "overloaded"
 	CodeCallerGone verdict.Code = "caller-gone"
 )
 
-// Policies are the decisions that can be exchanged for a baseline.
+// Policies selects the production algorithm or the baseline of the measurements
+// for each decision.
 type Policies struct {
 	Admit admit.Options
 	Pick  route.Policy
 	Retry retry.Options
-	// DisableLoans keeps every slot with the daemon whose share it is.
+	// DisableLoans stops this daemon from borrowing slots of its peers.
 	DisableLoans bool
 }
 
-// DefaultPolicies are those of production.
+// DefaultPolicies are the production settings.
 var DefaultPolicies = Policies{Admit: admit.DefaultOptions, Pick: route.PolicyLeastLoaded, Retry: retry.DefaultOptions}
 
-// Dispatcher gives requests a slot on a worker, or refuses them. It is the
-// shell around the admission, slot, health and retry cores; one lock guards
-// them all, and nothing waits while holding it.
+// Dispatcher assigns requests a slot on a worker, or refuses them. It combines
+// admission control, slot allocation, outlier detection and retry budgets. One
+// lock guards them all and is never held while blocking.
 type Dispatcher struct {
 	zone     fleet.AvailabilityZone
 	policies Policies
@@ -50,7 +51,7 @@
 	view     *fleet.View
 	nextID   admit.ID
 
-	borrowNeeded chan fleet.ServiceName // services whose requests wait for a slot
+	borrowNeeded chan fleet.ServiceName // services with requests waiting for a slot
 }
 
 // service is the dispatcher's state of one service.
@@ -60,40 +61,40 @@
 	budget  *retry.Budget
 	waiting map[admit.ID]chan outcome
 	inUse   int
-	// recentPeak is the highest recent number of requests in flight here; that many
-	// slots are not lent.
+	// recentPeak is the decaying peak of inUse; that many slots are not lent.
 	recentPeak float64
 }
 
-// outcome is what a waiting request gets: a grant, or the reason why not.
+// outcome is the result for a waiting request: a grant or an error.
 type outcome struct {
 	grant *Grant
 	err   error
 }
 
-// Grant is a slot on a worker. It must be released.
+// Grant is an acquired slot on a worker. It must be given back with Release or
+// ReleaseUnsent.
 type Grant struct {
 	Worker    directory.Worker
 	service   fleet.ServiceName
 	grantedAt time.Time
 }
 
-// NewDispatcher returns a dispatcher of an entry daemon. longest is the
-// longest time that a request may run on a worker.
-func NewDispatcher(self fleet.Incarnation, zone fleet.AvailabilityZone, longest time.Duration, policies Policies, rnd *rand.Rand) *Dispatcher {
+// NewDispatcher returns the dispatcher of an entry daemon. drain is the maximum
+// time for which a lost daemon's requests may still use slots (see slots.New).
+func NewDispatcher(self fleet.Incarnation, zone fleet.AvailabilityZone, drain time.Duration, policies Policies, rnd *rand.Rand) *Dispatcher {
 	return &Dispatcher{
 		zone:         zone,
 		policies:     policies,
 		rnd:          rnd,
 		dir:          directory.Empty(),
-		slots:        slots.New(self, longest),
+		slots:        slots.New(self, drain),
 		services:     map[fleet.ServiceName]*service{},
 		view:         &fleet.View{},
 		borrowNeeded: make(chan fleet.ServiceName, 64),
 	}
 }
 
-// SetDirectory puts a newer directory in force.
+// SetDirectory replaces the directory by a newer one.
 func (d *Dispatcher) SetDirectory(dir *directory.Directory) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -116,15 +117,15 @@
 	d.grantAllWaiting(time.Now())
 }
 
-// Directory returns the directory in force.
+// Directory returns the current directory.
 func (d *Dispatcher) Directory() *directory.Directory {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.dir
 }
 
-// Acquire waits for a slot of a service's workers until the deadline. Every
-// error has verdict NotRun.
+// Acquire waits until the deadline for a slot on a worker of the service. All
+// errors have verdict NotRun.
 func (d *Dispatcher) Acquire(ctx context.Context, name fleet.ServiceName, class fleet.ClassName, deadline time.Time) (*Grant, error) {
 	ch, id, out := d.enqueue(name, class, deadline)
 	if ch == nil {
@@ -136,14 +137,14 @@
 	case out := <-ch:
 		return out.grant, out.err
 	case <-ctx.Done():
-		return d.cancelWait(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeCallerGone, "the caller went away while waiting"))
+		return d.cancelWait(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeCallerGone, "the caller disconnected while the request waited for a slot"))
 	case <-timer.C:
 		return d.cancelWait(name, id, ch, overloadedError(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second}))
 	}
 }
 
-// enqueue grants a slot at once if nobody waits before the request, else gives
-// it a place in the queue (ch is then not nil).
+// enqueue grants a slot immediately if none of the service's requests is waiting
+// and a slot is free, else queues the request. ch is nil unless it was queued.
 func (d *Dispatcher) enqueue(name fleet.ServiceName, class fleet.ClassName, deadline time.Time) (ch chan outcome, id admit.ID, out outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -151,7 +152,7 @@
 	svc := d.dir.Services[name]
 	s := d.services[name]
 	if svc == nil || s == nil || len(svc.Workers) == 0 {
-		return nil, 0, outcome{err: newRefusal(CodeNoWorkers, "no worker of the service is in use", time.Second)}
+		return nil, 0, outcome{err: newRefusal(CodeNoWorkers, "the service has no worker in service", time.Second)}
 	}
 	if s.queue.Waiting() == 0 {
 		if g := d.tryGrant(now, name, s, svc); g != nil {
@@ -173,7 +174,8 @@
 	return ch, id, outcome{}
 }
 
-// requestBorrow tells the borrower that a service's requests wait.
+// requestBorrow asks RunLoans to borrow slots for a service with waiting
+// requests. It doesn't block; if the channel is full, loanTick asks again.
 func (d *Dispatcher) requestBorrow(name fleet.ServiceName) {
 	select {
 	case d.borrowNeeded <- name:
@@ -189,7 +191,8 @@
 	return n
 }
 
-// tryGrant takes a slot on the worker that the pick decides for.
+// tryGrant takes a slot on the worker chosen by route.Pick. It returns nil if no
+// usable worker has a free slot.
 func (d *Dispatcher) tryGrant(now time.Time, name fleet.ServiceName, s *service, svc *directory.Service) *Grant {
 	candidates := make([]route.Candidate, 0, len(svc.Workers))
 	for _, w := range svc.Workers {
@@ -219,7 +222,7 @@
 	return nil
 }
 
-// grantWaiting grants free slots to those who wait.
+// grantWaiting grants free slots to waiting requests of a service.
 func (d *Dispatcher) grantWaiting(now time.Time, name fleet.ServiceName, s *service) {
 	svc := d.dir.Services[name]
 	for svc != nil && s.queue.Waiting() > 0 {
@@ -253,8 +256,8 @@
 	}
 }
 
-// cancelWait takes a request out of the queue. If it was granted a slot in the
-// meantime, the slot goes back.
+// cancelWait removes a request from the queue. If it was granted a slot in the
+// meantime, the slot is released.
 func (d *Dispatcher) cancelWait(name fleet.ServiceName, id admit.ID, ch chan outcome, err error) (*Grant, error) {
 	d.mu.Lock()
 	s := d.services[name]
@@ -271,7 +274,8 @@
 	return nil, err
 }
 
-// ReleaseUnsent gives back a slot on which nothing was sent.
+// ReleaseUnsent releases a slot whose request was not sent, or whose result says
+// nothing about the worker.
 func (d *Dispatcher) ReleaseUnsent(g *Grant) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -281,8 +285,8 @@
 	d.release(g)
 }
 
-// Release gives back the slot of a request that was sent. good tells whether
-// the worker served it well.
+// Release releases the slot of a request that was sent and records its result. It
+// reports whether the worker was ejected or restored because of it.
 func (d *Dispatcher) Release(g *Grant, good bool) (ejected, restored bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -318,7 +322,8 @@
 	d.grantWaiting(time.Now(), g.service, s)
 }
 
-// Retry decides whether a failed try of a service's request is repeated.
+// Retry reports whether a failed attempt of a service's request is repeated, and
+// after which delay.
 func (d *Dispatcher) Retry(name fleet.ServiceName, a retry.Attempt) (time.Duration, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -1,5 +1,6 @@
-// Package entry serves callers: it routes a request, waits for a slot, claims
-// its idempotency key, sends it to a worker and answers once and completely.
+// Package entry serves callers' HTTP requests: it routes a request, waits for a
+// slot, claims its idempotency key, sends it to a worker and writes the answer
+// only once it is complete.
 package entry
 
 import (
@@ -25,13 +26,14 @@
 
 // Request headers that callers may send.
 const (
-	// HeaderDeadline is the time a caller allows, in milliseconds.
+	// HeaderDeadline is the time that the caller allows for the request, in
+	// milliseconds from its arrival.
 	HeaderDeadline = "Postmount-Deadline-Ms"
-	// HeaderKey makes a request that is not idempotent safe to resend.
+	// HeaderKey makes a non-idempotent request safe to resend.
 	HeaderKey = "Idempotency-Key"
 )
 
-// Codes of answers by the handler.
+// Codes of errors returned by the handler.
 const (
 	CodeNoRoute               verdict.Code = "no-route"
 	CodeBadRequest            verdict.Code = "bad-request"
@@ -48,25 +50,28 @@
 	CodeStopping              verdict.Code = "stopping"
 )
 
-// Claims is what the handler needs of the claims on idempotency keys.
+// Claims claims idempotency keys at their owners.
 type Claims interface {
-	// Reachable reports whether the owner of a key has been heard of lately.
+	// Reachable reports whether the owner of a key has been in contact recently.
 	Reachable(key once.Key) bool
+	// Ask asks the owner of a key for permission to run the request.
 	Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error)
+	// End reports how a granted attempt ended. answer may be nil.
 	End(attempt once.Attempt, status once.Status, answer *once.Answer)
 }
 
-// Limits bound one request.
+// Limits limits the requests that one daemon serves.
 type Limits struct {
 	MaxBody int64 // bytes
-	// DefaultTimeout and MaxTimeout bound a request's time; a route may set
-	// its own default.
+	// DefaultTimeout applies to requests without a deadline header, unless the
+	// route sets its own. MaxTimeout limits both.
 	DefaultTimeout, MaxTimeout time.Duration
-	// MaxInFlight bounds the requests that this daemon holds at once.
+	// MaxInFlight is the maximum number of concurrent requests.
 	MaxInFlight int64
-	// MaxBuffered bounds the bytes of request bodies held at once.
+	// MaxBuffered is the maximum total size of buffered request bodies, in bytes.
 	MaxBuffered int64
-	// MaxRetained bounds one answer that is kept for a resend.
+	// MaxRetained is the maximum body size, in bytes, of an answer that is retained
+	// for resent requests.
 	MaxRetained int
 }
 
@@ -85,30 +90,31 @@
 	stopping     atomic.Bool
 }
 
-// Observer is told of every answer and every try. Its methods must be fast.
+// Observer is notified of every answer, every attempt and every worker ejected or
+// restored. It is called while the request is served, so it must not block.
 type Observer interface {
 	Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration)
 	AttemptEnded(service fleet.ServiceName, worker fleet.InstanceID, attempt int, err error)
 	HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool)
 }
 
-// Stop makes every new request be refused; those in flight go on.
+// Stop refuses new requests. Requests in flight continue.
 func (h *Handler) Stop() { h.stopping.Store(true) }
 
-// CloseConnections makes every answer from now on the last of its connection,
-// so that callers do not meet a connection that is about to be closed.
+// CloseConnections adds "Connection: close" to all further answers, so that
+// callers don't reuse a connection that is about to be closed.
 func (h *Handler) CloseConnections() { h.closing.Store(true) }
 
-// InFlight returns how many requests are being served.
+// InFlight returns the number of requests being served.
 func (h *Handler) InFlight() int64 { return h.inFlight.Load() }
 
-// call is one caller's request on its way.
+// call is an accepted request of a caller.
 type call struct {
 	req        *http.Request
 	route      fleet.Route
 	body       []byte
 	idempotent bool
-	key        once.Key // "" if none counts
+	key        once.Key // "" without a key or if the request is idempotent
 	deadline   time.Time
 	started    time.Time
 }
@@ -137,7 +143,8 @@
 	writeAnswer(w, answer)
 }
 
-// reserveBody sets aside room for a request's body and returns its size.
+// reserveBody counts a request's body against MaxBuffered and returns the size
+// counted: MaxBody if its length is unknown.
 func (h *Handler) reserveBody(r *http.Request) int64 {
 	size := r.ContentLength
 	if size < 0 || size > h.Limits.MaxBody {
@@ -152,7 +159,7 @@
 	writeProblem(w, status, err)
 }
 
-// status maps a failure of an accepted request to a status.
+// status maps an error of an accepted request to an HTTP status.
 func (h *Handler) status(err error) int {
 	switch verdict.CodeOf(err) {
 	case CodeKeyReused:
@@ -165,10 +172,11 @@
 	return statusOf(err)
 }
 
-// accept checks a request and reads it whole. Nothing has run when it fails.
+// accept validates a request and reads its body. On failure it returns an HTTP
+// status and an error of verdict NotRun.
 func (h *Handler) accept(w http.ResponseWriter, r *http.Request, started time.Time, inFlight int64) (*call, int, error) {
 	if h.stopping.Load() {
-		return nil, http.StatusServiceUnavailable, newRefusal(CodeStopping, "this entry instance is stopping", 0)
+		return nil, http.StatusServiceUnavailable, newRefusal(CodeStopping, "this entry daemon is stopping", 0)
 	}
 	if inFlight > h.Limits.MaxInFlight || h.reservedBody.Load() > h.Limits.MaxBuffered {
 		return nil, http.StatusServiceUnavailable, newRefusal(CodeOverloaded, "too many requests in flight", time.Second)
@@ -218,8 +226,8 @@
 	return nil
 }
 
-// readKey takes in the idempotency key of a request that needs one. The key of
-// an idempotent request is passed on and otherwise ignored.
+// readKey parses the idempotency key of a non-idempotent request. The key of an
+// idempotent request is only forwarded.
 func readKey(c *call) error {
 	text := c.req.Header.Get(HeaderKey)
 	if text == "" || c.idempotent {
@@ -233,11 +241,11 @@
 	return nil
 }
 
-// serve runs an accepted request. The time it may take ends at its deadline.
+// serve runs an accepted request, with retries, until its deadline.
 //
-// A caller that goes away ends an idempotent request and frees its slot. One
-// that is not idempotent is let finish once it was sent: cutting it off would
-// leave its outcome unknown, and a resend with the same key wants the answer.
+// If the caller disconnects, an idempotent request is cancelled and its slot
+// freed. A non-idempotent request that was sent continues: cancelling it would
+// leave its outcome unknown, and a resend with the same key needs the answer.
 func (h *Handler) serve(c *call) (*port.BackendAnswer, error) {
 	ctx, cancel := context.WithDeadline(c.req.Context(), c.deadline)
 	defer cancel()
@@ -253,19 +261,20 @@
 	}
 }
 
-// failedAnswerRetryable reports whether another worker may answer better: the request may
-// be repeated and the worker failed.
+// failedAnswerRetryable reports whether the worker answered with a server error to
+// an idempotent request, so that another worker may be tried.
 func (h *Handler) failedAnswerRetryable(c *call, answer *port.BackendAnswer) bool {
 	return c.idempotent && answer.Status >= http.StatusInternalServerError
 }
 
-// attempt gets a slot, claims the key and sends the request once.
+// attempt acquires a slot, claims the key if there is one and sends the request
+// once.
 func (h *Handler) attempt(ctx context.Context, c *call, attempt int) (*port.BackendAnswer, error) {
 	if !h.Standing().Current(time.Now()) {
-		return nil, newRefusal(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
+		return nil, newRefusal(CodeCutOff, "this entry daemon is cut off from its peers", time.Second)
 	}
 	if c.key != "" && !h.Claims.Reachable(c.key) {
-		return nil, newRefusal(CodeKeyOwnerUnavailable, "the entry instance that knows about this key cannot be reached", time.Second)
+		return nil, newRefusal(CodeKeyOwnerUnavailable, "the entry daemon that owns this idempotency key cannot be reached", time.Second)
 	}
 	grant, err := h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline)
 	if err != nil {
@@ -277,11 +286,11 @@
 	return h.sendKeyed(ctx, c, grant, attempt)
 }
 
-// send sends the request to the granted worker and gives the slot back.
+// send sends the request to the granted worker and releases the slot.
 func (h *Handler) send(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
 	if !h.Standing().Current(time.Now()) {
 		h.Dispatcher.ReleaseUnsent(grant)
-		return nil, newRefusal(CodeCutOff, "this entry instance is cut off from its peers", time.Second)
+		return nil, newRefusal(CodeCutOff, "this entry daemon is cut off from its peers", time.Second)
 	}
 	if !c.idempotent {
 		var cancel context.CancelFunc
@@ -302,8 +311,9 @@
 	return answer, err
 }
 
-// finishAttempt gives the slot back and judges the worker. A caller's own going away
-// says nothing about the worker.
+// finishAttempt releases the slot and records the result for the worker's health,
+// unless the caller disconnected or the worker refused the request, which say
+// nothing about its health.
 func (h *Handler) finishAttempt(ctx context.Context, c *call, grant *Grant, attempt int, answer *port.BackendAnswer, err error) {
 	h.Observer.AttemptEnded(c.route.Service, grant.Worker.ID, attempt, err)
 	if errors.Is(ctx.Err(), context.Canceled) || verdict.CodeOf(err) == port.CodeBackendRefused {
@@ -317,8 +327,8 @@
 	}
 }
 
-// forwardedHeader copies a caller's headers without those of the connection and of
-// postmount.
+// forwardedHeader returns a copy of the headers without the hop-by-hop ones and the
+// deadline header.
 func forwardedHeader(in http.Header) http.Header {
 	out := in.Clone()
 	for _, field := range strings.Split(in.Get("Connection"), ",") {
@@ -330,7 +340,7 @@
 	return out
 }
 
-// hopByHopHeaders are not passed on (RFC 9110, section 7.6.1), nor is the deadline.
+// hopByHopHeaders are not forwarded (RFC 9110, section 7.6.1), nor is the deadline.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", HeaderDeadline,
@@ -349,12 +359,14 @@
 	_, _ = w.Write(a.Body)
 }
 
-// mayHaveBody reports whether an answer with this status may have a length.
+// mayHaveBody reports whether an answer with this status may have a
+// Content-Length.
 func mayHaveBody(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// fingerprint identifies a request's content and its caller's credentials.
+// fingerprint hashes a request's content and its caller's credentials. Each part
+// is prefixed by its length, so that different parts can't give the same input.
 func fingerprint(c *call) once.Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{c.req.Method, c.req.Host, c.req.URL.RequestURI(), c.req.Header.Get("Authorization"), c.req.Header.Get("Content-Type")} {
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -23,7 +23,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// fakes of a handler's surroundings.
+// fakeClaims gives the same reply to every claim.
 type fakeClaims struct{ reply once.Reply }
 
 func (f *fakeClaims) Reachable(once.Key) bool { return true }
@@ -34,7 +34,7 @@
 
 type fakeBackend struct {
 	sent []port.BackendRequest
-	errs []error // of the first sends
+	errs []error // results of the first sends; nil or beyond the end is a success
 }
 
 func (f *fakeBackend) RetainConnections(map[fleet.InstanceID]string) {}
@@ -82,7 +82,7 @@
 
 func key() string { return uuid.Must(uuid.NewV7()).String() }
 
-func TestBadRequestsAreRefusedAndDidNotRun(t *testing.T) {
+func TestInvalidRequestsAreRefusedWithoutRunning(t *testing.T) {
 	for _, tc := range []struct {
 		name, target, body string
 		header             []string
@@ -94,7 +94,7 @@
 		{"too large", "http://desk/orders", strings.Repeat("x", 17), nil, http.StatusRequestEntityTooLarge, CodeTooLarge},
 		{"bad deadline", "http://desk/orders", "", []string{HeaderDeadline, "soon"}, http.StatusBadRequest, CodeBadRequest},
 		{"negative deadline", "http://desk/orders", "", []string{HeaderDeadline, "-1"}, http.StatusBadRequest, CodeBadRequest},
-		{"key of another form", "http://desk/orders", "", []string{HeaderKey, "order-1"}, http.StatusBadRequest, CodeBadKey},
+		{"key is not a UUIDv7", "http://desk/orders", "", []string{HeaderKey, "order-1"}, http.StatusBadRequest, CodeBadKey},
 		{"no workers", "http://desk/empty", "", nil, http.StatusServiceUnavailable, CodeNoWorkers},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 	}
 }
 
-func TestRepliesAboutAKey(t *testing.T) {
+func TestAnswersForClaimReplies(t *testing.T) {
 	for _, tc := range []struct {
 		result once.Result
 		status int
@@ -131,7 +131,7 @@
 	}
 }
 
-func TestRetriesOnlyWhatMayBeRepeated(t *testing.T) {
+func TestRetriesOnlyRepeatableRequests(t *testing.T) {
 	broken := verdict.New(verdict.MayHaveRun, port.CodeBackendConnectionBroken, "broken")
 	refused := verdict.New(verdict.NotRun, port.CodeBackendUnreachable, "refused")
 	for _, tc := range []struct {
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestForwardsWithoutTheHeadersOfTheConnection(t *testing.T) {
+func TestForwardsWithoutHopByHopHeaders(t *testing.T) {
 	b := &fakeBackend{}
 	do(newHandler(&fakeClaims{}, b), http.MethodGet, "http://desk/orders?x=1", "", "Connection", "X-Hop", "X-Hop", "1", "X-Kept", "1", HeaderDeadline, "500")
 	require.Len(t, b.sent, 1)
@@ -161,7 +161,7 @@
 	assert.Equal(t, http.Header{"X-Kept": {"1"}}, b.sent[0].Header)
 }
 
-func TestCutOffRefusesAtOnce(t *testing.T) {
+func TestCutOffDaemonRefusesRequests(t *testing.T) {
 	b := &fakeBackend{}
 	h := newHandler(&fakeClaims{}, b)
 	h.Standing = func() member.Standing { return member.Standing{Epoch: 1, Until: time.Now().Add(-time.Second)} }
@@ -171,7 +171,7 @@
 	assert.Empty(t, b.sent)
 }
 
-func TestStoppingRefusesAtOnce(t *testing.T) {
+func TestStoppingDaemonRefusesRequests(t *testing.T) {
 	h := newHandler(&fakeClaims{}, &fakeBackend{})
 	h.CloseConnections()
 	h.Stop()
@@ -190,7 +190,7 @@
 		w := httptest.NewRecorder()
 		newHandler(&fakeClaims{reply: once.Reply{Result: once.Granted}}, &fakeBackend{}).ServeHTTP(w, r)
 		if w.Header().Get(verdict.Header) == "" {
-			t.Error("an answer without a verdict")
+			t.Errorf("status %d: answer without a %s header", w.Code, verdict.Header)
 		}
 	})
 }
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -12,12 +12,12 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// inProgressPollInterval is the pause between questions about an attempt that runs
-// elsewhere.
+// inProgressPollInterval is the interval at which the key's owner is asked about
+// an earlier attempt that is still running.
 const inProgressPollInterval = 30 * time.Millisecond
 
-// sendKeyed claims the request's key before it sends anything. A request whose
-// key was claimed before gets the first attempt's answer instead.
+// sendKeyed claims the request's idempotency key and then sends the request. If an
+// earlier attempt holds the key, it waits for that attempt and returns its answer.
 func (h *Handler) sendKeyed(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
 	fp := fingerprint(c)
 	id, reply, err := h.Claims.Ask(ctx, c.key, fp)
@@ -31,9 +31,9 @@
 		if !sleep.For(ctx, inProgressPollInterval) {
 			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key is still running")
 		}
-		// The earlier attempt may be abandoned, and this one granted.
+		// The earlier attempt may have been abandoned and this one granted now.
 		if id, reply, err = h.Claims.Ask(ctx, c.key, fp); err != nil {
-			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running")
+			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running and the key's owner cannot be asked any more")
 		}
 		if reply.Result == once.Granted {
 			if grant, err = h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline); err != nil {
@@ -49,10 +49,10 @@
 }
 
 func claimError(err error) *verdict.Error {
-	return verdict.Wrap(err, verdict.Of(err), verdict.CodeOf(err), "claim the key")
+	return verdict.Wrap(err, verdict.Of(err), verdict.CodeOf(err), "claim the idempotency key")
 }
 
-// sendClaimed sends a request whose key is claimed, and notes its end.
+// sendClaimed sends a request whose key is claimed and records the result.
 func (h *Handler) sendClaimed(ctx context.Context, c *call, grant *Grant, id once.Attempt, attempt int) (*port.BackendAnswer, error) {
 	answer, err := h.send(ctx, c, grant, attempt)
 	switch {
@@ -66,7 +66,8 @@
 	return answer, err
 }
 
-// retainedAnswer returns the answer as it is kept for a resend, nil if too large.
+// retainedAnswer returns the answer to keep for resent requests, nil if it is
+// larger than Limits.MaxRetained.
 func (h *Handler) retainedAnswer(a *port.BackendAnswer) *once.Answer {
 	if len(a.Body) > h.Limits.MaxRetained {
 		return nil
@@ -74,12 +75,11 @@
 	return &once.Answer{Status: a.Status, Header: a.Header, Body: a.Body}
 }
 
-// HeaderReplayed marks an answer that belongs to an earlier attempt with the
-// same key.
+// HeaderReplayed marks an answer of an earlier attempt with the same key.
 const HeaderReplayed = "Postmount-Replayed"
 
-// earlierAttemptAnswer turns the owner's reply about an earlier attempt into the
-// answer of this one.
+// earlierAttemptAnswer converts the owner's reply about an earlier attempt into
+// the answer or error of this one.
 func earlierAttemptAnswer(r once.Reply) (*port.BackendAnswer, error) {
 	switch r.Result {
 	case once.Answered:
@@ -90,35 +90,35 @@
 		header.Set(HeaderReplayed, "true")
 		return &port.BackendAnswer{Status: r.Answer.Status, Header: header, Body: r.Answer.Body}, nil
 	case once.NotRetained:
-		return nil, verdict.New(verdict.MayHaveRun, CodeAnswerNotRetained, "the request ran, and its answer is no longer kept")
+		return nil, verdict.New(verdict.MayHaveRun, CodeAnswerNotRetained, "the request ran, but its answer is no longer retained")
 	case once.Mismatch:
-		return nil, verdict.New(verdict.NotRun, CodeKeyReused, "the key was used for another request")
+		return nil, verdict.New(verdict.NotRun, CodeKeyReused, "the idempotency key was already used for a different request")
 	case once.Expired:
-		return nil, verdict.New(verdict.MayHaveRun, CodeKeyExpired, "the key is older than answers are kept")
+		return nil, verdict.New(verdict.MayHaveRun, CodeKeyExpired, "the idempotency key is older than the retention period")
 	case once.FromFuture:
-		return nil, verdict.New(verdict.NotRun, CodeKeyFromFuture, "the key's time lies in the future")
+		return nil, verdict.New(verdict.NotRun, CodeKeyFromFuture, "the timestamp of the idempotency key is in the future")
 	default:
-		return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptUnknown, "an earlier attempt with this key may have run")
+		return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptUnknown, "an earlier attempt with this idempotency key may have run")
 	}
 }
 
-// shouldRetry decides whether a failed try is repeated. A keyed request that may
-// have run never is: its key stays claimed.
+// shouldRetry reports whether a failed attempt is repeated, and after which delay.
+// A keyed request that may have run is never repeated: its key stays claimed.
 func (h *Handler) shouldRetry(ctx context.Context, c *call, attempt int, err error) (time.Duration, bool) {
 	if ctx.Err() != nil || (err != nil && h.isFinal(err)) {
 		return 0, false
 	}
 	return h.Dispatcher.Retry(c.route.Service, retry.Attempt{
 		Number:     attempt,
-		Verdict:    verdict.Of(err), // Done for an answer that reports a failure
+		Verdict:    verdict.Of(err), // Done for an answer with a 5xx status
 		Idempotent: c.idempotent,
 		Overloaded: verdict.CodeOf(err) == port.CodeBackendRefused,
 		Remaining:  time.Until(c.deadline),
 	})
 }
 
-// isFinal reports whether a failure was postmount's own decision: it is answered
-// at once and not tried again.
+// isFinal reports whether an error was postmount's own decision rather than a
+// failure of the backend. It is returned without a retry.
 func (h *Handler) isFinal(err error) bool {
 	switch verdict.CodeOf(err) {
 	case port.CodeBackendUnreachable, port.CodeBackendConnectionBroken, port.CodeBackendAnswerTruncated, port.CodeBackendAnswerForeign, port.CodeBackendTimeout:
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -13,16 +13,17 @@
 	"github.com/postmount/postmount/requests/slots"
 )
 
-// Times of lending.
+// Timing of slot loans.
 const (
-	// loanIdleTimeout is how long a borrowed slot may lie idle before it goes back.
+	// loanIdleTimeout is the age from which a borrowed slot is returned when free,
+	// and the interval between attempts to return it.
 	loanIdleTimeout  = 300 * time.Millisecond
 	loanTickInterval = 100 * time.Millisecond
-	// peakDecay is by how much the remembered peak shrinks at each tick.
+	// peakDecay is the factor applied to recentPeak at each tick.
 	peakDecay = 0.97
-	// borrowRetryDelay is the pause after every peer has refused.
+	// borrowRetryDelay is the delay after all peers have refused.
 	borrowRetryDelay = 20 * time.Millisecond
-	// returnTimeout bounds the tries to give a loan back.
+	// returnTimeout limits the attempts to return a loan.
 	returnTimeout = 30 * time.Second
 )
 
@@ -49,8 +50,8 @@
 	d.slots.PeerSettled(peer, e)
 }
 
-// Advance implements cluster.Shares: it takes up the shares of the view in
-// force once nothing of earlier views can be in use.
+// Advance implements cluster.Shares. It activates the shares of the current view
+// once no slots of earlier views can be in use.
 func (d *Dispatcher) Advance(now time.Time, retired bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -58,7 +59,8 @@
 	d.grantAllWaiting(now)
 }
 
-// OnBorrow implements cluster.Shares: it lends a slot that is not needed here.
+// OnBorrow implements cluster.Shares. It lends a slot that this daemon doesn't
+// need.
 func (d *Dispatcher) OnBorrow(r port.BorrowRequest) port.BorrowReply {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,9 +68,9 @@
 	return port.BorrowReply{Granted: ok, Loan: l}
 }
 
-// keepIdle returns how many idle slots of a worker stay here: all of them while
-// requests wait, none while the idle slots of its service outnumber what the
-// recent peak would need.
+// keepIdle returns the number of idle slots of a worker that are not lent: all of
+// them while requests of its service wait, none while the service has more idle
+// slots than it needs to return to its recent peak.
 func (d *Dispatcher) keepIdle(id fleet.InstanceID) int {
 	for name, svc := range d.dir.Services {
 		for _, w := range svc.Workers {
@@ -120,7 +122,7 @@
 	}
 }
 
-// loanTick gives idle loans back and lets the remembered peaks fade.
+// loanTick returns idle loans and decays the recent peaks.
 func (d *Dispatcher) loanTick(ctx context.Context, peers port.Peers) {
 	d.mu.Lock()
 	now := time.Now()
@@ -145,7 +147,8 @@
 	}
 }
 
-// returnLoans returns loans until the lender has heard of it.
+// returnLoans returns loans to their lender, retrying until it confirms or
+// returnTimeout has passed.
 func returnLoans(ctx context.Context, peers port.Peers, addr string, ids []slots.LoanID) {
 	ctx, cancel := context.WithTimeout(ctx, returnTimeout)
 	defer cancel()
@@ -156,8 +159,8 @@
 	}
 }
 
-// borrowFor asks the peers in turn, at random, until nobody waits or every
-// peer has refused.
+// borrowFor asks random peers for slots until no requests wait or as many peers
+// in a row have refused as there are.
 func (d *Dispatcher) borrowFor(ctx context.Context, name fleet.ServiceName, self fleet.Incarnation, peers port.Peers) {
 	refused := 0
 	for ctx.Err() == nil {
@@ -168,7 +171,7 @@
 		reply, err := peers.Borrow(ctx, lender.PeerAddr, req)
 		switch {
 		case err != nil:
-			// The loan may have been granted unheard.
+			// The loan may have been granted and the reply lost.
 			go returnLoans(ctx, peers, lender.PeerAddr, []slots.LoanID{req.Loan})
 			refused++
 		case reply.Granted:
@@ -226,7 +229,7 @@
 	d.grantWaiting(time.Now(), name, d.services[name])
 }
 
-// Settled reports whether the slot shares of the view in force are taken up.
+// Settled reports whether the slot shares of the current view are in use.
 func (d *Dispatcher) Settled() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
