--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAMeterOnAnInstanceThatIsNotSuspended: without suspension both clocks advance alike.
-func TestAMeterOnAnInstanceThatIsNotSuspended(t *testing.T) {
+// TestMeterWithoutSuspension: without suspension both clocks advance alike.
+func TestMeterWithoutSuspension(t *testing.T) {
 	m, err := NewMeter()
 	require.NoError(t, err)
 	last := time.Duration(0)
--- a/jobs/apikey/apikey_test.go
+++ b/jobs/apikey/apikey_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestARing(t *testing.T) {
+func TestRing(t *testing.T) {
 	r := Ring{}
 	require.NoError(t, r.Add("k1", "one"))
 	require.NoError(t, r.Add("k2", "one"), "a tenant has several keys during key rotation")
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestKeysAreNotKept: the encoded ring does not contain the keys, and can be decoded again.
-func TestKeysAreNotKept(t *testing.T) {
+// TestEncodedRingContainsNoKeys: the encoded ring does not contain the keys, and can be decoded again.
+func TestEncodedRingContainsNoKeys(t *testing.T) {
 	r := Ring{}
 	require.NoError(t, r.Add("very-secret", "one"))
 	raw, err := json.Marshal(r)
--- a/jobs/calls/calls.go
+++ b/jobs/calls/calls.go
@@ -53,43 +53,43 @@
 }
 
 // Answered records a call that was answered.
-func (o *LossDetector) Answered() { o.record(0, true) }
+func (d *LossDetector) Answered() { d.record(0, true) }
 
 // Lost records an unanswered call to a worker that answered the previous one.
-func (o *LossDetector) Lost() { o.record(1, true) }
+func (d *LossDetector) Lost() { d.record(1, true) }
 
 // LostRepeatedly records a further unanswered call to the same worker. As the worker itself may
 // be down, the call counts only for detecting that the link is down.
-func (o *LossDetector) LostRepeatedly() { o.record(1, false) }
+func (d *LossDetector) LostRepeatedly() { d.record(1, false) }
 
-func (o *LossDetector) record(lost float64, wasReachable bool) {
-	o.fastLossRate = fastDecay*o.fastLossRate + (1-fastDecay)*lost
+func (d *LossDetector) record(lost float64, wasReachable bool) {
+	d.fastLossRate = fastDecay*d.fastLossRate + (1-fastDecay)*lost
 	if !wasReachable {
 		return
 	}
-	o.lossRate = decay*o.lossRate + (1-decay)*lost
+	d.lossRate = decay*d.lossRate + (1-decay)*lost
 	switch {
-	case o.lossRate >= LossyAbove:
-		o.lossy = true
-	case o.lossRate < LossyUntilBelow:
-		o.lossy = false
+	case d.lossRate >= LossyAbove:
+		d.lossy = true
+	case d.lossRate < LossyUntilBelow:
+		d.lossy = false
 	}
 }
 
 // Lossy reports whether single calls are lost while most are answered.
-func (o *LossDetector) Lossy() bool {
-	switch o.Policy {
+func (d *LossDetector) Lossy() bool {
+	switch d.Policy {
 	case Patient:
 		return false
 	case Short:
-		return o.fastLossRate < linkDownAbove
+		return d.fastLossRate < linkDownAbove
 	}
-	return o.lossy && o.fastLossRate < linkDownAbove
+	return d.lossy && d.fastLossRate < linkDownAbove
 }
 
 // Timeout returns the timeout of a call: usual, or at most LossyTimeout on a lossy link.
-func (o *LossDetector) Timeout(usual time.Duration) time.Duration {
-	if o.Lossy() {
+func (d *LossDetector) Timeout(usual time.Duration) time.Duration {
+	if d.Lossy() {
 		return min(usual, LossyTimeout)
 	}
 	return usual
@@ -97,8 +97,8 @@
 
 // Attempts returns how many times to send an unanswered call: usual, or at least LossyAttempts
 // on a lossy link.
-func (o *LossDetector) Attempts(usual int) int {
-	if o.Lossy() {
+func (d *LossDetector) Attempts(usual int) int {
+	if d.Lossy() {
 		return max(usual, LossyAttempts)
 	}
 	return usual
--- a/jobs/calls/calls_test.go
+++ b/jobs/calls/calls_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestBaselines(t *testing.T) {
+func TestFixedPolicies(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	patient, short := LossDetector{Policy: Patient}, LossDetector{Policy: Short}
 	assert.Zero(t, simulate(&patient, rnd, 1000, 0.2))
@@ -48,7 +48,7 @@
 	assert.LessOrEqual(t, simulate(&short, rnd, 1000, 1), 13)
 }
 
-func TestWaiting(t *testing.T) {
+func TestTimeoutAndAttempts(t *testing.T) {
 	var o LossDetector
 	assert.Equal(t, usual, o.Timeout(usual))
 	assert.Equal(t, 2, o.Attempts(2))
--- a/jobs/explain/explain_test.go
+++ b/jobs/explain/explain_test.go
@@ -26,7 +26,7 @@
 {"level":"info","ts":"2030-01-01T00:00:04.010Z","msg":"job-recorded","job":"00000000000000aa","why":"completed"}
 `
 
-func readBoth(t *testing.T) []Line {
+func readLogs(t *testing.T) []Line {
 	a, bad, err := Read("d1", strings.NewReader(acceptorLog))
 	require.NoError(t, err)
 	assert.Equal(t, 1, bad)
@@ -36,7 +36,7 @@
 }
 
 func TestTimelineOfALateJob(t *testing.T) {
-	tl := Explain("00000000000000aa", readBoth(t))
+	tl := Explain("00000000000000aa", readLogs(t))
 	var events []string
 	for _, l := range tl.Lines {
 		events = append(events, l.Event)
@@ -73,13 +73,13 @@
 	}, Explain("00000000000000cd", lines).Findings)
 }
 
-func TestJobThatNoOwnerKnew(t *testing.T) {
-	tl := Explain("00000000000000bb", readBoth(t))
+func TestJobNotSeenByAnyOwner(t *testing.T) {
+	tl := Explain("00000000000000bb", readLogs(t))
 	assert.Equal(t, []string{"accepted, but not seen by any owner"}, tl.Findings)
 }
 
 func TestUnknownJob(t *testing.T) {
-	tl := Explain("00000000000000cc", readBoth(t))
+	tl := Explain("00000000000000cc", readLogs(t))
 	assert.Empty(t, tl.Lines)
 	require.Len(t, tl.Findings, 1)
 	assert.Contains(t, tl.Findings[0], "no log line contains this job")
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCrashesConclusiveAndRisk(t *testing.T) {
+func TestProofThatATaskCrashesItsWorkers(t *testing.T) {
 	atStart := Crash{AtStart: true, TimeKnown: true, SoleSuspect: true}
 	atStartShared := Crash{AtStart: true, TimeKnown: true}
 	lateShared := Crash{TimeKnown: true}
--- a/jobs/ledger/accept_test.go
+++ b/jobs/ledger/accept_test.go
@@ -15,41 +15,41 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// outage is a store that resets connections while it is away, after the transaction was sent.
-type outage struct {
+// resettingStore is a store that resets connections while it is down, after the transaction was sent.
+type resettingStore struct {
 	Store
-	away    atomic.Bool
+	down    atomic.Bool
 	commits int
 }
 
-func (o *outage) Commit(context.Context, Txn) (TxnResult, error) {
+func (o *resettingStore) Commit(context.Context, Txn) (TxnResult, error) {
 	o.commits++
-	if o.away.Load() {
+	if o.down.Load() {
 		return TxnResult{}, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "connection reset")
 	}
 	return TxnResult{Committed: true}, nil
 }
 
-func (o *outage) KeepAlive(context.Context, LeaseID) (bool, error) {
-	if o.away.Load() {
+func (o *resettingStore) KeepAlive(context.Context, LeaseID) (bool, error) {
+	if o.down.Load() {
 		return false, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "connection reset")
 	}
 	return true, nil
 }
 
-func (o *outage) Relay() Store      { return nil }
-func (o *outage) RelayFailed(Store) {}
+func (o *resettingStore) Relay() Store      { return nil }
+func (o *resettingStore) RelayFailed(Store) {}
 
-// TestSubmissionsWhileTheStoreIsAway: callers try five times within 3 s, at once after
+// TestSubmissionsDuringStoreOutage: callers try five times within 3 s, at once after
 // MayHaveRun and after a delay after NotRun. So that they don't use up their attempts, all but
 // the first submissions of an outage must be refused with NotRun without sending anything, and
 // a transaction whose outcome is unknown must be retried before it is given up.
-func TestSubmissionsWhileTheStoreIsAway(t *testing.T) {
+func TestSubmissionsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		s := &outage{}
-		s.away.Store(true)
+		s := &resettingStore{}
+		s.down.Store(true)
 		f := NewFailover(s, s, time.Now, func(error) {})
 		a := NewAcceptor(f)
 		a.Run(ctx)
@@ -70,7 +70,7 @@
 		}
 		assert.Equal(t, sent, s.commits, "refused submissions are not sent")
 
-		s.away.Store(false)
+		s.down.Store(false)
 		assert.Error(t, accept(40), "no call has succeeded since the outage")
 		_, err := f.KeepAlive(ctx, 1)
 		require.NoError(t, err)
@@ -78,17 +78,17 @@
 	})
 }
 
-// TestAnAnswerThatIsLostOnce: the transaction is retried, and the caller is told that the job
+// TestLostAnswerIsRetried: the transaction is retried, and the caller is told that the job
 // is stored.
-func TestAnAnswerThatIsLostOnce(t *testing.T) {
+func TestLostAnswerIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		s := &outage{}
-		s.away.Store(true)
+		s := &resettingStore{}
+		s.down.Store(true)
 		a := NewAcceptor(NewFailover(s, s, time.Now, func(error) {}))
 		a.Run(ctx)
-		time.AfterFunc(300*time.Millisecond, func() { s.away.Store(false) })
+		time.AfterFunc(300*time.Millisecond, func() { s.down.Store(false) })
 		assert.NoError(t, a.Accept(ctx, &job.Job{ID: "00000000000000ab"}))
 	})
 }
--- a/jobs/ledger/entries_test.go
+++ b/jobs/ledger/entries_test.go
@@ -14,10 +14,10 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestABadRecordHarmsNoOther: an invalid value of a job, its progress or a wave, left by another
+// TestInvalidRecordsDoNotAffectOthers: an invalid value of a job, its progress or a wave, left by another
 // writer, must not keep a daemon from loading the other jobs. One such value used to make
 // loading fail for every daemon, permanently (found by code review).
-func TestABadRecordHarmsNoOther(t *testing.T) {
+func TestInvalidRecordsDoNotAffectOthers(t *testing.T) {
 	const good = `{"ID":"00000000000000aa","Queue":"q","Service":"s","Steps":[{"Count":2}],"AcceptedAt":"2030-01-01T00:00:00Z"}`
 	for key, value := range map[string]string{
 		"jobs/in/00000000000000bb":  "\xff",
@@ -43,7 +43,7 @@
 			})
 		})
 	}
-	t.Run("an election", electBesideBadRecords)
+	t.Run("an election", testElectionWithInvalidRecords)
 	t.Run("progress that cannot be read", func(t *testing.T) {
 		synctest.Test(t, func(t *testing.T) {
 			store := jobfleet.NewStore()
@@ -56,9 +56,9 @@
 	})
 }
 
-// electBesideBadRecords: an election succeeds whatever the values of the owner's keys are, and
+// testElectionWithInvalidRecords: an election succeeds whatever the values of the owner's keys are, and
 // its term is higher than all before.
-func electBesideBadRecords(t *testing.T) {
+func testElectionWithInvalidRecords(t *testing.T) {
 	for _, key := range []string{"owner/lock", "owner/term", "sequence"} {
 		t.Run(key, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -175,17 +175,17 @@
 func tryPaths[T any](ctx context.Context, f *Failover, probes bool, call func(context.Context, Store) (T, error)) (T, error) {
 	var out T
 	var err error
-	for _, w := range f.paths(probes) {
+	for _, p := range f.paths(probes) {
 		began := f.now()
-		out, err = callPath(ctx, w, call)
+		out, err = callPath(ctx, p, call)
 		if err == nil || verdict.CodeOf(err) != CodeStoreUnavailable {
-			f.pathSucceeded(w.store, began)
+			f.pathSucceeded(p.store, began)
 			return out, err
 		}
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return out, err // cancelled by the caller, not a failure of the store
 		}
-		f.pathFailed(w.store, began, err)
+		f.pathFailed(p.store, began, err)
 		if ctx.Err() != nil {
 			break
 		}
@@ -195,13 +195,13 @@
 }
 
 // callPath makes a call on one path within the path's timeout.
-func callPath[T any](ctx context.Context, w path, call func(context.Context, Store) (T, error)) (T, error) {
-	if w.timeout > 0 {
+func callPath[T any](ctx context.Context, p path, call func(context.Context, Store) (T, error)) (T, error) {
+	if p.timeout > 0 {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, w.timeout)
+		ctx, cancel = context.WithTimeout(ctx, p.timeout)
 		defer cancel()
 	}
-	return call(ctx, w.store)
+	return call(ctx, p.store)
 }
 
 type getResult struct {
@@ -250,18 +250,18 @@
 func (f *Failover) Commit(ctx context.Context, t Txn) (TxnResult, error) {
 	var res TxnResult
 	var err error
-	for _, w := range f.paths(false) {
+	for _, p := range f.paths(false) {
 		began := f.now()
-		res, err = w.store.Commit(ctx, t)
+		res, err = p.store.Commit(ctx, t)
 		if err == nil {
-			f.pathSucceeded(w.store, began)
+			f.pathSucceeded(p.store, began)
 			f.noteRevision(res.Revision)
 			return res, nil
 		}
 		if errors.Is(ctx.Err(), context.Canceled) {
 			return res, err
 		}
-		f.pathFailed(w.store, began, err)
+		f.pathFailed(p.store, began, err)
 		if verdict.Of(err) != verdict.NotRun || ctx.Err() != nil {
 			break
 		}
--- a/jobs/ledger/failover_test.go
+++ b/jobs/ledger/failover_test.go
@@ -12,25 +12,25 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// scripted is a store whose Get runs a function.
-type scripted struct {
+// fakeStore is a store whose Get runs a function.
+type fakeStore struct {
 	Store
 	get   func(ctx context.Context) error
 	calls int
 
-	commits  int
-	failures int // calls of RelayFailed
+	commits       int
+	relayFailures int // calls of RelayFailed
 }
 
-func (s *scripted) Get(ctx context.Context, _ string, _ bool) (Item, bool, error) {
+func (s *fakeStore) Get(ctx context.Context, _ string, _ bool) (Item, bool, error) {
 	s.calls++
 	return Item{}, false, s.get(ctx)
 }
 
-// Relay implements Relays: the scripted store is the relay.
-func (s *scripted) Relay() Store { return s }
+// Relay implements Relays: the fake store is its own relay.
+func (s *fakeStore) Relay() Store { return s }
 
-func (s *scripted) RelayFailed(Store) { s.failures++ }
+func (s *fakeStore) RelayFailed(Store) { s.relayFailures++ }
 
 func storeError(context.Context) error {
 	return verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
@@ -40,8 +40,8 @@
 
 func TestCancelledCallIsNoFailureOfTheStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
-	direct := &scripted{get: func(context.Context) error { cancel(); return storeError(ctx) }}
-	relay := &scripted{get: answers}
+	direct := &fakeStore{get: func(context.Context) error { cancel(); return storeError(ctx) }}
+	relay := &fakeStore{get: answers}
 	failures := 0
 	f := NewFailover(direct, relay, time.Now, func(error) { failures++ })
 	_, _, err := f.Get(ctx, "k", false)
@@ -59,7 +59,7 @@
 // failure of both the direct path again.
 func TestPathsAlternate(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	direct, relay := &scripted{get: storeError}, &scripted{get: answers}
+	direct, relay := &fakeStore{get: storeError}, &fakeStore{get: answers}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	for range 2 {
 		_, _, err := f.Get(context.Background(), "k", false)
@@ -78,12 +78,12 @@
 	assert.Equal(t, 3, relay.calls)
 }
 
-// TestACutOffDaemonStaysWithItsPeers: while no connection to the store can be opened, a failed
+// TestNoDirectRetryWhileDialFails: while no connection to the store can be opened, a failed
 // relay does not make the next call try the direct path.
-func TestACutOffDaemonStaysWithItsPeers(t *testing.T) {
+func TestNoDirectRetryWhileDialFails(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
-	direct, relay := &scripted{get: refused}, &scripted{get: storeError}
+	direct, relay := &fakeStore{get: refused}, &fakeStore{get: storeError}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	_, _, err := f.Get(context.Background(), "k", false)
 	require.Error(t, err)
@@ -91,15 +91,15 @@
 	_, _, err = f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
 	assert.Equal(t, 1, direct.calls)
-	assert.Equal(t, 1, relay.failures, "the relay's failure is reported")
+	assert.Equal(t, 1, relay.relayFailures, "the relay's failure is reported")
 }
 
-// TestADaemonThatStaysCutOffTriesLessOften: each probe of the direct path costs a timeout, so
+// TestDirectBackoffGrowsWhileDialFails: each probe of the direct path costs a timeout, so
 // the backoff grows; an answer on the direct path resets it.
-func TestADaemonThatStaysCutOffTriesLessOften(t *testing.T) {
+func TestDirectBackoffGrowsWhileDialFails(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
-	direct, relay := &scripted{get: refused}, &scripted{get: answers}
+	direct, relay := &fakeStore{get: refused}, &fakeStore{get: answers}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	during := func(d time.Duration) int {
 		before := direct.calls
@@ -116,24 +116,24 @@
 	assert.Equal(t, 2, during(time.Second), "the backoff starts again")
 }
 
-// hangs is a store that never answers.
-func hangs(ctx context.Context) error {
+// neverAnswers is a store that never answers.
+func neverAnswers(ctx context.Context) error {
 	<-ctx.Done()
 	return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
 }
 
-func (s *scripted) Commit(ctx context.Context, _ Txn) (TxnResult, error) {
+func (s *fakeStore) Commit(ctx context.Context, _ Txn) (TxnResult, error) {
 	s.commits++
 	return TxnResult{Committed: true}, s.get(ctx)
 }
 
-// TestACutOffDaemonIsServedByPeersAllTheTime: once a call on the direct path was not answered,
+// TestRelayServesDuringPartition: once a call on the direct path was not answered,
 // no transaction is sent there, and a call that probes it leaves enough of its time for the
 // relay.
-func TestACutOffDaemonIsServedByPeersAllTheTime(t *testing.T) {
+func TestRelayServesDuringPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 900 * time.Millisecond
-		direct, relay := &scripted{get: hangs}, &scripted{get: answers}
+		direct, relay := &fakeStore{get: neverAnswers}, &fakeStore{get: answers}
 		f := NewFailover(direct, relay, time.Now, func(error) {})
 		call := func(do func(ctx context.Context) error) (time.Duration, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), budget)
--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -12,8 +12,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// own runs an owner with the loaded job. It must not panic, whatever the job is.
-func own(loaded owner.Loaded) {
+// runOwner runs an owner with the loaded job. It must not panic, whatever the job is.
+func runOwner(loaded owner.Loaded) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{Queues: []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2}}, Services: []job.Service{{Name: "s"}}}
 	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, StatusRetention: time.Minute}, catalog, []owner.Loaded{loaded}, now)
@@ -24,8 +24,8 @@
 	c.PendingRecords(10)
 }
 
-// mostTasks bounds the tasks that a fuzzed job makes an owner start.
-const mostTasks = 1000
+// maxFuzzTasks bounds the tasks that a fuzzed job makes an owner start.
+const maxFuzzTasks = 1000
 
 func FuzzSubmission(f *testing.F) {
 	const id = "00000000000000aa"
@@ -42,10 +42,10 @@
 		if ch.Ended != nil {
 			require.True(t, ch.Ended.State.Final())
 			l.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
-		} else if ch.Submitted.Occurrences()*len(ch.Submitted.Steps) > mostTasks || ch.Submitted.Steps[0].Count > mostTasks {
+		} else if ch.Submitted.Occurrences()*len(ch.Submitted.Steps) > maxFuzzTasks || ch.Submitted.Steps[0].Count > maxFuzzTasks {
 			return
 		}
-		own(l)
+		runOwner(l)
 	})
 }
 
@@ -57,7 +57,7 @@
 		if json.Unmarshal(raw, &p) != nil || p.Validate(j) != nil {
 			return
 		}
-		own(owner.Loaded{Job: j, Progress: &p})
+		runOwner(owner.Loaded{Job: j, Progress: &p})
 	})
 }
 
--- a/jobs/ledger/partition.go
+++ b/jobs/ledger/partition.go
@@ -26,29 +26,29 @@
 }
 
 // directFailed records a failed direct call.
-func (c *partitionDetector) directFailed(began, now time.Time) {
+func (d *partitionDetector) directFailed(began, now time.Time) {
 	if now.Sub(began) < minUnansweredTime {
-		*c = partitionDetector{} // an immediate refusal is an answer
+		*d = partitionDetector{} // an immediate refusal is an answer
 		return
 	}
-	if c.unanswered == 0 {
-		c.firstFailure = began
+	if d.unanswered == 0 {
+		d.firstFailure = began
 	}
-	c.unanswered++
-	c.failedAfterRelay = c.failedAfterRelay || !c.relayAnswered.IsZero() && began.After(c.relayAnswered)
+	d.unanswered++
+	d.failedAfterRelay = d.failedAfterRelay || !d.relayAnswered.IsZero() && began.After(d.relayAnswered)
 }
 
 // relaySucceeded records an answered call through another daemon.
-func (c *partitionDetector) relaySucceeded(began, now time.Time) {
-	if c.unanswered > 0 && c.relayAnswered.IsZero() && now.Sub(began) <= maxPromptRelay {
-		c.relayAnswered = now
+func (d *partitionDetector) relaySucceeded(began, now time.Time) {
+	if d.unanswered > 0 && d.relayAnswered.IsZero() && now.Sub(began) <= maxPromptRelay {
+		d.relayAnswered = now
 	}
 }
 
 // duration returns how long the partition has lasted, 0 if there is none.
-func (c *partitionDetector) duration(now time.Time) time.Duration {
-	if c.unanswered < minUnansweredCalls || !c.failedAfterRelay {
+func (d *partitionDetector) duration(now time.Time) time.Duration {
+	if d.unanswered < minUnansweredCalls || !d.failedAfterRelay {
 		return 0
 	}
-	return now.Sub(c.firstFailure)
+	return now.Sub(d.firstFailure)
 }
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -25,7 +25,7 @@
 	// PriorOrders are the orders that the previous owner may have sent within the last
 	// seconds of its term.
 	PriorOrders []owner.RecentOrder
-	// PriorOrdersUnknown says that PreviousOrders could not be read.
+	// PriorOrdersUnknown says that PriorOrders could not be read.
 	PriorOrdersUnknown bool
 
 	store            Store
--- a/jobs/ledger/term_test.go
+++ b/jobs/ledger/term_test.go
@@ -34,9 +34,9 @@
 	return term
 }
 
-// TestTheNextOwnerKnowsOfOrders: the orders that an owner recorded with its last Write or
+// TestNextOwnerKnowsPriorOrders: the orders that an owner recorded with its last Write or
 // Release are known to the next owner.
-func TestTheNextOwnerKnowsOfOrders(t *testing.T) {
+func TestNextOwnerKnowsPriorOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		s := jobfleet.NewStore().Client("d", &jobfleet.Gate{}, noFailure)
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -34,9 +34,9 @@
 	assert.Contains(t, out.got.String(), "log-lines-dropped")
 }
 
-// TestAsyncWriterAfterClose: goroutines that outlive a planned stop may still write, which must
+// TestAsyncWriterAfterItsEnd: goroutines that outlive a planned stop may still write, which must
 // not panic.
-func TestAsyncWriterAfterClose(t *testing.T) {
+func TestAsyncWriterAfterItsEnd(t *testing.T) {
 	var out bytes.Buffer
 	w := NewAsyncWriter(&out)
 	_, err := w.Write([]byte("before\n"))
