--- a/internal/jobmatrix/burst_test.go
+++ b/internal/jobmatrix/burst_test.go
@@ -73,7 +73,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		in := jobfleet.NewInstallation(ctx, zap.NewNop())
-		in.Reach = func(w owner.WorkerClient) owner.WorkerClient { return busyWorkers{w, newProcessor(), call} }
+		in.WrapWorkers = func(w owner.WorkerClient) owner.WorkerClient { return busyWorkers{w, newProcessor(), call} }
 		for i := range instances {
 			in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "orders", "r1", job.Resources{CPUMilli: 32000, MemMB: 64000})
 		}
@@ -117,8 +117,8 @@
 		require.NotNil(t, in.Owner())
 		submitBurst(t, in, jobs, width)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, jobs*width, in.Judge.Starts(), "starts, one a task")
-		assert.Empty(t, in.Judge.Broken())
+		assert.Equal(t, jobs*width, in.Checker.Starts(), "starts, one a task")
+		assert.Empty(t, in.Checker.Violations())
 	})
 }
 
@@ -138,13 +138,13 @@
 			require.True(t, accepted)
 		}
 		time.Sleep(5 * time.Second)
-		require.Equal(t, jobs*width, in.Judge.Starts())
+		require.Equal(t, jobs*width, in.Checker.Starts())
 		in.Start("d2")
 		time.Sleep(3 * time.Second)
 		in.Stop("d1")
 		time.Sleep(10 * time.Second)
 		require.Equal(t, "d2", in.Owner().Name)
-		assert.Equal(t, jobs*width, in.Judge.Starts(), "none ended and was started anew")
-		assert.Empty(t, in.Judge.Broken())
+		assert.Equal(t, jobs*width, in.Checker.Starts(), "none ended and was started anew")
+		assert.Empty(t, in.Checker.Violations())
 	})
 }
--- a/internal/jobmatrix/config_test.go
+++ b/internal/jobmatrix/config_test.go
@@ -66,10 +66,10 @@
 			}
 		}, 0},
 		{"the owner is killed", func(d *day) { d.in.Kill(d.in.Owner().Name) }, 0},
-		{"a daemon is cut off", func(d *day) { gateOf(d, "d2").CutStore(2 * time.Second) }, 2 * time.Second},
-		{"the store turns a daemon away", func(d *day) { gateOf(d, "d2").TurnAway(2 * time.Second) }, 2 * time.Second},
-		{"the store is silent", func(d *day) { storeFor(d, jobfleet.Swallowed, 2*time.Second) }, 2 * time.Second},
-		{"the store forgets its history", func(d *day) { d.in.Store.Forget() }, 0},
+		{"a daemon is cut off", func(d *day) { gateOf(d, "d2").CutStoreAndPeers(2 * time.Second) }, 2 * time.Second},
+		{"the store turns a daemon away", func(d *day) { gateOf(d, "d2").CutStoreOnly(2 * time.Second) }, 2 * time.Second},
+		{"the store is silent", func(d *day) { storeFor(d, jobfleet.RequestLost, 2*time.Second) }, 2 * time.Second},
+		{"the store forgets its history", func(d *day) { d.in.Store.CompactHistory() }, 0},
 		{"all connections go silent", silence, 0},
 		{"all daemons are killed", func(d *day) {
 			for _, n := range daemonNames {
--- a/internal/jobmatrix/counts_test.go
+++ b/internal/jobmatrix/counts_test.go
@@ -19,12 +19,12 @@
 // countEvery is the pause between two questions for the count to one daemon.
 const countEvery = 130 * time.Millisecond
 
-// askCounts asks all daemons for the count of the orders until ctx ends; the judge looks
+// askCounts asks all daemons for the count of the orders until ctx ends; the checker looks
 // at each answer.
 func (d *day) askCounts(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, dm := range d.in.Daemons() {
-			go d.in.CallerAt(dm).Pending(ordersPrefix)
+			go d.in.CallerTo(dm).Pending(ordersPrefix)
 		}
 		time.Sleep(countEvery)
 	}
@@ -39,8 +39,8 @@
 	name   string
 	strike func(d *day, o *jobfleet.Daemon, lasts time.Duration)
 }{
-	{"it is cut off from the store and its peers", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStore(lasts) }},
-	{"the store turns it away", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.TurnAway(lasts) }},
+	{"it is cut off from the store and its peers", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreAndPeers(lasts) }},
+	{"the store turns it away", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreOnly(lasts) }},
 	{"it is frozen", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.Freeze(lasts) }},
 	{"its watches are silent", func(d *day, o *jobfleet.Daemon, lasts time.Duration) { d.swallow(o, lasts, "watch") }},
 	{"its watches are silent, and its lease is revoked", func(d *day, o *jobfleet.Daemon, lasts time.Duration) {
@@ -59,7 +59,7 @@
 	}},
 	{"the store forgets its history time and again", func(d *day, _ *jobfleet.Daemon, lasts time.Duration) {
 		for at := time.Duration(0); at < lasts; at += 300 * time.Millisecond {
-			time.AfterFunc(at, d.in.Store.Forget)
+			time.AfterFunc(at, d.in.Store.CompactHistory)
 		}
 	}},
 }
@@ -69,7 +69,7 @@
 	end := time.Now().Add(lasts)
 	d.in.SetHook(func(daemon, op string) jobfleet.Failure {
 		if daemon == o.Name && time.Now().Before(end) && slices.Contains(ops, op) {
-			return jobfleet.Swallowed
+			return jobfleet.RequestLost
 		}
 		return jobfleet.NoFailure
 	})
@@ -95,7 +95,7 @@
 					time.Sleep(200 * time.Millisecond)
 				}
 				time.Sleep(10 * time.Second)
-				assert.Empty(t, d.in.Judge.Broken())
+				assert.Empty(t, d.in.Checker.Violations())
 			})
 		})
 	}
--- a/internal/jobmatrix/crash_test.go
+++ b/internal/jobmatrix/crash_test.go
@@ -100,7 +100,7 @@
 	})
 	d.submitSome(0, 6)
 	for _, j := range c.jobs {
-		d.in.Fleet.CrashBy(job.TaskID{Job: j.ID}, after, crashBack)
+		d.in.Fleet.CrashOnStart(job.TaskID{Job: j.ID}, after, crashBack)
 		if j.Repeat > 0 {
 			j.StartAt = time.Now().Add(500 * time.Millisecond)
 		}
@@ -113,9 +113,9 @@
 	}
 	d.finishBut(40*time.Second, failing)
 	for _, j := range c.jobs {
-		assert.LessOrEqual(d.t, d.in.Judge.Crashes(j.ID), 5, "workers that job %s has crashed", j.ID)
+		assert.LessOrEqual(d.t, d.in.Checker.MaxCrasherCrashes(j.ID), 5, "workers that job %s has crashed", j.ID)
 		if c.serves {
-			assert.Equal(d.t, j.Steps[0].Count-1, d.in.Judge.Running(j.ID), "tasks that go on serving")
+			assert.Equal(d.t, j.Steps[0].Count-1, d.in.Checker.Running(j.ID), "tasks that go on serving")
 		}
 	}
 }
@@ -141,7 +141,7 @@
 		time.Sleep(300 * time.Millisecond)
 	}
 	assert.Empty(d.t, open)
-	assert.Empty(d.t, d.in.Judge.Broken())
+	assert.Empty(d.t, d.in.Checker.Violations())
 }
 
 // TestOtherLossesAreNoCrashOfATask: racks, single instances that go down again and again,
--- a/internal/jobmatrix/cutowner_test.go
+++ b/internal/jobmatrix/cutowner_test.go
@@ -26,11 +26,11 @@
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		cut := map[string]bool{first.Name: true}
-		first.Gate.TurnAway(12 * time.Second)
+		first.Gate.CutStoreOnly(12 * time.Second)
 		for _, dm := range d.in.Daemons() {
 			if len(cut) < 3 && !cut[dm.Name] {
 				cut[dm.Name] = true
-				dm.Gate.TurnAway(12 * time.Second)
+				dm.Gate.CutStoreOnly(12 * time.Second)
 			}
 		}
 		began := time.Now()
@@ -58,7 +58,7 @@
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		for _, dm := range d.in.Daemons() {
-			dm.Gate.TurnAway(900 * time.Millisecond)
+			dm.Gate.CutStoreOnly(900 * time.Millisecond)
 		}
 		time.Sleep(4 * time.Second)
 		require.NotNil(t, d.in.Owner())
--- a/internal/jobmatrix/day_test.go
+++ b/internal/jobmatrix/day_test.go
@@ -1,6 +1,6 @@
 // Package jobmatrix plays short days of a whole installation of the job
 // subsystem on stand-ins, in virtual time, and brings about every kind of fault
-// at every step. The stand-ins' judge checks the promises.
+// at every step. The stand-ins' checker verifies the guarantees.
 package jobmatrix
 
 import (
@@ -146,7 +146,7 @@
 		time.Sleep(300 * time.Millisecond)
 	}
 	assert.Zero(d.t, open, "accepted jobs are not completed")
-	assert.Empty(d.t, d.in.Judge.Broken())
+	assert.Empty(d.t, d.in.Checker.Violations())
 }
 
 // play runs a day in virtual time.
@@ -169,7 +169,7 @@
 		d.submitSome(0, 10)
 		d.finish(10 * time.Second)
 		assert.Len(t, d.ok, 10)
-		assert.Equal(t, 50, d.in.Judge.Starts())
+		assert.Equal(t, 50, d.in.Checker.Starts())
 	})
 }
 
@@ -180,7 +180,7 @@
 		j.Steps[0].Estimate = 20 * time.Second
 		d.submit(ordersPrefix, j)
 		d.finish(30 * time.Second)
-		assert.Equal(t, 5, d.in.Judge.Starts())
+		assert.Equal(t, 5, d.in.Checker.Starts())
 	})
 }
 
@@ -199,7 +199,7 @@
 		}
 		assert.True(t, d.in.WaveDone(1), "the wave is not completed")
 		d.lastingServes(j)
-		assert.Empty(t, d.in.Judge.Broken())
+		assert.Empty(t, d.in.Checker.Violations())
 	})
 }
 
@@ -263,11 +263,11 @@
 			return jobfleet.Refused
 		})
 		time.Sleep(700 * time.Millisecond) // it is noticed
-		started := d.in.Judge.Starts()
+		started := d.in.Checker.Starts()
 		commits = 0
 		d.in.Stop(first.Name) // takes 1.8 s
 		assert.Less(t, commits, 60, "tries to release the lock and to write progress")
-		assert.Equal(t, started+2, d.in.Judge.Starts(), "the second step of the job is started meanwhile")
+		assert.Equal(t, started+2, d.in.Checker.Starts(), "the second step of the job is started meanwhile")
 		d.in.SetHook(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
 		d.finish(15 * time.Second)
 	})
@@ -291,7 +291,7 @@
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		time.Sleep(700 * time.Millisecond)
-		started := d.in.Judge.Starts()
+		started := d.in.Checker.Starts()
 		stopped := time.Now()
 		const partly = 950 * time.Millisecond // each hold ends in it; the store is not away yet
 		d.in.SetHook(func(_, op string) jobfleet.Failure {
@@ -307,7 +307,7 @@
 			}
 		}()
 		d.in.Stop(first.Name) // takes 1.8 s
-		assert.Equal(t, started+2, d.in.Judge.Starts(), "the second step of the job is started meanwhile")
+		assert.Equal(t, started+2, d.in.Checker.Starts(), "the second step of the job is started meanwhile")
 		d.in.SetHook(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
 		d.finish(15 * time.Second)
 	})
--- a/internal/jobmatrix/entries_test.go
+++ b/internal/jobmatrix/entries_test.go
@@ -61,12 +61,12 @@
 		j.Steps = []job.Step{{Count: 4, Need: job.Resources{CPUMilli: 8000, MemMB: 100}, Estimate: 4 * time.Second}}
 		d.submit(ordersPrefix, j) // a task on each worker
 		time.Sleep(time.Second)
-		started := d.in.Judge.Starts()
+		started := d.in.Checker.Starts()
 		for _, w := range []string{"w-001", "w-002"} {
 			d.in.Store.Put("worker/"+w, []byte("\xff"))
 		}
 		d.finish(20 * time.Second)
 		assert.Equal(t, 4, started)
-		assert.Equal(t, 4, d.in.Judge.Starts(), "no task is lost")
+		assert.Equal(t, 4, d.in.Checker.Starts(), "no task is lost")
 	})
 }
--- a/internal/jobmatrix/evacuation_test.go
+++ b/internal/jobmatrix/evacuation_test.go
@@ -14,10 +14,10 @@
 // inZones puts the instances with even numbers into zone z1, and the others into z2.
 func (d *day) inZones() {
 	for i := range 8 {
-		d.in.Fleet.Place(owner.InstanceID(fmt.Sprintf("i%d", i)), fmt.Sprintf("z%d", 1+i%2))
+		d.in.Fleet.SetZone(owner.InstanceID(fmt.Sprintf("i%d", i)), fmt.Sprintf("z%d", 1+i%2))
 	}
 	for i := range 2 {
-		d.in.Fleet.Place(owner.InstanceID(fmt.Sprintf("spare%d", i)), "z2")
+		d.in.Fleet.SetZone(owner.InstanceID(fmt.Sprintf("spare%d", i)), "z2")
 	}
 }
 
@@ -32,21 +32,21 @@
 		d.in.Evacuate("z1")
 		d.in.Evacuate("nowhere")
 		d.submitSome(4, 6)
-		assert.Less(t, d.in.Judge.LastStartInEvacuatedZone(), time.Second)
+		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		d.in.Kill(first.Name)
 		d.submitSome(10, 6)
 		d.finish(20 * time.Second)
 		d.lastingServes(lasting)
-		assert.Less(t, d.in.Judge.LastStartInEvacuatedZone(), time.Second)
+		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 
 		d.in.EndEvacuation("z1")
 		d.in.Evacuate("z2")
 		time.Sleep(time.Second)
 		d.submitSome(16, 6)
 		d.finish(20 * time.Second)
-		assert.Less(t, d.in.Judge.LastStartInEvacuatedZone(), time.Second)
+		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 	})
 }
 
@@ -57,10 +57,10 @@
 		d.in.Evacuate("z1")
 		d.in.Evacuate("z2")
 		time.Sleep(time.Second)
-		starts := d.in.Judge.Starts()
+		starts := d.in.Checker.Starts()
 		d.submitSome(0, 4)
 		time.Sleep(5 * time.Second)
-		assert.Equal(t, starts, d.in.Judge.Starts())
+		assert.Equal(t, starts, d.in.Checker.Starts())
 		d.in.EndEvacuation("z2")
 		d.finish(20 * time.Second)
 	})
@@ -75,7 +75,7 @@
 			d.in.Evacuate("z1")
 			d.in.EndEvacuation("z1")
 		}
-		d.in.Store.Forget()
+		d.in.Store.CompactHistory()
 		d.in.Evacuate("z2")
 		d.in.EndEvacuation("z2")
 		time.Sleep(time.Second)
@@ -98,7 +98,7 @@
 			t.Run(fmt.Sprintf("%s at %s %d", f.name, s.op, s.n), func(t *testing.T) {
 				play(t, func(d *day) {
 					d.inZones()
-					d.in.Judge.StretchEvacuations(outerStretch)
+					d.in.Checker.ExtendEvacuationBound(outerStretch)
 					lasting := lastingJob(900)
 					d.submit(ordersPrefix, lasting)
 					d.at(s.op, s.n, f)
--- a/internal/jobmatrix/faults_test.go
+++ b/internal/jobmatrix/faults_test.go
@@ -69,7 +69,7 @@
 			return jobfleet.NoFailure
 		}
 		tried[daemon+" "+op] = true
-		return jobfleet.Swallowed
+		return jobfleet.RequestLost
 	})
 }
 
@@ -82,9 +82,9 @@
 
 var faults = []fault{
 	call("the call is refused", jobfleet.Refused),
-	call("the call is swallowed", jobfleet.Swallowed),
+	call("the call is swallowed", jobfleet.RequestLost),
 	call("its answer is lost", jobfleet.AnswerLost),
-	call("it is carried out late", jobfleet.Late),
+	call("it is carried out late", jobfleet.Delayed),
 	around("the daemon is killed", func(d *day, dm string) { go func() { d.in.Kill(dm); restart(d, dm) }() }),
 	{"the daemon is killed before the answer", func(d *day, dm string) jobfleet.Failure {
 		go func() { d.in.Kill(dm); restart(d, dm) }()
@@ -101,22 +101,22 @@
 	}),
 	around("the daemon freezes for 1 s", func(d *day, dm string) { gateOf(d, dm).Freeze(time.Second) }),
 	around("the daemon freezes for 4 s", func(d *day, dm string) { gateOf(d, dm).Freeze(4 * time.Second) }),
-	around("the daemon is cut off from the store and its peers", func(d *day, dm string) { gateOf(d, dm).CutStore(4 * time.Second) }),
-	around("the store turns the daemon away", func(d *day, dm string) { gateOf(d, dm).TurnAway(5 * time.Second) }),
+	around("the daemon is cut off from the store and its peers", func(d *day, dm string) { gateOf(d, dm).CutStoreAndPeers(4 * time.Second) }),
+	around("the store turns the daemon away", func(d *day, dm string) { gateOf(d, dm).CutStoreOnly(5 * time.Second) }),
 	around("the store refuses all", func(d *day, _ string) { storeFor(d, jobfleet.Refused, 4*time.Second) }),
-	around("the store is silent", func(d *day, _ string) { storeFor(d, jobfleet.Swallowed, 4*time.Second) }),
+	around("the store is silent", func(d *day, _ string) { storeFor(d, jobfleet.RequestLost, 4*time.Second) }),
 	around("the store loses answers", func(d *day, _ string) { storeFor(d, jobfleet.AnswerLost, 3*time.Second) }),
-	around("the store is late", func(d *day, _ string) { storeFor(d, jobfleet.Late, 3*time.Second) }),
+	around("the store is late", func(d *day, _ string) { storeFor(d, jobfleet.Delayed, 3*time.Second) }),
 	around("the store ends all leases", func(d *day, _ string) { d.in.Store.RevokeAll() }),
 	around("all connections go silent", func(d *day, _ string) { silence(d) }),
-	around("the store forgets its history", func(d *day, _ string) { d.in.Store.Forget() }),
+	around("the store forgets its history", func(d *day, _ string) { d.in.Store.CompactHistory() }),
 	around("an instance crashes", func(d *day, _ string) { go d.in.Fleet.Crash("i0", 3*time.Second) }),
 	around("a rack crashes", func(d *day, _ string) {
 		go func() { d.in.Fleet.Crash("i4", 3*time.Second); d.in.Fleet.Crash("i5", 3*time.Second) }()
 	}),
 	around("an instance is cut off and runs on", func(d *day, _ string) { go d.in.Fleet.Cut("i1", 7*time.Second) }),
 	around("tasks fail on an instance", func(d *day, _ string) { go d.in.Fleet.FailTasks("i0", 2*time.Second) }),
-	around("tasks stand still on an instance", func(d *day, _ string) { go d.in.Fleet.Hang("i5", 2*time.Second) }),
+	around("tasks stand still on an instance", func(d *day, _ string) { go d.in.Fleet.HangTasks("i5", 2*time.Second) }),
 	around("an instance drains", func(d *day, _ string) { go d.in.Fleet.Drain("i1") }),
 }
 
@@ -126,7 +126,7 @@
 	around("the daemon is suspended for 6 s", func(d *day, dm string) { gateOf(d, dm).Suspend(6 * time.Second) }),
 	around("an instance shrinks", func(d *day, _ string) { go d.in.Fleet.Shrink("i4", 0.25, 3*time.Second) }),
 	around("an instance shrinks to nothing", func(d *day, _ string) { go d.in.Fleet.Shrink("i5", 0, 2*time.Second) }),
-	around("the daemon's instance is slow", func(d *day, dm string) { gateOf(d, dm).Slow(5, 6*time.Second) }),
+	around("the daemon's instance is slow", func(d *day, dm string) { gateOf(d, dm).ReportSlow(5, 6*time.Second) }),
 	around("the lock is overwritten", func(d *day, _ string) { d.in.Store.Put("owner/lock", []byte("\xff")) }),
 	around("the sequence is overwritten", func(d *day, _ string) { d.in.Store.Put("sequence", []byte("\xff")) }),
 	around("a worker restarts under its id", func(d *day, _ string) { go d.in.Fleet.Restart("i1", 50*time.Millisecond) }),
@@ -199,8 +199,8 @@
 		time.Sleep(500 * time.Millisecond)
 	}
 	assert.True(d.t, d.in.WaveDone(1), "the wave is not completed")
-	assert.Equal(d.t, 3, d.in.Judge.Begun(1))
-	assert.Empty(d.t, d.in.Judge.Broken())
+	assert.Equal(d.t, 3, d.in.Checker.MaintainedCount(1))
+	assert.Empty(d.t, d.in.Checker.Violations())
 }
 
 // lastingServes checks that all tasks of a long-running job run in the end.
@@ -211,7 +211,7 @@
 	runs := 0
 	for i := 0; i < 40 && runs < j.Steps[0].Count; i++ {
 		time.Sleep(500 * time.Millisecond)
-		runs = d.in.Judge.Running(j.ID)
+		runs = d.in.Checker.Running(j.ID)
 	}
 	assert.Equal(d.t, j.Steps[0].Count, runs, "tasks of the long-running job")
 }
--- a/internal/jobmatrix/lag_test.go
+++ b/internal/jobmatrix/lag_test.go
@@ -39,7 +39,7 @@
 						case <-ended:
 							return
 						case <-time.After(200 * time.Millisecond):
-							d.in.Fleet.BeatTenth()
+							d.in.Fleet.HeartbeatTenth()
 						}
 					}
 				}()
@@ -58,7 +58,7 @@
 				}
 				close(ended)
 				d.finish(60 * time.Second)
-				assert.Empty(t, d.in.Judge.Broken())
+				assert.Empty(t, d.in.Checker.Violations())
 			})
 		})
 	}
--- a/internal/jobmatrix/lives_test.go
+++ b/internal/jobmatrix/lives_test.go
@@ -34,7 +34,7 @@
 				calls := 0
 				d.in.SetHook(func(_, op string) jobfleet.Failure {
 					if calls++; op == "start" && calls%7 == 0 {
-						return jobfleet.Late
+						return jobfleet.Delayed
 					}
 					return jobfleet.NoFailure
 				})
@@ -47,10 +47,10 @@
 					d.submitSome(6*round, 6)
 				}
 				d.finish(30 * time.Second)
-				if d.in.Judge.CrashesUnder(lasting.ID) < mayGiveUpAfter {
+				if d.in.Checker.MaxTaskCrashes(lasting.ID) < mayGiveUpAfter {
 					d.lastingServes(lasting)
 				}
-				assert.Empty(t, d.in.Judge.Broken())
+				assert.Empty(t, d.in.Checker.Violations())
 			})
 		})
 	}
--- a/internal/jobmatrix/manystops_test.go
+++ b/internal/jobmatrix/manystops_test.go
@@ -38,8 +38,8 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(8 * time.Second)
-		require.Equal(t, (lasting+cancelled)*width, in.Judge.Starts())
-		in.Judge.Calm()
+		require.Equal(t, (lasting+cancelled)*width, in.Checker.Starts())
+		in.Checker.FaultsEnded()
 		var stops atomic.Int64
 		in.SetHook(func(_, op string) jobfleet.Failure {
 			if op == "stop" {
@@ -53,10 +53,10 @@
 		time.Sleep(10 * time.Second)
 		atWork := 0
 		for _, id := range ids[:lasting] {
-			atWork += in.Judge.Running(id)
+			atWork += in.Checker.Running(id)
 		}
 		assert.Equal(t, lasting*width, atWork, "tasks of the others at work")
 		assert.LessOrEqual(t, stops.Load(), int64(cancelled*width*5/4), "stops that reached a worker")
-		assert.Empty(t, in.Judge.Broken())
+		assert.Empty(t, in.Checker.Violations())
 	})
 }
--- a/internal/jobmatrix/overload_test.go
+++ b/internal/jobmatrix/overload_test.go
@@ -45,7 +45,7 @@
 		require.NotNil(t, next)
 		assert.Equal(t, "strong1", next.Name)
 		d.lastingServes(j)
-		assert.Empty(t, d.in.Judge.Broken())
+		assert.Empty(t, d.in.Checker.Violations())
 	})
 }
 
@@ -77,7 +77,7 @@
 		require.NotNil(t, next)
 		assert.Equal(t, "strong", next.Name)
 		d.lastingServes(j)
-		assert.Empty(t, d.in.Judge.Broken())
+		assert.Empty(t, d.in.Checker.Violations())
 		cancel()
 		for _, dm := range d.in.Daemons() {
 			d.in.Kill(dm.Name)
--- a/internal/jobmatrix/pending_test.go
+++ b/internal/jobmatrix/pending_test.go
@@ -31,7 +31,7 @@
 	play(t, func(d *day) {
 		old := d.in.Owner()
 		require.NotNil(t, old)
-		old.Gate.CutStore(40 * time.Second)
+		old.Gate.CutStoreAndPeers(40 * time.Second)
 		time.Sleep(3500 * time.Millisecond)
 		const jobs = 6
 		for i := range jobs {
--- a/internal/jobmatrix/refusal_test.go
+++ b/internal/jobmatrix/refusal_test.go
@@ -43,7 +43,7 @@
 		assert.Greater(t, refused, jobs/4)
 		assert.Greater(t, accepted, jobs/20)
 		assert.Less(t, slowest, 100*time.Millisecond)
-		assert.Equal(t, accepted*width, in.Judge.Starts(), "what was accepted has run, once, and nothing else")
-		assert.Empty(t, in.Judge.Broken())
+		assert.Equal(t, accepted*width, in.Checker.Starts(), "what was accepted has run, once, and nothing else")
+		assert.Empty(t, in.Checker.Violations())
 	})
 }
--- a/internal/jobmatrix/slowowner_test.go
+++ b/internal/jobmatrix/slowowner_test.go
@@ -30,7 +30,7 @@
 
 func (d *day) slowAll(times float64, lasts time.Duration) {
 	for _, dm := range d.in.Daemons() {
-		dm.Gate.Slow(times, lasts)
+		dm.Gate.ReportSlow(times, lasts)
 	}
 }
 
@@ -42,15 +42,15 @@
 		slow    func(d *day, o *jobfleet.Daemon)
 		changes int
 	}{
-		{"five times", func(_ *day, o *jobfleet.Daemon) { o.Gate.Slow(5, lasts) }, 1},
-		{"three times", func(_ *day, o *jobfleet.Daemon) { o.Gate.Slow(3, lasts) }, 1},
-		{"twice", func(_ *day, o *jobfleet.Daemon) { o.Gate.Slow(2, lasts) }, 0},
-		{"for a moment", func(_ *day, o *jobfleet.Daemon) { o.Gate.Slow(5, 250*time.Millisecond) }, 0},
-		{"others", func(d *day, o *jobfleet.Daemon) { d.slowAll(5, lasts); o.Gate.Slow(1, lasts) }, 0},
+		{"five times", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, lasts) }, 1},
+		{"three times", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(3, lasts) }, 1},
+		{"twice", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(2, lasts) }, 0},
+		{"for a moment", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, 250*time.Millisecond) }, 0},
+		{"others", func(d *day, o *jobfleet.Daemon) { d.slowAll(5, lasts); o.Gate.ReportSlow(1, lasts) }, 0},
 		{"while the store is away", func(d *day, o *jobfleet.Daemon) {
 			storeFor(d, jobfleet.Refused, 1300*time.Millisecond) // less than is left of its lease
 			time.Sleep(500 * time.Millisecond)                   // it is noticed
-			o.Gate.Slow(5, 700*time.Millisecond)
+			o.Gate.ReportSlow(5, 700*time.Millisecond)
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/jobmatrix/storm_test.go
+++ b/internal/jobmatrix/storm_test.go
@@ -49,7 +49,7 @@
 			j.Steps[0].Count, j.Steps[0].Need.CPUMilli, j.Steps[0].Estimate = 6, 2300, 640*time.Millisecond
 			j.Steps[0].Speculative = n%3 == 0
 			if n%stormCrashes == 7 {
-				d.in.Fleet.CrashBy(job.TaskID{Job: j.ID, Index: n % 6}, crashSoon, 2*time.Second)
+				d.in.Fleet.CrashOnStart(job.TaskID{Job: j.ID, Index: n % 6}, crashSoon, 2*time.Second)
 				failing = append(failing, j)
 			}
 			d.submit(ordersPrefix, j)
@@ -58,7 +58,7 @@
 		d.finishBut(40*time.Second, failing)
 		most := 0
 		for _, j := range failing {
-			most = max(most, d.in.Judge.Crashes(j.ID))
+			most = max(most, d.in.Checker.MaxCrasherCrashes(j.ID))
 		}
 		t.Logf("%d tasks crashed %d workers, %d under one at most", len(failing), crashes, most)
 		assert.LessOrEqual(t, most, 5)
--- a/internal/jobmatrix/takeovercount_test.go
+++ b/internal/jobmatrix/takeovercount_test.go
@@ -32,7 +32,7 @@
 
 		const jobs = 8
 		other := d.otherThan(old)
-		caller := d.in.CallerAt(other)
+		caller := d.in.CallerTo(other)
 		waitsSince := time.Now()
 		for i := range jobs {
 			j := batchJob(i)
@@ -50,13 +50,13 @@
 			}
 			if asked.CompareAndSwap(false, true) {
 				count, waited = caller.Pending(ordersPrefix), time.Since(waitsSince)
-				startsBy = d.in.Judge.Starts()
+				startsBy = d.in.Checker.Starts()
 			}
 			time.Sleep(startTakes)
 			return jobfleet.NoFailure
 		})
 		time.Sleep(10 * time.Second)
-		assert.NotZero(t, d.in.Judge.Starts())
+		assert.NotZero(t, d.in.Checker.Starts())
 		assert.Zero(t, startsBy)
 		assert.Greater(t, waited, 5*time.Second)
 		assert.Equal(t, jobs, count, "none of the jobs had a task that had started")
--- a/internal/jobmatrix/weakowner_test.go
+++ b/internal/jobmatrix/weakowner_test.go
@@ -29,7 +29,7 @@
 		require.NotNil(t, in.Owner())
 		submitBurst(t, in, jobs, width)
 		time.Sleep(12 * time.Second)
-		assert.Equal(t, jobs*width, in.Judge.Starts(), "starts, one a task")
-		assert.Empty(t, in.Judge.Broken())
+		assert.Equal(t, jobs*width, in.Checker.Starts(), "starts, one a task")
+		assert.Empty(t, in.Checker.Violations())
 	})
 }
--- a/lab/jobsdemo/demo.go
+++ b/lab/jobsdemo/demo.go
@@ -200,15 +200,15 @@
 }
 
 func (d *demo) finish() {
-	d.rep.Broken = d.in.Judge.Broken()
+	d.rep.Broken = d.in.Checker.Violations()
 	if n := len(d.open); n > 0 {
 		d.rep.Broken = append(d.rep.Broken, fmt.Sprintf("%d accepted jobs are not completed", n))
 	}
 	if !d.in.WaveDone(1) {
 		d.rep.Broken = append(d.rep.Broken, "the wave is not completed")
 	}
-	d.rep.Starts = d.in.Judge.Starts()
-	d.rep.Maintained = d.in.Judge.Begun(1)
+	d.rep.Starts = d.in.Checker.Starts()
+	d.rep.Maintained = d.in.Checker.MaintainedCount(1)
 	d.rep.StoreCalls = d.in.Store.Calls("")
 	var took []int64
 	for _, s := range d.all {
--- a/standin/jobfleet/away.go
+++ b/standin/jobfleet/away.go
@@ -11,9 +11,9 @@
 // as away whatever the cause.
 const awayNotice = 4500 * time.Millisecond
 
-// Calm says that from now on nothing harms the workers, the store and the ways between:
+// FaultsEnded says that from now on nothing harms the workers, the store and the ways between:
 // a lease that is left to end is the daemons' doing, as a stop is.
-func (j *Judge) Calm() {
+func (j *Checker) FaultsEnded() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.calm = true
@@ -26,7 +26,7 @@
 
 // away reports whether a task of a step counts against its budget: an order ended it, or
 // it has not been at work for long.
-func (j *Judge) away(t job.TaskID) bool {
+func (j *Checker) away(t job.TaskID) bool {
 	r := j.record(t)
 	return !r.atWork() && (r.ordered || time.Since(later(r.left, j.jobs[t.Job].submitted)) > awayNotice)
 }
@@ -41,7 +41,7 @@
 // taken judges the end of a task by an order, or by its lease: as many others of its step
 // may be away as its budget says, less this one. It is called before ended. sound says
 // that nothing is wrong with the worker.
-func (j *Judge) taken(t job.TaskID, w owner.WorkerID, how string, sound bool) {
+func (j *Checker) taken(t job.TaskID, w owner.WorkerID, how string, sound bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	rec := j.jobs[t.Job]
@@ -70,7 +70,7 @@
 
 // Waiting returns how many of the jobs for which of holds were accepted before a moment
 // and have not begun.
-func (j *Judge) Waiting(before time.Time, of func(job.ID) bool) int {
+func (j *Checker) Waiting(before time.Time, of func(job.ID) bool) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := 0
--- a/standin/jobfleet/away_test.go
+++ b/standin/jobfleet/away_test.go
@@ -34,13 +34,13 @@
 		{"a stop while the first starts up", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.stop(1) }, 1},
 		{"a stop on a worker that drains", func(r *lastingRun) { r.stop(0); r.fleet.Drain("i1"); r.stop(1) }, 0},
 		{"leases that end where something is wrong", func(r *lastingRun) { r.wait(lease) }, 0},
-		{"leases that end in calm", func(r *lastingRun) { r.judge.Calm(); r.wait(lease) }, 2},
+		{"leases that end in calm", func(r *lastingRun) { r.judge.FaultsEnded(); r.wait(lease) }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newLastingRun(t, lease)
 				c.take(r)
-				assert.Len(t, r.judge.Broken(), c.broken, "%v", r.judge.Broken())
+				assert.Len(t, r.judge.Violations(), c.broken, "%v", r.judge.Violations())
 			})
 		})
 	}
@@ -49,18 +49,18 @@
 // lastingRun is a job of three tasks that last, at work on three workers.
 type lastingRun struct {
 	t      *testing.T
-	judge  *Judge
+	judge  *Checker
 	fleet  *Fleet
 	client *FleetClient
 	lease  time.Duration
 }
 
 func newLastingRun(t *testing.T, lease time.Duration) *lastingRun {
-	r := &lastingRun{t: t, judge: NewJudge(), lease: lease}
+	r := &lastingRun{t: t, judge: NewChecker(), lease: lease}
 	r.fleet = NewFleet(r.judge, func(string, *owner.Registration) {})
 	r.client = r.fleet.Client("d", &Gate{}, func(string, string) Failure { return NoFailure })
 	j := &job.Job{ID: "0000000000000001", Steps: []job.Step{{Count: 3, LongRunning: true, MayMiss: 1}}}
-	r.fleet.Know(j)
+	r.fleet.RegisterJob(j)
 	r.judge.Submitted(j)
 	r.judge.Answered(j.ID, true, false)
 	for i := range 3 {
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -14,11 +14,11 @@
 
 // The ways in which a call fails.
 const (
-	NoFailure  Failure = iota
-	Refused            // it was not carried out, and the caller hears so
-	Swallowed          // it was not carried out, and nothing is heard
-	AnswerLost         // it was carried out, and nothing is heard
-	Late               // it is carried out later, and nothing is heard
+	NoFailure   Failure = iota
+	Refused             // it was not carried out, and the caller hears so
+	RequestLost         // it was not carried out, and nothing is heard
+	AnswerLost          // it was carried out, and nothing is heard
+	Delayed             // it is carried out later, and nothing is heard
 )
 
 // Hook is asked about each call before it is carried out. op is the kind of
@@ -50,7 +50,7 @@
 	switch c.hook(c.daemon, op) {
 	case Refused:
 		return none, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "store: refused")
-	case Swallowed:
+	case RequestLost:
 		<-ctx.Done()
 		return none, lost(ctx)
 	case AnswerLost:
@@ -59,7 +59,7 @@
 		}
 		<-ctx.Done()
 		return none, lost(ctx)
-	case Late:
+	case Delayed:
 		time.AfterFunc(lateDelay, func() { _, _ = do() }) // nobody hears of it, that is the fault
 		<-ctx.Done()
 		return none, lost(ctx)
@@ -186,9 +186,9 @@
 // usualProbe is what the fixed piece of work takes on an instance at its usual speed.
 const usualProbe = 40 * time.Microsecond
 
-// Slow lets the daemon's instance seem so many times slower for a while. It tells it, and
+// ReportSlow lets the daemon's instance seem so many times slower for a while. It tells it, and
 // does all as fast as before.
-func (g *Gate) Slow(times float64, d time.Duration) {
+func (g *Gate) ReportSlow(times float64, d time.Duration) {
 	g.setSlower(times)
 	time.AfterFunc(d, func() { g.setSlower(0) })
 }
@@ -215,14 +215,14 @@
 // Suspended implements node.Clock.
 func (c clock) Suspended() time.Duration { return c.gate.suspended() }
 
-// CutStore cuts the daemon off from the store and its peers for a while.
-func (g *Gate) CutStore(d time.Duration) {
+// CutStoreAndPeers cuts the daemon off from the store and its peers for a while.
+func (g *Gate) CutStoreAndPeers(d time.Duration) {
 	g.setCut(true, toStore, toPeers)
 	time.AfterFunc(d, func() { g.setCut(false, toStore, toPeers) })
 }
 
-// TurnAway cuts the daemon off from the store alone for a while.
-func (g *Gate) TurnAway(d time.Duration) {
+// CutStoreOnly cuts the daemon off from the store alone for a while.
+func (g *Gate) CutStoreOnly(d time.Duration) {
 	g.setCut(true, toStore)
 	time.AfterFunc(d, func() { g.setCut(false, toStore) })
 }
--- a/standin/jobfleet/crash.go
+++ b/standin/jobfleet/crash.go
@@ -25,9 +25,9 @@
 // crashTimes are how long after the start a worker goes down, and when it is back.
 type crashTimes struct{ after, back time.Duration }
 
-// CrashBy lets each worker that starts a task go down after a while, and come back. Its
+// CrashOnStart lets each worker that starts a task go down after a while, and come back. Its
 // address refuses connections meanwhile. The occurrence of the task does not matter.
-func (f *Fleet) CrashBy(t job.TaskID, after, back time.Duration) {
+func (f *Fleet) CrashOnStart(t job.TaskID, after, back time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashers[crasherOf(t)] = crashTimes{after, back}
@@ -81,7 +81,7 @@
 }
 
 // crashes takes note of a task that brings down its workers.
-func (j *Judge) crashes(t job.TaskID) {
+func (j *Checker) crashes(t job.TaskID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.crashers[crasherOf(t)] = true
@@ -94,14 +94,14 @@
 )
 
 // crashed takes note of a crash of the worker that a task ran on, whichever caused it.
-func (j *Judge) crashed(t job.TaskID) {
+func (j *Checker) crashed(t job.TaskID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.record(t).crashes++
 }
 
-// CrashesUnder returns how many workers have crashed under that task of a job under which most have.
-func (j *Judge) CrashesUnder(id job.ID) int {
+// MaxTaskCrashes returns how many workers have crashed under that task of a job under which most have.
+func (j *Checker) MaxTaskCrashes(id job.ID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	most := 0
@@ -114,7 +114,7 @@
 }
 
 // judgeCrasher checks a start of a task under which workers have crashed.
-func (j *Judge) judgeCrasher(t job.TaskID, r *taskRecord) {
+func (j *Checker) judgeCrasher(t job.TaskID, r *taskRecord) {
 	if r.crashes < crashesAllowed || !j.crashers[crasherOf(t)] {
 		return
 	}
@@ -125,7 +125,7 @@
 
 // mayFail reports whether the job may be shown as failed: a run of it failed, or a task of
 // it crashes its workers.
-func (j *Judge) mayFail(id job.ID) bool {
+func (j *Checker) mayFail(id job.ID) bool {
 	for t, r := range j.tasks {
 		if t.Job == id && (r.failures > 0 || r.crashes > 1 && j.crashers[crasherOf(t)]) {
 			return true
@@ -134,9 +134,9 @@
 	return false
 }
 
-// Crashes returns the most workers that have crashed under one task of a job that crashes
+// MaxCrasherCrashes returns the most workers that have crashed under one task of a job that crashes
 // them.
-func (j *Judge) Crashes(id job.ID) int {
+func (j *Checker) MaxCrasherCrashes(id job.ID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	most := 0
--- a/standin/jobfleet/evacuation.go
+++ b/standin/jobfleet/evacuation.go
@@ -10,8 +10,8 @@
 // evacuateBound is how long after a request to evacuate a zone the last task may start there.
 const evacuateBound = 5 * time.Second
 
-// Place puts an instance into an availability zone.
-func (f *Fleet) Place(id owner.InstanceID, zone string) {
+// SetZone puts an instance into an availability zone.
+func (f *Fleet) SetZone(id owner.InstanceID, zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := f.instances[id]
@@ -25,30 +25,30 @@
 // Evacuate asks for a zone to get no new tasks, as the operator does.
 func (in *Installation) Evacuate(zone string) {
 	in.Store.Put(in.lang.EvacuationPrefix+zone, []byte("{}"))
-	in.Judge.evacuate(zone, time.Now())
+	in.Checker.evacuate(zone, time.Now())
 }
 
 // EndEvacuation takes that back.
 func (in *Installation) EndEvacuation(zone string) {
-	in.Judge.evacuate(zone, time.Time{})
+	in.Checker.evacuate(zone, time.Time{})
 	in.Store.Remove(in.lang.EvacuationPrefix + zone)
 }
 
-func (j *Judge) evacuate(zone string, since time.Time) {
+func (j *Checker) evacuate(zone string, since time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.evacuated[zone] = since
 }
 
-// StretchEvacuations allows so much more time, for days on which the store does not serve.
-func (j *Judge) StretchEvacuations(by time.Duration) {
+// ExtendEvacuationBound allows so much more time, for days on which the store does not serve.
+func (j *Checker) ExtendEvacuationBound(by time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.evacuateStretch = by
 }
 
 // judgeZone checks that the zone of a start is not evacuated.
-func (j *Judge) judgeZone(t job.TaskID, zone string) {
+func (j *Checker) judgeZone(t job.TaskID, zone string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	since := j.evacuated[zone]
@@ -62,7 +62,7 @@
 
 // LastStartInEvacuatedZone returns how long after the request the newest task started in a zone that
 // is evacuated; 0: none did.
-func (j *Judge) LastStartInEvacuatedZone() time.Duration {
+func (j *Checker) LastStartInEvacuatedZone() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.lastInZone
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -44,10 +44,10 @@
 	switch c.hook(c.daemon, op) {
 	case Refused:
 		return owner.Answer{Outcome: owner.Unhealthy}
-	case Swallowed:
+	case RequestLost:
 	case AnswerLost:
 		apply()
-	case Late:
+	case Delayed:
 		time.AfterFunc(lateOrder, func() { apply() })
 	default:
 		a = apply()
@@ -209,12 +209,12 @@
 		return do(late)
 	}
 	switch c.hook(c.daemon, op) {
-	case Refused, Swallowed:
+	case Refused, RequestLost:
 		return owner.DutyUnanswered
 	case AnswerLost:
 		apply()
 		return owner.DutyUnanswered
-	case Late:
+	case Delayed:
 		late = true
 		time.AfterFunc(lateOrder, func() { apply() })
 		return owner.DutyUnanswered
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -26,11 +26,11 @@
 	Store   *Store
 	Fleet   *Fleet
 	Network *Network
-	Judge   *Judge
-	// Reach, if set, changes the way of daemons that start from now on to workers.
-	Reach func(owner.WorkerClient) owner.WorkerClient
+	Checker *Checker
+	// WrapWorkers, if set, changes the way of daemons that start from now on to workers.
+	WrapWorkers func(owner.WorkerClient) owner.WorkerClient
 
-	lang Language
+	lang Encoding
 	log  *zap.Logger
 	mu   sync.Mutex
 	hook Hook
@@ -49,14 +49,14 @@
 
 // NewInstallation returns an installation without daemons and instances.
 func NewInstallation(ctx context.Context, log *zap.Logger) *Installation {
-	return NewInstallationIn(ctx, log, Plain)
+	return NewInstallationWithEncoding(ctx, log, JSONEncoding)
 }
 
-// NewInstallationIn returns an installation whose store speaks a language.
-func NewInstallationIn(ctx context.Context, log *zap.Logger, lang Language) *Installation {
-	in := &Installation{Store: NewStore(), Network: NewNetwork(), Judge: NewJudge(), lang: lang, log: log, all: map[string]*Daemon{}, ctx: ctx}
+// NewInstallationWithEncoding returns an installation whose store speaks a language.
+func NewInstallationWithEncoding(ctx context.Context, log *zap.Logger, lang Encoding) *Installation {
+	in := &Installation{Store: NewStore(), Network: NewNetwork(), Checker: NewChecker(), lang: lang, log: log, all: map[string]*Daemon{}, ctx: ctx}
 	in.hook = func(string, string) Failure { return NoFailure }
-	in.Fleet = NewFleet(in.Judge, func(key string, r *owner.Registration) {
+	in.Fleet = NewFleet(in.Checker, func(key string, r *owner.Registration) {
 		if r == nil {
 			in.Store.Remove(lang.WorkerPrefix + key)
 			return
@@ -94,8 +94,8 @@
 		DutyHandover: dutyHandover, MinStoreLease: time.Second, StatusRetention: 2 * time.Minute, Policy: policy.Default(),
 	}
 	var workers owner.WorkerClient = in.Fleet.Client(name, d.Gate, in.ask)
-	if in.Reach != nil {
-		workers = in.Reach(workers)
+	if in.WrapWorkers != nil {
+		workers = in.WrapWorkers(workers)
 	}
 	d.Node = node.New(set, node.Platform{
 		Clock:    clock{d.Gate},
@@ -170,13 +170,13 @@
 // Configure writes a configuration as the operator does.
 func (in *Installation) Configure(c *job.Catalog) {
 	in.Fleet.configure(c)
-	in.Judge.configured(c)
+	in.Checker.configured(c)
 	in.Store.Put(in.lang.ConfigKey, in.lang.EncodeCatalog(c))
 }
 
 // RequestWave asks for maintenance as the operator does.
 func (in *Installation) RequestWave(w owner.WaveRequest) {
-	in.Judge.Wave(w.Wave, w.MaxDown)
+	in.Checker.SetWaveLimit(w.Wave, w.MaxDown)
 	in.Store.Put(fmt.Sprintf("%s%d", in.lang.WavePrefix, w.Wave), in.lang.EncodeWave(w))
 }
 
@@ -199,7 +199,7 @@
 // Caller returns a new caller of the installation's daemons.
 func (in *Installation) Caller() *Caller {
 	next := 0
-	return in.CallerBy(func(method, path string, body []byte) (int, string) {
+	return in.CallerWith(func(method, path string, body []byte) (int, string) {
 		daemons := in.Daemons()
 		if len(daemons) == 0 {
 			return 0, ""
@@ -209,17 +209,17 @@
 	})
 }
 
-// CallerAt returns a caller that asks one daemon.
-func (in *Installation) CallerAt(d *Daemon) *Caller {
-	c := in.CallerBy(func(method, path string, body []byte) (int, string) {
+// CallerTo returns a caller that asks one daemon.
+func (in *Installation) CallerTo(d *Daemon) *Caller {
+	c := in.CallerWith(func(method, path string, body []byte) (int, string) {
 		return in.sendTo(d, method, path, body)
 	})
 	c.name = d.Name
 	return c
 }
 
-// CallerBy returns a caller that sends its own way.
-func (in *Installation) CallerBy(send Send) *Caller { return &Caller{in: in, send: send} }
+// CallerWith returns a caller that sends its own way.
+func (in *Installation) CallerWith(send Send) *Caller { return &Caller{in: in, send: send} }
 
 func (in *Installation) sendTo(d *Daemon, method, path string, body []byte) (int, string) {
 	ctx, cancel := context.WithTimeout(in.ctx, callerPatience)
@@ -240,14 +240,14 @@
 // Submit sends a job once. accepted is true if it was; refused is true if it
 // certainly never runs.
 func (c *Caller) Submit(prefix string, j *job.Job) (accepted, refused bool) {
-	c.in.Fleet.Know(j)
-	c.in.Judge.Submitted(j)
+	c.in.Fleet.RegisterJob(j)
+	c.in.Checker.Submitted(j)
 	status, _ := c.send(http.MethodPost, prefix+string(j.ID), c.in.lang.EncodeJob(j))
 	accepted = status == http.StatusOK
 	refused = status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-	c.in.Judge.Answered(j.ID, accepted, refused)
+	c.in.Checker.Answered(j.ID, accepted, refused)
 	if accepted {
-		c.in.Judge.Accepted(j.ID, prefix)
+		c.in.Checker.Accepted(j.ID, prefix)
 	}
 	return accepted, refused
 }
@@ -257,11 +257,11 @@
 	status, body := c.send(http.MethodGet, prefix+string(id), nil)
 	switch status {
 	case http.StatusGone:
-		c.in.Judge.Gone(id)
+		c.in.Checker.NotFoundReported(id)
 	case http.StatusOK:
 		var out struct{ State job.State }
 		if json.Unmarshal([]byte(body), &out) == nil {
-			c.in.Judge.Shown(id, out.State)
+			c.in.Checker.StateReported(id, out.State)
 			return out.State
 		}
 	}
@@ -272,7 +272,7 @@
 func (c *Caller) Cancel(prefix string, id job.ID) bool {
 	status, _ := c.send(http.MethodDelete, prefix+string(id), nil)
 	if status == http.StatusOK {
-		c.in.Judge.Cancelled(id)
+		c.in.Checker.Cancelled(id)
 	}
 	return status == http.StatusOK
 }
@@ -285,6 +285,6 @@
 	if status != http.StatusOK || json.Unmarshal([]byte(body), &out) != nil {
 		return -1
 	}
-	c.in.Judge.Counted(prefix, asked, out.Pending, c.name)
+	c.in.Checker.PendingReported(prefix, asked, out.Pending, c.name)
 	return out.Pending
 }
--- a/standin/jobfleet/judge.go
+++ b/standin/jobfleet/judge.go
@@ -9,9 +9,9 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Judge checks the promises from what workers, callers and the instance
+// Checker checks the promises from what workers, callers and the instance
 // manager saw.
-type Judge struct {
+type Checker struct {
 	mu      sync.Mutex
 	began   time.Time
 	broken  []string
@@ -77,36 +77,36 @@
 	countBound   = 5 * time.Second // a job shows in its queue's count after it
 )
 
-// NewJudge returns a judge that has seen nothing.
-func NewJudge() *Judge {
-	return &Judge{
+// NewChecker returns a judge that has seen nothing.
+func NewChecker() *Checker {
+	return &Checker{
 		began: time.Now(), tasks: map[job.TaskID]*taskRecord{}, jobs: map[job.ID]*jobRecord{},
 		drained: map[owner.WorkerID]time.Time{}, waves: map[int]*waveRecord{},
 		duties: map[owner.InstanceID]dutyRecord{}, crashers: map[crasher]bool{}, evacuated: map[string]time.Time{}, limits: map[string][]limitSince{},
 	}
 }
 
-// Broken returns a line for each promise that was not kept.
-func (j *Judge) Broken() []string {
+// Violations returns a line for each promise that was not kept.
+func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.broken...)
 }
 
 // Starts returns how many tasks were started.
-func (j *Judge) Starts() int {
+func (j *Checker) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts
 }
 
-func (j *Judge) fail(format string, args ...any) {
+func (j *Checker) fail(format string, args ...any) {
 	at := time.Since(j.began).Round(time.Millisecond)
 	j.broken = append(j.broken, at.String()+": "+fmt.Sprintf(format, args...))
 }
 
 // Submitted says that a caller's request with this job was sent.
-func (j *Judge) Submitted(spec *job.Job) {
+func (j *Checker) Submitted(spec *job.Job) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.jobs[spec.ID] == nil {
@@ -117,7 +117,7 @@
 
 // Answered says what the caller of a submission was told: accepted, that it
 // never runs, or neither.
-func (j *Judge) Answered(id job.ID, accepted, refused bool) {
+func (j *Checker) Answered(id job.ID, accepted, refused bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
@@ -134,14 +134,14 @@
 }
 
 // Cancelled says that a caller's cancellation was confirmed.
-func (j *Judge) Cancelled(id job.ID) {
+func (j *Checker) Cancelled(id job.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id].cancelled = time.Now()
 }
 
-// Shown checks a state that a caller was shown.
-func (j *Judge) Shown(id job.ID, s job.State) {
+// StateReported checks a state that a caller was shown.
+func (j *Checker) StateReported(id job.ID, s job.State) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
@@ -161,8 +161,8 @@
 	}
 }
 
-// Gone says that a caller was told that there is no such job.
-func (j *Judge) Gone(id job.ID) {
+// NotFoundReported says that a caller was told that there is no such job.
+func (j *Checker) NotFoundReported(id job.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.jobs[id].accepted {
@@ -171,7 +171,7 @@
 }
 
 // Accepted says that a caller was told that its job was accepted by a queue.
-func (j *Judge) Accepted(id job.ID, queue string) {
+func (j *Checker) Accepted(id job.ID, queue string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.jobs[id]
@@ -181,8 +181,8 @@
 	}
 }
 
-// Counted checks how many jobs of a queue were said to wait, asked for at asked.
-func (j *Judge) Counted(queue string, asked time.Time, n int, by string) {
+// PendingReported checks how many jobs of a queue were said to wait, asked for at asked.
+func (j *Checker) PendingReported(queue string, asked time.Time, n int, by string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	waiting := 0
@@ -202,7 +202,7 @@
 	return r.accepted && !r.started && r.cancelled.IsZero() && r.spec.Repeat == 0 && asked.Sub(r.confirmed) > countBound
 }
 
-func (j *Judge) allDone(spec *job.Job) bool {
+func (j *Checker) allDone(spec *job.Job) bool {
 	for k := range spec.Occurrences() {
 		for s := range spec.Steps {
 			if !j.stepDone(spec, k, s) {
@@ -213,7 +213,7 @@
 	return true
 }
 
-func (j *Judge) stepDone(spec *job.Job, occurrence, step int) bool {
+func (j *Checker) stepDone(spec *job.Job, occurrence, step int) bool {
 	for i := range spec.Steps[step].Count {
 		t := j.tasks[job.TaskID{Job: spec.ID, Occurrence: occurrence, Step: step, Index: i}]
 		if t == nil || !t.done {
@@ -223,21 +223,21 @@
 	return true
 }
 
-// Wave says how many instances of a wave may be down at once.
-func (j *Judge) Wave(wave, limit int) {
+// SetWaveLimit says how many instances of a wave may be down at once.
+func (j *Checker) SetWaveLimit(wave, limit int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.waves[wave] = &waveRecord{limit: limit, begun: map[owner.InstanceID]bool{}}
 }
 
-// Begun returns how many instances of a wave have been maintained.
-func (j *Judge) Begun(wave int) int {
+// MaintainedCount returns how many instances of a wave have been maintained.
+func (j *Checker) MaintainedCount(wave int) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return len(j.waves[wave].begun)
 }
 
-func (j *Judge) started(t job.TaskID, run uint64, w owner.WorkerID, token uint64) {
+func (j *Checker) started(t job.TaskID, run uint64, w owner.WorkerID, token uint64) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.starts++
@@ -257,7 +257,7 @@
 	}
 }
 
-func (j *Judge) judgeJob(t job.TaskID) {
+func (j *Checker) judgeJob(t job.TaskID) {
 	r := j.jobs[t.Job]
 	if r == nil {
 		j.fail("task %s was submitted by nobody", t)
@@ -278,7 +278,7 @@
 	}
 }
 
-func (j *Judge) record(t job.TaskID) *taskRecord {
+func (j *Checker) record(t job.TaskID) *taskRecord {
 	r := j.tasks[t]
 	if r == nil {
 		r = &taskRecord{running: map[owner.WorkerID]uint64{}}
@@ -287,7 +287,7 @@
 	return r
 }
 
-func (j *Judge) ended(t job.TaskID, run uint64, w owner.WorkerID, how string) {
+func (j *Checker) ended(t job.TaskID, run uint64, w owner.WorkerID, how string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.record(t)
@@ -304,19 +304,19 @@
 	}
 }
 
-func (j *Judge) acknowledged(t job.TaskID) {
+func (j *Checker) acknowledged(t job.TaskID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.record(t).acked = true
 }
 
-func (j *Judge) draining(w owner.WorkerID) {
+func (j *Checker) draining(w owner.WorkerID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.drained[w] = time.Now()
 }
 
-func (j *Judge) maintained(wave int, id owner.InstanceID) bool {
+func (j *Checker) maintained(wave int, id owner.InstanceID) bool {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	w := j.waves[wave]
@@ -325,7 +325,7 @@
 
 // duty judges an order for an instance. late says that the daemon was frozen
 // between its last check and the call, which no daemon can help.
-func (j *Judge) duty(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
+func (j *Checker) duty(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !late {
@@ -343,7 +343,7 @@
 
 // judgeHolder checks the orders for one instance: two holders must not take turns with
 // it, and its tokens must not fall.
-func (j *Judge) judgeHolder(d owner.Duty, id owner.InstanceID) {
+func (j *Checker) judgeHolder(d owner.Duty, id owner.InstanceID) {
 	last, ordered := j.duties[id]
 	if ordered && last.Holder != d.Holder && time.Since(last.at) < dutyHandover {
 		j.fail("%s orders instance %s %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
@@ -355,7 +355,7 @@
 }
 
 // Running returns how many tasks of a job run.
-func (j *Judge) Running(id job.ID) int {
+func (j *Checker) Running(id job.ID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	n := 0
--- a/standin/jobfleet/language.go
+++ b/standin/jobfleet/language.go
@@ -10,8 +10,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Language is how the operator, the workers and callers spell what they write.
-type Language struct {
+// Encoding is how the operator, the workers and callers spell what they write.
+type Encoding struct {
 	node.Formats
 	EncodeCatalog func(*job.Catalog) []byte
 	EncodeWorker  func(*owner.Registration) []byte
@@ -28,8 +28,8 @@
 	prefixWaves  = "report/wave/"
 )
 
-// Plain is the stand-in's own language: the types as JSON.
-var Plain = Language{
+// JSONEncoding is the stand-in's own language: the types as JSON.
+var JSONEncoding = Encoding{
 	Formats: node.Formats{
 		ConfigKey:        keyCatalog,
 		OperatorPrefix:   "operator/",
--- a/standin/jobfleet/shrink.go
+++ b/standin/jobfleet/shrink.go
@@ -48,7 +48,7 @@
 }
 
 // overLimit judges a start that brings a worker over its room.
-func (j *Judge) overLimit(t job.TaskID, w *worker) {
+func (j *Checker) overLimit(t job.TaskID, w *worker) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !w.shrank.IsZero() && time.Since(w.shrank) <= limitBound {
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -95,8 +95,8 @@
 	s.bump()
 }
 
-// Forget drops the history, so that watches have to start anew.
-func (s *Store) Forget() {
+// CompactHistory drops the history, so that watches have to start anew.
+func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.forgotten = s.rev
--- a/standin/jobfleet/tenants.go
+++ b/standin/jobfleet/tenants.go
@@ -21,7 +21,7 @@
 }
 
 // configured takes note of the limits of a configuration.
-func (j *Judge) configured(c *job.Catalog) {
+func (j *Checker) configured(c *job.Catalog) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, t := range c.Tenants {
@@ -31,7 +31,7 @@
 
 // judgeLimit checks what the tenant of a task that has just started has running. Of the limits
 // that may be in force the highest counts.
-func (j *Judge) judgeLimit(t job.TaskID, spec *job.Job) {
+func (j *Checker) judgeLimit(t job.TaskID, spec *job.Job) {
 	limits := j.limits[spec.Tenant]
 	if spec.Tenant == "" || len(limits) == 0 {
 		return
@@ -58,8 +58,8 @@
 	}
 }
 
-// Unknown says that a call with a key that no configuration has was answered.
-func (j *Judge) Unknown(status int) {
+// UnknownKeyAnswered says that a call with a key that no configuration has was answered.
+func (j *Checker) UnknownKeyAnswered(status int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if status >= 200 && status < 300 {
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -29,7 +29,7 @@
 	jobs      map[job.ID]*job.Job // what callers submitted
 	lives     int
 	beats     int
-	judge     *Judge
+	judge     *Checker
 	publish   func(key string, r *owner.Registration) // nil registration: removed
 	down      map[owner.InstanceID]int                // wave of the instances under maintenance
 	unguarded map[string]bool                         // pools the workers of which start whatever they are told
@@ -74,7 +74,7 @@
 }
 
 // NewFleet returns a fleet without instances. publish is told of registrations.
-func NewFleet(j *Judge, publish func(key string, r *owner.Registration)) *Fleet {
+func NewFleet(j *Checker, publish func(key string, r *owner.Registration)) *Fleet {
 	return &Fleet{
 		judge: j, publish: publish,
 		instances: map[owner.InstanceID]*instance{},
@@ -86,8 +86,8 @@
 	}
 }
 
-// Know tells the workers what a job's tasks are.
-func (f *Fleet) Know(j *job.Job) {
+// RegisterJob tells the workers what a job's tasks are.
+func (f *Fleet) RegisterJob(j *job.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[j.ID] = j
@@ -194,8 +194,8 @@
 	f.set(id, d, func(w *worker, on bool) { w.fails = on })
 }
 
-// Hang lets tasks that start on an instance stand still for a while.
-func (f *Fleet) Hang(id owner.InstanceID, d time.Duration) {
+// HangTasks lets tasks that start on an instance stand still for a while.
+func (f *Fleet) HangTasks(id owner.InstanceID, d time.Duration) {
 	f.set(id, d, func(w *worker, on bool) { w.hangs = on })
 }
 
@@ -225,9 +225,9 @@
 	}
 }
 
-// BeatTenth lets a tenth of the workers write their entries anew, each time others, as they do at
+// HeartbeatTenth lets a tenth of the workers write their entries anew, each time others, as they do at
 // each heartbeat.
-func (f *Fleet) BeatTenth() {
+func (f *Fleet) HeartbeatTenth() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.beats++
