--- a/requests/once/bounds.go
+++ b/requests/once/bounds.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// enforceLimits keeps the table within its limits. An answer goes before a claim. A
-// claim that goes raises the time since which the table is complete, so that
-// its key is refused and never run again.
+// enforceLimits drops the oldest answers above MaxAnswerBytes and the oldest
+// claims above MaxClaims. Dropping a claim raises completeSince, so that its key is
+// refused and never granted again.
 func (t *Table) enforceLimits() {
 	for t.answerBytes > t.opts.MaxAnswerBytes && len(t.answeredKeys) > 0 {
 		t.dropAnswer(t.answeredKeys[0])
@@ -30,6 +30,7 @@
 	}
 }
 
+// dropOldestClaims drops the n claims with the oldest keys.
 func (t *Table) dropOldestClaims(n int) {
 	var keys []Key
 	for _, p := range t.partitions {
@@ -49,8 +50,8 @@
 	}
 }
 
-// Tick gives up on tables that were awaited long enough, and drops the claims
-// whose keys can no longer be used.
+// Tick stops waiting for tables for which HandoverWait has passed, and drops the
+// claims whose keys have expired.
 func (t *Table) Tick(now time.Time) {
 	for _, p := range t.partitions {
 		t.ready(now, p)
@@ -67,5 +68,5 @@
 	})
 }
 
-// Size returns the number of claims and the bytes of retained answers.
+// Size returns the number of claims and the size of all retained answers.
 func (t *Table) Size() (claims, answerBytes int) { return t.claimCount, t.answerBytes }
--- a/requests/once/handover.go
+++ b/requests/once/handover.go
@@ -10,19 +10,20 @@
 	"github.com/postmount/postmount/requests/rendezvous"
 )
 
-// Transfer hands one partition to its next owner.
+// Transfer hands one partition over to its new owner.
 type Transfer struct {
 	Epoch     fleet.Epoch // of the view that made To the owner
 	From, To  fleet.Incarnation
 	Partition Partition
-	// Complete tells that Since holds; otherwise the claims are only hints.
+	// Complete is true if Claims is complete from Since on; otherwise claims may
+	// be missing.
 	Complete bool
 	Since    time.Time
 	Claims   []Claim
 }
 
-// SetView puts a newer view in force. It returns the partitions to hand over;
-// they are no longer served here.
+// SetView switches to a newer view. It removes the partitions that this daemon no
+// longer owns and returns them to be handed over.
 func (t *Table) SetView(now time.Time, v *fleet.View) []Transfer {
 	old := t.view
 	t.view = v
@@ -31,22 +32,23 @@
 	var out []Transfer
 	for p := range Partition(PartitionCount) {
 		owner := Owner(v, p)
-		mine := t.partitions[p]
+		own := t.partitions[p]
 		switch {
-		case owner == t.self && mine == nil:
+		case owner == t.self && own == nil:
 			t.partitions[p] = t.newPartition(old, v, p)
 		case owner == t.self:
-			t.revalidate(old, v, p, mine)
-		case owner != t.self && mine != nil:
+			t.revalidate(old, v, p, own)
+		case owner != t.self && own != nil:
 			out = append(out, t.export(p, owner))
 		}
-		if mine = t.partitions[p]; mine != nil {
-			mine.soleOwner = t.soleOwner(v, p)
+		if own = t.partitions[p]; own != nil {
+			own.soleOwner = t.soleOwner(v, p)
 		}
 	}
 	return out
 }
 
+// soleOwner reports whether this daemon owned p under all unretired views.
 func (t *Table) soleOwner(v *fleet.View, p Partition) bool {
 	for _, old := range v.Unretired {
 		if rendezvous.Owner(old.Members, partitionKey(p)) != t.self {
@@ -56,8 +58,8 @@
 	return true
 }
 
-// newPartition prepares a partition that this daemon owns from view v on. The
-// first view of all has nothing to wait for.
+// newPartition returns a partition that this daemon owns from view v on. Under
+// the first view ever there is no previous owner to wait for.
 func (t *Table) newPartition(old, v *fleet.View, p Partition) *partition {
 	n := &partition{claims: map[Key]*Claim{}, ownedSince: v.Epoch}
 	if v.Epoch == 1 {
@@ -68,10 +70,10 @@
 	return n
 }
 
-// revalidate keeps a partition that this daemon owned before and owns again.
-// Where views in between were missed, another daemon may have owned it there,
-// and the table is only complete once that one's has come.
-func (t *Table) revalidate(old, v *fleet.View, p Partition, mine *partition) {
+// revalidate updates a partition that this daemon owned under its last view and
+// owns under v. If it missed views in between, another daemon may have owned the
+// partition under them; then it is complete only with that daemon's table.
+func (t *Table) revalidate(old, v *fleet.View, p Partition, own *partition) {
 	missed := v.Epoch - old.Epoch - 1
 	if missed == 0 {
 		return
@@ -80,13 +82,13 @@
 	if missed == 1 && prev == t.self {
 		return
 	}
-	mine.ready = false
-	mine.previousOwner = prev
-	mine.ownedSince = v.Epoch
+	own.ready = false
+	own.previousOwner = prev
+	own.ownedSince = v.Epoch
 }
 
-// previousOwner returns who owned p in the view before v. A daemon that missed
-// that view finds its members in v's own list of unretired views.
+// previousOwner returns the owner of p under the view before v. A daemon that
+// missed that view finds its members in v's list of unretired views.
 func previousOwner(old, v *fleet.View, p Partition) fleet.Incarnation {
 	prev := old.Incarnations()
 	if old.Epoch != v.Epoch-1 {
@@ -105,10 +107,10 @@
 }
 
 func (t *Table) export(p Partition, to fleet.Incarnation) Transfer {
-	mine := t.partitions[p]
+	own := t.partitions[p]
 	delete(t.partitions, p)
-	tr := Transfer{Epoch: t.view.Epoch, From: t.self, To: to, Partition: p, Complete: mine.ready, Since: mine.completeSince}
-	for _, c := range mine.claims {
+	tr := Transfer{Epoch: t.view.Epoch, From: t.self, To: to, Partition: p, Complete: own.ready, Since: own.completeSince}
+	for _, c := range own.claims {
 		tr.Claims = append(tr.Claims, *c)
 		t.uncount(c)
 	}
@@ -116,7 +118,7 @@
 	return tr
 }
 
-// uncount takes c out of the counts.
+// uncount subtracts c from the table's counters.
 func (t *Table) uncount(c *Claim) {
 	t.claimCount--
 	if c.Answer != nil {
@@ -124,32 +126,33 @@
 	}
 }
 
-// StartServing notes that the view is served here from now on.
+// StartServing records that this daemon serves the current view from now on. Later
+// calls under the same view have no effect.
 func (t *Table) StartServing(now time.Time) {
 	if t.servingSince.IsZero() {
 		t.servingSince = now
 	}
 }
 
-// Receive takes in a partition handed over. It reports false if it is not this
-// daemon's, so that the sender tries the owner of a newer view.
+// Receive adds a partition that was handed over. It returns false if this daemon
+// doesn't own it, so that the sender tries the owner under a newer view.
 //
-// Claims are knowledge and always welcome. The completeness is taken over only
-// from the owner that this daemon follows directly.
+// Claims are merged from any sender. Completeness is accepted only from the
+// immediately preceding owner.
 func (t *Table) Receive(tr Transfer) bool {
-	mine := t.partitions[tr.Partition]
-	if mine == nil {
+	own := t.partitions[tr.Partition]
+	if own == nil {
 		return false
 	}
 	for _, c := range tr.Claims {
-		t.merge(mine, c)
+		t.merge(own, c)
 	}
-	if tr.Complete && tr.Epoch >= mine.ownedSince && tr.From == mine.previousOwner {
-		// A table that was given up on and arrives late still completes ours:
-		// what was unknown meanwhile was refused, never run.
-		mine.completeSince = tr.Since
-		mine.ready = true
-		mine.previousOwner = ""
+	if tr.Complete && tr.Epoch >= own.ownedSince && tr.From == own.previousOwner {
+		// A table that arrives after HandoverWait is still accepted: until then
+		// keys in doubt were refused and not granted.
+		own.completeSince = tr.Since
+		own.ready = true
+		own.previousOwner = ""
 	}
 	return true
 }
--- a/requests/once/key.go
+++ b/requests/once/key.go
@@ -9,11 +9,12 @@
 	"github.com/postmount/postmount/requests/rendezvous"
 )
 
-// Key is a caller's Idempotency-Key: a UUIDv7, whose time tells an owner
-// whether its table is complete for it.
+// Key is a caller's Idempotency-Key. It is a UUIDv7: an owner compares its
+// timestamp with the time from which on its table is complete.
 type Key string
 
-// ParseKey checks that s is a UUIDv7 in its canonical form.
+// ParseKey returns s as a key. It returns false if s isn't a UUIDv7 in canonical
+// form.
 func ParseKey(s string) (Key, bool) {
 	id, err := uuid.Parse(s)
 	if err != nil || id.Version() != 7 || id.String() != s {
@@ -22,13 +23,13 @@
 	return Key(s), true
 }
 
-// Time returns when the key was made, by its maker's clock.
+// Time returns the timestamp of the key, set by the caller's clock.
 func (k Key) Time() time.Time {
 	id, err := uuid.Parse(string(k))
 	if err != nil {
 		return time.Time{}
 	}
-	const bitsAfterTime = 80
+	const bitsAfterTime = 80 // a UUIDv7 starts with 48 bits of Unix milliseconds
 	ms := int64(0)
 	for _, b := range id[:(128-bitsAfterTime)/8] {
 		ms = ms<<8 | int64(b)
@@ -36,13 +37,14 @@
 	return time.UnixMilli(ms)
 }
 
-// PartitionCount is the number of partitions of the key space.
+// PartitionCount is the number of partitions of the key space. All daemons must
+// use the same value.
 const PartitionCount = 64
 
-// Partition is one part of the key space.
+// Partition numbers a partition of the key space, from 0.
 type Partition int
 
-// Partition returns the partition k belongs to.
+// Partition returns the partition of k.
 func (k Key) Partition() Partition {
 	return Partition(rendezvous.Hash(string(k)) % PartitionCount)
 }
--- a/requests/once/once.go
+++ b/requests/once/once.go
@@ -1,8 +1,8 @@
-// Package once makes a keyed request run at most once across all entry
-// daemons. Each key belongs to a partition, each partition to one daemon of
-// the view; that owner's table says whether the key was ever claimed.
+// Package once makes a request with an idempotency key run at most once across
+// all entry daemons. Each key belongs to a partition and each partition is owned
+// by one member of the view, whose table records which keys have been claimed.
 //
-// Everything here is pure: time comes in as an argument.
+// The package does no I/O and reads no clock: time is passed in.
 package once
 
 import (
@@ -12,14 +12,14 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Fingerprint identifies a request's content, so that a key reused for another
-// request is noticed.
+// Fingerprint is a hash of a request's content. It detects the reuse of a key for
+// a different request.
 type Fingerprint [sha256.Size]byte
 
-// Attempt identifies one try of one entry daemon to run a keyed request.
+// Attempt identifies one attempt of an entry daemon to run a keyed request.
 type Attempt string
 
-// Answer is a whole answer of a backend server.
+// Answer is a complete answer of a backend server.
 type Answer struct {
 	Status int
 	Header map[string][]string
@@ -37,18 +37,18 @@
 	return n
 }
 
-// Status is how far a claim has come.
+// Status is the state of a claim.
 type Status uint8
 
 // States of a claim.
 const (
-	Running   Status = iota // its claimer may have sent it
-	Finished                // ran; the answer is known, and retained or dropped
-	Unknown                 // may have run; the answer will never be known
-	Abandoned               // its attempt was given up before it ran
+	Running   Status = iota // the claimer may have sent the request
+	Finished                // the request ran; its answer is retained or was dropped
+	Unknown                 // the request may have run; its answer will never be known
+	Abandoned               // the attempt was abandoned before the request was sent
 )
 
-// Claim is what an owner knows about one key.
+// Claim is an owner's record of one key.
 type Claim struct {
 	Key         Key
 	Fingerprint Fingerprint
@@ -58,21 +58,23 @@
 	Answer      *Answer // nil unless Finished and retained
 }
 
-// Options bound a table.
+// Options configure a Table.
 type Options struct {
-	// Retention is how long after a key's time it can still be used.
+	// Retention is how long a key can be used after its timestamp.
 	Retention time.Duration
-	// MaxSkew bounds how far callers' and daemons' clocks differ.
+	// MaxSkew is the maximum difference between any two clocks of callers and
+	// daemons.
 	MaxSkew time.Duration
-	// HandoverWait is how long after a view was put in force a new owner waits
-	// for the old owner's table.
+	// HandoverWait is how long a new owner waits for the previous owner's table
+	// after the view has changed.
 	HandoverWait time.Duration
-	// MaxAnswerBytes bounds the retained answers, MaxClaims the claims.
+	// MaxAnswerBytes limits the size of all retained answers, MaxClaims the number
+	// of claims.
 	MaxAnswerBytes int
 	MaxClaims      int
 }
 
-// DefaultOptions keep a table within about 24 MB.
+// DefaultOptions limit a table to about 24 MB.
 var DefaultOptions = Options{
 	Retention:      10 * time.Minute,
 	MaxSkew:        500 * time.Millisecond,
@@ -81,25 +83,25 @@
 	MaxClaims:      60_000,
 }
 
-// Result is the outcome of asking for a claim.
+// Result is the owner's decision on a claim.
 type Result uint8
 
-// Results of Claim.
+// Results of Table.Claim.
 const (
-	// Refused by default: an owner that says nothing grants nothing.
-	NotOwner    Result = iota // this daemon does not serve the key's partition now; nothing was noted
-	NotReady                  // the old owner's table is still awaited; nothing was noted
-	Granted                   // the caller may run the request
+	// NotOwner is the zero value, so that an empty reply grants nothing.
+	NotOwner    Result = iota // this daemon doesn't serve the key's partition now; nothing was recorded
+	NotReady                  // the partition isn't complete yet; nothing was recorded
+	Granted                   // the claimer may run the request
 	InProgress                // another attempt may be running
-	Answered                  // it ran; the answer is attached
-	NotRetained               // it ran; the answer is no longer kept
-	MayHaveRun                // it may have run; it must not run again
-	Mismatch                  // the key was used for another request
-	Expired                   // the key is older than the retention
-	FromFuture                // the key's time lies in the future
+	Answered                  // the request ran; its answer is attached
+	NotRetained               // the request ran; its answer is no longer retained
+	MayHaveRun                // the request may have run and must not run again
+	Mismatch                  // the key was used for a different request
+	Expired                   // the key is older than the retention period
+	FromFuture                // the key's timestamp is in the future
 )
 
-// Reply is an owner's reply to Claim.
+// Reply is an owner's reply to a Request.
 type Reply struct {
 	Result Result
 	Answer *Answer
@@ -107,28 +109,30 @@
 
 // partition is the state of one owned partition.
 type partition struct {
-	// ready is false while the old owner's table is awaited.
+	// ready is false while the partition waits for the previous owner's table.
 	ready bool
-	// previousOwner is the old owner whose table is awaited or was given up on, and
-	// takenAt the epoch previousOwner which on this daemon owns the partition.
+	// previousOwner is the owner whose table is expected. It is kept after the wait
+	// has ended, so that a late table is still accepted, and cleared on arrival.
+	// ownedSince is the epoch since which this daemon has owned the partition.
 	previousOwner fleet.Incarnation
 	ownedSince    fleet.Epoch
-	// soleOwner tells that this daemon owns the partition under every view that may
-	// still be served, so that it need not wait for them to stop.
+	// soleOwner is true if this daemon owns the partition under every view that
+	// may still be served, so that it needn't wait for earlier views to retire.
 	soleOwner bool
-	// completeSince is the time from which the table is complete: any key made at or
-	// after it that was ever claimed is in claims.
+	// completeSince is the time from which on claims is complete: it has every
+	// key with this or a later timestamp that was ever claimed.
 	completeSince time.Time
 	claims        map[Key]*Claim
 }
 
-// Table is one daemon's share of the claims. It is not safe for concurrent use.
+// Table holds the claims of the partitions that one daemon owns. It is not safe
+// for concurrent use.
 type Table struct {
 	opts           Options
 	self           fleet.Incarnation
 	view           *fleet.View
-	viewSetAt      time.Time // when the view was put in force here
-	servingSince   time.Time // when the view began to be served here; zero before
+	viewSetAt      time.Time // when this daemon switched to the view
+	servingSince   time.Time // when this daemon began to serve the view; zero before
 	partitions     map[Partition]*partition
 	answeredKeys   []Key // keys with a retained answer, oldest first
 	answerBytes    int
@@ -152,8 +156,8 @@
 	t.enforceLimits()
 }
 
-// ready reports whether p can answer, giving up on the old owner's table when
-// it has been awaited long enough.
+// ready reports whether p can decide on claims. Once HandoverWait has passed, it
+// stops waiting for the previous owner's table.
 func (t *Table) ready(now time.Time, p *partition) bool {
 	if p.ready {
 		return true
@@ -162,14 +166,14 @@
 		return false
 	}
 	p.ready = true
-	// Any key the old owner granted was made at most MaxSkew after its grant
-	// by the caller's clock, and the old owner's clock differs from ours by at
-	// most MaxSkew.
+	// The previous owner granted nothing after servingSince. It accepted keys from
+	// at most MaxSkew in its future, and its clock differs from ours by at most
+	// MaxSkew.
 	p.completeSince = t.servingSince.Add(2 * t.opts.MaxSkew)
 	return true
 }
 
-// Request asks to run a keyed request.
+// Request asks the owner of a key for permission to run a request.
 type Request struct {
 	Epoch       fleet.Epoch
 	Key         Key
@@ -178,20 +182,20 @@
 	Claimer     fleet.Incarnation
 }
 
-// ViewStatus is what the owner's daemon may do under the table's view.
+// ViewStatus tells whether the table's view may be served.
 type ViewStatus struct {
-	// Confirmed tells that a quorum recently knew of no newer view.
+	// Confirmed is true if a quorum recently knew of no newer view.
 	Confirmed bool
-	// Retired tells that every earlier view has certainly stopped.
+	// Retired is true if no earlier view can still be served.
 	Retired bool
 }
 
-// Claim decides whether the request may run.
+// Claim decides whether a request may run.
 //
-// Invariant: of all attempts with one key, at most one is ever granted while
-// none of the earlier ones was abandoned. Reason: a grant is noted before it
-// is given, an owner grants only what its table is complete for, and two views
-// are never served at once for one partition.
+// Invariant: a key is granted to another attempt only after the attempt that held
+// it was abandoned. This holds because a grant is recorded before the reply is
+// sent, an owner grants a key only if its table is complete for it, and no
+// partition is served under two views at the same time.
 func (t *Table) Claim(now time.Time, s ViewStatus, r Request) Reply {
 	p := t.partitions[r.Key.Partition()]
 	if !s.Confirmed || p == nil || r.Epoch != t.view.Epoch || !(s.Retired || p.soleOwner) {
@@ -205,10 +209,10 @@
 		return t.replyKnown(c, r)
 	}
 	if found && c.Attempt == r.Attempt {
-		return Reply{Result: NotOwner} // given up before this message came
+		return Reply{Result: NotOwner} // abandoned before this message arrived
 	}
-	// An abandoned attempt proves nothing about others: a key that the table
-	// is not complete for stays refused.
+	// An abandoned attempt says nothing about other attempts: if the table isn't
+	// complete for the key, it is still refused.
 	if refusal, ok := t.refuseUnknown(now, p, r.Key); ok {
 		return refusal
 	}
@@ -220,8 +224,8 @@
 	return Reply{Result: Granted}
 }
 
-// refuseUnknown refuses a key that nothing is known of when the table cannot vouch
-// that it was never granted.
+// refuseUnknown refuses a key that has no claim, or only an abandoned one, if its
+// timestamp is out of range or the table can't rule out that it was granted.
 func (t *Table) refuseUnknown(now time.Time, p *partition, k Key) (Reply, bool) {
 	made := k.Time()
 	switch {
@@ -232,8 +236,8 @@
 	case !t.ready(now, p):
 		return Reply{Result: NotReady}, true
 	case made.Before(p.completeSince) && now.Before(p.completeSince):
-		// Every key of this moment is in doubt, also those that are new. Their
-		// callers are better served by coming back with a new key.
+		// At this time even new keys are in doubt. NotReady lets their callers
+		// retry with a later key.
 		return Reply{Result: NotReady}, true
 	case made.Before(p.completeSince):
 		return Reply{Result: MayHaveRun}, true
@@ -241,7 +245,7 @@
 	return Reply{}, false
 }
 
-// replyKnown replies to a claim for a key in the table.
+// replyKnown replies to a request whose key has a claim that wasn't abandoned.
 func (t *Table) replyKnown(c *Claim, r Request) Reply {
 	if c.Fingerprint != r.Fingerprint {
 		return Reply{Result: Mismatch}
@@ -254,18 +258,17 @@
 	case c.Status == Unknown:
 		return Reply{Result: MayHaveRun}
 	case c.Attempt == r.Attempt:
-		return Reply{Result: Granted} // the same message again
+		return Reply{Result: Granted} // repeated message
 	case t.view.Member(c.Claimer) == nil:
-		return Reply{Result: MayHaveRun} // its claimer is gone with the answer
+		return Reply{Result: MayHaveRun} // the claimer is lost, and the answer with it
 	default:
 		return Reply{Result: InProgress}
 	}
 }
 
-// RecordAttempt records what a claimer knows of its own attempt: that it runs, has
-// finished, was abandoned, or will stay unknown. It also tells a new owner of
-// a claim that the old owner's table took with it. It reports false if the
-// partition is not this daemon's.
+// RecordAttempt records the status of an attempt as reported by its claimer. This
+// is also how a new owner learns of a running attempt if the previous owner's
+// table is lost. It returns false if this daemon doesn't own the partition.
 func (t *Table) RecordAttempt(n Claim) bool {
 	p := t.partitions[n.Key.Partition()]
 	if p == nil {
@@ -275,9 +278,8 @@
 	return true
 }
 
-// merge takes in what is known of one attempt. What an attempt that was granted
-// says of itself outweighs the trace of another that was given up; of two
-// words about one attempt the one about its end counts.
+// merge adds a claim to the partition. A claim of a granted attempt replaces an
+// abandoned one; of two claims of the same attempt, the one with its end is kept.
 func (t *Table) merge(p *partition, n Claim) {
 	c, known := p.claims[n.Key]
 	switch {
@@ -291,7 +293,7 @@
 	}
 }
 
-// end notes how a running attempt ended.
+// end records how a running attempt ended.
 func (t *Table) end(c *Claim, n Claim) {
 	c.Status = n.Status
 	c.Answer = n.Answer
--- a/requests/once/once_test.go
+++ b/requests/once/once_test.go
@@ -58,13 +58,13 @@
 	}
 }
 
-func TestClaimsOfOneKey(t *testing.T) {
+func TestClaimsOfSameKey(t *testing.T) {
 	v := view(1, nil, "a")
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
 	k := keyAt(t0, v, "a")
 	require.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "1")).Result)
-	assert.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "1")).Result, "the same message again")
+	assert.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "1")).Result, "repeated message")
 	assert.Equal(t, InProgress, table.Claim(t0, confirmedAndRetired, ask(v, k, "2")).Result)
 	other := ask(v, k, "3")
 	other.Fingerprint = Fingerprint{2}
@@ -74,7 +74,7 @@
 	assert.Equal(t, Reply{Result: Answered, Answer: answer}, table.Claim(t0, confirmedAndRetired, ask(v, k, "4")))
 }
 
-func TestRefusesWithoutStandingOrUnderAnotherEpoch(t *testing.T) {
+func TestRefusesWhenViewIsNotServedOrEpochDiffers(t *testing.T) {
 	v := view(1, nil, "a")
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
@@ -85,7 +85,7 @@
 	assert.Equal(t, NotOwner, table.Claim(t0, confirmedAndRetired, old).Result)
 }
 
-func TestKeysOutOfTime(t *testing.T) {
+func TestKeysWithTimestampOutOfRange(t *testing.T) {
 	v := view(1, nil, "a")
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
@@ -93,8 +93,8 @@
 	assert.Equal(t, FromFuture, table.Claim(t0, confirmedAndRetired, ask(v, keyAt(t0.Add(time.Second), v, "a"), "1")).Result)
 }
 
-// TestOwnerLost checks that a key which the lost owner may have granted is never
-// granted by its successor.
+// TestOwnerLost checks that a new owner never grants a key that the lost owner may
+// have granted.
 func TestOwnerLost(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, []fleet.Incarnation{"a", "b"}, "b")
 	k := keyAt(t0, v1, "a")
@@ -102,7 +102,7 @@
 	table.SetView(t0, v1)
 	table.SetView(t0, v2)
 	now := t0.Add(DefaultOptions.HandoverWait / 2)
-	assert.Equal(t, NotReady, table.Claim(now, confirmedAndRetired, ask(v2, k, "2")).Result, "the old owner's table may still come")
+	assert.Equal(t, NotReady, table.Claim(now, confirmedAndRetired, ask(v2, k, "2")).Result, "the previous owner's table may still arrive")
 	now = now.Add(DefaultOptions.HandoverWait)
 	assert.Equal(t, MayHaveRun, table.Claim(now, confirmedAndRetired, ask(v2, k, "2")).Result)
 	fresh := keyAt(t0.Add(5*time.Second), v1, "a")
@@ -112,24 +112,24 @@
 func TestHandOver(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, []fleet.Incarnation{"a", "b"}, "b")
 	k := keyAt(t0, v1, "a")
-	from, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
-	from.SetView(t0, v1)
+	oldOwner, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
+	oldOwner.SetView(t0, v1)
 	to.SetView(t0, v1)
-	require.Equal(t, Granted, from.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
-	from.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Status: 201}})
+	require.Equal(t, Granted, oldOwner.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
+	oldOwner.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Status: 201}})
 	to.SetView(t0, v2)
-	for _, tr := range from.SetView(t0, v2) {
+	for _, tr := range oldOwner.SetView(t0, v2) {
 		assert.True(t, to.Receive(tr))
 	}
-	assert.Equal(t, NotOwner, from.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
+	assert.Equal(t, NotOwner, oldOwner.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
 	assert.Equal(t, Answered, to.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
-	assert.Equal(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, keyAt(t0.Add(time.Millisecond), v1, "a"), "3")).Result, "a complete table grants keys of its own time")
+	assert.Equal(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, keyAt(t0.Add(time.Millisecond), v1, "a"), "3")).Result, "a complete table grants keys older than the handover")
 }
 
-// TestAbandonedAttemptDoesNotVouchForOthers: an owner that lost its
-// predecessor's table hears of an attempt that was given up. That says nothing
-// about an earlier attempt that the predecessor granted.
-func TestAbandonedAttemptDoesNotVouchForOthers(t *testing.T) {
+// TestAbandonedAttemptDoesNotAllowOthers: a new owner without the previous owner's
+// table learns of an abandoned attempt. The previous owner may have granted
+// another attempt before, so the key must still be refused.
+func TestAbandonedAttemptDoesNotAllowOthers(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, []fleet.Incarnation{"a", "b"}, "b")
 	k := keyAt(t0, v1, "a")
 	table := NewTable("b", DefaultOptions)
@@ -141,9 +141,10 @@
 	assert.Equal(t, MayHaveRun, table.Claim(now, confirmedAndRetired, ask(v2, k, "3")).Result)
 }
 
-// TestHandOverOutweighsAnAbandonedAttempt: the new owner hears first of another
-// attempt that was given up, and then gets the old owner's table.
-func TestHandOverOutweighsAnAbandonedAttempt(t *testing.T) {
+// TestTransferReplacesAbandonedAttempt: a new owner learns of an abandoned attempt
+// and then receives the previous owner's table, in which another attempt is
+// running.
+func TestTransferReplacesAbandonedAttempt(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, []fleet.Incarnation{"a", "b"}, "b")
 	k := keyAt(t0, v1, "a")
 	from, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
@@ -158,7 +159,7 @@
 	assert.NotEqual(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, k, "3")).Result)
 }
 
-func TestAbandonOvertakesItsClaim(t *testing.T) {
+func TestAbandonArrivesBeforeItsClaim(t *testing.T) {
 	v := view(1, nil, "a")
 	table := NewTable("a", DefaultOptions)
 	table.SetView(t0, v)
@@ -168,14 +169,14 @@
 	assert.Equal(t, Granted, table.Claim(t0, confirmedAndRetired, ask(v, k, "2")).Result)
 }
 
-// TestMissedViews: a daemon that slept through a view in which another daemon
-// owned the partition does not take its own old table for complete.
+// TestMissedViews: a daemon that missed a view under which another daemon owned
+// the partition doesn't treat its own table as complete.
 func TestMissedViews(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, nil, "b")
 	v3 := view(3, []fleet.Incarnation{"b"}, "a", "b")
 	k := keyAt(t0, v1, "a")
-	sleeper := NewTable("a", DefaultOptions)
-	sleeper.SetView(t0, v1)
+	absent := NewTable("a", DefaultOptions)
+	absent.SetView(t0, v1)
 	other := NewTable("b", DefaultOptions)
 	other.SetView(t0, v1)
 	other.SetView(t0, v2)
@@ -184,13 +185,13 @@
 	k2 := keyAt(later, v1, "a")
 	require.Equal(t, Granted, other.Claim(later, confirmedAndRetired, ask(v2, k2, "1")).Result)
 	other.Tick(later)
-	sleeper.SetView(later, v3)
-	assert.Equal(t, NotReady, sleeper.Claim(later, confirmedAndRetired, ask(v3, k2, "2")).Result)
+	absent.SetView(later, v3)
+	assert.Equal(t, NotReady, absent.Claim(later, confirmedAndRetired, ask(v3, k2, "2")).Result)
 	for _, tr := range other.SetView(later, v3) {
-		sleeper.Receive(tr)
+		absent.Receive(tr)
 	}
-	assert.Equal(t, InProgress, sleeper.Claim(later, confirmedAndRetired, ask(v3, k2, "2")).Result)
-	assert.Equal(t, MayHaveRun, sleeper.Claim(later, confirmedAndRetired, ask(v3, k, "3")).Result, "b never had a's first table")
+	assert.Equal(t, InProgress, absent.Claim(later, confirmedAndRetired, ask(v3, k2, "2")).Result)
+	assert.Equal(t, MayHaveRun, absent.Claim(later, confirmedAndRetired, ask(v3, k, "3")).Result, "b never received a's first table")
 }
 
 func TestBounds(t *testing.T) {
@@ -209,5 +210,5 @@
 	claims, bytes := table.Size()
 	assert.LessOrEqual(t, claims, 10)
 	assert.LessOrEqual(t, bytes, 100)
-	assert.Equal(t, MayHaveRun, table.Claim(t0.Add(time.Second), confirmedAndRetired, ask(v, keys[0], "2")).Result, "a forgotten key is not run again")
+	assert.Equal(t, MayHaveRun, table.Claim(t0.Add(time.Second), confirmedAndRetired, ask(v, keys[0], "2")).Result, "a dropped key is not granted again")
 }
