--- a/jobs/apikey/apikey_test.go
+++ b/jobs/apikey/apikey_test.go
@@ -25,7 +25,8 @@
 	}
 }
 
-// TestEncodedRingContainsNoKeys: the encoded ring does not contain the keys, and can be decoded again.
+// TestEncodedRingContainsNoKeys: the encoded ring does not contain the keys, and can be decoded
+// again.
 func TestEncodedRingContainsNoKeys(t *testing.T) {
 	r := Ring{}
 	require.NoError(t, r.Add("very-secret", "one"))
--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -19,16 +19,16 @@
 	// NotAccepted is the time between a caller's first refused attempt and the attempt that was
 	// accepted.
 	NotAccepted = "not-accepted"
-	// StoreAway, OwnerChanging, Overloaded and OtherRefusal are reasons why a job was never
+	// StoreUnavailable, OwnerChanging, Overloaded and OtherRefusal are reasons why a job was never
 	// accepted.
-	StoreAway     = "store-away"
-	OwnerChanging = "owner-changing"
-	Overloaded    = "overloaded"
-	OtherRefusal  = "refused-otherwise"
-	// JobFailed means that a task of an accepted job used up its attempts.
-	JobFailed = "attempts-used-up"
-	// JobCrashes means that a job failed because one of its tasks crashes its workers.
-	JobCrashes = "crashes-its-workers"
+	StoreUnavailable = "store-away"
+	OwnerChanging    = "owner-changing"
+	Overloaded       = "overloaded"
+	OtherRefusal     = "refused-otherwise"
+	// AttemptsUsedUp means that a task of an accepted job used up its attempts.
+	AttemptsUsedUp = "attempts-used-up"
+	// CrashesWorkers means that a job failed because one of its tasks crashes its workers.
+	CrashesWorkers = "crashes-its-workers"
 )
 
 // Outcome is the outcome of a job.
@@ -55,13 +55,13 @@
 // MainCause returns the cause of most of the job's avoidable time, which is all but the tasks'
 // own work.
 func (j Job) MainCause() string {
-	worst, most := "", time.Duration(-1)
+	cause, longest := "", time.Duration(-1)
 	for c, d := range j.Spent {
-		if c != owner.CauseWork.String() && (d > most || d == most && c < worst) {
-			worst, most = c, d
+		if c != owner.CauseWork.String() && (d > longest || d == longest && c < cause) {
+			cause, longest = c, d
 		}
 	}
-	return worst
+	return cause
 }
 
 // Report summarizes all jobs in a set of logs.
@@ -75,12 +75,12 @@
 type jobTrace struct {
 	id             string
 	queue          string
-	firstAttempt   time.Time // first try
+	firstAttempt   time.Time // first submission, refused or accepted
 	acceptedAt     time.Time
-	refusals       []string // why
+	refusals       []string // reasons
 	late           *explain.Line
 	failed         bool
-	crashesWorkers bool // and a task of it crashes its workers
+	crashesWorkers bool // one of its tasks was given up as it crashes its workers
 }
 
 // NewReport returns the report on the lines of all daemons.
@@ -105,13 +105,13 @@
 			t = &jobTrace{id: l.Job}
 			traces[l.Job] = t
 		}
-		t.add(l)
+		t.addLine(l)
 	}
 	for _, t := range traces {
 		if !t.acceptedAt.IsZero() {
 			out.Accepted++
 		}
-		if j, bad := t.job(begin); bad {
+		if j, unserved := t.job(begin); unserved {
 			out.Jobs = append(out.Jobs, j)
 		}
 	}
@@ -121,7 +121,7 @@
 	return out
 }
 
-func (t *jobTrace) add(l *explain.Line) {
+func (t *jobTrace) addLine(l *explain.Line) {
 	switch l.Event {
 	case "job-accepted":
 		if t.acceptedAt.IsZero() || l.Time.Before(t.acceptedAt) {
@@ -156,9 +156,9 @@
 // failureCause returns the cause of the job's failure.
 func (t *jobTrace) failureCause() string {
 	if t.crashesWorkers {
-		return JobCrashes
+		return CrashesWorkers
 	}
-	return JobFailed
+	return AttemptsUsedUp
 }
 
 // job returns the job's entry in the report. unserved is false if, according to the logs, the
@@ -219,7 +219,7 @@
 	case strings.Contains(last, "owner"):
 		return OwnerChanging
 	case strings.Contains(last, "store") || strings.Contains(last, "stored"):
-		return StoreAway
+		return StoreUnavailable
 	}
 	return OtherRefusal
 }
--- a/jobs/late/late_test.go
+++ b/jobs/late/late_test.go
@@ -50,9 +50,9 @@
 	assert.Equal(t, 1500*time.Millisecond, a.Spent[NotAccepted])
 
 	assert.Equal(t, Failed, byID["c"].Outcome)
-	assert.Equal(t, JobFailed, byID["c"].MainCause())
+	assert.Equal(t, AttemptsUsedUp, byID["c"].MainCause())
 	assert.Equal(t, Overloaded, byID["d"].MainCause())
-	assert.Equal(t, StoreAway, byID["f"].MainCause())
+	assert.Equal(t, StoreUnavailable, byID["f"].MainCause())
 
 	queues := r.ByQueue()
 	require.Len(t, queues, 2)
@@ -101,5 +101,5 @@
 	jobs := NewReport(lines).Jobs
 	require.Len(t, jobs, 1)
 	assert.Equal(t, Failed, jobs[0].Outcome)
-	assert.Equal(t, JobCrashes, jobs[0].MainCause())
+	assert.Equal(t, CrashesWorkers, jobs[0].MainCause())
 }
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -27,7 +27,7 @@
 	relays Relays
 
 	mu              sync.Mutex
-	directDown      bool          // the last direct call failed
+	directDown      bool          // the latest direct call failed
 	dialFailed      bool          // it failed as no connection could be opened
 	nextProbe       time.Time     // earliest time of the next direct call
 	backoff         time.Duration // latest backoff of the direct path
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -30,7 +30,7 @@
 
 	store            Store
 	lock             Condition
-	sequence         int64 // revision of keySequence that the next transaction holds on
+	sequence         int64 // revision of keySequence that the next transaction requires
 	lastWriteUnknown bool  // the last transaction's answer was lost
 	writes           uint64
 }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -86,7 +86,8 @@
 	t.Burn.Record(time.Now(), slo.Key{Service: service, Class: class}, t.meetsObjective(service, class, v, status, took))
 }
 
-// meetsObjective reports whether a request met its service's objective. Client errors count as meetsObjective.
+// meetsObjective reports whether a request met its service's objective. Client errors
+// count as met.
 func (t *RequestObserver) meetsObjective(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
 	if v != verdict.Done {
 		return status < http.StatusInternalServerError // 4xx: client error
