--- a/cmd/postmountd/main.go
+++ b/cmd/postmountd/main.go
@@ -48,7 +48,7 @@
 	set, err := settings.Load(file)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		var invalid *settings.Invalid
+		var invalid *settings.InvalidFileError
 		if errors.As(err, &invalid) || checkOnly || os.IsNotExist(err) {
 			return exitSettings
 		}
--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -57,7 +57,7 @@
 	self       fleet.Entry
 	store      *store.Direct
 	mirror     *mirror.Mirror
-	feed       *mirror.Feed
+	feed       *mirror.Syncer
 	node       *cluster.Node
 	dispatcher *entry.Dispatcher
 	handler    *entry.Handler
@@ -108,7 +108,7 @@
 	d.self = fleet.Entry{ID: fleet.EntryID(name), Incarnation: fleet.Incarnation(name), PeerAddr: name}
 	d.store.SetFaults(store.Faults{Down: in.down})
 	rnd := rand.New(rand.NewPCG(1, uint64(n)))
-	d.feed = &mirror.Feed{Mirror: d.mirror, Store: d.store, Rand: rnd}
+	d.feed = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: rnd}
 	d.dispatcher = entry.NewDispatcher(d.self.Incarnation, "z", 10*time.Second, entry.DefaultPolicies, rand.New(rand.NewPCG(2, uint64(n))))
 	d.node = cluster.New(cluster.Options{
 		Self: d.self, Seeds: in.seeds, Heartbeat: 300 * time.Millisecond, LeaseTTL: 2 * time.Second, Grace: 2 * time.Second,
@@ -119,7 +119,7 @@
 		Instances: func() []fleet.Instance { return nil }, SeedInstances: func([]fleet.Instance) {},
 	})
 	d.handler = &entry.Handler{
-		Dispatcher: d.dispatcher, Claims: &hookedClaims{d.node.Claims, d}, Backend: &hookedBackend{d}, Standing: d.node.Standing, Observer: &hookedObserver{d},
+		Dispatcher: d.dispatcher, Claims: &hookedClaims{d.node.Claims, d}, Backend: &hookedBackend{d}, Standing: d.node.ServingStatus, Observer: &hookedObserver{d},
 		Limits: entry.Limits{MaxBody: 1 << 20, DefaultTimeout: 2 * time.Second, MaxTimeout: 10 * time.Second, MaxInFlight: 100, MaxBuffered: 1 << 30, MaxRetained: 1 << 16},
 	}
 	d.dispatcher.SetDirectory(fixedDirectory())
@@ -174,7 +174,7 @@
 			continue
 		}
 		live++
-		s := d.node.Standing()
+		s := d.node.ServingStatus()
 		if !s.Serving(time.Now()) || (epoch != 0 && s.Epoch != epoch) {
 			return false
 		}
@@ -206,7 +206,7 @@
 	d.in.later(2*time.Second, func() {
 		for _, other := range d.in.daemons {
 			if !other.isDead() {
-				other.node.MarkGone([]fleet.Incarnation{d.self.Incarnation})
+				other.node.MarkEnded([]fleet.Incarnation{d.self.Incarnation})
 			}
 		}
 	})
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -169,8 +169,8 @@
 	c.Adopt(t0, v)
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Confirmed(t0, t0, "m1", 1, 1)
-		c.Standing(t0)
+		c.RecordConfirmation(t0, t0, "m1", 1, 1)
+		c.ServingStatus(t0)
 	}
 }
 
--- a/requests/cluster/beat.go
+++ b/requests/cluster/beat.go
@@ -72,7 +72,7 @@
 		From:     n.opts.Self.Incarnation,
 		ID:       n.opts.Self.ID,
 		Epoch:    n.core.View().Epoch,
-		Highest:  n.core.Highest(),
+		Highest:  n.core.HighestEpoch(),
 		Revision: n.deps.Mirror.State().Revision,
 		Settled:  n.deps.Shares.SelfSettled(),
 		Stopping: n.stopping,
@@ -80,7 +80,7 @@
 }
 
 func (n *Node) beatAnswered(ctx context.Context, now, sentAt time.Time, addr string, asked port.Heartbeat, r port.HeartbeatReply) {
-	n.core.Confirmed(now, sentAt, r.From, asked.Epoch, r.Highest)
+	n.core.RecordConfirmation(now, sentAt, r.From, asked.Epoch, r.Highest)
 	n.heard(now, r.From, r.Epoch, r.Revision, r.Settled, r.Stopping)
 	if r.Revision > n.deps.Mirror.State().Revision && n.wantsRecords() {
 		n.pull(ctx, addr)
@@ -102,7 +102,7 @@
 // ahead: when the store's watch is not there to bring them, or a newer epoch
 // is known to exist.
 func (n *Node) wantsRecords() bool {
-	return !n.deps.Connected() || n.core.Highest() > n.core.View().Epoch
+	return !n.deps.Connected() || n.core.HighestEpoch() > n.core.View().Epoch
 }
 
 // pull fetches the records that the peer at addr has and this daemon lacks.
@@ -127,13 +127,13 @@
 func (n *Node) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
 	var r port.HeartbeatReply
 	n.do(func(now time.Time) {
-		n.core.Heard(now, b.From, b.Highest)
+		n.core.RecordEpoch(now, b.From, b.Highest)
 		n.heard(now, b.From, b.Epoch, b.Revision, b.Settled, b.Stopping)
 		n.publish(now)
 		r = port.HeartbeatReply{
 			From:     n.opts.Self.Incarnation,
 			Epoch:    n.core.View().Epoch,
-			Highest:  n.core.Highest(),
+			Highest:  n.core.HighestEpoch(),
 			Revision: n.deps.Mirror.State().Revision,
 			Settled:  n.deps.Shares.SelfSettled(),
 			Stopping: n.stopping,
@@ -144,7 +144,7 @@
 
 // OnChanges implements port.PeerServer.
 func (n *Node) OnChanges(since fleet.Revision) port.Changes {
-	events, upTo := n.deps.Mirror.Since(since)
+	events, upTo := n.deps.Mirror.ChangesSince(since)
 	out := port.Changes{Events: events, CompleteTo: upTo}
 	if since == 0 {
 		out.Instances = n.deps.Instances()
@@ -176,7 +176,7 @@
 		return
 	}
 	ev := n.evidence(now, state)
-	serving := n.core.Standing(now).Serving(now)
+	serving := n.core.ServingStatus(now).Serving(now)
 	next, ok := member.Propose(now, state.View.Value, ev, n.opts.Grace, serving)
 	if !ok {
 		return
@@ -191,11 +191,11 @@
 	})
 }
 
-func (n *Node) evidence(now time.Time, state *fleet.State) member.Evidence {
-	ev := member.Evidence{
+func (n *Node) evidence(now time.Time, state *fleet.State) member.Observations {
+	ev := member.Observations{
 		MissingSince: n.missingSince,
 		HeardAt:      map[fleet.Incarnation]time.Time{n.opts.Self.Incarnation: now},
-		Gone:         n.gone,
+		Ended:        n.gone,
 		Stopping:     map[fleet.Incarnation]bool{n.opts.Self.Incarnation: n.stopping},
 	}
 	registered := map[fleet.Incarnation]bool{}
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -153,7 +153,7 @@
 func (c *Claims) tick(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.node.Standing().Serving(now) {
+	if c.node.ServingStatus().Serving(now) {
 		c.table.StartServing(now)
 	}
 	c.table.Tick(now)
@@ -171,8 +171,8 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	s := c.node.Standing()
-	return c.table.Claim(now, once.ViewStatus{Confirmed: s.Confirmed(now) && s.Epoch == r.Epoch, Retired: s.Retired}, r)
+	s := c.node.ServingStatus()
+	return c.table.Claim(now, once.ViewStatus{Confirmed: s.HasQuorum(now) && s.Epoch == r.Epoch, Retired: s.EarlierViewsRetired}, r)
 }
 
 // OnNote takes in what became of an attempt.
--- a/requests/cluster/claims_test.go
+++ b/requests/cluster/claims_test.go
@@ -44,7 +44,7 @@
 		const attempts, gone = 300, 2 * time.Second
 		peers := &gonePeer{}
 		n := New(Options{Self: fleet.Entry{Incarnation: "self"}}, Deps{Peers: peers, Log: zap.NewNop()})
-		n.progress.Store(&Progress{View: &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "owner", PeerAddr: "owner:1"}}}})
+		n.progress.Store(&MemberProgress{View: &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "owner", PeerAddr: "owner:1"}}}})
 		for i := range attempts {
 			a := once.Attempt(fmt.Sprintf("a%d", i))
 			n.Claims.open[a] = &openClaim{claim: once.Claim{Key: once.Key(fmt.Sprintf("k%d", i)), Attempt: a}, granted: true}
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -33,9 +33,9 @@
 	Once      once.Options
 }
 
-// Shares is what the traffic side offers to the node: the daemon's shares of
+// SlotShares is what the traffic side offers to the node: the daemon's shares of
 // the workers' slots follow the view.
-type Shares interface {
+type SlotShares interface {
 	SetView(v *fleet.View)
 	Advance(now time.Time, retired bool)
 	SelfSettled() bool
@@ -49,7 +49,7 @@
 	Store  port.Store
 	Peers  port.Peers
 	Mirror *mirror.Mirror
-	Shares Shares
+	Shares SlotShares
 	Log    *zap.Logger
 	Seed   uint64 // of the jitter
 	// Connected tells whether the store's watch is alive.
@@ -69,15 +69,15 @@
 	Claims *Claims
 
 	events   chan func(now time.Time)
-	standing atomic.Pointer[member.Standing]
-	progress atomic.Pointer[Progress]
+	standing atomic.Pointer[member.ServingStatus]
+	progress atomic.Pointer[MemberProgress]
 	urgent   chan struct{} // asks for a round of heartbeats now
 	done     chan struct{}
 	wg       sync.WaitGroup
 
 	// The fields below belong to the control goroutine.
 	rand         *rand.Rand
-	core         *member.Core
+	core         *member.Tracker
 	peers        map[fleet.Incarnation]*peerState
 	missingSince map[fleet.Incarnation]time.Time
 	gone         map[fleet.Incarnation]bool
@@ -96,8 +96,8 @@
 	busy     bool // a heartbeat is under way
 }
 
-// Progress tells how far the members of the view have taken in the records.
-type Progress struct {
+// MemberProgress tells how far the members of the view have taken in the records.
+type MemberProgress struct {
 	View     *fleet.View
 	Revision map[fleet.Incarnation]fleet.Revision
 	HeardAt  map[fleet.Incarnation]time.Time
@@ -120,8 +120,8 @@
 		missingSince: map[fleet.Incarnation]time.Time{},
 		gone:         map[fleet.Incarnation]bool{},
 	}
-	n.standing.Store(&member.Standing{Reason: member.ReasonNoView})
-	n.progress.Store(&Progress{View: &fleet.View{}})
+	n.standing.Store(&member.ServingStatus{Reason: member.ReasonNoView})
+	n.progress.Store(&MemberProgress{View: &fleet.View{}})
 	n.Claims = newClaims(n)
 	return n
 }
@@ -129,14 +129,14 @@
 // Self returns the daemon's own entry.
 func (n *Node) Self() fleet.Entry { return n.opts.Self }
 
-// Standing returns the newest standing. Readers compare it with the time.
-func (n *Node) Standing() member.Standing { return *n.standing.Load() }
+// ServingStatus returns the newest standing. Readers compare it with the time.
+func (n *Node) ServingStatus() member.ServingStatus { return *n.standing.Load() }
 
 // View returns the view in force at this daemon.
 func (n *Node) View() *fleet.View { return n.progress.Load().View }
 
 // Progress returns how far the members are.
-func (n *Node) Progress() *Progress { return n.progress.Load() }
+func (n *Node) Progress() *MemberProgress { return n.progress.Load() }
 
 // Run takes part in the fleet until ctx ends.
 func (n *Node) Run(ctx context.Context) {
@@ -208,8 +208,8 @@
 	}()
 }
 
-// Hurry asks for a round of heartbeats now, so that peers learn of a change.
-func (n *Node) Hurry() {
+// RequestHeartbeats asks for a round of heartbeats now, so that peers learn of a change.
+func (n *Node) RequestHeartbeats() {
 	select {
 	case n.urgent <- struct{}{}:
 	default:
@@ -232,14 +232,14 @@
 
 // publish makes the standing and progress visible to other goroutines.
 func (n *Node) publish(now time.Time) {
-	s := n.core.Standing(now)
+	s := n.core.ServingStatus(now)
 	n.standing.Store(&s)
-	n.deps.Shares.Advance(now, s.Retired)
+	n.deps.Shares.Advance(now, s.EarlierViewsRetired)
 	if s.Reason != n.lastReason {
 		n.lastReason = s.Reason
 		n.deps.Log.Info("standing changed", zap.Int64("epoch", int64(s.Epoch)), zap.String("reason", s.Reason))
 	}
-	p := &Progress{
+	p := &MemberProgress{
 		View:     n.core.View().Clone(),
 		Revision: map[fleet.Incarnation]fleet.Revision{n.opts.Self.Incarnation: n.deps.Mirror.State().Revision},
 		HeardAt:  map[fleet.Incarnation]time.Time{n.opts.Self.Incarnation: now},
@@ -256,8 +256,8 @@
 // liveFor is for how many heartbeats a silent member still counts as live.
 const liveFor = 5
 
-// Live lists the members of the view that were heard of lately.
-func (n *Node) Live() []fleet.Incarnation {
+// LiveMembers lists the members of the view that were heard of lately.
+func (n *Node) LiveMembers() []fleet.Incarnation {
 	p := n.Progress()
 	now := time.Now()
 	var out []fleet.Incarnation
@@ -270,27 +270,27 @@
 	return out
 }
 
-// MarkGone takes in the incarnations that the platform knows to have ended.
-func (n *Node) MarkGone(gone []fleet.Incarnation) {
+// MarkEnded takes in the incarnations that the platform knows to have ended.
+func (n *Node) MarkEnded(gone []fleet.Incarnation) {
 	if len(gone) == 0 {
 		return
 	}
 	n.do(func(now time.Time) {
 		for _, i := range gone {
 			n.gone[i] = true
-			n.core.MarkGone(now, i)
+			n.core.MarkEnded(now, i)
 		}
 	})
 }
 
-// InForce waits until every live member of the view has taken in revision rev.
+// WaitApplied waits until every live member of the view has taken in revision rev.
 // It returns the members that have not when ctx ends.
-func (n *Node) InForce(ctx context.Context, rev fleet.Revision) []fleet.EntryID {
+func (n *Node) WaitApplied(ctx context.Context, rev fleet.Revision) []fleet.EntryID {
 	const poll = 20 * time.Millisecond
 	t := time.NewTicker(poll)
 	defer t.Stop()
 	for {
-		n.Hurry()
+		n.RequestHeartbeats()
 		behind := n.behind(rev)
 		if len(behind) == 0 {
 			return nil
--- a/requests/cluster/register.go
+++ b/requests/cluster/register.go
@@ -106,7 +106,7 @@
 			return nil
 		}
 		n.do(func(now time.Time) { n.propose(ctx, now) })
-		n.Hurry()
+		n.RequestHeartbeats()
 		select {
 		case <-t.C:
 		case <-ctx.Done():
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -62,7 +62,7 @@
 	tasks   *workerhttp.Client
 
 	mirror     *mirror.Mirror
-	feed       *mirror.Feed
+	feed       *mirror.Syncer
 	node       *cluster.Node
 	controller *control.Controller
 	dispatcher *entry.Dispatcher
@@ -152,7 +152,7 @@
 		MaxConnections: connectionsPerWorker / member.MaxMembers,
 		ConnectTimeout: time.Second,
 		IdleTimeout:    time.Minute,
-		MaxAnswerBytes: s.Limits.MaxAnswer,
+		MaxAnswerBytes: s.Limits.MaxAnswerBytes,
 	})
 }
 
@@ -160,7 +160,7 @@
 
 func (d *Daemon) cores() {
 	s := d.set
-	d.feed = &mirror.Feed{Mirror: d.mirror, Store: d.store, Rand: newRand(), OnConnection: d.storeChanged}
+	d.feed = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: newRand(), OnConnectionChange: d.storeChanged}
 	policies := entry.DefaultPolicies
 	policies.Admit.Policy = admit.Policy(s.Policies.Admit)
 	policies.Admit.MaxQueue = s.Limits.MaxQueue
@@ -185,14 +185,14 @@
 	opts.Wave.MaxConcurrent = s.Control.WaveWidth
 	opts.Place = place.Policy(s.Policies.Place)
 	d.controller = control.New(opts, control.Deps{
-		Store: d.store, Mirror: d.mirror, List: d.list, Actions: d.list, Tasks: d.tasks, LiveMembers: d.node.Live,
-		StoreConnected: d.feed.Connected.Load, OnEntriesEnded: d.node.MarkGone, OnSnapshot: d.newSnapshot, Log: d.log,
+		Store: d.store, Mirror: d.mirror, List: d.list, Actions: d.list, Tasks: d.tasks, LiveMembers: d.node.LiveMembers,
+		StoreConnected: d.feed.Connected.Load, OnEntriesEnded: d.node.MarkEnded, OnSnapshot: d.newSnapshot, Log: d.log,
 	})
 	d.handler = &entry.Handler{
-		Dispatcher: d.dispatcher, Claims: d.node.Claims, Backend: d.backend, Standing: d.node.Standing,
+		Dispatcher: d.dispatcher, Claims: d.node.Claims, Backend: d.backend, Standing: d.node.ServingStatus,
 		Limits: entry.Limits{
-			MaxBody: s.Limits.MaxBody, DefaultTimeout: s.Limits.DefaultTimeout.D(), MaxTimeout: s.Limits.MaxTimeout.D(),
-			MaxInFlight: s.Limits.MaxInFlight, MaxBuffered: s.Limits.MaxBuffered, MaxRetained: s.Limits.MaxRetained,
+			MaxBody: s.Limits.MaxBodyBytes, DefaultTimeout: s.Limits.DefaultTimeout.D(), MaxTimeout: s.Limits.MaxTimeout.D(),
+			MaxInFlight: s.Limits.MaxInFlight, MaxBuffered: s.Limits.MaxBufferedBytes, MaxRetained: s.Limits.MaxRetainedBytes,
 		},
 		Observer: &telemetry.RequestObserver{Scope: d.metrics.Scope, Log: d.log, Burn: d.burn, Directory: d.dispatcher.Directory},
 	}
@@ -213,7 +213,7 @@
 	operators := &api.Server{
 		Exec: &api.Executor{
 			Store: d.store, Writer: record.NewWriter(d.store), Mirror: d.mirror,
-			Snapshot: d.controller.Snapshot, WaitInForce: d.node.InForce,
+			Snapshot: d.controller.Snapshot, WaitInForce: d.node.WaitApplied,
 		},
 		Status: d.status, Burn: d.burnReport, Wave: d.waveReport, Ready: d.Ready, Metrics: d.metrics.Handler,
 	}
@@ -330,10 +330,10 @@
 	_ = d.log.Sync()
 }
 
-// SetCut makes the daemon drop its messages to the peers at the addresses that
+// BlockPeers makes the daemon drop its messages to the peers at the addresses that
 // cut returns true for. The demo and tests part peers with it; call it before
 // Run.
-func (d *Daemon) SetCut(cut func(addr string) bool) { d.peers.Blocked = cut }
+func (d *Daemon) BlockPeers(cut func(addr string) bool) { d.peers.Blocked = cut }
 
 func (d *Daemon) storeChanged(up bool, err error) {
 	if up {
@@ -378,7 +378,7 @@
 	switch {
 	case d.stopping.Load():
 		return errStopping
-	case !d.node.Standing().Current(time.Now()):
+	case !d.node.ServingStatus().MayUseSlots(time.Now()):
 		return errNoView
 	case d.mirror.State().Revision == 0:
 		return errNoConfig
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -19,7 +19,7 @@
 // status returns the daemon's own account of itself.
 func (d *Daemon) status() api.Status {
 	now := time.Now()
-	standing := d.node.Standing()
+	standing := d.node.ServingStatus()
 	snap := d.controller.Snapshot()
 	claims, bytes := d.node.Claims.Size()
 	counts := &d.store.Counters
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -81,7 +81,7 @@
 	Dispatcher *Dispatcher
 	Claims     Claims
 	Backend    port.Backend
-	Standing   func() member.Standing
+	Standing   func() member.ServingStatus
 	Limits     Limits
 	Observer   Observer
 
@@ -271,7 +271,7 @@
 // attempt acquires a slot, claims the key if there is one and sends the request
 // once.
 func (h *Handler) attempt(ctx context.Context, c *call, attempt int) (*port.BackendAnswer, error) {
-	if !h.Standing().Current(time.Now()) {
+	if !h.Standing().MayUseSlots(time.Now()) {
 		return nil, newRefusal(CodeCutOff, "this entry daemon is cut off from its peers", time.Second)
 	}
 	if c.key != "" && !h.Claims.Reachable(c.key) {
@@ -289,7 +289,7 @@
 
 // send sends the request to the granted worker and releases the slot.
 func (h *Handler) send(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
-	if !h.Standing().Current(time.Now()) {
+	if !h.Standing().MayUseSlots(time.Now()) {
 		h.Dispatcher.ReleaseUnsent(grant)
 		return nil, newRefusal(CodeCutOff, "this entry daemon is cut off from its peers", time.Second)
 	}
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -65,8 +65,10 @@
 	d.SetDirectory(dir)
 	return &Handler{
 		Dispatcher: d, Claims: claims, Backend: backend, Observer: noObserver{},
-		Standing: func() member.Standing { return member.Standing{Epoch: 1, Until: time.Now().Add(time.Hour)} },
-		Limits:   Limits{MaxBody: 16, DefaultTimeout: time.Second, MaxTimeout: time.Minute, MaxInFlight: 10, MaxBuffered: 1000, MaxRetained: 10},
+		Standing: func() member.ServingStatus {
+			return member.ServingStatus{Epoch: 1, SlotsUntil: time.Now().Add(time.Hour)}
+		},
+		Limits: Limits{MaxBody: 16, DefaultTimeout: time.Second, MaxTimeout: time.Minute, MaxInFlight: 10, MaxBuffered: 1000, MaxRetained: 10},
 	}
 }
 
@@ -164,7 +166,9 @@
 func TestCutOffDaemonRefusesRequests(t *testing.T) {
 	b := &fakeBackend{}
 	h := newHandler(&fakeClaims{}, b)
-	h.Standing = func() member.Standing { return member.Standing{Epoch: 1, Until: time.Now().Add(-time.Second)} }
+	h.Standing = func() member.ServingStatus {
+		return member.ServingStatus{Epoch: 1, SlotsUntil: time.Now().Add(-time.Second)}
+	}
 	w := do(h, http.MethodGet, "http://desk/orders", "")
 	assert.Equal(t, "not-run", w.Header().Get(verdict.Header))
 	assert.NotEmpty(t, w.Header().Get("Retry-After"))
--- a/requests/member/member.go
+++ b/requests/member/member.go
@@ -26,9 +26,9 @@
 // DefaultOptions are the times used in production.
 var DefaultOptions = Options{ConfirmWindow: 1500 * time.Millisecond, DriftMargin: 100 * time.Millisecond}
 
-// Core is one daemon's part in the membership. It is not safe for concurrent
+// Tracker is one daemon's part in the membership. It is not safe for concurrent
 // use.
-type Core struct {
+type Tracker struct {
 	opts Options
 	self fleet.Incarnation
 	view fleet.View
@@ -51,8 +51,8 @@
 }
 
 // New returns the core of the daemon with incarnation self.
-func New(self fleet.Incarnation, opts Options) *Core {
-	return &Core{
+func New(self fleet.Incarnation, opts Options) *Tracker {
+	return &Tracker{
 		opts:      opts,
 		self:      self,
 		confirmed: map[fleet.Incarnation]time.Time{},
@@ -62,19 +62,19 @@
 }
 
 // View returns the view in force at this daemon. Callers must not change it.
-func (c *Core) View() *fleet.View { return &c.view }
+func (c *Tracker) View() *fleet.View { return &c.view }
 
-// Highest returns the newest epoch heard of. It is what this daemon answers to
+// HighestEpoch returns the newest epoch heard of. It is what this daemon answers to
 // a peer's question: once it is larger than an epoch, the daemon no longer
 // confirms that epoch.
-func (c *Core) Highest() fleet.Epoch { return c.highest }
+func (c *Tracker) HighestEpoch() fleet.Epoch { return c.highest }
 
 // Adopt puts v in force if it is newer than the current view.
-func (c *Core) Adopt(now time.Time, v *fleet.View) bool {
+func (c *Tracker) Adopt(now time.Time, v *fleet.View) bool {
 	if v.Epoch <= c.view.Epoch {
 		return false
 	}
-	c.carried = c.Standing(now).Until
+	c.carried = c.ServingStatus(now).SlotsUntil
 	c.view = *v.Clone()
 	c.highest = max(c.highest, v.Epoch)
 	clear(c.confirmed)
@@ -84,17 +84,17 @@
 	return true
 }
 
-// Heard notes that a peer mentioned epoch e, in a question or an answer.
-func (c *Core) Heard(now time.Time, peer fleet.Incarnation, e fleet.Epoch) {
+// RecordEpoch notes that a peer mentioned epoch e, in a question or an answer.
+func (c *Tracker) RecordEpoch(now time.Time, peer fleet.Incarnation, e fleet.Epoch) {
 	c.highest = max(c.highest, e)
 	c.known[peer] = max(c.known[peer], e)
 	c.checkRetired(now)
 }
 
-// Confirmed takes in a peer's answer to a question that was sent at sentAt
+// RecordConfirmation takes in a peer's answer to a question that was sent at sentAt
 // under epoch asked: the newest epoch the peer knows is e.
-func (c *Core) Confirmed(now, sentAt time.Time, peer fleet.Incarnation, asked, e fleet.Epoch) {
-	c.Heard(now, peer, e)
+func (c *Tracker) RecordConfirmation(now, sentAt time.Time, peer fleet.Incarnation, asked, e fleet.Epoch) {
+	c.RecordEpoch(now, peer, e)
 	if asked != c.view.Epoch || e != asked {
 		return
 	}
@@ -103,16 +103,16 @@
 	}
 }
 
-// MarkGone notes that the platform's instance list shows a member's process to
+// MarkEnded notes that the platform's instance list shows a member's process to
 // have ended. It can confirm nothing any more.
-func (c *Core) MarkGone(now time.Time, member fleet.Incarnation) {
+func (c *Tracker) MarkEnded(now time.Time, member fleet.Incarnation) {
 	c.gone[member] = true
 	c.checkRetired(now)
 }
 
 // checkRetired sets retiredAt when, for each earlier view, a quorum of its
 // members can no longer confirm it, and allStopped when none of them can.
-func (c *Core) checkRetired(now time.Time) {
+func (c *Tracker) checkRetired(now time.Time) {
 	if c.view.Epoch == 0 || c.allStopped {
 		return
 	}
@@ -131,7 +131,7 @@
 // stopped counts the members that no longer serve or confirm an earlier view:
 // they know a newer one or have ended. first tells that the view's first member
 // is among them.
-func (c *Core) stopped(old fleet.RetiringView) (n int, first bool) {
+func (c *Tracker) stopped(old fleet.RetiringView) (n int, first bool) {
 	for i, m := range old.Members {
 		if m == c.self || c.gone[m] || c.known[m] > old.Epoch {
 			n++
@@ -149,30 +149,32 @@
 	return 2*n > total || (2*n == total && first)
 }
 
-// Standing says what a daemon may do under its view. It is computed on the
+// ServingStatus says what a daemon may do under its view. It is computed on the
 // control goroutine and read by others, so it carries the time it ends by
 // itself.
-type Standing struct {
+type ServingStatus struct {
 	Epoch fleet.Epoch
-	// Until is when the daemon must stop using its share of the workers unless
+	// SlotsUntil is when the daemon must stop using its share of the workers unless
 	// a quorum confirms the view again.
-	Until time.Time
+	SlotsUntil time.Time
 	// ServeUntil is the same for its part as an owner of claims; it is zero as
 	// soon as a newer epoch has been heard of.
 	ServeUntil time.Time
-	// Retired tells that every earlier view has certainly stopped.
-	Retired bool
-	Reason  string // why the standing is not a serving one; "" if it is
+	// EarlierViewsRetired tells that every earlier view has certainly stopped.
+	EarlierViewsRetired bool
+	Reason              string // why the standing is not a serving one; "" if it is
 }
 
-// Current reports whether the daemon may use its share of the workers at time
+// MayUseSlots reports whether the daemon may use its share of the workers at time
 // now. Another daemon takes that share over only after it has waited for
 // longer than any confirmation counts (see package slots).
-func (s Standing) Current(now time.Time) bool { return s.Epoch > 0 && now.Before(s.Until) }
+func (s ServingStatus) MayUseSlots(now time.Time) bool {
+	return s.Epoch > 0 && now.Before(s.SlotsUntil)
+}
 
-// Confirmed reports whether a quorum recently knew of nothing newer than the
+// HasQuorum reports whether a quorum recently knew of nothing newer than the
 // view.
-func (s Standing) Confirmed(now time.Time) bool { return s.Epoch > 0 && now.Before(s.ServeUntil) }
+func (s ServingStatus) HasQuorum(now time.Time) bool { return s.Epoch > 0 && now.Before(s.ServeUntil) }
 
 // Serving reports whether the daemon may act as an owner of any claims at time
 // now.
@@ -182,20 +184,20 @@
 // old; a member that knows N+1 neither serves nor confirms N; and N+1 is served
 // once every member of N knew N+1 or had ended, or ConfirmWindow (and the clock
 // margin) after a quorum of them did. Two quorums of one view share a member.
-func (s Standing) Serving(now time.Time) bool { return s.Retired && s.Confirmed(now) }
+func (s ServingStatus) Serving(now time.Time) bool { return s.EarlierViewsRetired && s.HasQuorum(now) }
 
 // Reasons of a standing that does not serve.
 const (
-	ReasonNoView     = "no view yet"
-	ReasonNotMember  = "not a member of the view"
-	ReasonNewerEpoch = "a newer epoch exists"
-	ReasonMinority   = "no recent confirmation from a quorum"
-	ReasonRetiring   = "an earlier view may still be served"
+	ReasonNoView      = "no view yet"
+	ReasonNotMember   = "not a member of the view"
+	ReasonNewerEpoch  = "a newer epoch exists"
+	ReasonNoQuorum    = "no recent confirmation from a quorum"
+	ReasonEarlierView = "an earlier view may still be served"
 )
 
-// Standing works out this daemon's standing at time now.
-func (c *Core) Standing(now time.Time) Standing {
-	s := Standing{Epoch: c.view.Epoch, Retired: c.retired(now)}
+// ServingStatus works out this daemon's standing at time now.
+func (c *Tracker) ServingStatus(now time.Time) ServingStatus {
+	s := ServingStatus{Epoch: c.view.Epoch, EarlierViewsRetired: c.retired(now)}
 	switch {
 	case c.view.Epoch == 0:
 		s.Reason = ReasonNoView
@@ -205,9 +207,9 @@
 		return s
 	}
 	confirmed := c.confirmedUntil(now)
-	s.Until = confirmed
+	s.SlotsUntil = confirmed
 	if c.carried.After(confirmed) {
-		s.Until = c.carried
+		s.SlotsUntil = c.carried
 	}
 	if c.highest == c.view.Epoch {
 		s.ServeUntil = confirmed
@@ -215,17 +217,17 @@
 	switch {
 	case c.highest > c.view.Epoch:
 		s.Reason = ReasonNewerEpoch
-	case !s.Confirmed(now):
-		s.Reason = ReasonMinority
-	case !s.Retired:
-		s.Reason = ReasonRetiring
+	case !s.HasQuorum(now):
+		s.Reason = ReasonNoQuorum
+	case !s.EarlierViewsRetired:
+		s.Reason = ReasonEarlierView
 	}
 	return s
 }
 
 // confirmedUntil returns until when a quorum's confirmations count. A view of
 // one needs nobody else; its standing is renewed at every computation.
-func (c *Core) confirmedUntil(now time.Time) time.Time {
+func (c *Tracker) confirmedUntil(now time.Time) time.Time {
 	times := make([]confirmation, 0, len(c.view.Members))
 	for i, m := range c.view.Members {
 		at := c.confirmed[m.Incarnation]
@@ -254,7 +256,7 @@
 }
 
 // retired reports whether every earlier view has certainly stopped.
-func (c *Core) retired(now time.Time) bool {
+func (c *Tracker) retired(now time.Time) bool {
 	if c.allStopped || c.retiredAt.IsZero() {
 		return c.allStopped
 	}
--- a/requests/member/member_test.go
+++ b/requests/member/member_test.go
@@ -31,32 +31,32 @@
 func TestServesOnlyWithAQuorumOfRecentConfirmations(t *testing.T) {
 	c := New("a", DefaultOptions)
 	require.True(t, c.Adopt(t0, view(1, nil, "a", "b", "c", "d", "e")))
-	assert.False(t, c.Standing(t0).Serving(t0))
-	c.Confirmed(t0, t0, "b", 1, 1)
-	assert.Equal(t, ReasonMinority, c.Standing(t0).Reason)
-	c.Confirmed(t0, t0, "c", 1, 1)
-	assert.True(t, c.Standing(t0).Serving(t0))
+	assert.False(t, c.ServingStatus(t0).Serving(t0))
+	c.RecordConfirmation(t0, t0, "b", 1, 1)
+	assert.Equal(t, ReasonNoQuorum, c.ServingStatus(t0).Reason)
+	c.RecordConfirmation(t0, t0, "c", 1, 1)
+	assert.True(t, c.ServingStatus(t0).Serving(t0))
 	later := t0.Add(DefaultOptions.ConfirmWindow)
-	assert.False(t, c.Standing(t0).Serving(later), "a standing that nobody renews ends by itself")
-	assert.False(t, c.Standing(later).Serving(later))
+	assert.False(t, c.ServingStatus(t0).Serving(later), "a standing that nobody renews ends by itself")
+	assert.False(t, c.ServingStatus(later).Serving(later))
 }
 
 func TestConfirmationCountsFromWhenItWasAskedFor(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(1, nil, "a", "b", "c"))
 	answered := t0.Add(DefaultOptions.ConfirmWindow)
-	c.Confirmed(answered, t0, "b", 1, 1)
-	assert.False(t, c.Standing(answered).Serving(answered))
+	c.RecordConfirmation(answered, t0, "b", 1, 1)
+	assert.False(t, c.ServingStatus(answered).Serving(answered))
 }
 
 func TestStopsServingOnHearingOfANewerEpoch(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(1, nil, "a", "b", "c"))
-	c.Confirmed(t0, t0, "b", 1, 1)
-	c.Heard(t0, "c", 2)
-	s := c.Standing(t0)
+	c.RecordConfirmation(t0, t0, "b", 1, 1)
+	c.RecordEpoch(t0, "c", 2)
+	s := c.ServingStatus(t0)
 	assert.False(t, s.Serving(t0))
-	assert.True(t, s.Current(t0), "slots may be used until the confirmations lapse")
+	assert.True(t, s.MayUseSlots(t0), "slots may be used until the confirmations lapse")
 }
 
 func TestHalfServesOnlyWithTheFirstMember(t *testing.T) {
@@ -67,43 +67,43 @@
 	}{{"a", "b", true}, {"c", "d", false}} {
 		c := New(fleet.Incarnation(tc.self), DefaultOptions)
 		c.Adopt(t0, view(1, nil, "a", "b", "c", "d"))
-		c.Confirmed(t0, t0, tc.with, 1, 1)
-		assert.Equal(t, tc.want, c.Standing(t0).Serving(t0))
+		c.RecordConfirmation(t0, t0, tc.with, 1, 1)
+		assert.Equal(t, tc.want, c.ServingStatus(t0).Serving(t0))
 	}
 }
 
 func TestWaitsForTheEarlierViewToStop(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
-	c.Confirmed(t0, t0, "b", 2, 2)
-	assert.Equal(t, ReasonRetiring, c.Standing(t0).Reason, "c may still serve epoch 1")
+	c.RecordConfirmation(t0, t0, "b", 2, 2)
+	assert.Equal(t, ReasonEarlierView, c.ServingStatus(t0).Reason, "c may still serve epoch 1")
 	wait := t0.Add(DefaultOptions.ConfirmWindow + DefaultOptions.DriftMargin)
-	c.Confirmed(wait, wait, "b", 2, 2)
-	assert.True(t, c.Standing(wait).Serving(wait))
+	c.RecordConfirmation(wait, wait, "b", 2, 2)
+	assert.True(t, c.ServingStatus(wait).Serving(wait))
 }
 
 func TestServesAtOnceWhenAllOfTheEarlierViewKnow(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
-	c.Confirmed(t0, t0, "b", 2, 2)
-	c.Heard(t0, "c", 2)
-	assert.True(t, c.Standing(t0).Serving(t0))
+	c.RecordConfirmation(t0, t0, "b", 2, 2)
+	c.RecordEpoch(t0, "c", 2)
+	assert.True(t, c.ServingStatus(t0).Serving(t0))
 }
 
 func TestAllMembersReplacedServesOnceTheOldOnesAreGone(t *testing.T) {
 	c := New("x", DefaultOptions)
 	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "x", "y"))
-	c.Confirmed(t0, t0, "y", 2, 2)
-	assert.False(t, c.Standing(t0).Serving(t0))
+	c.RecordConfirmation(t0, t0, "y", 2, 2)
+	assert.False(t, c.ServingStatus(t0).Serving(t0))
 	for _, m := range []fleet.Incarnation{"a", "b", "c"} {
-		c.MarkGone(t0, m)
+		c.MarkEnded(t0, m)
 	}
-	assert.True(t, c.Standing(t0).Serving(t0))
+	assert.True(t, c.ServingStatus(t0).Serving(t0))
 }
 
 func TestProposeKeepsMembersWhoseLeaseLapsedWhileTheyAnswer(t *testing.T) {
 	cur := view(3, nil, "a", "b", "c")
-	ev := Evidence{
+	ev := Observations{
 		Registered:   entries("a"),
 		MissingSince: map[fleet.Incarnation]time.Time{"b": t0, "c": t0},
 		HeardAt:      map[fleet.Incarnation]time.Time{"b": t0.Add(9 * time.Second)},
@@ -116,7 +116,7 @@
 
 func TestProposeNamesThoseThatLeft(t *testing.T) {
 	cur := view(3, []fleet.RetiringView{retiring(2, "a")}, "a", "b")
-	ev := Evidence{Registered: entries("a", "b"), Stopping: map[fleet.Incarnation]bool{"b": true}}
+	ev := Observations{Registered: entries("a", "b"), Stopping: map[fleet.Incarnation]bool{"b": true}}
 	next, ok := Propose(t0, cur, ev, time.Second, false)
 	require.True(t, ok)
 	assert.Equal(t, []fleet.Incarnation{"b"}, next.Departed)
@@ -126,14 +126,14 @@
 func TestProposeReplacesARestartedDaemon(t *testing.T) {
 	cur := view(1, nil, "a", "b")
 	restarted := fleet.Entry{ID: "id-b", Incarnation: "b2"}
-	next, ok := Propose(t0, cur, Evidence{Registered: append(entries("a"), restarted)}, time.Second, true)
+	next, ok := Propose(t0, cur, Observations{Registered: append(entries("a"), restarted)}, time.Second, true)
 	require.True(t, ok)
 	assert.Equal(t, []fleet.Incarnation{"a", "b2"}, next.Incarnations())
 }
 
 func TestProposeKeepsWithinTheLargestView(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
-	next, ok := Propose(t0, &fleet.View{}, Evidence{Registered: entries(ids...)}, time.Second, true)
+	next, ok := Propose(t0, &fleet.View{}, Observations{Registered: entries(ids...)}, time.Second, true)
 	require.True(t, ok)
 	assert.Len(t, next.Members, MaxMembers)
 }
--- a/requests/member/propose.go
+++ b/requests/member/propose.go
@@ -12,8 +12,8 @@
 // worked out for this number, so that it holds whatever the view is.
 const MaxMembers = 8
 
-// Evidence is what a daemon knows about the registered entry daemons.
-type Evidence struct {
+// Observations is what a daemon knows about the registered entry daemons.
+type Observations struct {
 	// Registered holds the registrations in the store, from which a daemon's
 	// entry vanishes when its lease lapses.
 	Registered []fleet.Entry
@@ -22,8 +22,8 @@
 	MissingSince map[fleet.Incarnation]time.Time
 	// HeardAt is when each peer last answered this daemon.
 	HeardAt map[fleet.Incarnation]time.Time
-	// Gone holds the members that the platform knows to have ended.
-	Gone map[fleet.Incarnation]bool
+	// Ended holds the members that the platform knows to have ended.
+	Ended map[fleet.Incarnation]bool
 	// Stopping holds the members that are leaving with nothing in flight.
 	Stopping map[fleet.Incarnation]bool
 }
@@ -39,7 +39,7 @@
 // platform shows it gone, when it says that it is leaving, or when it has no
 // registration and has been silent for grace. A lapsed lease alone removes
 // nobody: after a store outage every lease may have lapsed.
-func Propose(now time.Time, cur *fleet.View, ev Evidence, grace time.Duration, serving bool) (*fleet.View, bool) {
+func Propose(now time.Time, cur *fleet.View, ev Observations, grace time.Duration, serving bool) (*fleet.View, bool) {
 	var members []fleet.Entry
 	var departed []fleet.Incarnation
 	for _, m := range cur.Members {
@@ -52,7 +52,7 @@
 	}
 	for _, e := range ev.Registered {
 		known := slices.ContainsFunc(members, func(m fleet.Entry) bool { return m.Incarnation == e.Incarnation })
-		if !known && !ev.Gone[e.Incarnation] && !ev.Stopping[e.Incarnation] && len(members) < MaxMembers {
+		if !known && !ev.Ended[e.Incarnation] && !ev.Stopping[e.Incarnation] && len(members) < MaxMembers {
 			members = append(members, e)
 		}
 	}
@@ -64,8 +64,8 @@
 	return next, true
 }
 
-func leftOut(now time.Time, m fleet.Entry, ev Evidence, grace time.Duration) bool {
-	if ev.Gone[m.Incarnation] || ev.Stopping[m.Incarnation] {
+func leftOut(now time.Time, m fleet.Entry, ev Observations, grace time.Duration) bool {
+	if ev.Ended[m.Incarnation] || ev.Stopping[m.Incarnation] {
 		return true
 	}
 	for _, e := range ev.Registered {
--- a/requests/mirror/feed.go
+++ b/requests/mirror/feed.go
@@ -12,18 +12,18 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Feed keeps a mirror up to date from the store with one listing and one
+// Syncer keeps a mirror up to date from the store with one listing and one
 // waiting watch, whatever the number of pools.
-type Feed struct {
+type Syncer struct {
 	Mirror *Mirror
 	Store  port.Store
 	Rand   *rand.Rand
 	// Connected is true while the watch is known to be alive.
 	Connected atomic.Bool
-	// OnConnection is told of each change of Connected; may be nil.
-	OnConnection func(connected bool, err error)
-	// Resyncs counts listings.
-	Resyncs atomic.Int64
+	// OnConnectionChange is told of each change of Connected; may be nil.
+	OnConnectionChange func(connected bool, err error)
+	// Listings counts listings.
+	Listings atomic.Int64
 }
 
 // Pauses between attempts to reach the store: doubled from the first to the
@@ -35,7 +35,7 @@
 )
 
 // Run feeds the mirror until ctx ends.
-func (f *Feed) Run(ctx context.Context) {
+func (f *Syncer) Run(ctx context.Context) {
 	pause := firstPause
 	relist := true
 	for ctx.Err() == nil {
@@ -52,13 +52,13 @@
 }
 
 // follow lists if needed, then watches until the stream breaks.
-func (f *Feed) follow(ctx context.Context, relist *bool, pause *time.Duration) error {
+func (f *Syncer) follow(ctx context.Context, relist *bool, pause *time.Duration) error {
 	if *relist {
 		l, err := f.Store.List(ctx, record.Root)
 		if err != nil {
 			return err
 		}
-		f.Resyncs.Add(1)
+		f.Listings.Add(1)
 		f.Mirror.Replace(l)
 		*relist = false
 	}
@@ -71,9 +71,9 @@
 	})
 }
 
-func (f *Feed) setConnected(up bool, err error) {
-	if f.Connected.Swap(up) != up && f.OnConnection != nil {
-		f.OnConnection(up, err)
+func (f *Syncer) setConnected(up bool, err error) {
+	if f.Connected.Swap(up) != up && f.OnConnectionChange != nil {
+		f.OnConnectionChange(up, err)
 	}
 }
 
--- a/requests/mirror/mirror.go
+++ b/requests/mirror/mirror.go
@@ -151,9 +151,9 @@
 	return err
 }
 
-// Since returns every known change after revision from, oldest first, and the
+// ChangesSince returns every known change after revision from, oldest first, and the
 // revision up to which they are complete. Peers use it to catch up.
-func (m *Mirror) Since(from fleet.Revision) ([]port.Event, fleet.Revision) {
+func (m *Mirror) ChangesSince(from fleet.Revision) ([]port.Event, fleet.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	upTo := m.state.Load().Revision
--- a/requests/mirror/mirror_test.go
+++ b/requests/mirror/mirror_test.go
@@ -72,10 +72,10 @@
 	a, b := New(), New()
 	a.Apply([]port.Event{pool("p", 5, 2), pool("q", 6, 1)}, 6)
 	a.Apply([]port.Event{deleted("q", 7)}, 7)
-	events, upTo := a.Since(0)
+	events, upTo := a.ChangesSince(0)
 	b.Apply(events, upTo)
 	assert.Equal(t, a.State().Pools, b.State().Pools)
-	events, _ = a.Since(5)
+	events, _ = a.ChangesSince(5)
 	require.Len(t, events, 1)
 	assert.True(t, events[0].Deleted)
 }
--- a/requests/settings/settings.go
+++ b/requests/settings/settings.go
@@ -10,9 +10,9 @@
 
 // The types of strictly read settings.
 type (
-	Duration = strictoml.Duration
-	Problem  = strictoml.Problem
-	Invalid  = strictoml.InvalidFileError
+	Duration         = strictoml.Duration
+	Problem          = strictoml.Problem
+	InvalidFileError = strictoml.InvalidFileError
 )
 
 // Settings are everything that a daemon reads at its start.
@@ -64,14 +64,14 @@
 
 // Limits bound what callers may ask for.
 type Limits struct {
-	MaxBody        int64    `toml:"max_body_bytes" validate:"min=1,max=67108864"`
-	MaxAnswer      int64    `toml:"max_answer_bytes" validate:"min=1,max=67108864"`
-	MaxRetained    int      `toml:"max_retained_bytes" validate:"min=0,max=1048576"`
-	MaxInFlight    int64    `toml:"max_in_flight" validate:"min=1,max=100000"`
-	MaxBuffered    int64    `toml:"max_buffered_bytes" validate:"min=1,max=8589934592"`
-	DefaultTimeout Duration `toml:"default_timeout" validate:"mindur=10ms,maxdur=10m"`
-	MaxTimeout     Duration `toml:"max_timeout" validate:"mindur=10ms,maxdur=10m"`
-	MaxQueue       int      `toml:"max_queue" validate:"min=1,max=100000"`
+	MaxBodyBytes     int64    `toml:"max_body_bytes" validate:"min=1,max=67108864"`
+	MaxAnswerBytes   int64    `toml:"max_answer_bytes" validate:"min=1,max=67108864"`
+	MaxRetainedBytes int      `toml:"max_retained_bytes" validate:"min=0,max=1048576"`
+	MaxInFlight      int64    `toml:"max_in_flight" validate:"min=1,max=100000"`
+	MaxBufferedBytes int64    `toml:"max_buffered_bytes" validate:"min=1,max=8589934592"`
+	DefaultTimeout   Duration `toml:"default_timeout" validate:"mindur=10ms,maxdur=10m"`
+	MaxTimeout       Duration `toml:"max_timeout" validate:"mindur=10ms,maxdur=10m"`
+	MaxQueue         int      `toml:"max_queue" validate:"min=1,max=100000"`
 }
 
 // Control holds the times of the reconcile loops.
@@ -119,7 +119,7 @@
 			Grace: Duration(2 * time.Second), Timeout: Duration(time.Second),
 		},
 		Limits: Limits{
-			MaxBody: mb, MaxAnswer: 8 * mb, MaxRetained: 256 << 10, MaxInFlight: 4096, MaxBuffered: 64 * mb,
+			MaxBodyBytes: mb, MaxAnswerBytes: 8 * mb, MaxRetainedBytes: 256 << 10, MaxInFlight: 4096, MaxBufferedBytes: 64 * mb,
 			DefaultTimeout: Duration(10 * time.Second), MaxTimeout: Duration(30 * time.Second), MaxQueue: 1024,
 		},
 		Control: Control{
