--- a/internal/cpuprobe/cpuprobe.go
+++ b/internal/cpuprobe/cpuprobe.go
@@ -16,8 +16,8 @@
 // Run does the computation and returns how long it took.
 func Run() time.Duration {
 	began := time.Now()
-	x := uint64(88172645463325252)
-	for range iterations { // xorshift: no memory access, no branches
+	x := uint64(88172645463325252) // the usual seed of xorshift; any value but 0 will do
+	for range iterations {         // xorshift: no memory access, no branches
 		x ^= x << 13
 		x ^= x >> 7
 		x ^= x << 17
