--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -1,6 +1,7 @@
-// Package wave decides how disruptions of a pool proceed and which instances a
-// maintenance wave takes out next. It is pure: a snapshot and the time come
-// in, a plan goes out, and the plan is applied afterwards by compare-and-swap.
+// Package wave decides how the disruptions of a pool proceed and which instances
+// a maintenance wave takes out of service next. It has no side effects: it
+// computes a plan from a snapshot and the current time, and the caller applies
+// the plan by compare-and-swap.
 package wave
 
 import (
@@ -10,13 +11,13 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Input is the snapshot that a pool's plan is made from.
+// Input is the snapshot from which a pool's plan is computed.
 type Input struct {
 	Now       time.Time
 	Pool      *fleet.Pool
 	Members   []fleet.Membership // of the pool, sorted by instance
 	Instances map[fleet.InstanceID]fleet.Instance
-	Waves     []*fleet.Wave // that include the pool, in order of their start
+	Waves     []*fleet.Wave // those that cover the pool, sorted by start time
 	// Membership returns the record of an instance, nil if it has none.
 	Membership func(fleet.InstanceID) *fleet.Membership
 	Options    Options
@@ -24,37 +25,38 @@
 	NewID      func() fleet.CommandID
 }
 
-// Options of the rules.
+// Options configure the planning.
 type Options struct {
-	// RebootTimeout is how long a reboot may take before the instance counts
-	// as not coming back.
+	// RebootTimeout is how long a reboot may take before the wave skips the
+	// instance.
 	RebootTimeout time.Duration
 	// MaxConcurrent bounds how many instances a wave takes out of one pool at
 	// once; 0 leaves it to the budget.
 	MaxConcurrent int
 }
 
-// InstanceCommand is a command to pass on to the platform.
+// InstanceCommand is a command to send to the platform for one instance.
 type InstanceCommand struct {
 	Instance fleet.InstanceID
 	Command  fleet.Command
 }
 
-// MembershipChange is a membership record to change.
+// MembershipChange moves an instance from one pool to another, or changes its
+// Joining flag if From equals To.
 type MembershipChange struct {
 	Instance fleet.InstanceID
 	From, To fleet.PoolName
 	Joining  bool
 }
 
-// Plan is what to do for one pool. Each part is re-derived from what is
-// observed, so that any daemon may apply any part of it any number of times.
+// Plan is what to do for one pool. Every part is computed anew from the observed
+// state, so any daemon may apply any part of it any number of times.
 type Plan struct {
-	// Pool is the record to write, nil if it does not change.
+	// Pool is the record to write, nil if it is unchanged.
 	Pool              *fleet.Pool
 	Commands          []InstanceCommand
 	MembershipChanges []MembershipChange
-	// Notes explain what was decided and what was left, for "why".
+	// Notes explain the decisions to operators (postmount why).
 	Notes []Note
 }
 
@@ -64,25 +66,25 @@
 	Text     string
 }
 
-// planner builds one plan.
+// planner computes the plan of one pool.
 type planner struct {
 	in   Input
-	next *fleet.Pool
+	next *fleet.Pool // the pool's record as the plan changes it
 	plan Plan
-	// touched tells that next differs from the pool's record.
-	touched bool
+	// poolChanged is true if next differs from in.Pool.
+	poolChanged bool
 }
 
-// Reconcile works out the plan for one pool.
+// Reconcile computes the plan for one pool.
 func Reconcile(in Input) Plan {
 	p := &planner{in: in, next: in.Pool.Clone()}
 	for _, d := range in.Pool.Disruptions {
-		p.advance(d)
+		p.advanceDisruption(d)
 	}
-	p.settleJoining()
-	p.grant()
-	p.prune()
-	if p.touched {
+	p.clearJoining()
+	p.grantDisruptions()
+	p.pruneMaintained()
+	if p.poolChanged {
 		p.plan.Pool = p.next
 	}
 	return p.plan
@@ -92,8 +94,9 @@
 	p.plan.Notes = append(p.plan.Notes, Note{Instance: id, Text: fmt.Sprintf(format, args...)})
 }
 
-// advance moves one disruption on as far as the platform's report shows.
-func (p *planner) advance(d fleet.Disruption) {
+// advanceDisruption starts the next phase of d if the platform reports that the
+// current one is complete, and resends the current command otherwise.
+func (p *planner) advanceDisruption(d fleet.Disruption) {
 	inst, listed := p.in.Instances[d.Instance]
 	if !listed {
 		p.note(d.Instance, "%s: not in the instance list", d.Phase)
@@ -113,16 +116,17 @@
 	case inst.State == fleet.InstanceFailed:
 		p.giveUp(d, "failed before it was drained")
 	case inst.LastCommand == d.Command.ID && inst.Generation == d.Command.Generation+1:
-		p.carriedOut(d, inst)
+		p.handleCarriedOut(d, inst)
 	case inst.Generation > d.Command.Generation:
-		p.overtaken(d, inst)
+		p.restartPhase(d, inst)
 	default:
 		p.plan.Commands = append(p.plan.Commands, InstanceCommand{Instance: d.Instance, Command: d.Command})
 	}
 }
 
-// carriedOut handles a disruption whose command the platform has accepted.
-func (p *planner) carriedOut(d fleet.Disruption, inst fleet.Instance) {
+// handleCarriedOut handles a disruption whose command the platform has carried
+// out.
+func (p *planner) handleCarriedOut(d fleet.Disruption, inst fleet.Instance) {
 	done := false
 	switch d.Phase {
 	case fleet.PhaseDrain, fleet.PhaseReboot:
@@ -140,37 +144,37 @@
 	}
 }
 
-// overtaken handles an instance that something else acted on since the command
-// was recorded, such as a restart. Its effect is unknown, so the phase starts
-// again from what is seen now.
-func (p *planner) overtaken(d fleet.Disruption, inst fleet.Instance) {
-	p.note(d.Instance, "%s: the instance changed meanwhile (generation %d, now %d)", d.Phase, d.Command.Generation, inst.Generation)
+// restartPhase handles an instance whose generation changed for another reason
+// than the recorded command, such as a restart. The effect of the command is then
+// unknown, so the phase starts again with the current generation.
+func (p *planner) restartPhase(d fleet.Disruption, inst fleet.Instance) {
+	p.note(d.Instance, "%s: the instance changed since the command was recorded (generation %d, now %d)", d.Phase, d.Command.Generation, inst.Generation)
 	phase := fleet.PhaseDrain
 	if d.Phase == fleet.PhaseReturn {
 		phase = fleet.PhaseReturn
 	}
-	p.enter(d, phase, inst)
+	p.enterPhase(d, phase, inst)
 }
 
 func (p *planner) nextPhase(d fleet.Disruption, inst fleet.Instance) {
 	switch d.Phase {
 	case fleet.PhaseDrain:
-		p.drained(d, inst)
+		p.enterPhaseAfterDrain(d, inst)
 	case fleet.PhaseReboot:
-		p.enter(d, fleet.PhaseReturn, inst)
+		p.enterPhase(d, fleet.PhaseReturn, inst)
 	case fleet.PhaseReturn:
-		p.release(d)
+		p.complete(d)
 	}
 }
 
-func (p *planner) drained(d fleet.Disruption, inst fleet.Instance) {
+func (p *planner) enterPhaseAfterDrain(d fleet.Disruption, inst fleet.Instance) {
 	switch d.Kind {
 	case fleet.DisruptByWave:
-		p.enter(d, fleet.PhaseReboot, inst)
+		p.enterPhase(d, fleet.PhaseReboot, inst)
 	case fleet.DisruptByMove:
-		p.enter(d, fleet.PhaseMove, inst)
+		p.enterPhase(d, fleet.PhaseMove, inst)
 	default:
-		p.enter(d, fleet.PhaseHeld, inst)
+		p.enterPhase(d, fleet.PhaseHeld, inst)
 	}
 }
 
@@ -179,47 +183,48 @@
 		p.note(d.Instance, "held out of service since %s by an operator", d.PhaseAt.Format(time.TimeOnly))
 		return
 	}
-	p.enter(d, fleet.PhaseReturn, inst)
+	p.enterPhase(d, fleet.PhaseReturn, inst)
 }
 
-// advanceMove changes the membership record of an empty instance; once the
-// record shows the new pool, the instance returns to service there.
+// advanceMove changes the membership record of a drained instance. Once the
+// record names the new pool, the instance returns to service there.
 func (p *planner) advanceMove(d fleet.Disruption, inst fleet.Instance) {
 	m := p.in.Membership(d.Instance)
 	if m != nil && m.Pool == d.Target {
-		p.enter(d, fleet.PhaseReturn, inst)
+		p.enterPhase(d, fleet.PhaseReturn, inst)
 		return
 	}
 	p.plan.MembershipChanges = append(p.plan.MembershipChanges, MembershipChange{Instance: d.Instance, From: p.in.Pool.Name, To: d.Target, Joining: true})
 }
 
-// commandOf is the action that belongs to a phase.
-var commandOf = map[fleet.Phase]fleet.Action{
+// phaseActions maps each phase that needs a command to its action.
+var phaseActions = map[fleet.Phase]fleet.Action{
 	fleet.PhaseDrain:  fleet.ActionDrain,
 	fleet.PhaseReboot: fleet.ActionReboot,
 	fleet.PhaseReturn: fleet.ActionReturn,
 }
 
-// enter records the next phase together with its command. The command is sent
-// once the record is written.
-func (p *planner) enter(d fleet.Disruption, phase fleet.Phase, inst fleet.Instance) {
+// enterPhase records the next phase with its command. The command is sent only
+// after the record is written.
+func (p *planner) enterPhase(d fleet.Disruption, phase fleet.Phase, inst fleet.Instance) {
 	next := p.next.Disruption(d.Instance)
 	next.Phase = phase
 	next.PhaseAt = p.in.Now
 	next.Command = fleet.Command{}
-	if action, ok := commandOf[phase]; ok {
+	if action, ok := phaseActions[phase]; ok {
 		next.Command = fleet.Command{ID: p.in.NewID(), Action: action, Generation: inst.Generation}
 	}
-	p.touched = true
+	p.poolChanged = true
 }
 
-// meanWeight is the weight of the newest observation in Pool.MeanOut.
-const meanWeight = 0.3
+// meanOutSmoothing is the weight of the newest observation in Pool.MeanOut, an
+// exponential moving average.
+const meanOutSmoothing = 0.3
 
-// release ends a disruption whose instance was seen back in service.
-func (p *planner) release(d fleet.Disruption) {
+// complete ends a disruption whose instance is back in service.
+func (p *planner) complete(d fleet.Disruption) {
 	p.next.RemoveDisruption(d.Instance)
-	p.touched = true
+	p.poolChanged = true
 	if d.Kind != fleet.DisruptByWave || p.next.MaintainedBy(d.Wave, d.Instance) {
 		return
 	}
@@ -229,25 +234,26 @@
 		p.next.MeanOut = out
 		return
 	}
-	p.next.MeanOut += time.Duration(meanWeight * float64(out-p.next.MeanOut))
+	p.next.MeanOut += time.Duration(meanOutSmoothing * float64(out-p.next.MeanOut))
 }
 
-// giveUp ends a disruption whose instance failed. It stays out, and counts
-// against the budget as failed.
+// giveUp skips an instance that failed or did not come back from its reboot. A
+// failed instance loses its claim and counts against the budget as failed; any
+// other keeps its claim, which goes on using the budget.
 func (p *planner) giveUp(d fleet.Disruption, why string) {
 	p.note(d.Instance, "given up: %s", why)
 	if d.Kind == fleet.DisruptByWave && !p.next.MaintainedBy(d.Wave, d.Instance) {
 		p.next.Maintained = append(p.next.Maintained, fleet.MaintenanceResult{Wave: d.Wave, Instance: d.Instance, Skipped: why})
-		p.touched = true
+		p.poolChanged = true
 	}
 	if p.in.Instances[d.Instance].State == fleet.InstanceFailed {
 		p.next.RemoveDisruption(d.Instance)
-		p.touched = true
+		p.poolChanged = true
 	}
 }
 
-// settleJoining clears the joining mark of instances that serve in the pool.
-func (p *planner) settleJoining() {
+// clearJoining clears the Joining flag of members that are in service.
+func (p *planner) clearJoining() {
 	for _, m := range p.in.Members {
 		inst := p.in.Instances[m.Instance]
 		if m.Joining && inst.Serving() {
@@ -256,8 +262,8 @@
 	}
 }
 
-// prune forgets what ended waves did.
-func (p *planner) prune() {
+// pruneMaintained removes the results of ended waves.
+func (p *planner) pruneMaintained() {
 	running := map[fleet.WaveName]bool{}
 	for _, w := range p.in.Waves {
 		running[w.Name] = !w.Ended()
@@ -270,6 +276,6 @@
 	}
 	if len(kept) != len(p.next.Maintained) {
 		p.next.Maintained = kept
-		p.touched = true
+		p.poolChanged = true
 	}
 }
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -10,14 +10,14 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// grant takes further instances out for the running waves, as far as the
+// grantDisruptions takes further instances out for the running waves, as far as the
 // pool's budget allows.
 //
 // Invariant: a disruption is only added while the account that includes every
 // recorded one has headroom. Reason: the account and the new claim go into the
-// same record, so of two daemons that grant at once one loses its
+// same record, so of two daemons that grantDisruptions at once one loses its
 // compare-and-swap and plans again.
-func (p *planner) grant() {
+func (p *planner) grantDisruptions() {
 	waiting := p.grantRequests()
 	if waiting {
 		p.note("", "waves wait until the operators' requests are granted")
@@ -25,7 +25,7 @@
 	}
 	for _, w := range p.in.Waves {
 		if w.State != fleet.WaveRunning {
-			p.note("", "wave %s is %s: nothing new is taken out", w.Name, w.State)
+			p.note("", "wave %s is %s: takes no more instances out", w.Name, w.State)
 			continue
 		}
 		p.grantWave(w)
@@ -33,39 +33,40 @@
 }
 
 // grantRequests grants the operators' drains and moves, oldest first. It
-// reports whether one still waits for the budget: waves then take nothing, or
-// the request might wait for ever.
+// reports whether one of them waits for the budget. Waves then take nothing;
+// otherwise the request might wait forever.
 func (p *planner) grantRequests() (waiting bool) {
 	for _, r := range p.in.Pool.Requests {
 		inst := p.in.Instances[r.Instance]
 		switch {
 		case !slices.ContainsFunc(p.in.Members, func(m fleet.Membership) bool { return m.Instance == r.Instance }):
-			p.note(r.Instance, "is not in the pool any more: its %s is dropped", r.Kind)
-			p.withdraw(r.Instance)
+			p.note(r.Instance, "is no longer in the pool: its %s is dropped", r.Kind)
+			p.removeRequest(r.Instance)
 		case p.next.Disruption(r.Instance) != nil:
 			p.note(r.Instance, "%s waits until the instance is back", r.Kind)
 		case inst.ID == "":
 			p.note(r.Instance, "%s waits: the platform does not list the instance", r.Kind)
-		case !p.mayTake(r, inst):
+		case !p.budgetAllows(r, inst):
 			account := budget.Compute(p.next, p.in.Members, p.in.Instances)
 			p.note(r.Instance, "%s waits: %s", r.Kind, account.Explain())
 			waiting = true
 		default:
-			p.withdraw(r.Instance)
-			p.take(fleet.Disruption{Instance: r.Instance, Kind: r.Kind, Target: r.Target})
+			p.removeRequest(r.Instance)
+			p.addDisruption(fleet.Disruption{Instance: r.Instance, Kind: r.Kind, Target: r.Target})
 		}
 	}
 	return waiting
 }
 
-func (p *planner) withdraw(id fleet.InstanceID) {
+func (p *planner) removeRequest(id fleet.InstanceID) {
 	p.next.RemoveRequest(id)
-	p.touched = true
+	p.poolChanged = true
 }
 
-// mayTake asks the budget. An instance that is out by itself takes nothing
-// more from it; one that moves away makes the pool smaller for good.
-func (p *planner) mayTake(r fleet.Request, inst fleet.Instance) bool {
+// budgetAllows reports whether the budget has room for a request. An instance that
+// is already out of service uses no more of the budget. A move shrinks the pool
+// permanently, so the budget of the smaller pool must hold too.
+func (p *planner) budgetAllows(r fleet.Request, inst fleet.Instance) bool {
 	account := budget.Compute(p.next, p.in.Members, p.in.Instances)
 	headroom := account.Headroom()
 	if r.Kind == fleet.DisruptByMove {
@@ -77,14 +78,14 @@
 	return headroom > 0
 }
 
-// take records a disruption together with the command to drain.
-func (p *planner) take(d fleet.Disruption) {
+// addDisruption records a disruption together with its drain command.
+func (p *planner) addDisruption(d fleet.Disruption) {
 	d.Phase = fleet.PhaseDrain
 	d.Command = fleet.Command{ID: p.in.NewID(), Action: fleet.ActionDrain, Generation: p.in.Instances[d.Instance].Generation}
 	d.Since = p.in.Now
 	d.PhaseAt = p.in.Now
 	p.next.Disruptions = append(p.next.Disruptions, d)
-	p.touched = true
+	p.poolChanged = true
 }
 
 func (p *planner) grantWave(w *fleet.Wave) {
@@ -94,20 +95,20 @@
 			p.note(m.Instance, "wave %s waits: %s", w.Name, account.Explain())
 			return
 		}
-		limit := p.width(w, account)
-		if p.outBy(w.Name) >= limit {
+		limit := p.concurrencyLimit(w, account)
+		if p.disruptedBy(w.Name) >= limit {
 			p.note(m.Instance, "wave %s waits: %d of %d at once are out", w.Name, limit, limit)
 			return
 		}
-		if late := p.tooLate(w); late {
-			p.note(m.Instance, "wave %s starts nothing more: it would not be back before %s", w.Name, w.Deadline.Format(time.RFC3339))
+		if late := p.missesDeadline(w); late {
+			p.note(m.Instance, "wave %s takes no more instances out: this one would not be back before %s", w.Name, w.Deadline.Format(time.RFC3339))
 			return
 		}
-		p.take(fleet.Disruption{Instance: m.Instance, Kind: fleet.DisruptByWave, Wave: w.Name})
+		p.addDisruption(fleet.Disruption{Instance: m.Instance, Kind: fleet.DisruptByWave, Wave: w.Name})
 	}
 }
 
-func (p *planner) outBy(w fleet.WaveName) int {
+func (p *planner) disruptedBy(w fleet.WaveName) int {
 	n := 0
 	for _, d := range p.next.Disruptions {
 		if d.Wave == w {
@@ -117,11 +118,11 @@
 	return n
 }
 
-// width returns how many instances wave w may have out at once: what the weights
-// prefer, at most what the settings allow. Near a deadline it is the whole
-// budget.
-func (p *planner) width(w *fleet.Wave, account budget.Status) int {
-	left := len(p.candidates(w)) + p.outBy(w.Name)
+// concurrencyLimit returns how many instances wave w may have out at once: the
+// number that the weights prefer, or the whole budget if the wave would otherwise
+// miss its deadline, but never more than Options.MaxConcurrent.
+func (p *planner) concurrencyLimit(w *fleet.Wave, account budget.Status) int {
+	left := len(p.candidates(w)) + p.disruptedBy(w.Name)
 	n := ChooseConcurrency(left, account.Allowed, p.in.Weights)
 	if end, known := EstimateEnd(p.in.Now, p.next, left, n); known && !w.Deadline.IsZero() && end.After(w.Deadline) {
 		n = account.Allowed
@@ -132,11 +133,11 @@
 	return n
 }
 
-// ChooseConcurrency chooses how many of n instances to take out at once, at most allowed.
-// A wider wave is over sooner and holds more capacity back meanwhile: the width
-// with the least weighted sum of roll-out time and of instances out is taken,
-// each as a ratio to that of the whole budget. Without weights it is the whole
-// budget.
+// ChooseConcurrency chooses how many of n instances to take out at once, at most
+// allowed. A higher concurrency ends the wave sooner but takes more capacity out
+// of service. The result minimises the weighted sum of roll-out time and instances
+// out, each relative to its value at the full budget. Without weights it is
+// allowed.
 func ChooseConcurrency(n, allowed int, w fleet.Weights) int {
 	if allowed <= 1 || n <= 1 || (w.RollOut == 0 && w.Buffer == 0) {
 		return allowed
@@ -152,14 +153,14 @@
 	return best
 }
 
-// tooLate reports whether an instance taken out now would be back only after
-// the wave's deadline.
-func (p *planner) tooLate(w *fleet.Wave) bool {
+// missesDeadline reports whether an instance taken out now is expected back only
+// after the wave's deadline.
+func (p *planner) missesDeadline(w *fleet.Wave) bool {
 	return !w.Deadline.IsZero() && p.in.Now.Add(p.next.MeanOut).After(w.Deadline)
 }
 
-// candidates lists the members that the wave still has to take out, zone by
-// zone and rack by rack, so that what fails together is out together.
+// candidates lists the members that the wave still has to take out, sorted by
+// zone and rack, so that instances of one failure domain are out together.
 func (p *planner) candidates(w *fleet.Wave) []fleet.Membership {
 	var out []fleet.Membership
 	for _, m := range p.in.Members {
@@ -177,8 +178,8 @@
 }
 
 // Remaining lists the members of a pool that wave w has not finished with.
-// Members that are down and not claimed are left out: there is nothing to do
-// for them.
+// Members that are out of service without a disruption are omitted: the wave
+// can't do anything for them.
 func Remaining(w fleet.WaveName, p *fleet.Pool, members []fleet.Membership, instances map[fleet.InstanceID]fleet.Instance) []fleet.InstanceID {
 	var out []fleet.InstanceID
 	for _, m := range members {
@@ -193,21 +194,23 @@
 	return out
 }
 
-// The halt rule: a wave that loses more than one in haltShare of the instances
-// it has taken out, and at least haltLeast, stops taking more.
+// A wave is halted when it has lost at least haltMinFailures instances and more
+// than one in haltFailureRatio of those it has taken out.
 const (
-	haltShare = 10
-	haltLeast = 2
+	haltFailureRatio = 10
+	haltMinFailures  = 2
 )
 
-// ShouldHalt applies the halt rule. forgiven failures are not counted.
+// ShouldHalt reports whether a wave must be halted. granted is the number of
+// instances it has taken out; forgiven failures are not counted.
 func ShouldHalt(failures, granted, forgiven int) bool {
 	n := failures - forgiven
-	return n >= haltLeast && n*haltShare > granted
+	return n >= haltMinFailures && n*haltFailureRatio > granted
 }
 
-// EstimateEnd estimates when a wave ends in one pool: the remaining instances in
-// rounds as wide as the budget allows, each as long as the pool's mean.
+// EstimateEnd estimates when a wave ends in one pool if it takes out allowed
+// instances per round and each round lasts Pool.MeanOut. It returns false if no
+// estimate is possible.
 func EstimateEnd(now time.Time, p *fleet.Pool, remaining, allowed int) (time.Time, bool) {
 	if p.MeanOut == 0 || allowed <= 0 {
 		return time.Time{}, false
--- a/requests/wave/wave_test.go
+++ b/requests/wave/wave_test.go
@@ -13,8 +13,9 @@
 
 var t0 = time.Date(2026, 1, 1, 3, 0, 0, 0, time.UTC)
 
-// input is a pool of n ready instances with one running wave.
-func input(n int, b fleet.AvailabilityBudget) Input {
+// poolWithWave returns the input for a pool of n ready instances in two zones and
+// one running wave.
+func poolWithWave(n int, b fleet.AvailabilityBudget) Input {
 	in := Input{
 		Now: t0, Pool: &fleet.Pool{Name: "p", Budget: b}, Instances: map[fleet.InstanceID]fleet.Instance{},
 		Waves:      []*fleet.Wave{{Name: "w", Pools: []fleet.PoolName{"p"}, State: fleet.WaveRunning, StartedAt: t0}},
@@ -31,13 +32,13 @@
 	return in
 }
 
-func set(in Input, id fleet.InstanceID, state fleet.InstanceState, generation int64, last fleet.CommandID) {
+func setInstance(in Input, id fleet.InstanceID, state fleet.InstanceState, generation int64, last fleet.CommandID) {
 	i := in.Instances[id]
 	i.State, i.Generation, i.LastCommand = state, generation, last
 	in.Instances[id] = i
 }
 
-func claimed(p *fleet.Pool) (out []fleet.InstanceID) {
+func disruptedInstances(p *fleet.Pool) (out []fleet.InstanceID) {
 	for _, d := range p.Disruptions {
 		out = append(out, d.Instance)
 	}
@@ -45,37 +46,37 @@
 }
 
 func TestGrantsUpToTheBudgetZoneByZone(t *testing.T) {
-	plan := Reconcile(input(6, fleet.AvailabilityBudget{MaxUnavailable: 2}))
+	plan := Reconcile(poolWithWave(6, fleet.AvailabilityBudget{MaxUnavailable: 2}))
 	require.NotNil(t, plan.Pool)
-	assert.Equal(t, []fleet.InstanceID{"i0", "i2"}, claimed(plan.Pool), "both in one zone")
-	assert.Empty(t, plan.Commands, "a command goes out only once its claim is recorded")
+	assert.Equal(t, []fleet.InstanceID{"i0", "i2"}, disruptedInstances(plan.Pool), "both instances are in one zone")
+	assert.Empty(t, plan.Commands, "a command is sent only after its claim is recorded")
 }
 
-func TestFailuresCountFirst(t *testing.T) {
-	in := input(6, fleet.AvailabilityBudget{MaxUnavailable: 2})
-	set(in, "i5", fleet.InstanceFailed, 2, "")
-	assert.Len(t, claimed(Reconcile(in).Pool), 1)
-	set(in, "i4", fleet.InstanceFailed, 2, "")
+func TestFailedInstancesUseTheBudget(t *testing.T) {
+	in := poolWithWave(6, fleet.AvailabilityBudget{MaxUnavailable: 2})
+	setInstance(in, "i5", fleet.InstanceFailed, 2, "")
+	assert.Len(t, disruptedInstances(Reconcile(in).Pool), 1)
+	setInstance(in, "i4", fleet.InstanceFailed, 2, "")
 	assert.Nil(t, Reconcile(in).Pool)
 }
 
 func TestPercentIsRoundedDown(t *testing.T) {
-	assert.Len(t, claimed(Reconcile(input(19, fleet.AvailabilityBudget{MaxUnavailable: 10, Percent: true})).Pool), 1)
-	assert.Nil(t, Reconcile(input(9, fleet.AvailabilityBudget{MaxUnavailable: 10, Percent: true})).Pool)
+	assert.Len(t, disruptedInstances(Reconcile(poolWithWave(19, fleet.AvailabilityBudget{MaxUnavailable: 10, Percent: true})).Pool), 1)
+	assert.Nil(t, Reconcile(poolWithWave(9, fleet.AvailabilityBudget{MaxUnavailable: 10, Percent: true})).Pool)
 }
 
-func TestNoMoreIsAllowedOutThanThereIs(t *testing.T) {
+func TestAllowedIsAtMostPoolSize(t *testing.T) {
 	assert.Equal(t, 0, fleet.AvailabilityBudget{MaxUnavailable: 2}.Allowed(0))
 	assert.Equal(t, 1, fleet.AvailabilityBudget{MaxUnavailable: 2}.Allowed(1))
 }
 
-func TestSurviveZoneKeepsRoomForTheLargestZone(t *testing.T) {
+func TestSurviveZoneReservesLargestZone(t *testing.T) {
 	b := fleet.AvailabilityBudget{MaxUnavailable: 4, SurviveZone: true}
-	assert.Len(t, claimed(Reconcile(input(6, b)).Pool), 1, "with it and the three of the other zone four are out")
+	assert.Len(t, disruptedInstances(Reconcile(poolWithWave(6, b)).Pool), 1, "one out and the three of the other zone make four")
 }
 
-func TestNothingIsStartedThatWouldNotBeBackInTime(t *testing.T) {
-	in := input(4, fleet.AvailabilityBudget{MaxUnavailable: 1})
+func TestStartsNothingThatMissesTheDeadline(t *testing.T) {
+	in := poolWithWave(4, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	in.Pool.MeanOut = 10 * time.Minute
 	in.Waves[0].Deadline = t0.Add(5 * time.Minute)
 	plan := Reconcile(in)
@@ -84,14 +85,14 @@
 }
 
 func TestOperatorsRequestsGoBeforeWaves(t *testing.T) {
-	in := input(4, fleet.AvailabilityBudget{MaxUnavailable: 1})
+	in := poolWithWave(4, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	in.Pool.Requests = []fleet.Request{{Instance: "i3", Kind: fleet.DisruptByDrain, At: t0}}
-	assert.Equal(t, []fleet.InstanceID{"i3"}, claimed(Reconcile(in).Pool))
+	assert.Equal(t, []fleet.InstanceID{"i3"}, disruptedInstances(Reconcile(in).Pool))
 }
 
-// TestOneInstanceThroughAWave follows the phases of one instance.
-func TestOneInstanceThroughAWave(t *testing.T) {
-	in := input(1, fleet.AvailabilityBudget{MaxUnavailable: 1})
+// TestInstancePassesAllPhases follows one instance of a wave from drain to return.
+func TestInstancePassesAllPhases(t *testing.T) {
+	in := poolWithWave(1, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	step := func(want fleet.Phase) {
 		plan := Reconcile(in)
 		require.NotNil(t, plan.Pool, want)
@@ -100,50 +101,50 @@
 	}
 	step(fleet.PhaseDrain)
 	assert.Len(t, Reconcile(in).Commands, 1)
-	set(in, "i0", fleet.InstanceDraining, 2, "new")
-	assert.Empty(t, Reconcile(in).Commands, "it was carried out")
-	set(in, "i0", fleet.InstanceDrained, 2, "new")
+	setInstance(in, "i0", fleet.InstanceDraining, 2, "new")
+	assert.Empty(t, Reconcile(in).Commands, "the command was carried out")
+	setInstance(in, "i0", fleet.InstanceDrained, 2, "new")
 	step(fleet.PhaseReboot)
-	set(in, "i0", fleet.InstanceDrained, 3, "new")
+	setInstance(in, "i0", fleet.InstanceDrained, 3, "new")
 	step(fleet.PhaseReturn)
 	in.Now = t0.Add(time.Minute)
-	set(in, "i0", fleet.InstanceDrained, 4, "new")
-	assert.Nil(t, Reconcile(in).Pool, "told to return, not yet seen in service")
-	set(in, "i0", fleet.InstanceReady, 4, "new")
+	setInstance(in, "i0", fleet.InstanceDrained, 4, "new")
+	assert.Nil(t, Reconcile(in).Pool, "the return was sent, but the instance is not in service yet")
+	setInstance(in, "i0", fleet.InstanceReady, 4, "new")
 	plan := Reconcile(in)
 	assert.Empty(t, plan.Pool.Disruptions)
 	assert.True(t, plan.Pool.MaintainedBy("w", "i0"))
 	assert.Equal(t, time.Minute, plan.Pool.MeanOut)
 }
 
-// TestRestartAfterTheCommandStartsThePhaseAgain: the drain was carried out, and
-// then the instance restarted by itself and is back in service.
-func TestRestartAfterTheCommandStartsThePhaseAgain(t *testing.T) {
-	in := input(1, fleet.AvailabilityBudget{MaxUnavailable: 1})
+// TestInstanceRestartRepeatsThePhase: after the drain was carried out, the instance
+// restarted by itself and is in service again.
+func TestInstanceRestartRepeatsThePhase(t *testing.T) {
+	in := poolWithWave(1, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	in.Pool = Reconcile(in).Pool
-	set(in, "i0", fleet.InstanceReady, 3, "new")
+	setInstance(in, "i0", fleet.InstanceReady, 3, "new")
 	in.NewID = func() fleet.CommandID { return "newer" }
 	plan := Reconcile(in)
 	require.NotNil(t, plan.Pool)
 	assert.Equal(t, fleet.Command{ID: "newer", Action: fleet.ActionDrain, Generation: 3}, plan.Pool.Disruptions[0].Command)
 }
 
-func TestInstanceThatDoesNotComeBackIsGivenUpAndStaysCounted(t *testing.T) {
-	in := input(2, fleet.AvailabilityBudget{MaxUnavailable: 1})
+func TestLostInstanceIsSkippedAndKeepsItsClaim(t *testing.T) {
+	in := poolWithWave(2, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	in.Pool.Disruptions = []fleet.Disruption{{
 		Instance: "i0", Kind: fleet.DisruptByWave, Wave: "w", Phase: fleet.PhaseReboot, Command: fleet.Command{ID: "c", Generation: 2}, PhaseAt: t0.Add(-2 * time.Minute),
 	}}
-	set(in, "i0", fleet.InstanceRebooting, 3, "c")
+	setInstance(in, "i0", fleet.InstanceRebooting, 3, "c")
 	plan := Reconcile(in)
 	assert.True(t, plan.Pool.MaintainedBy("w", "i0"))
-	assert.Equal(t, []fleet.InstanceID{"i0"}, claimed(plan.Pool), "it still uses the budget up")
+	assert.Equal(t, []fleet.InstanceID{"i0"}, disruptedInstances(plan.Pool), "it still uses the budget")
 }
 
-func TestMoveChangesTheRecordBetweenDrainAndReturn(t *testing.T) {
-	in := input(2, fleet.AvailabilityBudget{MaxUnavailable: 1})
+func TestMoveChangesMembershipBetweenDrainAndReturn(t *testing.T) {
+	in := poolWithWave(2, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	in.Waves = nil
 	in.Pool.Disruptions = []fleet.Disruption{{Instance: "i0", Kind: fleet.DisruptByMove, Target: "q", Phase: fleet.PhaseMove, PhaseAt: t0}}
-	set(in, "i0", fleet.InstanceDrained, 2, "c")
+	setInstance(in, "i0", fleet.InstanceDrained, 2, "c")
 	plan := Reconcile(in)
 	assert.Equal(t, []MembershipChange{{Instance: "i0", From: "p", To: "q", Joining: true}}, plan.MembershipChanges)
 	assert.Nil(t, plan.Pool)
@@ -153,9 +154,9 @@
 	assert.Equal(t, fleet.PhaseReturn, Reconcile(in).Pool.Disruptions[0].Phase)
 }
 
-// TestWeightsChooseTheWidth: the order desks weigh roll-out time most, the
-// alumni hub buffer cost.
-func TestWeightsChooseTheWidth(t *testing.T) {
+// TestWeightsChooseConcurrency: the order desks give roll-out time the highest
+// weight, the alumni hub gives it to buffer cost.
+func TestWeightsChooseConcurrency(t *testing.T) {
 	orderDesks, alumniHub := fleet.Weights{RollOut: 3, Buffer: 1, Moves: 1}, fleet.Weights{RollOut: 1, Buffer: 3, Moves: 1}
 	for _, tc := range []struct {
 		n, allowed int
@@ -163,16 +164,16 @@
 		want       int
 	}{
 		{12, 4, fleet.Weights{}, 4}, {12, 4, orderDesks, 4}, {12, 4, alumniHub, 2}, {12, 1, alumniHub, 1}, {12, 0, orderDesks, 0},
-		{7, 6, orderDesks, 4}, // two rounds either way
+		{7, 6, orderDesks, 4}, // 4 and 6 at once both take two rounds
 	} {
 		assert.Equal(t, tc.want, ChooseConcurrency(tc.n, tc.allowed, tc.weights), "%+v", tc)
 	}
-	in := input(12, fleet.AvailabilityBudget{MaxUnavailable: 4})
+	in := poolWithWave(12, fleet.AvailabilityBudget{MaxUnavailable: 4})
 	in.Weights = alumniHub
-	assert.Len(t, claimed(Reconcile(in).Pool), 2)
+	assert.Len(t, disruptedInstances(Reconcile(in).Pool), 2)
 	in.Pool.MeanOut = time.Minute
 	in.Waves[0].Deadline = t0.Add(4 * time.Minute)
-	assert.Len(t, claimed(Reconcile(in).Pool), 4, "a deadline goes before the weights")
+	assert.Len(t, disruptedInstances(Reconcile(in).Pool), 4, "a deadline takes precedence over the weights")
 }
 
 func TestHaltRule(t *testing.T) {
@@ -184,7 +185,7 @@
 	}
 }
 
-func TestForecast(t *testing.T) {
+func TestEstimateEnd(t *testing.T) {
 	end, ok := EstimateEnd(t0, &fleet.Pool{MeanOut: time.Minute}, 5, 2)
 	assert.True(t, ok)
 	assert.Equal(t, t0.Add(3*time.Minute), end)
