--- a/requests/budget/budget.go
+++ b/requests/budget/budget.go
@@ -1,5 +1,5 @@
-// Package budget decides whether an availability budget allows one more
-// instance to be out. It is pure.
+// Package budget computes how many more instances of a pool may be out of service
+// under its availability budget. It does no I/O.
 package budget
 
 import (
@@ -10,36 +10,37 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Status is the state of one pool's budget.
+// Status is the state of a pool's availability budget.
 type Status struct {
 	Pool    fleet.PoolName
-	Size    int // members that count; joining ones do not
-	Allowed int // how many may be out
-	// Claimed are members out by a recorded disruption, Failed those out
-	// without one. Failed ones count first.
+	Size    int // number of members without those that are joining
+	Allowed int // maximum number of members out of service
+	// Claimed are the members with a recorded disruption; Failed are those out of
+	// service without one. Both are sorted and use up the budget.
 	Claimed, Failed []fleet.InstanceID
-	// ZoneReserve is kept for the loss of the largest availability zone, if asked.
+	// ZoneReserve is the part of the budget reserved for the loss of the zone with
+	// the most members in service; 0 unless the budget asks for it.
 	ZoneReserve int
-	// available counts the members in service by zone.
+	// available is the number of members in service by zone.
 	available map[fleet.AvailabilityZone]int
 	budget    fleet.AvailabilityBudget
 }
 
-// Out returns how many members are out.
+// Out returns the number of members out of service.
 func (a Status) Out() int { return len(a.Claimed) + len(a.Failed) }
 
-// Headroom returns how many more members may be taken out; it is negative
-// while the budget is broken.
+// Headroom returns how many more members may be taken out of service. It is
+// negative while the budget is exceeded.
 func (a Status) Headroom() int { return a.Allowed - a.Out() - a.ZoneReserve }
 
-// HeadroomAfterRemoval returns the headroom left if one member in service left
-// the pool for good: the pool is smaller by one, and the member is out until
+// HeadroomAfterRemoval returns the headroom if one member in service is removed
+// from the pool: the pool shrinks by one, and the member also counts as out until
 // its record has changed.
 func (a Status) HeadroomAfterRemoval() int {
 	return min(a.budget.Allowed(a.Size-1), a.Allowed) - a.Out() - a.ZoneReserve - 1
 }
 
-// Explain says in one line what uses the budget up.
+// Explain describes in one line what uses the budget.
 func (a Status) Explain() string {
 	var parts []string
 	if len(a.Claimed) > 0 {
@@ -49,7 +50,7 @@
 		parts = append(parts, "failed: "+joinIDs(a.Failed))
 	}
 	if a.ZoneReserve > 0 {
-		parts = append(parts, fmt.Sprintf("%d kept for the loss of a zone", a.ZoneReserve))
+		parts = append(parts, fmt.Sprintf("%d reserved for the loss of a zone", a.ZoneReserve))
 	}
 	text := fmt.Sprintf("pool %s has %d of %d out", a.Pool, a.Out(), a.Allowed)
 	if len(parts) > 0 {
@@ -66,8 +67,8 @@
 	return strings.Join(text, ", ")
 }
 
-// Compute works out the account of a pool from its members, its record and the
-// newest instance list. A member that the list lacks counts as failed.
+// Compute returns the budget status of a pool from its record, its members and the
+// latest instance list. A member missing from the list counts as failed.
 func Compute(p *fleet.Pool, members []fleet.Membership, instances map[fleet.InstanceID]fleet.Instance) Status {
 	a := Status{Pool: p.Name, budget: p.Budget, available: map[fleet.AvailabilityZone]int{}}
 	for _, m := range members {
--- a/requests/directory/directory.go
+++ b/requests/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory derives what the entry path needs from the records and the
-// instance list: routes, and the workers of each service that may get new
-// requests. It is pure; a directory is immutable.
+// Package directory derives the routing data of the entry path from the records
+// and the instance list: the routes, and for each service the workers that may get
+// new requests. It does no I/O; a directory is immutable.
 package directory
 
 import (
@@ -11,7 +11,7 @@
 	"github.com/postmount/postmount/requests/route"
 )
 
-// Worker is one backend server that may get new requests.
+// Worker is a backend server that may get new requests.
 type Worker struct {
 	ID    fleet.InstanceID
 	Addr  string // IP:port
@@ -19,27 +19,27 @@
 	Slots int
 }
 
-// Service is one service as the entry path sees it.
+// Service is the routing data of one service.
 type Service struct {
 	Name    fleet.ServiceName
 	Classes []fleet.Class
 	Workers []Worker // sorted by ID
-	// Total counts the members of the service's pools, usable or not.
+	// Total is the number of members of the service's pools, usable or not.
 	Total int
 }
 
-// Directory is a snapshot of everything the entry path needs.
+// Directory is a snapshot of the routing data.
 type Directory struct {
 	Revision fleet.Revision
 	Routes   *route.Table
 	Services map[fleet.ServiceName]*Service
-	// Slots holds the slots of every worker of any pool, usable or not.
+	// Slots is the number of slots of every worker of any pool, usable or not.
 	Slots map[fleet.InstanceID]int
-	// Addrs holds the address of every worker of any pool.
+	// Addrs is the address (IP:port) of every worker of any pool, usable or not.
 	Addrs map[fleet.InstanceID]string
 }
 
-// Empty is a directory without routes.
+// Empty returns a directory without routes and services.
 func Empty() *Directory {
 	return &Directory{
 		Routes:   route.NewTable(nil),
@@ -49,11 +49,10 @@
 	}
 }
 
-// Build derives the directory from the records and the newest instance list.
+// Build derives the directory from the records and the latest instance list.
 //
-// Invariant: a worker with a claimed disruption, or that the instance list
-// does not show as ready, is not in a service's workers. Either source alone
-// takes it out; only both together let it in.
+// Invariant: a worker is in Service.Workers only if it has no recorded disruption
+// and the instance list shows it as serving. Either source alone excludes it.
 func Build(s *fleet.State, instances map[fleet.InstanceID]fleet.Instance) *Directory {
 	d := Empty()
 	d.Revision = s.Revision
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -33,7 +33,7 @@
 		}
 		// The earlier attempt may have been abandoned and this one granted now.
 		if id, reply, err = h.Claims.Ask(ctx, c.key, fp); err != nil {
-			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running and the key's owner cannot be asked any more")
+			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running, and asking the key's owner again failed")
 		}
 		if reply.Result == once.Granted {
 			if grant, err = h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline); err != nil {
--- a/requests/health/health.go
+++ b/requests/health/health.go
@@ -1,5 +1,6 @@
-// Package health puts workers that fail their requests aside and probes them
-// at growing intervals. Everything here is pure.
+// Package health implements outlier detection: it ejects workers whose requests
+// fail and probes them with exponential backoff. It also tracks worker latency.
+// It does no I/O; time is passed in.
 package health
 
 import (
@@ -8,20 +9,21 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Options of the rule.
+// Options configure an OutlierDetector.
 type Options struct {
-	// ConsecutiveFailures is how many failures in a row put a worker aside.
+	// ConsecutiveFailures is the number of failures in a row that eject a worker.
 	ConsecutiveFailures int
-	// InitialProbeInterval and MaxProbeInterval bound the time until an ejected worker is tried
-	// again; it doubles with each failed probe.
+	// InitialProbeInterval is the time from ejection to the first probe. It doubles
+	// with each failed probe up to MaxProbeInterval.
 	InitialProbeInterval, MaxProbeInterval time.Duration
-	// MinUsableShare is the share of a service's workers that is never put aside.
+	// MinUsableShare is the share of a service's workers that is never ejected.
 	MinUsableShare float64
 }
 
-// DefaultOptions keep at least half of the workers in use.
+// DefaultOptions keep at least half of the workers usable.
 var DefaultOptions = Options{ConsecutiveFailures: 3, InitialProbeInterval: 500 * time.Millisecond, MaxProbeInterval: 30 * time.Second, MinUsableShare: 0.5}
 
+// ejectionState is the state of a worker with a failure since its last success.
 type ejectionState struct {
 	failures      int
 	ejected       bool
@@ -30,16 +32,17 @@
 	probing       bool
 }
 
-// latencyAverage is a moving average of how long a worker's requests took.
+// latencyAverage is the moving average of a worker's latency.
 type latencyAverage struct {
 	mean time.Duration
-	at   time.Time // of the last observation
-	// oldestPending is when a request was sent that has not been answered, nor any
-	// after it; zero if there is none.
-	oldestPending time.Time
+	at   time.Time // time of the last sample
+	// waitingSince is when the first request after the last answer was sent; zero
+	// if there is none.
+	waitingSince time.Time
 }
 
-// OutlierDetector judges the workers of one service. It is not safe for concurrent use.
+// OutlierDetector tracks the health of one service's workers. It is not safe for
+// concurrent use.
 type OutlierDetector struct {
 	opts      Options
 	workers   map[fleet.InstanceID]*ejectionState
@@ -47,13 +50,13 @@
 	ejected   int
 }
 
-// New returns a core that trusts every worker.
+// New returns a detector with no ejected workers.
 func New(opts Options) *OutlierDetector {
 	return &OutlierDetector{opts: opts, workers: map[fleet.InstanceID]*ejectionState{}, latencies: map[fleet.InstanceID]latencyAverage{}}
 }
 
-// RecordFailure notes a failure of worker id, one of total in the service. It reports
-// whether the worker was put aside by it.
+// RecordFailure records a failed request on worker id. total is the number of the
+// service's workers. It reports whether this ejected the worker.
 func (c *OutlierDetector) RecordFailure(now time.Time, id fleet.InstanceID, total int) bool {
 	r := c.workers[id]
 	if r == nil {
@@ -78,8 +81,8 @@
 	return true
 }
 
-// RecordSuccess notes a whole answer of worker id. It reports whether the worker
-// came back into use by it.
+// RecordSuccess records a successful request on worker id. It reports whether this
+// restored an ejected worker.
 func (c *OutlierDetector) RecordSuccess(id fleet.InstanceID) bool {
 	r := c.workers[id]
 	if r == nil {
@@ -92,15 +95,15 @@
 	return r.ejected
 }
 
-// Of a worker's latency: the weight of the newest observation, and how long the
-// average counts without a new one, so that a worker that was slow is tried
-// again.
 const (
+	// latencyNewWeight is the weight of the newest sample in the moving average.
 	latencyNewWeight = 0.3
-	latencyMaxAge    = 5 * time.Second
+	// latencyMaxAge is how long the average is valid without a new sample, so that
+	// a slow worker is tried again.
+	latencyMaxAge = 5 * time.Second
 )
 
-// ObserveLatency notes how long a request took on worker id.
+// ObserveLatency records how long a request took on worker id.
 func (c *OutlierDetector) ObserveLatency(now time.Time, id fleet.InstanceID, took time.Duration) {
 	l := c.latencies[id]
 	if l.at.IsZero() || now.Sub(l.at) > latencyMaxAge {
@@ -108,26 +111,27 @@
 	}
 	l.mean += time.Duration(latencyNewWeight * float64(took-l.mean))
 	l.at = now
-	l.oldestPending = time.Time{}
+	l.waitingSince = time.Time{}
 	c.latencies[id] = l
 }
 
-// Latency returns how long requests on worker id lately took, or how long one
-// has been waiting if that is longer; 0 if nothing is known.
+// Latency returns the recent average latency of worker id, or how long it has been
+// without an answer since a request was sent if that is longer; 0 if neither is
+// known.
 func (c *OutlierDetector) Latency(now time.Time, id fleet.InstanceID) time.Duration {
 	l := c.latencies[id]
 	known := time.Duration(0)
 	if now.Sub(l.at) <= latencyMaxAge {
 		known = l.mean
 	}
-	if !l.oldestPending.IsZero() {
-		known = max(known, now.Sub(l.oldestPending))
+	if !l.waitingSince.IsZero() {
+		known = max(known, now.Sub(l.waitingSince))
 	}
 	return known
 }
 
-// Usable reports whether worker id may be picked, and whether that would be a
-// probe: one request that decides whether it comes back.
+// Usable reports whether worker id may get a request, and whether that request
+// would be a probe, whose result decides whether the worker is restored.
 func (c *OutlierDetector) Usable(now time.Time, id fleet.InstanceID) (usable, probe bool) {
 	r := c.workers[id]
 	if r == nil || !r.ejected {
@@ -137,11 +141,11 @@
 	return due, due
 }
 
-// RecordSent notes that a request is on its way to worker id; if the worker is put
-// aside it is a probe.
+// RecordSent records that a request is being sent to worker id. If the worker is
+// ejected, the request is a probe.
 func (c *OutlierDetector) RecordSent(now time.Time, id fleet.InstanceID) {
-	if l := c.latencies[id]; l.oldestPending.IsZero() {
-		l.oldestPending = now
+	if l := c.latencies[id]; l.waitingSince.IsZero() {
+		l.waitingSince = now
 		c.latencies[id] = l
 	}
 	if r := c.workers[id]; r != nil {
@@ -149,10 +153,11 @@
 	}
 }
 
-// CancelSent notes that a request to worker id was given up before it was sent.
+// CancelSent records that a request to worker id was not sent after all, or that its
+// result says nothing about the worker.
 func (c *OutlierDetector) CancelSent(id fleet.InstanceID) {
 	if l, ok := c.latencies[id]; ok {
-		l.oldestPending = time.Time{}
+		l.waitingSince = time.Time{}
 		c.latencies[id] = l
 	}
 	if r := c.workers[id]; r != nil {
@@ -160,7 +165,7 @@
 	}
 }
 
-// RemoveAbsent drops what is known of workers that are no longer there.
+// RemoveAbsent removes the state of workers that are not in present.
 func (c *OutlierDetector) RemoveAbsent(present map[fleet.InstanceID]int) {
 	for id := range c.latencies {
 		if _, ok := present[id]; !ok {
@@ -178,5 +183,5 @@
 	}
 }
 
-// Ejected returns how many workers are put aside.
+// Ejected returns the number of ejected workers.
 func (c *OutlierDetector) Ejected() int { return c.ejected }
--- a/requests/health/health_test.go
+++ b/requests/health/health_test.go
@@ -19,7 +19,7 @@
 	return ejected
 }
 
-func TestProbeDecidesAtGrowingIntervals(t *testing.T) {
+func TestProbesEjectedWorkerWithBackoff(t *testing.T) {
 	c := New(DefaultOptions)
 	assert.True(t, fail(c, "w", 4))
 	usable, _ := c.Usable(t0, "w")
@@ -38,7 +38,7 @@
 	assert.True(t, usable && !probe)
 }
 
-func TestNeverPutsTooManyAside(t *testing.T) {
+func TestKeepsMinimumShareUsable(t *testing.T) {
 	c := New(DefaultOptions)
 	for i := range 10 {
 		fail(c, fleet.InstanceID(fmt.Sprint("w", i)), 10)
@@ -46,9 +46,10 @@
 	assert.Equal(t, 5, c.Ejected())
 }
 
-// TestOneWaitingRequestTellsOfASlowWorker: nothing more is sent to a worker that
-// was slow, or is new, before its first answer shows how it is.
-func TestOneWaitingRequestTellsOfASlowWorker(t *testing.T) {
+// TestLatencyCountsUnansweredRequest: a worker that is new or was slow has no
+// recent average. Until its first answer, the time for which a request has gone
+// unanswered counts as its latency, so that it isn't sent more.
+func TestLatencyCountsUnansweredRequest(t *testing.T) {
 	c := New(DefaultOptions)
 	assert.Zero(t, c.Latency(t0, "w"))
 	c.RecordSent(t0, "w")
@@ -57,7 +58,7 @@
 	c.ObserveLatency(answered, "w", 500*time.Millisecond)
 	assert.Equal(t, 500*time.Millisecond, c.Latency(answered, "w"))
 	later := answered.Add(latencyMaxAge + time.Millisecond)
-	assert.Zero(t, c.Latency(later, "w"), "it is tried again")
+	assert.Zero(t, c.Latency(later, "w"), "the average has expired, so the worker is tried again")
 	c.RecordSent(later, "w")
 	assert.Equal(t, time.Second, c.Latency(later.Add(time.Second), "w"))
 }
--- a/requests/record/record.go
+++ b/requests/record/record.go
@@ -1,5 +1,6 @@
-// Package record maps domain records to keys of the platform's store and
-// writes them by compare-and-swap, resolving lost answers.
+// Package record stores domain records in the platform's key-value store. It
+// writes them by compare-and-swap and finds out whether a write took effect if its
+// answer was lost.
 package record
 
 import (
@@ -19,7 +20,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Root is the prefix of every key that postmount writes.
+// Root is the prefix of all keys that postmount writes.
 const Root = "postmount/"
 
 // Keys and key prefixes below Root.
@@ -33,19 +34,19 @@
 	EntryPrefix  = Root + "entry/"
 )
 
-// PoolKey is the key of a pool's record.
+// PoolKey returns the key of a pool's record.
 func PoolKey(p fleet.PoolName) string { return PoolPrefix + string(p) }
 
-// WaveKey is the key of a wave's record.
+// WaveKey returns the key of a wave's record.
 func WaveKey(w fleet.WaveName) string { return WavePrefix + string(w) }
 
-// JobsKey is the key of a pool's jobs.
+// JobsKey returns the key of a pool's jobs.
 func JobsKey(p fleet.PoolName) string { return JobsPrefix + string(p) }
 
-// EntryKey is the key of an entry daemon's registration.
+// EntryKey returns the key of an entry daemon's registration.
 func EntryKey(e fleet.EntryID) string { return EntryPrefix + string(e) }
 
-// ShardKey is the key of a membership shard.
+// ShardKey returns the key of a membership shard.
 func ShardKey(i int) string { return fmt.Sprintf("%s%02d", MemberPrefix, i) }
 
 // ParseShardKey returns the shard number of a key below MemberPrefix.
@@ -53,17 +54,17 @@
 	return strconv.Atoi(strings.TrimPrefix(key, MemberPrefix))
 }
 
-// maxTokens bounds how many writer tokens a record remembers.
+// maxTokens is the number of write tokens kept in a record.
 const maxTokens = 16
 
 // envelope is the stored form of a record.
 type envelope struct {
-	// Tokens are those of the last writes, the newest last.
+	// Tokens identify the last writes, the newest last.
 	Tokens []string        `json:"tokens"`
 	Data   json.RawMessage `json:"data"`
 }
 
-// Decode reads a stored record.
+// Decode decodes a stored record.
 func Decode[T any](kv port.KV) (fleet.Versioned[T], error) {
 	var env envelope
 	if err := json.Unmarshal(kv.Value, &env); err != nil {
@@ -86,20 +87,20 @@
 
 // Codes of write errors.
 const (
-	// CodeConflict means that somebody else changed the record first.
+	// CodeConflict means that another writer changed the record first.
 	CodeConflict verdict.Code = "conflict"
-	// CodeUnknownOutcome means that the write may or may not be in the store.
+	// CodeUnknownOutcome means that the write may or may not have taken effect.
 	CodeUnknownOutcome verdict.Code = "unknown-outcome"
 )
 
-// Writer writes records. The zero value is not usable; use NewWriter.
+// Writer writes records. Create it with NewWriter.
 type Writer struct {
 	store           port.Store
 	newToken        func() string
-	resolveInterval time.Duration // pause between attempts to learn an outcome
+	resolveInterval time.Duration // interval between attempts to find out whether a write took effect
 }
 
-// defaultResolveInterval is the pause between attempts to learn a write's outcome.
+// defaultResolveInterval is the resolveInterval of NewWriter.
 const defaultResolveInterval = 50 * time.Millisecond
 
 // NewWriter returns a writer whose tokens are random UUIDs.
@@ -109,17 +110,17 @@
 
 // Written is the result of a successful write.
 type Written struct {
-	KV port.KV // as stored, for the writer's own mirror
+	KV port.KV // as stored, so that the caller can update its mirror
 }
 
-// Write stores value at key if the record is still the one in base; a base of
-// revision 0 creates it.
+// Write stores value at key if the record's revision is still that of base. A base
+// of revision 0 creates the record.
 //
-// Invariant: an error with verdict NotRun means that the value is not in the
-// store and will never be. Reason: after a lost answer the writer either finds
-// its token, or repeats the same compare-and-swap while the record is at the
-// expected revision, or finds a newer record whose token list reaches back to
-// base and lacks its own. A write still under way then loses its swap.
+// Invariant: an error with verdict NotRun means that the value is not in the store
+// and never will be. After a lost answer the writer either finds its token, or
+// repeats the same compare-and-swap while the record is at the expected revision,
+// or finds a newer record whose tokens reach back to base without its own. In the
+// last case a write still in flight fails its compare-and-swap.
 func Write[T any](ctx context.Context, w *Writer, key string, base fleet.Versioned[T], value *T, lease port.LeaseID) (Written, error) {
 	token := w.newToken()
 	tokens := append(slices.Clone(base.Tokens), token)
@@ -141,14 +142,14 @@
 	return tokens[len(tokens)-1]
 }
 
-// pendingWrite is one write whose outcome is being learnt.
+// pendingWrite is a write that is in flight or whose outcome is unknown.
 type pendingWrite struct {
 	key       string
 	expect    fleet.Revision
 	body      []byte
 	token     string
 	lease     port.LeaseID
-	baseToken string // newest token of the record the write is based on
+	baseToken string // newest token of the base record, "" if it is new
 }
 
 func (w *Writer) swap(ctx context.Context, p pendingWrite) (Written, error) {
@@ -169,13 +170,14 @@
 			return out, err
 		}
 		if !sleep.For(ctx, w.resolveInterval) {
-			return Written{}, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "%s: the answer was lost and the store cannot be asked", p.key)
+			return Written{}, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the answer was lost and the store could not be read in time", p.key)
 		}
 	}
 }
 
-// readBack asks the store whether p took effect. settled is false while the
-// record is still at the expected revision or the store does not answer.
+// readBack reads the record to find out whether p took effect. settled is false if
+// this is still unknown: the record is at the expected revision or still doesn't
+// exist, or the store doesn't answer.
 func (w *Writer) readBack(ctx context.Context, p pendingWrite) (out Written, settled bool, err error) {
 	kv, found, err := w.store.Get(ctx, p.key)
 	if err != nil {
@@ -185,14 +187,14 @@
 		if p.expect == 0 {
 			return Written{}, false, nil
 		}
-		return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "%s was deleted while its write was under way", p.key)
+		return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the record was deleted meanwhile", p.key)
 	}
 	if kv.Revision == p.expect {
 		return Written{}, false, nil
 	}
 	var env envelope
 	if err := json.Unmarshal(kv.Value, &env); err != nil {
-		return Written{}, true, verdict.Wrap(err, verdict.MayHaveRun, CodeUnknownOutcome, "%s", p.key)
+		return Written{}, true, verdict.Wrap(err, verdict.MayHaveRun, CodeUnknownOutcome, "decode %s after a lost answer", p.key)
 	}
 	if slices.Contains(env.Tokens, p.token) {
 		return Written{kv}, true, nil
@@ -201,5 +203,5 @@
 	if reachesBack {
 		return Written{}, true, verdict.New(verdict.NotRun, CodeConflict, "%s changed since revision %d", p.key, p.expect)
 	}
-	return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "%s was written too often to tell", p.key)
+	return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the answer was lost and the record's last %d writes don't reach back to revision %d", p.key, maxTokens, p.expect)
 }
--- a/requests/record/record_test.go
+++ b/requests/record/record_test.go
@@ -15,13 +15,13 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// lossyStore is a store of one key whose answers can be lost, and in which
-// others write while the writer is unsure.
+// lossyStore is a store with one key. It can lose writes or their answers and let
+// another writer write before the outcome is known.
 type lossyStore struct {
 	port.Store
 	kv      port.KV
-	lose    bool // the write takes effect, its answer is lost
-	drop    bool // the write is lost before it takes effect
+	lose    bool // the next write takes effect, but its answer is lost
+	drop    bool // the next write is lost before it takes effect
 	down    bool // reads fail
 	between func(*lossyStore)
 }
@@ -52,7 +52,7 @@
 
 type testRecord struct{ N int }
 
-// otherWrites lets another writer write n times.
+// otherWrites returns a function that makes n writes by another writer.
 func otherWrites(n int) func(*lossyStore) {
 	return func(s *lossyStore) {
 		w := NewWriter(s)
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestWriteLearnsWhatALostAnswerMeant(t *testing.T) {
+func TestWriteResolvesLostAnswers(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		store lossyStore
@@ -76,8 +76,8 @@
 		{"answer lost", lossyStore{lose: true}, verdict.Done},
 		{"write lost", lossyStore{drop: true}, verdict.Done},
 		{"answer lost, then overwritten", lossyStore{lose: true, between: otherWrites(3)}, verdict.Done},
-		{"write lost, somebody else first", lossyStore{drop: true, between: otherWrites(1)}, verdict.NotRun},
-		{"write lost, overwritten too often to tell", lossyStore{drop: true, between: otherWrites(maxTokens + 2)}, verdict.MayHaveRun},
+		{"write lost, another writer first", lossyStore{drop: true, between: otherWrites(1)}, verdict.NotRun},
+		{"write lost, overwritten more often than tokens are kept", lossyStore{drop: true, between: otherWrites(maxTokens + 2)}, verdict.MayHaveRun},
 		{"answer lost, store down", lossyStore{lose: true, down: true}, verdict.MayHaveRun},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/requests/rendezvous/rendezvous.go
+++ b/requests/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous ranks members for a key by highest random weight, so that
-// a change of members moves only the keys of the members that changed.
+// Package rendezvous implements rendezvous hashing (highest random weight): when
+// members change, only the keys of the changed members move.
 package rendezvous
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight scores one member for a key.
+// weight returns the score of a member for a key.
 func weight(member, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -32,7 +32,7 @@
 	return best
 }
 
-// Rank returns how many members outweigh member for key: 0 for the owner.
+// Rank returns the number of members ranked above member for key, 0 for the owner.
 func Rank[M ~string](members []M, member M, key string) int {
 	own := weight(string(member), key)
 	rank := 0
@@ -45,7 +45,7 @@
 	return rank
 }
 
-// Hash returns a stable 64-bit hash of s.
+// Hash returns a 64-bit hash of s that is the same in every process.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Sorted returns the members ordered by weight for key, the owner first.
--- a/requests/retry/retry.go
+++ b/requests/retry/retry.go
@@ -1,5 +1,5 @@
-// Package retry decides whether and when a failed request is tried again.
-// Everything here is pure.
+// Package retry decides whether and when a failed request is retried. It does no
+// I/O and reads no clock.
 package retry
 
 import (
@@ -9,30 +9,31 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Policy selects what bounds retries.
+// Policy selects what limits retries.
 type Policy string
 
-// Policies. Unbudgeted is the baseline that the measurements compare with.
+// Policies. PolicyUnbudgeted is the baseline of the measurements.
 const (
-	PolicyBudgeted   Policy = "budgeted"
-	PolicyUnbudgeted Policy = "unbudgeted"
+	PolicyBudgeted   Policy = "budgeted"   // MaxAttempts and the retry budget
+	PolicyUnbudgeted Policy = "unbudgeted" // only MaxAttempts
 )
 
-// Options bound retries.
+// Options limit retries.
 type Options struct {
 	Policy Policy
-	// Ratio is how many retries each first attempt earns.
+	// Ratio is the number of retries that each successful request adds to the
+	// budget.
 	Ratio float64
-	// Burst bounds the saved-up budget and is what a new budget starts with.
+	// Burst is the maximum budget, and that of a new Budget.
 	Burst float64
-	// MaxAttempts bounds the tries of one request.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int
-	// InitialBackoff and MaxBackoff bound the pause before a retry; the pause is
-	// drawn at random up to a bound that doubles with each attempt.
+	// The backoff is random, up to InitialBackoff before the second attempt and
+	// doubling with each attempt up to MaxBackoff.
 	InitialBackoff, MaxBackoff time.Duration
 }
 
-// DefaultOptions allow one retry for every ten requests.
+// DefaultOptions allow one retry per ten successful requests.
 var DefaultOptions = Options{
 	Policy:         PolicyBudgeted,
 	Ratio:          0.1,
@@ -42,31 +43,32 @@
 	MaxBackoff:     200 * time.Millisecond,
 }
 
-// Budget bounds the retries of one service by its successful traffic. It is
-// not safe for concurrent use.
+// Budget limits the retries of one service to a share of its successful requests.
+// It is not safe for concurrent use.
 type Budget struct {
 	opts   Options
 	tokens float64
 }
 
-// NewBudget returns a budget that is full.
+// NewBudget returns a full budget.
 func NewBudget(opts Options) *Budget { return &Budget{opts: opts, tokens: opts.Burst} }
 
-// RecordSuccess earns a part of a retry.
+// RecordSuccess adds Ratio retries to the budget.
 func (b *Budget) RecordSuccess() { b.tokens = min(b.tokens+b.opts.Ratio, b.opts.Burst) }
 
-// Attempt is a failed try that may be repeated.
+// Attempt is a failed attempt that may be retried.
 type Attempt struct {
-	Number     int // 1 for the first try
+	Number     int // from 1
 	Verdict    verdict.Verdict
 	Idempotent bool
-	Overloaded bool          // the worker said that it is overloaded
-	Remaining  time.Duration // until the request's deadline
+	Overloaded bool          // the worker reported that it is overloaded
+	Remaining  time.Duration // time until the request's deadline
 }
 
-// Next decides whether a failed try is repeated, and after which pause. What
-// may have run is repeated only if it is idempotent; an overload never is.
-func (b *Budget) Next(a Attempt, rnd *rand.Rand) (pause time.Duration, again bool) {
+// Next reports whether a failed attempt is retried, and after which pause. A
+// request that may have run is retried only if it is idempotent, and one refused
+// by an overloaded worker never is.
+func (b *Budget) Next(a Attempt, rnd *rand.Rand) (pause time.Duration, retry bool) {
 	repeatable := a.Verdict == verdict.NotRun || a.Idempotent
 	if !repeatable || a.Overloaded || a.Number >= b.opts.MaxAttempts {
 		return 0, false
--- a/requests/retry/retry_test.go
+++ b/requests/retry/retry_test.go
@@ -10,7 +10,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-func TestOnlyWhatMayBeRepeatedIs(t *testing.T) {
+func TestRetriesOnlyRepeatableAttempts(t *testing.T) {
 	ok := Attempt{Number: 1, Verdict: verdict.NotRun, Remaining: time.Minute}
 	for _, tc := range []struct {
 		name   string
@@ -31,9 +31,9 @@
 	}
 }
 
-// TestAmplificationIsBounded: when every try fails, retries stay at the share
-// that successes have earned.
-func TestAmplificationIsBounded(t *testing.T) {
+// TestRetryAmplificationIsLimited: if every attempt fails, the retries are limited
+// to the initial budget.
+func TestRetryAmplificationIsLimited(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
 	tries := func(p Policy) (n int) {
 		o := DefaultOptions
@@ -50,5 +50,5 @@
 		return n
 	}
 	assert.Equal(t, 1000+int(DefaultOptions.Burst), tries(PolicyBudgeted))
-	assert.Equal(t, 3000, tries(PolicyUnbudgeted), "the baseline triples the load")
+	assert.Equal(t, 3000, tries(PolicyUnbudgeted), "without a budget, retries triple the load")
 }
--- a/requests/slo/slo.go
+++ b/requests/slo/slo.go
@@ -1,5 +1,5 @@
-// Package slo counts requests against service-level objectives and works out
-// how fast each error budget burns.
+// Package slo counts good and bad requests per service-level objective and
+// computes error budget burn rates.
 package slo
 
 import (
@@ -11,12 +11,12 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Windows of the burn report, in order. The pairs of a long and a short window
-// follow the usual practice for fast and slow burn alerts.
+// Windows are the windows of the burn report, in order. 1 h with 5 min and 6 h with
+// 30 min are the usual pairs for fast and slow burn alerts.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Burn rates that alert: a fast burn spends 2% of a 30-day budget in an hour,
-// a slow one 5% in six hours.
+// Alert thresholds: a fast burn spends 2% of a 30-day error budget in one hour, a
+// slow burn 5% in six hours.
 const (
 	FastBurnRate = 14.4
 	SlowBurnRate = 6.0
@@ -28,19 +28,19 @@
 )
 
 type bucket struct {
-	number int64 // of the bucket since the epoch
+	number int64 // Unix time divided by bucketDuration
 	total  int64
 	bad    int64
 }
 
-// Key names one class of one service.
+// Key identifies a class of a service.
 type Key struct {
 	Service fleet.ServiceName
 	Class   fleet.ClassName
 }
 
-// Recorder counts requests. It is safe for concurrent use. Each key takes
-// about 17 KB.
+// Recorder counts requests in buckets of bucketDuration. It is safe for concurrent
+// use. Each key takes about 17 KB.
 type Recorder struct {
 	mu     sync.Mutex
 	series map[Key]*[bucketCount]bucket
@@ -49,7 +49,7 @@
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{series: map[Key]*[bucketCount]bucket{}} }
 
-// Record counts one request that ended at time now.
+// Record counts a request that ended at time now.
 func (r *Recorder) Record(now time.Time, k Key, good bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,8 +101,9 @@
 	return out
 }
 
-// BurnRate is how many times faster than sustainable the error budget burns: 1
-// spends it exactly over the objective's period.
+// BurnRate returns how fast the error budget is being spent: at 1 it is used up
+// exactly at the end of the objective's period. It returns 0 without requests or if
+// objective is not between 0 and 1.
 func BurnRate(total, bad int64, objective float64) float64 {
 	if total == 0 || objective <= 0 || objective >= 1 {
 		return 0
@@ -110,7 +111,7 @@
 	return float64(bad) / float64(total) / (1 - objective)
 }
 
-// Alert names the burn alert in force.
+// Alert is the active burn rate alert.
 type Alert string
 
 // Alerts.
@@ -120,8 +121,8 @@
 	AlertSlow Alert = "slow"
 )
 
-// EvaluateAlert applies the alert rules to the burn rates by window. Both windows of a
-// pair must burn, so that an alert ends soon after its cause.
+// EvaluateAlert returns the alert for the burn rates by window. Both windows of a
+// pair must be above the threshold, so that the alert ends soon after its cause.
 func EvaluateAlert(rate map[time.Duration]float64) Alert {
 	switch {
 	case rate[time.Hour] >= FastBurnRate && rate[5*time.Minute] >= FastBurnRate:
