--- a/lab/jobload/bench_test.go
+++ b/lab/jobload/bench_test.go
@@ -12,9 +12,9 @@
 // four pools, 85 jobs a second of two steps with eight tasks each.
 func grownFleet() Scenario {
 	sc := Scenario{Seed: 1, Length: 15 * time.Second, Instances: 88, Room: job.Resources{CPUMilli: 32000, MemMB: 64000}}
-	kind := Kind{Steps: 2, Width: 8, CPUMilli: 10000, MemMB: 4000, Task: 700 * time.Millisecond, EstOff: 0.3}
+	kind := JobKind{Steps: 2, Width: 8, CPUMilli: 10000, MemMB: 4000, Task: 700 * time.Millisecond, EstimateError: 0.3}
 	for _, name := range []string{"a", "b", "c", "d"} {
-		sc.Queues = append(sc.Queues, Queue{Name: name, PerSecond: 85.0 / 4, Shape: Steady, Kind: kind})
+		sc.Queues = append(sc.Queues, Queue{Name: name, PerSecond: 85.0 / 4, RateFactor: Constant, Kind: kind})
 	}
 	return sc
 }
@@ -26,7 +26,7 @@
 	for b.Loop() {
 		sc := grownFleet()
 		began := time.Now()
-		r := Play(sc)
+		r := Run(sc)
 		b.ReportMetric(float64(time.Since(began).Milliseconds())/sc.Length.Seconds(), "ms/fleet-second")
 		b.ReportMetric(float64(r.Starts)/sc.Length.Seconds(), "tasks/fleet-second")
 	}
@@ -52,13 +52,13 @@
 		b.Run(strconv.Itoa(instances), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				r := Play(fleetOf(instances))
+				r := Run(fleetOf(instances))
 				m := r.Meter
-				b.ReportMetric(float64(m.Total().Microseconds())/float64(m.Told()), "us/event")
+				b.ReportMetric(float64(m.Total().Microseconds())/float64(m.InputEvents()), "us/event")
 				for k, d := range m.Spent {
 					b.ReportMetric(float64(d.Nanoseconds())/float64(max(1, m.Events[k])), "ns/"+EventKind(k).String())
 				}
-				b.ReportMetric(r.Share(), "in-time")
+				b.ReportMetric(r.InTimeShare(), "in-time")
 			}
 		})
 	}
--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -10,11 +10,11 @@
 type Daemon struct {
 	Cores    float64 // share of a core
 	LinkMbps float64 // each way
-	// WholeLists lets the owner read all registrations and instances again and again, as a
+	// PollFullLists lets the owner read all registrations and instances again and again, as a
 	// baseline: it reads the changes of the registrations otherwise.
-	WholeLists bool
-	// AnyNumber lets it order all starts that are possible at once, as a baseline.
-	AnyNumber bool
+	PollFullLists bool
+	// UnlimitedStarts lets it order all starts that are possible at once, as a baseline.
+	UnlimitedStarts bool
 }
 
 // What the owner's work costs. Processor time is that of a whole core, measured with
@@ -69,7 +69,7 @@
 func (h *shell) slots() int { return max(leastSlots, int(slotsPerCore*h.daemon.Cores)) }
 
 func (h *shell) startsAtOnce() int {
-	if h.daemon.AnyNumber {
+	if h.daemon.UnlimitedStarts {
 		return 0
 	}
 	return startsInLine * h.slots()
@@ -208,7 +208,7 @@
 
 // instancesEvery returns the pause between two readings of the instance list.
 func (h *shell) instancesEvery(instances int) time.Duration {
-	if h.daemon.WholeLists {
+	if h.daemon.PollFullLists {
 		return expectingEvery
 	}
 	megabits := float64(instances*listedBytes) * 8 / 1e6
--- a/lab/jobload/daemon_test.go
+++ b/lab/jobload/daemon_test.go
@@ -13,8 +13,8 @@
 // spare one, by turns, on a daemon with an eighth of a core and a link of 2 Mbit/s. Each
 // turn asks for more tasks than the link carries: 380 a second of 1.3 KB each.
 func narrow(seed uint64, d Daemon) Scenario {
-	small := Kind{Steps: 1.6, Width: 8, CPUMilli: 4500, MemMB: 16000, Task: 800 * time.Millisecond, EstOff: 0.5}
-	large := Kind{Steps: 2, Width: 8, CPUMilli: 9700, MemMB: 20000, Task: 1700 * time.Millisecond, EstOff: 0.5}
+	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 4500, MemMB: 16000, Task: 800 * time.Millisecond, EstimateError: 0.5}
+	large := JobKind{Steps: 2, Width: 8, CPUMilli: 9700, MemMB: 20000, Task: 1700 * time.Millisecond, EstimateError: 0.5}
 	sc := Scenario{Seed: seed, Length: 34 * time.Second, Instances: 27, Spare: 24, Room: job.Resources{CPUMilli: 32000, MemMB: 131072}, Daemon: &d}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 6.3, Kind: small},
@@ -22,7 +22,7 @@
 		{Name: "c", PerSecond: 7.8, Kind: small},
 		{Name: "d", PerSecond: 1.5, Kind: large, Priority: 1},
 	} {
-		q.Shape = Turns(i, 4, 5*time.Second, 4, 0.05)
+		q.RateFactor = Rotating(i, 4, 5*time.Second, 4, 0.05)
 		sc.Queues = append(sc.Queues, q)
 	}
 	return sc
@@ -38,18 +38,18 @@
 		most   float64
 	}{
 		{"as built", Daemon{Cores: 0.12, LinkMbps: 2}, 0.6, 1},
-		{"whole lists", Daemon{Cores: 0.12, LinkMbps: 2, WholeLists: true}, 0, 0.3},
-		{"any number of starts", Daemon{Cores: 0.12, LinkMbps: 2, AnyNumber: true}, 0, 0.3},
+		{"whole lists", Daemon{Cores: 0.12, LinkMbps: 2, PollFullLists: true}, 0, 0.3},
+		{"any number of starts", Daemon{Cores: 0.12, LinkMbps: 2, UnlimitedStarts: true}, 0, 0.3},
 		{"a wider link", Daemon{Cores: 0.12, LinkMbps: 20}, 0.85, 1},
 		{"a large daemon", Daemon{Cores: 0.8, LinkMbps: 200}, 0.9, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := Play(narrow(1, c.daemon))
-			t.Logf("jobs %d, in time %.3f, late %d, open %d, starts %d, twice %d, lapsed %d", r.Jobs, r.Share(), r.Late, r.Open, r.Starts, r.Twice, r.Lapsed)
-			assert.GreaterOrEqual(t, r.Share(), c.least)
-			assert.LessOrEqual(t, r.Share(), c.most)
-			assert.Zero(t, r.Lapsed)
-			assert.Zero(t, r.Twice)
+			r := Run(narrow(1, c.daemon))
+			t.Logf("jobs %d, in time %.3f, late %d, open %d, starts %d, twice %d, lapsed %d", r.Jobs, r.InTimeShare(), r.Late, r.Open, r.Starts, r.DuplicateStarts, r.ExpiredTasks)
+			assert.GreaterOrEqual(t, r.InTimeShare(), c.least)
+			assert.LessOrEqual(t, r.InTimeShare(), c.most)
+			assert.Zero(t, r.ExpiredTasks)
+			assert.Zero(t, r.DuplicateStarts)
 		})
 	}
 }
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -89,7 +89,7 @@
 // throw accounts for work that was in vain.
 func (s *sim) throw(e *execution) {
 	e.stopped = true
-	s.result.Thrown += e.cores * s.engine.now.Sub(e.began).Seconds()
+	s.result.WastedCoreSeconds += e.cores * s.engine.now.Sub(e.began).Seconds()
 }
 
 func (s *sim) spare(pool string) bool { return pool == sparePool }
@@ -116,7 +116,7 @@
 	w.token = o.Token
 	s.renew(w, o.LeaseUntilMs)
 	if s.done[o.Task] || s.running[o.Task] > 0 {
-		s.result.Twice++
+		s.result.DuplicateStarts++
 	}
 	s.running[o.Task]++
 	step := &s.jobs[o.Task.Job].spec.Steps[o.Task.Step]
@@ -237,7 +237,7 @@
 			return
 		}
 		for _, t := range slices.Clone(w.order) {
-			s.result.Lapsed++
+			s.result.ExpiredTasks++
 			s.throw(w.active[t])
 			s.end(w, t, w.active[t], owner.EndLapsed)
 		}
@@ -262,7 +262,7 @@
 	}
 	s.result.Moves++
 	if i.up != nil && i.lives > 1 && !i.up.used {
-		s.result.InVain++
+		s.result.UnusedMoves++
 	}
 	i.Pool = o.Pool
 	s.bill(i)
--- a/lab/jobload/jobload_test.go
+++ b/lab/jobload/jobload_test.go
@@ -16,8 +16,8 @@
 // a turn takes 8.6 s, as measured from when jobs arrived on that customer's days.
 func byTurns(seed uint64) Scenario {
 	const turn, high, low = 8600 * time.Millisecond, 4.0, 0.05
-	small := Kind{Steps: 1.6, Width: 6, CPUMilli: 880, MemMB: 910, Task: time.Second, EstOff: 0.5}
-	large := Kind{Steps: 2, Width: 8, CPUMilli: 1900, MemMB: 3500, Task: 1700 * time.Millisecond, EstOff: 0.9}
+	small := JobKind{Steps: 1.6, Width: 6, CPUMilli: 880, MemMB: 910, Task: time.Second, EstimateError: 0.5}
+	large := JobKind{Steps: 2, Width: 8, CPUMilli: 1900, MemMB: 3500, Task: 1700 * time.Millisecond, EstimateError: 0.9}
 	sc := Scenario{Seed: seed, Length: 36 * time.Second, Instances: 10, Spare: 9, Room: job.Resources{CPUMilli: 16000, MemMB: 32768}}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 7.2, Kind: small},
@@ -25,7 +25,7 @@
 		{Name: "c", PerSecond: 9, Kind: small},
 		{Name: "d", PerSecond: 1.62, Kind: large, Priority: 1},
 	} {
-		q.Shape = Turns(i, 4, turn, high, low)
+		q.RateFactor = Rotating(i, 4, turn, high, low)
 		sc.Queues = append(sc.Queues, q)
 	}
 	return sc
@@ -45,33 +45,33 @@
 	const seeds = 4
 	for _, c := range []struct {
 		name     string
-		troubles []Trouble
+		troubles []Fault
 		least    float64 // share of all jobs in time
 		most     float64 // instances in pools, on average
 	}{
 		{"calm", nil, 0.95, 46},
 		// 0.90 if the next owner has to wait for the lease to end.
-		{"owner killed", []Trouble{{At: thirdTurn, What: OwnerKilled}}, 0.93, 46},
+		{"owner killed", []Fault{{At: thirdTurn, Kind: OwnerKilled}}, 0.93, 46},
 		// 0.72 if a new owner moves no instance for 4.2 s; the same for the next one.
-		{"owner without power", []Trouble{{At: thirdTurn, What: OwnerPowerLost}}, 0.85, 46},
-		{"store away, leases lapse", []Trouble{{At: 14 * time.Second, For: 4500 * time.Millisecond, What: StoreLapse}}, 0.84, 47},
-		{"store away", []Trouble{{At: 14 * time.Second, For: 4500 * time.Millisecond, What: StoreAway}}, 0.84, 47},
-		{"wave", []Trouble{{At: 2 * time.Second, For: 26 * time.Second, What: Wave, Some: 6}}, 0.95, 47},
-		{"wave and owner killed", []Trouble{{At: 2 * time.Second, For: 26 * time.Second, What: Wave, Some: 6}, {At: secondTurn, What: OwnerKilled}}, 0.93, 47},
-		{"wide jobs", []Trouble{{At: thirdTurn, What: Heavy, Some: 20}}, 0.93, 47},
+		{"owner without power", []Fault{{At: thirdTurn, Kind: OwnerPowerLost}}, 0.85, 46},
+		{"store away, leases lapse", []Fault{{At: 14 * time.Second, For: 4500 * time.Millisecond, Kind: StoreLeasesExpired}}, 0.84, 47},
+		{"store away", []Fault{{At: 14 * time.Second, For: 4500 * time.Millisecond, Kind: StoreUnavailable}}, 0.84, 47},
+		{"wave", []Fault{{At: 2 * time.Second, For: 26 * time.Second, Kind: Wave, Count: 6}}, 0.95, 47},
+		{"wave and owner killed", []Fault{{At: 2 * time.Second, For: 26 * time.Second, Kind: Wave, Count: 6}, {At: secondTurn, Kind: OwnerKilled}}, 0.93, 47},
+		{"wide jobs", []Fault{{At: thirdTurn, Kind: WideJobs, Count: 20}}, 0.93, 47},
 		// Their pool has a backlog that is late as a whole when the next turn begins: 0.78 if
 		// late work counts as much as what can still be in time.
-		{"wide jobs at the end of a turn", []Trouble{{At: 15500 * time.Millisecond, What: Heavy, Some: 60}}, 0.79, 48},
-		{"rack lost", []Trouble{{At: thirdTurn, What: RackLost, Some: 4}}, 0.94, 46},
+		{"wide jobs at the end of a turn", []Fault{{At: 15500 * time.Millisecond, Kind: WideJobs, Count: 60}}, 0.79, 48},
+		{"rack lost", []Fault{{At: thirdTurn, Kind: RackLost, Count: 4}}, 0.94, 46},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			share, instances := 0.0, 0.0
 			for seed := range uint64(seeds) {
 				sc := byTurns(seed + 1)
-				sc.Troubles = c.troubles
-				r := Play(sc)
+				sc.Faults = c.troubles
+				r := Run(sc)
 				assert.Zero(t, r.Open, "every accepted job is done")
-				share += r.Share() / seeds
+				share += r.InTimeShare() / seeds
 				instances += r.MeanInstances(sc.Length) / seeds
 			}
 			t.Logf("in time %.3f, instances in pools %.1f", share, instances)
@@ -86,8 +86,8 @@
 func TestOutageBound(t *testing.T) {
 	sc := byTurns(2)
 	const from, length = 14, 5
-	sc.Troubles = []Trouble{{At: from * time.Second, For: length * time.Second, What: StoreAway}}
-	r := Play(sc)
+	sc.Faults = []Fault{{At: from * time.Second, For: length * time.Second, Kind: StoreUnavailable}}
+	r := Run(sc)
 	early := r.JobsBySecond[from] + r.JobsBySecond[from+1]
 	late := r.JobsBySecond[from+3] + r.JobsBySecond[from+4]
 	assert.GreaterOrEqual(t, r.Refused, early, "they cannot be stored by anyone")
@@ -99,9 +99,9 @@
 func TestPoliciesApart(t *testing.T) {
 	share := func(size capacity.Policy) float64 {
 		sc := byTurns(1)
-		sc.Size = size
-		r := Play(sc)
-		return r.Share()
+		sc.PoolPolicy = size
+		r := Run(sc)
+		return r.InTimeShare()
 	}
 	demand := share(capacity.Demand)
 	assert.Greater(t, demand, share(capacity.Threshold)+0.1)
--- a/lab/jobload/jobs.go
+++ b/lab/jobload/jobs.go
@@ -17,7 +17,7 @@
 		if s.engine.elapsed() > s.scenario.Length {
 			return
 		}
-		due := q.PerSecond * q.Shape(s.engine.elapsed()) * look.Seconds()
+		due := q.PerSecond * q.RateFactor(s.engine.elapsed()) * look.Seconds()
 		for ; due > 0; due-- {
 			if s.rand.Float64() < due {
 				s.submit(q, 1)
@@ -38,7 +38,7 @@
 			Count: max(1, int(s.around(float64(q.Kind.Width)))) * wide,
 			Need:  job.Resources{CPUMilli: int(s.around(float64(q.Kind.CPUMilli))), MemMB: int(s.around(float64(q.Kind.MemMB)))},
 		}
-		step.Estimate = time.Duration(float64(mean) * (1 + q.Kind.EstOff*(2*s.rand.Float64()-1)))
+		step.Estimate = time.Duration(float64(mean) * (1 + q.Kind.EstimateError*(2*s.rand.Float64()-1)))
 		if n > 0 {
 			step.After = []int{n - 1}
 		}
@@ -55,7 +55,7 @@
 }
 
 // steps returns the number of steps of a job: the mean's neighbours, by their share.
-func (s *sim) steps(k Kind) int {
+func (s *sim) steps(k JobKind) int {
 	whole := int(k.Steps)
 	if s.rand.Float64() < k.Steps-float64(whole) {
 		whole++
--- a/lab/jobload/lost_test.go
+++ b/lab/jobload/lost_test.go
@@ -27,19 +27,19 @@
 		for i := range results {
 			all.Go(func() {
 				sc := byTurns(uint64(i + 1))
-				sc.Calls = policy
+				sc.CallPolicy = policy
 				if share > 0 {
-					sc.Troubles = []Trouble{{At: 3 * time.Second, For: 24 * time.Second, What: CallsLost, Share: share}}
+					sc.Faults = []Fault{{At: 3 * time.Second, For: 24 * time.Second, Kind: CallsLost, Share: share}}
 				}
-				results[i] = Play(sc)
+				results[i] = Run(sc)
 			})
 		}
 		all.Wait()
 		sum := 0.0
 		for _, r := range results {
-			assert.Zero(t, r.Twice)
+			assert.Zero(t, r.DuplicateStarts)
 			assert.Zero(t, r.Open)
-			sum += r.Share()
+			sum += r.InTimeShare()
 		}
 		return sum / seeds
 	}
--- a/lab/jobload/meter.go
+++ b/lab/jobload/meter.go
@@ -13,7 +13,7 @@
 	Submission
 	Recorded // records are chosen for the store, or are written
 	ListRead // registrations, instances, answers to orders for these
-	Timer
+	TimerTick
 	Reaction // to an event of any other kind
 	eventKinds
 )
@@ -36,11 +36,11 @@
 	m.Events[k]++
 }
 
-// Told returns how many events the owner was told of.
-func (m *Meter) Told() int {
+// InputEvents returns how many events the owner was told of.
+func (m *Meter) InputEvents() int {
 	n := 0
 	for k, events := range m.Events {
-		if k := EventKind(k); k != Timer && k != Reaction {
+		if k := EventKind(k); k != TimerTick && k != Reaction {
 			n += events
 		}
 	}
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -79,8 +79,8 @@
 	ended bool
 }
 
-// Play plays a scenario to its end.
-func Play(sc Scenario) Result {
+// Run plays a scenario to its end.
+func Run(sc Scenario) Result {
 	s := newSim(sc)
 	s.begin()
 	s.engine.after(sc.Length, s.billAll)
@@ -93,11 +93,11 @@
 }
 
 func newSim(sc Scenario) *sim {
-	if sc.Size == "" {
-		sc.Size = capacity.Demand
+	if sc.PoolPolicy == "" {
+		sc.PoolPolicy = capacity.Demand
 	}
-	if sc.Order == "" {
-		sc.Order = owner.SchedulePriority
+	if sc.SchedulingPolicy == "" {
+		sc.SchedulingPolicy = owner.SchedulePriority
 	}
 	s := &sim{
 		scenario: sc, engine: newEngine(), rand: rand.New(rand.NewPCG(sc.Seed, 1)),
@@ -128,7 +128,7 @@
 	for _, q := range s.scenario.Queues {
 		s.arrive(q)
 	}
-	for _, t := range s.scenario.Troubles {
+	for _, t := range s.scenario.Faults {
 		s.engine.after(t.At, func() { s.strike(t) })
 	}
 }
@@ -167,7 +167,7 @@
 		MaxPendingStarts: startsAtOnce,
 		Term:             s.term, TaskLease: taskLease, HoldWait: holdWait, StatusRetention: 2 * time.Minute,
 		DutyHandover: dutyHandover, PriorOrders: s.orderedOfLate(), ElectedAt: s.electedAt,
-		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.Size, SchedulingPolicy: s.scenario.Order, CallPolicy: s.scenario.Calls,
+		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.PoolPolicy, SchedulingPolicy: s.scenario.SchedulingPolicy, CallPolicy: s.scenario.CallPolicy,
 	}, s.catalog, loaded, s.engine.now)
 	s.commits = false
 	s.listInstances()
@@ -192,8 +192,8 @@
 	}
 	s.meter.measure(Reaction, func() { s.core.React(s.engine.now) })
 	e := s.core.TakeEffects()
-	if s.scenario.Ordered != nil {
-		s.scenario.Ordered(s.engine.now, e)
+	if s.scenario.OnEffects != nil {
+		s.scenario.OnEffects(s.engine.now, e)
 	}
 	if s.shell != nil {
 		s.charge(e)
@@ -283,8 +283,8 @@
 // account sums up the lines on late jobs.
 func (s *sim) account() {
 	for _, d := range s.core.TakeDecisions() {
-		if s.scenario.Observe != nil {
-			s.scenario.Observe(s.engine.now, d)
+		if s.scenario.OnDecision != nil {
+			s.scenario.OnDecision(s.engine.now, d)
 		}
 		if d.Account == nil {
 			continue
@@ -296,7 +296,7 @@
 			}
 			s.result.Causes[cause.String()] += t
 			if cause == owner.CausePoolShort || cause == owner.CauseInstancesArriving || cause == owner.CauseMaintenance {
-				s.result.Waits += t
+				s.result.CapacityWait += t
 			}
 		}
 	}
@@ -318,7 +318,7 @@
 	if s.core == nil {
 		return
 	}
-	s.meter.measure(Timer, func() { s.core.Tick(s.engine.now) })
+	s.meter.measure(TimerTick, func() { s.core.Tick(s.engine.now) })
 }
 
 func (s *sim) storeAway() bool { return s.engine.now.Before(s.away) }
@@ -365,7 +365,7 @@
 
 // register learns of the registrations now and after a while, as the daemon does.
 func (s *sim) register() {
-	if s.shell != nil && s.shell.daemon.WholeLists {
+	if s.shell != nil && s.shell.daemon.PollFullLists {
 		s.read(entryBytes, s.registered)
 		return
 	}
@@ -382,11 +382,11 @@
 }
 
 // strike lets a trouble begin.
-func (s *sim) strike(t Trouble) {
-	switch t.What {
-	case StoreAway:
+func (s *sim) strike(t Fault) {
+	switch t.Kind {
+	case StoreUnavailable:
 		s.away = s.engine.now.Add(t.For)
-	case StoreLapse:
+	case StoreLeasesExpired:
 		s.away = s.engine.now.Add(t.For)
 		s.engine.after(t.For, func() { s.core = nil })
 		s.succeed(t.For + reelection)
@@ -399,7 +399,7 @@
 	case Wave:
 		s.requestWave(t)
 	case RackLost:
-		for _, id := range s.ids[:min(t.Some, len(s.ids))] {
+		for _, id := range s.ids[:min(t.Count, len(s.ids))] {
 			if i := s.instances[id]; i.State == owner.InstanceUp {
 				s.fall(i, owner.InstanceDown, rackBack)
 			}
@@ -407,8 +407,8 @@
 	case CallsLost:
 		s.lost = t.Share
 		s.engine.after(t.For, func() { s.lost = 0 })
-	case Heavy:
-		for range t.Some {
+	case WideJobs:
+		for range t.Count {
 			s.submit(s.scenario.Queues[0], 4)
 		}
 	}
@@ -425,11 +425,11 @@
 // waveWidth is how many instances of a wave may be down at the same time.
 const waveWidth = 10
 
-func (s *sim) requestWave(t Trouble) {
+func (s *sim) requestWave(t Fault) {
 	s.waves++
 	req := owner.WaveRequest{Wave: s.waves, Within: t.For, MaxDown: waveWidth}
 	for _, q := range s.scenario.Queues {
-		for k := range min(t.Some, s.scenario.Instances) {
+		for k := range min(t.Count, s.scenario.Instances) {
 			req.Instances = append(req.Instances, owner.InstanceID(fmt.Sprintf("%s-%03d", q.Name, k)))
 		}
 	}
--- a/lab/jobload/report_test.go
+++ b/lab/jobload/report_test.go
@@ -16,7 +16,7 @@
 // logOf plays a scenario and returns what its owners would log of it.
 func logOf(sc Scenario) []explain.Line {
 	var lines []explain.Line
-	sc.Observe = func(at time.Time, d owner.Decision) {
+	sc.OnDecision = func(at time.Time, d owner.Decision) {
 		l := explain.Line{Source: "owner", Time: at, Event: d.Event, Job: string(d.Job)}
 		if d.Account != nil {
 			l.Fields = append(l.Fields,
@@ -29,7 +29,7 @@
 		}
 		lines = append(lines, l)
 	}
-	Play(sc)
+	Run(sc)
 	return lines
 }
 
@@ -40,16 +40,16 @@
 func TestWhereTheTimeWent(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		trouble Trouble
+		trouble Fault
 		causes  []string // that delayed most jobs, in any order
 	}{
-		{"owner-lost", Trouble{At: thirdTurn, What: OwnerPowerLost}, []string{"earlier-term"}},
-		{"store-lapse", Trouble{At: 10 * time.Second, For: 4 * time.Second, What: StoreLapse}, []string{"earlier-term"}},
-		{"heavy", Trouble{At: 12 * time.Second, What: Heavy, Some: 40}, []string{"instances-arriving", "pool-short"}},
+		{"owner-lost", Fault{At: thirdTurn, Kind: OwnerPowerLost}, []string{"earlier-term"}},
+		{"store-lapse", Fault{At: 10 * time.Second, For: 4 * time.Second, Kind: StoreLeasesExpired}, []string{"earlier-term"}},
+		{"heavy", Fault{At: 12 * time.Second, Kind: WideJobs, Count: 40}, []string{"instances-arriving", "pool-short"}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sc := byTurns(1)
-			sc.Troubles = []Trouble{c.trouble}
+			sc.Faults = []Fault{c.trouble}
 			r := late.NewReport(logOf(sc))
 			all := r.All()
 			require.NotEmpty(t, all.Causes)
--- a/lab/jobload/same_test.go
+++ b/lab/jobload/same_test.go
@@ -18,7 +18,7 @@
 // The order among those of one moment does not count.
 func digest(sc Scenario) (sum string, r Result) {
 	h := fnv.New64a()
-	sc.Ordered = func(at time.Time, e owner.Effects) {
+	sc.OnEffects = func(at time.Time, e owner.Effects) {
 		var lines []string
 		for _, o := range e.Starts {
 			lines = append(lines, fmt.Sprintf("start %s %s", o.Task, o.Worker))
@@ -34,7 +34,7 @@
 			fmt.Fprintln(h, at.UnixNano(), l)
 		}
 	}
-	r = Play(sc)
+	r = Run(sc)
 	return fmt.Sprintf("%016x starts %d moves %d in time %d", h.Sum64(), r.Starts, r.Moves, r.InTime), r
 }
 
@@ -42,10 +42,10 @@
 func crowded(seed uint64) Scenario {
 	sc := Scenario{Seed: seed, Length: 12 * time.Second, Instances: 12, Spare: 4, Room: job.Resources{CPUMilli: 16000, MemMB: 32768}}
 	for i, q := range []Queue{
-		{Name: "a", PerSecond: 14, Kind: Kind{Steps: 1.6, Width: 8, CPUMilli: 2300, MemMB: 5000, Task: 800 * time.Millisecond, EstOff: 0.5}},
-		{Name: "b", PerSecond: 6, Kind: Kind{Steps: 2, Width: 8, CPUMilli: 3900, MemMB: 2000, Task: 1700 * time.Millisecond, EstOff: 0.9}, Priority: 1},
+		{Name: "a", PerSecond: 14, Kind: JobKind{Steps: 1.6, Width: 8, CPUMilli: 2300, MemMB: 5000, Task: 800 * time.Millisecond, EstimateError: 0.5}},
+		{Name: "b", PerSecond: 6, Kind: JobKind{Steps: 2, Width: 8, CPUMilli: 3900, MemMB: 2000, Task: 1700 * time.Millisecond, EstimateError: 0.9}, Priority: 1},
 	} {
-		q.Shape = Turns(i, 2, 4*time.Second, 1.7, 0.3)
+		q.RateFactor = Rotating(i, 2, 4*time.Second, 1.7, 0.3)
 		sc.Queues = append(sc.Queues, q)
 	}
 	return sc
@@ -58,10 +58,10 @@
 	var out string
 	for seed := range uint64(3) {
 		calm, harmed, late := byTurns(seed+1), byTurns(seed+10), crowded(seed+20)
-		harmed.Troubles = []Trouble{
-			{At: 2 * time.Second, For: 26 * time.Second, What: Wave, Some: 6},
-			{At: secondTurn, What: OwnerKilled},
-			{At: thirdTurn, What: RackLost, Some: 4},
+		harmed.Faults = []Fault{
+			{At: 2 * time.Second, For: 26 * time.Second, Kind: Wave, Count: 6},
+			{At: secondTurn, Kind: OwnerKilled},
+			{At: thirdTurn, Kind: RackLost, Count: 4},
 		}
 		for _, sc := range []Scenario{calm, harmed, late} {
 			sum, r := digest(sc)
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -17,47 +17,47 @@
 	Spare     int           // instances that are off and cost nothing
 	Room      job.Resources // of an instance
 	Queues    []Queue       // each has a pool of its own
-	Troubles  []Trouble
+	Faults    []Fault
 	Daemon    *Daemon // the owner's; nil: its work takes no time
 
-	Size  capacity.Policy
-	Order owner.SchedulingPolicy
-	Calls calls.Policy
+	PoolPolicy       capacity.Policy
+	SchedulingPolicy owner.SchedulingPolicy
+	CallPolicy       calls.Policy
 
-	// Observe is told each decision of an owner; it may be nil.
-	Observe func(at time.Time, d owner.Decision)
-	// Ordered is told what an owner wants done after each event; it may be nil.
-	Ordered func(at time.Time, e owner.Effects)
+	// OnDecision is told each decision of an owner; it may be nil.
+	OnDecision func(at time.Time, d owner.Decision)
+	// OnEffects is told what an owner wants done after each event; it may be nil.
+	OnEffects func(at time.Time, e owner.Effects)
 }
 
 // Queue is a kind of jobs and when they come.
 type Queue struct {
-	Name      string
-	PerSecond float64 // mean of its arrivals
-	Shape     Shape
-	Kind      Kind
-	Priority  int
+	Name       string
+	PerSecond  float64 // mean of its arrivals
+	RateFactor RateFactor
+	Kind       JobKind
+	Priority   int
 }
 
-// Shape tells how many times its mean a queue asks for at a time.
-type Shape func(at time.Duration) float64
+// RateFactor tells how many times its mean a queue asks for at a time.
+type RateFactor func(at time.Duration) float64
 
-// Steady is a queue's mean at any time.
-func Steady(time.Duration) float64 { return 1 }
+// Constant is a queue's mean at any time.
+func Constant(time.Duration) float64 { return 1 }
 
-// Kind says what the jobs of a queue are like. Sizes are spread log-normally.
-type Kind struct {
-	Steps    float64 // mean; one more or less, one at least
-	Width    int     // mean number of tasks of a step
-	CPUMilli int     // mean of a task
-	MemMB    int
-	Task     time.Duration // mean of how long a task takes
-	EstOff   float64       // by which share estimates are off at most, either way
+// JobKind says what the jobs of a queue are like. Sizes are spread log-normally.
+type JobKind struct {
+	Steps         float64 // mean; one more or less, one at least
+	Width         int     // mean number of tasks of a step
+	CPUMilli      int     // mean of a task
+	MemMB         int
+	Task          time.Duration // mean of how long a task takes
+	EstimateError float64       // by which share estimates are off at most, either way
 }
 
-// Turns returns the shape of queue i of n that rise and fall by turns: each asks for
+// Rotating returns the shape of queue i of n that rise and fall by turns: each asks for
 // high times its mean for the length of a turn, and for low times in between.
-func Turns(i, n int, turn time.Duration, high, low float64) Shape {
+func Rotating(i, n int, turn time.Duration, high, low float64) RateFactor {
 	return func(at time.Duration) float64 {
 		if int(at/turn)%n == i {
 			return high
@@ -66,26 +66,26 @@
 	}
 }
 
-// Trouble is something that goes wrong.
-type Trouble struct {
+// Fault is something that goes wrong.
+type Fault struct {
 	At    time.Duration
 	For   time.Duration
-	What  What
-	Some  int     // how many instances it befalls, where that applies
+	Kind  FaultKind
+	Count int     // how many instances it befalls, where that applies
 	Share float64 // of what it befalls, likewise
 }
 
-// What goes wrong.
-type What int
+// FaultKind goes wrong.
+type FaultKind int
 
 // The troubles.
 const (
-	// StoreAway lets nothing be accepted or recorded; the owner goes on with what it
+	// StoreUnavailable lets nothing be accepted or recorded; the owner goes on with what it
 	// knows. Callers try again until their patience ends.
-	StoreAway What = iota
-	// StoreLapse is StoreAway, after which the owner's lock is gone: another daemon,
+	StoreUnavailable FaultKind = iota
+	// StoreLeasesExpired is StoreAway, after which the owner's lock is gone: another daemon,
 	// or the same, is elected.
-	StoreLapse
+	StoreLeasesExpired
 	// OwnerKilled ends the owner's process; the next one reads the jobs from the store,
 	// and what was not recorded is lost to it.
 	OwnerKilled
@@ -95,9 +95,9 @@
 	Wave
 	// RackLost ends some instances of the first pool at once; they come back.
 	RackLost
-	// Heavy lets jobs come at once that are four times as wide as usual, on the first
+	// WideJobs lets jobs come at once that are four times as wide as usual, on the first
 	// queue.
-	Heavy
+	WideJobs
 	// CallsLost lets a share of the calls to workers go without an answer; they are carried out
 	// seconds later.
 	CallsLost
@@ -111,27 +111,27 @@
 	Refused int // never accepted within a caller's patience
 	Open    int // accepted, and not done at the end
 
-	Causes          map[string]time.Duration // of late jobs' time, but for their work
-	Waits           time.Duration            // of late jobs for room
-	InstanceSeconds float64                  // of instances in pools that are paid for, during the arrivals
-	Moves           int
-	InVain          int // moves to a pool after which nothing ran there
-	Starts          int
-	Twice           int            // starts of a task that was done, or ran elsewhere
-	Lapsed          int            // tasks that ended with their worker's lease
-	Thrown          float64        // core-seconds of work that was stopped or lost
-	LateBySecond    map[int]int    // by when they were submitted
-	JobsBySecond    map[int]int    // likewise
-	LateByQueue     map[string]int // late, refused or open
-	Meter           Meter          // real time that the owner's decisions took
+	Causes            map[string]time.Duration // of late jobs' time, but for their work
+	CapacityWait      time.Duration            // of late jobs for room
+	InstanceSeconds   float64                  // of instances in pools that are paid for, during the arrivals
+	Moves             int
+	UnusedMoves       int // moves to a pool after which nothing ran there
+	Starts            int
+	DuplicateStarts   int            // starts of a task that was done, or ran elsewhere
+	ExpiredTasks      int            // tasks that ended with their worker's lease
+	WastedCoreSeconds float64        // core-seconds of work that was stopped or lost
+	LateBySecond      map[int]int    // by when they were submitted
+	JobsBySecond      map[int]int    // likewise
+	LateByQueue       map[string]int // late, refused or open
+	Meter             Meter          // real time that the owner's decisions took
 }
 
-// Share returns the share of jobs that were in time.
-func (r *Result) Share() float64 { return float64(r.InTime) / float64(max(1, r.Jobs)) }
+// InTimeShare returns the share of jobs that were in time.
+func (r *Result) InTimeShare() float64 { return float64(r.InTime) / float64(max(1, r.Jobs)) }
 
-// ShareBetween returns the share in time of the jobs submitted from second a up to
+// InTimeShareBetween returns the share in time of the jobs submitted from second a up to
 // second b.
-func (r *Result) ShareBetween(a, b int) float64 {
+func (r *Result) InTimeShareBetween(a, b int) float64 {
 	jobs, late := 0, 0
 	for s := a; s < b; s++ {
 		jobs += r.JobsBySecond[s]
--- a/lab/jobload/sparse_test.go
+++ b/lab/jobload/sparse_test.go
@@ -15,8 +15,8 @@
 func sparse(seed uint64, instances int) Scenario {
 	const lead, turn, high, low = 10 * time.Second, 5 * time.Second, 4.0, 0.05
 	of := float64(instances) / 5040 // of the customer's
-	small := Kind{Steps: 1.6, Width: 8, CPUMilli: 6400, MemMB: 23000, Task: 800 * time.Millisecond, EstOff: 0.5}
-	large := Kind{Steps: 2, Width: 8, CPUMilli: 14000, MemMB: 40000, Task: 1700 * time.Millisecond, EstOff: 0.9}
+	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 6400, MemMB: 23000, Task: 800 * time.Millisecond, EstimateError: 0.5}
+	large := JobKind{Steps: 2, Width: 8, CPUMilli: 14000, MemMB: 40000, Task: 1700 * time.Millisecond, EstimateError: 0.9}
 	sc := Scenario{Seed: seed, Length: lead + 25*time.Second, Instances: instances / 4, Spare: instances / 5, Room: job.Resources{CPUMilli: 32000, MemMB: 131072}}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 25.1 * of, Kind: small},
@@ -24,8 +24,8 @@
 		{Name: "c", PerSecond: 31.4 * of, Kind: small},
 		{Name: "d", PerSecond: 5.93 * of, Kind: large, Priority: 1},
 	} {
-		turns := Turns(i, 4, turn, high, low)
-		q.Shape = func(at time.Duration) float64 {
+		turns := Rotating(i, 4, turn, high, low)
+		q.RateFactor = func(at time.Duration) float64 {
 			if at < lead {
 				return 0
 			}
@@ -48,8 +48,8 @@
 	inVain := func(instances, seeds int) float64 {
 		moves, jobs := 0, 0
 		for seed := range uint64(seeds) {
-			r := Play(sparse(seed+1, instances))
-			moves += r.InVain
+			r := Run(sparse(seed+1, instances))
+			moves += r.UnusedMoves
 			jobs += r.Jobs
 		}
 		t.Logf("%d instances: %d jobs, %.2f moves in vain for each", instances, jobs, float64(moves)/float64(jobs))
