--- a/requests/budget/budget.go
+++ b/requests/budget/budget.go
@@ -27,32 +27,32 @@
 }
 
 // Out returns the number of members out of service.
-func (a Status) Out() int { return len(a.Claimed) + len(a.Failed) }
+func (s Status) Out() int { return len(s.Claimed) + len(s.Failed) }
 
 // Headroom returns how many more members may be taken out of service. It is
 // negative while the budget is exceeded.
-func (a Status) Headroom() int { return a.Allowed - a.Out() - a.ZoneReserve }
+func (s Status) Headroom() int { return s.Allowed - s.Out() - s.ZoneReserve }
 
 // HeadroomAfterRemoval returns the headroom if one member in service is removed
 // from the pool: the pool shrinks by one, and the member also counts as out until
 // its record has changed.
-func (a Status) HeadroomAfterRemoval() int {
-	return min(a.budget.Allowed(a.Size-1), a.Allowed) - a.Out() - a.ZoneReserve - 1
+func (s Status) HeadroomAfterRemoval() int {
+	return min(s.budget.Allowed(s.Size-1), s.Allowed) - s.Out() - s.ZoneReserve - 1
 }
 
 // Explain describes in one line what uses the budget.
-func (a Status) Explain() string {
+func (s Status) Explain() string {
 	var parts []string
-	if len(a.Claimed) > 0 {
-		parts = append(parts, "in maintenance: "+joinIDs(a.Claimed))
+	if len(s.Claimed) > 0 {
+		parts = append(parts, "in maintenance: "+joinIDs(s.Claimed))
 	}
-	if len(a.Failed) > 0 {
-		parts = append(parts, "failed: "+joinIDs(a.Failed))
+	if len(s.Failed) > 0 {
+		parts = append(parts, "failed: "+joinIDs(s.Failed))
 	}
-	if a.ZoneReserve > 0 {
-		parts = append(parts, fmt.Sprintf("%d reserved for the loss of a zone", a.ZoneReserve))
+	if s.ZoneReserve > 0 {
+		parts = append(parts, fmt.Sprintf("%d reserved for the loss of a zone", s.ZoneReserve))
 	}
-	text := fmt.Sprintf("pool %s has %d of %d out", a.Pool, a.Out(), a.Allowed)
+	text := fmt.Sprintf("pool %s has %d of %d out", s.Pool, s.Out(), s.Allowed)
 	if len(parts) > 0 {
 		text += " (" + strings.Join(parts, "; ") + ")"
 	}
@@ -70,34 +70,34 @@
 // Compute returns the budget status of a pool from its record, its members and the
 // latest instance list. A member missing from the list counts as failed.
 func Compute(p *fleet.Pool, members []fleet.Membership, instances map[fleet.InstanceID]fleet.Instance) Status {
-	a := Status{Pool: p.Name, budget: p.Budget, available: map[fleet.AvailabilityZone]int{}}
+	s := Status{Pool: p.Name, budget: p.Budget, available: map[fleet.AvailabilityZone]int{}}
 	for _, m := range members {
 		if m.Joining {
 			continue
 		}
-		a.Size++
+		s.Size++
 		inst := instances[m.Instance]
 		switch {
 		case p.Disruption(m.Instance) != nil:
-			a.Claimed = append(a.Claimed, m.Instance)
+			s.Claimed = append(s.Claimed, m.Instance)
 		case !inst.Serving():
-			a.Failed = append(a.Failed, m.Instance)
+			s.Failed = append(s.Failed, m.Instance)
 		default:
-			a.available[inst.Zone]++
+			s.available[inst.Zone]++
 		}
 	}
-	a.Allowed = p.Budget.Allowed(a.Size)
+	s.Allowed = p.Budget.Allowed(s.Size)
 	if p.Budget.SurviveZone {
-		a.ZoneReserve = a.largestZoneSize()
+		s.ZoneReserve = s.largestZoneSize()
 	}
-	slices.Sort(a.Claimed)
-	slices.Sort(a.Failed)
-	return a
+	slices.Sort(s.Claimed)
+	slices.Sort(s.Failed)
+	return s
 }
 
-func (a Status) largestZoneSize() int {
+func (s Status) largestZoneSize() int {
 	most := 0
-	for _, n := range a.available {
+	for _, n := range s.available {
 		most = max(most, n)
 	}
 	return most
--- a/requests/health/health.go
+++ b/requests/health/health.go
@@ -57,40 +57,40 @@
 
 // RecordFailure records a failed request on worker id. total is the number of the
 // service's workers. It reports whether this ejected the worker.
-func (c *OutlierDetector) RecordFailure(now time.Time, id fleet.InstanceID, total int) bool {
-	r := c.workers[id]
+func (d *OutlierDetector) RecordFailure(now time.Time, id fleet.InstanceID, total int) bool {
+	r := d.workers[id]
 	if r == nil {
 		r = &ejectionState{}
-		c.workers[id] = r
+		d.workers[id] = r
 	}
 	r.failures++
 	r.probing = false
 	if r.ejected {
-		r.probeInterval = min(2*r.probeInterval, c.opts.MaxProbeInterval)
+		r.probeInterval = min(2*r.probeInterval, d.opts.MaxProbeInterval)
 		r.probeAt = now.Add(r.probeInterval)
 		return false
 	}
-	mayEject := float64(total-c.ejected-1) >= c.opts.MinUsableShare*float64(total)
-	if r.failures < c.opts.ConsecutiveFailures || !mayEject {
+	mayEject := float64(total-d.ejected-1) >= d.opts.MinUsableShare*float64(total)
+	if r.failures < d.opts.ConsecutiveFailures || !mayEject {
 		return false
 	}
 	r.ejected = true
-	r.probeInterval = c.opts.InitialProbeInterval
+	r.probeInterval = d.opts.InitialProbeInterval
 	r.probeAt = now.Add(r.probeInterval)
-	c.ejected++
+	d.ejected++
 	return true
 }
 
 // RecordSuccess records a successful request on worker id. It reports whether this
 // restored an ejected worker.
-func (c *OutlierDetector) RecordSuccess(id fleet.InstanceID) bool {
-	r := c.workers[id]
+func (d *OutlierDetector) RecordSuccess(id fleet.InstanceID) bool {
+	r := d.workers[id]
 	if r == nil {
 		return false
 	}
-	delete(c.workers, id)
+	delete(d.workers, id)
 	if r.ejected {
-		c.ejected--
+		d.ejected--
 	}
 	return r.ejected
 }
@@ -104,22 +104,22 @@
 )
 
 // ObserveLatency records how long a request took on worker id.
-func (c *OutlierDetector) ObserveLatency(now time.Time, id fleet.InstanceID, took time.Duration) {
-	l := c.latencies[id]
+func (d *OutlierDetector) ObserveLatency(now time.Time, id fleet.InstanceID, took time.Duration) {
+	l := d.latencies[id]
 	if l.at.IsZero() || now.Sub(l.at) > latencyMaxAge {
 		l.mean = took
 	}
 	l.mean += time.Duration(latencyNewWeight * float64(took-l.mean))
 	l.at = now
 	l.waitingSince = time.Time{}
-	c.latencies[id] = l
+	d.latencies[id] = l
 }
 
 // Latency returns the recent average latency of worker id, or how long it has been
 // without an answer since a request was sent if that is longer; 0 if neither is
 // known.
-func (c *OutlierDetector) Latency(now time.Time, id fleet.InstanceID) time.Duration {
-	l := c.latencies[id]
+func (d *OutlierDetector) Latency(now time.Time, id fleet.InstanceID) time.Duration {
+	l := d.latencies[id]
 	known := time.Duration(0)
 	if now.Sub(l.at) <= latencyMaxAge {
 		known = l.mean
@@ -132,8 +132,8 @@
 
 // Usable reports whether worker id may get a request, and whether that request
 // would be a probe, whose result decides whether the worker is restored.
-func (c *OutlierDetector) Usable(now time.Time, id fleet.InstanceID) (usable, probe bool) {
-	r := c.workers[id]
+func (d *OutlierDetector) Usable(now time.Time, id fleet.InstanceID) (usable, probe bool) {
+	r := d.workers[id]
 	if r == nil || !r.ejected {
 		return true, false
 	}
@@ -143,45 +143,45 @@
 
 // RecordSent records that a request is being sent to worker id. If the worker is
 // ejected, the request is a probe.
-func (c *OutlierDetector) RecordSent(now time.Time, id fleet.InstanceID) {
-	if l := c.latencies[id]; l.waitingSince.IsZero() {
+func (d *OutlierDetector) RecordSent(now time.Time, id fleet.InstanceID) {
+	if l := d.latencies[id]; l.waitingSince.IsZero() {
 		l.waitingSince = now
-		c.latencies[id] = l
+		d.latencies[id] = l
 	}
-	if r := c.workers[id]; r != nil {
+	if r := d.workers[id]; r != nil {
 		r.probing = true
 	}
 }
 
 // CancelSent records that a request to worker id was not sent after all, or that its
 // result says nothing about the worker.
-func (c *OutlierDetector) CancelSent(id fleet.InstanceID) {
-	if l, ok := c.latencies[id]; ok {
+func (d *OutlierDetector) CancelSent(id fleet.InstanceID) {
+	if l, ok := d.latencies[id]; ok {
 		l.waitingSince = time.Time{}
-		c.latencies[id] = l
+		d.latencies[id] = l
 	}
-	if r := c.workers[id]; r != nil {
+	if r := d.workers[id]; r != nil {
 		r.probing = false
 	}
 }
 
 // RemoveAbsent removes the state of workers that are not in present.
-func (c *OutlierDetector) RemoveAbsent(present map[fleet.InstanceID]int) {
-	for id := range c.latencies {
+func (d *OutlierDetector) RemoveAbsent(present map[fleet.InstanceID]int) {
+	for id := range d.latencies {
 		if _, ok := present[id]; !ok {
-			delete(c.latencies, id)
+			delete(d.latencies, id)
 		}
 	}
-	for id, r := range c.workers {
+	for id, r := range d.workers {
 		if _, ok := present[id]; ok {
 			continue
 		}
 		if r.ejected {
-			c.ejected--
+			d.ejected--
 		}
-		delete(c.workers, id)
+		delete(d.workers, id)
 	}
 }
 
 // Ejected returns the number of ejected workers.
-func (c *OutlierDetector) Ejected() int { return c.ejected }
+func (d *OutlierDetector) Ejected() int { return d.ejected }
--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -96,26 +96,26 @@
 // SetWorkers sets the known workers and their number of slots. A worker that is
 // new to this daemon is new to its peers too, so nothing of it is in use and its
 // base share is available at once if the current view has settled.
-func (c *Allocator) SetWorkers(totals map[fleet.InstanceID]int) {
+func (a *Allocator) SetWorkers(totals map[fleet.InstanceID]int) {
 	for id, total := range totals {
-		w, ok := c.workers[id]
+		w, ok := a.workers[id]
 		if !ok {
 			w = &workerSlots{}
-			c.workers[id] = w
+			a.workers[id] = w
 		}
 		if w.total == total {
 			continue
 		}
 		w.total = total
-		w.nextBase = BaseShare(c.view, c.self, id, total)
-		if c.settled {
+		w.nextBase = BaseShare(a.view, a.self, id, total)
+		if a.settled {
 			w.base = w.nextBase
 		}
 		w.base = min(w.base, w.nextBase)
 	}
-	for id, w := range c.workers {
+	for id, w := range a.workers {
 		if _, ok := totals[id]; !ok && w.inUse == 0 && w.lent == 0 && w.borrowed == 0 {
-			delete(c.workers, id)
+			delete(a.workers, id)
 		}
 	}
 }
@@ -127,32 +127,32 @@
 // members have ended, each daemon may acquire slots only up to the minimum of
 // its shares in all unsettled views, less what it has lent. Borrowers drop their
 // loans when the view changes; lenders count them as lent until then.
-func (c *Allocator) SetView(v *fleet.View) {
-	c.memberLost = c.memberLost || c.anyMemberLost(v)
-	c.drainStart = time.Time{}
+func (a *Allocator) SetView(v *fleet.View) {
+	a.memberLost = a.memberLost || a.anyMemberLost(v)
+	a.drainStart = time.Time{}
 	first := v.Epoch == 1
-	c.view = v
-	clear(c.settledPeers)
-	clear(c.borrowed)
-	clear(c.returnedEarly)
-	c.settled = false
-	for id, w := range c.workers {
-		w.nextBase = BaseShare(v, c.self, id, w.total)
+	a.view = v
+	clear(a.settledPeers)
+	clear(a.borrowed)
+	clear(a.returnedEarly)
+	a.settled = false
+	for id, w := range a.workers {
+		w.nextBase = BaseShare(v, a.self, id, w.total)
 		if first {
 			w.base = w.nextBase
 		}
 		w.base = min(w.base, w.nextBase)
 		w.borrowed = 0
 	}
-	c.settled = first
+	a.settled = first
 }
 
 // anyMemberLost reports whether a member of an unretired earlier view is missing
 // from v without having left. A daemon that has just joined learns of earlier
 // members from v itself.
-func (c *Allocator) anyMemberLost(v *fleet.View) bool {
+func (a *Allocator) anyMemberLost(v *fleet.View) bool {
 	lost := func(m fleet.Incarnation) bool { return v.Member(m) == nil && !slices.Contains(v.Departed, m) }
-	if slices.ContainsFunc(c.view.Incarnations(), lost) {
+	if slices.ContainsFunc(a.view.Incarnations(), lost) {
 		return true
 	}
 	return slices.ContainsFunc(v.Unretired, func(old fleet.RetiringView) bool { return slices.ContainsFunc(old.Members, lost) })
@@ -160,38 +160,38 @@
 
 // SelfSettled reports whether this daemon uses no more than its base share under
 // the current view, not counting slots borrowed under it.
-func (c *Allocator) SelfSettled() bool {
-	for _, w := range c.workers {
+func (a *Allocator) SelfSettled() bool {
+	for _, w := range a.workers {
 		if w.inUse-w.borrowed > w.nextBase {
 			return false
 		}
 	}
-	return c.view.Epoch > 0
+	return a.view.Epoch > 0
 }
 
 // PeerSettled records that a member reported itself settled under epoch e.
-func (c *Allocator) PeerSettled(peer fleet.Incarnation, e fleet.Epoch) {
-	if e == c.view.Epoch {
-		c.settledPeers[peer] = true
+func (a *Allocator) PeerSettled(peer fleet.Incarnation, e fleet.Epoch) {
+	if e == a.view.Epoch {
+		a.settledPeers[peer] = true
 	}
 }
 
 // ActivateShares puts the base shares of the current view into use once all
 // members have settled and earlier views have drained. retired means that no
 // earlier view can still be served. It is called periodically.
-func (c *Allocator) ActivateShares(now time.Time, retired bool) {
-	if c.settled || !c.earlierViewsDrained(now, retired) {
+func (a *Allocator) ActivateShares(now time.Time, retired bool) {
+	if a.settled || !a.earlierViewsDrained(now, retired) {
 		return
 	}
-	c.settled = true
-	c.memberLost = false
-	for id, l := range c.lent {
-		if l.Epoch < c.view.Epoch {
-			c.workers[l.Worker].lent--
-			delete(c.lent, id)
+	a.settled = true
+	a.memberLost = false
+	for id, l := range a.lent {
+		if l.Epoch < a.view.Epoch {
+			a.workers[l.Worker].lent--
+			delete(a.lent, id)
 		}
 	}
-	for _, w := range c.workers {
+	for _, w := range a.workers {
 		w.base = w.nextBase
 	}
 }
@@ -199,37 +199,37 @@
 // earlierViewsDrained reports whether no slots of earlier views can still be in
 // use: every member has settled and the requests of lost members have ended. A
 // lost member may keep sending until its last confirmation expires.
-func (c *Allocator) earlierViewsDrained(now time.Time, retired bool) bool {
-	if !c.allSettled() {
+func (a *Allocator) earlierViewsDrained(now time.Time, retired bool) bool {
+	if !a.allSettled() {
 		return false
 	}
-	if !c.memberLost {
+	if !a.memberLost {
 		return true
 	}
 	if !retired {
 		return false
 	}
-	if c.drainStart.IsZero() {
-		c.drainStart = now
+	if a.drainStart.IsZero() {
+		a.drainStart = now
 	}
-	return now.Sub(c.drainStart) >= c.drainTime
+	return now.Sub(a.drainStart) >= a.drainTime
 }
 
-func (c *Allocator) allSettled() bool {
-	for _, m := range c.view.Members {
-		if m.Incarnation != c.self && !c.settledPeers[m.Incarnation] {
+func (a *Allocator) allSettled() bool {
+	for _, m := range a.view.Members {
+		if m.Incarnation != a.self && !a.settledPeers[m.Incarnation] {
 			return false
 		}
 	}
-	return c.SelfSettled()
+	return a.SelfSettled()
 }
 
 // Settled reports whether the base shares of the current view are in use.
-func (c *Allocator) Settled() bool { return c.settled }
+func (a *Allocator) Settled() bool { return a.settled }
 
 // Free returns the number of slots on worker id that this daemon can acquire now.
-func (c *Allocator) Free(id fleet.InstanceID) int {
-	w := c.workers[id]
+func (a *Allocator) Free(id fleet.InstanceID) int {
+	w := a.workers[id]
 	if w == nil {
 		return 0
 	}
@@ -237,8 +237,8 @@
 }
 
 // Capacity returns the number of slots on worker id that this daemon may use.
-func (c *Allocator) Capacity(id fleet.InstanceID) int {
-	w := c.workers[id]
+func (a *Allocator) Capacity(id fleet.InstanceID) int {
+	w := a.workers[id]
 	if w == nil {
 		return 0
 	}
@@ -246,8 +246,8 @@
 }
 
 // InUse returns the number of slots on worker id that this daemon uses.
-func (c *Allocator) InUse(id fleet.InstanceID) int {
-	w := c.workers[id]
+func (a *Allocator) InUse(id fleet.InstanceID) int {
+	w := a.workers[id]
 	if w == nil {
 		return 0
 	}
@@ -255,8 +255,8 @@
 }
 
 // Acquire takes a slot of worker id. It returns false if none is free.
-func (c *Allocator) Acquire(id fleet.InstanceID) bool {
-	w := c.workers[id]
+func (a *Allocator) Acquire(id fleet.InstanceID) bool {
+	w := a.workers[id]
 	if w == nil || w.free() <= 0 {
 		return false
 	}
@@ -265,8 +265,8 @@
 }
 
 // Release frees a slot of worker id.
-func (c *Allocator) Release(id fleet.InstanceID) {
-	if w := c.workers[id]; w != nil && w.inUse > 0 {
+func (a *Allocator) Release(id fleet.InstanceID) {
+	if w := a.workers[id]; w != nil && w.inUse > 0 {
 		w.inUse--
 	}
 }
@@ -274,21 +274,21 @@
 // Lend lends one idle slot of the first wanted worker that has one to spare.
 // keep returns the number of idle slots of a worker that are not lent. Repeated
 // calls with the same ID return the same loan.
-func (c *Allocator) Lend(now time.Time, id LoanID, borrower fleet.Incarnation, epoch fleet.Epoch, wanted []fleet.InstanceID, keep func(fleet.InstanceID) int) (Loan, bool) {
-	if l, repeated := c.lent[id]; repeated {
+func (a *Allocator) Lend(now time.Time, id LoanID, borrower fleet.Incarnation, epoch fleet.Epoch, wanted []fleet.InstanceID, keep func(fleet.InstanceID) int) (Loan, bool) {
+	if l, repeated := a.lent[id]; repeated {
 		return l, true
 	}
-	if epoch != c.view.Epoch || c.returnedEarly[id] || c.view.Member(borrower) == nil {
+	if epoch != a.view.Epoch || a.returnedEarly[id] || a.view.Member(borrower) == nil {
 		return Loan{}, false
 	}
 	for _, name := range wanted {
-		w := c.workers[name]
+		w := a.workers[name]
 		if w == nil || w.free() <= keep(name) || w.base-w.lent <= 0 {
 			continue
 		}
 		w.lent++
-		l := Loan{ID: id, Epoch: epoch, Worker: name, Lender: c.self, Borrower: borrower, At: now}
-		c.lent[id] = l
+		l := Loan{ID: id, Epoch: epoch, Worker: name, Lender: a.self, Borrower: borrower, At: now}
+		a.lent[id] = l
 		return l, true
 	}
 	return Loan{}, false
@@ -296,13 +296,13 @@
 
 // AddBorrowed adds a loan that a peer granted. It returns false if the loan
 // belongs to another view or its worker is unknown; it must not be used then.
-func (c *Allocator) AddBorrowed(l Loan) bool {
-	w := c.workers[l.Worker]
-	if l.Epoch != c.view.Epoch || w == nil {
+func (a *Allocator) AddBorrowed(l Loan) bool {
+	w := a.workers[l.Worker]
+	if l.Epoch != a.view.Epoch || w == nil {
 		return false
 	}
-	if _, repeated := c.borrowed[l.ID]; !repeated {
-		c.borrowed[l.ID] = l
+	if _, repeated := a.borrowed[l.ID]; !repeated {
+		a.borrowed[l.ID] = l
 		w.borrowed++
 	}
 	return true
@@ -310,27 +310,27 @@
 
 // TakeBack ends a loan on the lender's side. If the ID is unknown, it is
 // remembered so that a request for the loan that arrives later is refused.
-func (c *Allocator) TakeBack(id LoanID) {
-	l, ok := c.lent[id]
+func (a *Allocator) TakeBack(id LoanID) {
+	l, ok := a.lent[id]
 	if !ok {
-		c.returnedEarly[id] = true
+		a.returnedEarly[id] = true
 		return
 	}
-	delete(c.lent, id)
-	if w := c.workers[l.Worker]; w != nil {
+	delete(a.lent, id)
+	if w := a.workers[l.Worker]; w != nil {
 		w.lent--
 	}
 }
 
 // ReleaseIdle drops and returns the borrowed slots that are free and were granted
 // before the given time. The caller returns them to their lenders.
-func (c *Allocator) ReleaseIdle(before time.Time) []Loan {
+func (a *Allocator) ReleaseIdle(before time.Time) []Loan {
 	var out []Loan
-	for id, l := range c.borrowed {
-		w := c.workers[l.Worker]
+	for id, l := range a.borrowed {
+		w := a.workers[l.Worker]
 		if l.At.Before(before) && w.free() > 0 {
 			w.borrowed--
-			delete(c.borrowed, id)
+			delete(a.borrowed, id)
 			out = append(out, l)
 		}
 	}
@@ -338,8 +338,8 @@
 }
 
 // Lent returns the number of slots of worker id that are lent to peers.
-func (c *Allocator) Lent(id fleet.InstanceID) int {
-	if w := c.workers[id]; w != nil {
+func (a *Allocator) Lent(id fleet.InstanceID) int {
+	if w := a.workers[id]; w != nil {
 		return w.lent
 	}
 	return 0
