--- a/adapter/backendhttp/client.go
+++ b/adapter/backendhttp/client.go
@@ -112,8 +112,8 @@
 
 // Send implements port.Backend.
 func (c *Client) Send(ctx context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
-	track := &sendTrack{}
-	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: track.gotConn})
+	conns := &requestConns{}
+	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: conns.gotConn})
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Addr+r.URI, nil)
 	if err != nil {
 		return nil, verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "request to %s", r.Worker)
@@ -125,16 +125,16 @@
 	req.Header.Set(HeaderRequestID, r.RequestID)
 	resp, err := c.transport(workerAddr{r.Worker, r.Addr}).RoundTrip(req)
 	if err != nil {
-		return nil, classify(ctx, err, track.seal(), r.Worker)
+		return nil, classifyError(ctx, err, conns.sealUnwritten(), r.Worker)
 	}
 	defer resp.Body.Close()
-	return c.read(ctx, r, resp)
+	return c.readResponse(ctx, r, resp)
 }
 
-// classify says what a failed round trip means. Nothing ran if no byte was
+// classifyError says what a failed round trip means. Nothing ran if no byte was
 // ever handed to a connection.
-func classify(ctx context.Context, err error, untouched bool, w fleet.InstanceID) error {
-	if untouched {
+func classifyError(ctx context.Context, err error, unsent bool, w fleet.InstanceID) error {
+	if unsent {
 		return verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "worker %s", w)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
@@ -143,9 +143,9 @@
 	return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendConnectionBroken, "worker %s", w)
 }
 
-// read takes in the whole answer; one that is cut, foreign or too large is an
+// readResponse takes in the whole answer; one that is cut, foreign or too large is an
 // error.
-func (c *Client) read(ctx context.Context, r port.BackendRequest, resp *http.Response) (*port.BackendAnswer, error) {
+func (c *Client) readResponse(ctx context.Context, r port.BackendRequest, resp *http.Response) (*port.BackendAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.opts.MaxAnswerBytes+1))
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
@@ -185,57 +185,57 @@
 	return c.Conn.Write(p)
 }
 
-func (c *trackedConn) mark() int {
+func (c *trackedConn) writeCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.writes
 }
 
-// seal reports whether nothing was written since mark. If so, nothing ever
+// sealIfUnwritten reports whether nothing was written since mark. If so, nothing ever
 // will be: a write that the transport still has under way fails.
-func (c *trackedConn) seal(mark int) bool {
+func (c *trackedConn) sealIfUnwritten(writes int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.writes != mark {
+	if c.writes != writes {
 		return false
 	}
 	c.sealed = true
 	return true
 }
 
-// sendTrack remembers the connections that one request was given.
-type sendTrack struct {
-	mu     sync.Mutex
-	conns  []*trackedConn
-	marks  []int
-	closed bool
+// requestConns remembers the connections that one request was given.
+type requestConns struct {
+	mu           sync.Mutex
+	conns        []*trackedConn
+	writesBefore []int
+	closed       bool
 }
 
-func (t *sendTrack) gotConn(info httptrace.GotConnInfo) {
+func (t *requestConns) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	mark := conn.mark()
+	writes := conn.writeCount()
 	if t.closed {
-		conn.seal(mark)
+		conn.sealIfUnwritten(writes)
 		return
 	}
 	t.conns = append(t.conns, conn)
-	t.marks = append(t.marks, mark)
+	t.writesBefore = append(t.writesBefore, writes)
 }
 
-// seal reports whether the request reached none of its connections, and makes
+// sealUnwritten reports whether the request reached none of its connections, and makes
 // sure that it never will.
-func (t *sendTrack) seal() bool {
+func (t *requestConns) sealUnwritten() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closed = true
-	untouched := true
+	unsent := true
 	for i, conn := range t.conns {
-		untouched = conn.seal(t.marks[i]) && untouched
+		unsent = conn.sealIfUnwritten(t.writesBefore[i]) && unsent
 	}
-	return untouched
+	return unsent
 }
--- a/adapter/backendhttp/client_test.go
+++ b/adapter/backendhttp/client_test.go
@@ -39,7 +39,7 @@
 	return s.Listener.Addr().String(), count
 }
 
-func TestWholeAnswer(t *testing.T) {
+func TestCompleteResponse(t *testing.T) {
 	addr, _ := backendServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		w.Header().Set(HeaderRequestID, r.Header.Get(HeaderRequestID))
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestDialFailureIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
@@ -93,15 +93,15 @@
 	assert.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
-// TestNoReplayOnABrokenReusedConnection: net/http repeats a request by itself
+// TestNoReplayOnBrokenReusedConnection: net/http repeats a request by itself
 // when a reused connection breaks, if the request has an Idempotency-Key and its
 // body can be had again. Here it must not, also for an empty body.
-func TestNoReplayOnABrokenReusedConnection(t *testing.T) {
+func TestNoReplayOnBrokenReusedConnection(t *testing.T) {
 	for _, body := range []string{"", "buy"} {
 		t.Run("body "+body, func(t *testing.T) {
-			var breakIt atomic.Bool
+			var breakConnection atomic.Bool
 			addr, count := backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
-				if breakIt.Load() {
+				if breakConnection.Load() {
 					panic(http.ErrAbortHandler)
 				}
 				_, _ = w.Write([]byte("ok"))
@@ -109,7 +109,7 @@
 			c := newClient()
 			_, err := c.Send(context.Background(), request(addr, body))
 			require.NoError(t, err)
-			breakIt.Store(true)
+			breakConnection.Store(true)
 			_, err = c.Send(context.Background(), request(addr, body))
 			require.Error(t, err)
 			assert.Equal(t, verdict.MayHaveRun, verdict.Of(err))
@@ -118,9 +118,9 @@
 	}
 }
 
-// TestNeverNotRunOfWhatRan closes idle connections under the client's feet; a
+// TestExecutedRequestIsNeverNotRun closes idle connections under the client's feet; a
 // request that the server saw is never said not to have run.
-func TestNeverNotRunOfWhatRan(t *testing.T) {
+func TestExecutedRequestIsNeverNotRun(t *testing.T) {
 	addr, count := backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
 	})
@@ -135,7 +135,7 @@
 	assert.GreaterOrEqual(t, ran, count.Load())
 }
 
-func TestCancelledBeforeAnythingWasSent(t *testing.T) {
+func TestCancelledBeforeSendIsNotRun(t *testing.T) {
 	addr, count := backendServer(t, func(http.ResponseWriter, *http.Request) {})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -144,11 +144,11 @@
 	assert.Zero(t, count.Load())
 }
 
-func TestSealedConnectionTakesNoLateWrite(t *testing.T) {
+func TestSealedConnectionRejectsWrites(t *testing.T) {
 	client, server := net.Pipe()
 	server.Close() // a write that is let through fails with another error
 	c := &trackedConn{Conn: client}
-	require.True(t, c.seal(c.mark()))
+	require.True(t, c.sealIfUnwritten(c.writeCount()))
 	_, err := c.Write([]byte("late"))
 	assert.ErrorIs(t, err, net.ErrClosed)
 }
--- a/adapter/etcdkv/client.go
+++ b/adapter/etcdkv/client.go
@@ -59,8 +59,8 @@
 // Close drops idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// maxAnswer bounds the answer of one call.
-const maxAnswer = 64 << 20
+// maxResponseBytes bounds the answer of one call.
+const maxResponseBytes = 64 << 20
 
 // call makes one call that is answered by one JSON message.
 func (c *Client) call(ctx context.Context, path string, write bool, req, resp any) error {
@@ -69,19 +69,19 @@
 	c.count(write)
 	httpResp, err := c.post(ctx, path, req)
 	if err != nil {
-		return c.failed(err, write)
+		return c.transportError(err, write)
 	}
 	defer httpResp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(httpResp.Body, maxResponseBytes))
 	c.Counters.BytesIn.Add(int64(len(body)))
 	if err != nil {
-		return c.failed(err, write)
+		return c.transportError(err, write)
 	}
 	if httpResp.StatusCode != http.StatusOK {
-		return c.refused(httpResp.StatusCode, body)
+		return c.statusError(httpResp.StatusCode, body)
 	}
 	if err := json.Unmarshal(body, resp); err != nil {
-		return c.failed(err, write)
+		return c.transportError(err, write)
 	}
 	return nil
 }
@@ -111,9 +111,9 @@
 	return c.http.Do(r)
 }
 
-// failed classifies a call that got no whole answer. A write may have taken
+// transportError classifies a call that got no whole answer. A write may have taken
 // effect unless the connection was never made.
-func (c *Client) failed(err error, write bool) error {
+func (c *Client) transportError(err error, write bool) error {
 	c.Counters.Errors.Add(1)
 	v := verdict.NotRun
 	var op *net.OpError
@@ -124,8 +124,8 @@
 	return verdict.Wrap(err, v, port.CodeStoreUnavailable, "store call")
 }
 
-// refused classifies an answer that says the call was not carried out.
-func (c *Client) refused(status int, body []byte) error {
+// statusError classifies an answer that says the call was not carried out.
+func (c *Client) statusError(status int, body []byte) error {
 	c.Counters.Errors.Add(1)
 	switch status {
 	case http.StatusTooManyRequests:
@@ -170,7 +170,7 @@
 
 // CompareAndSwap implements port.Store.
 func (c *Client) CompareAndSwap(ctx context.Context, key string, expect fleet.Revision, value []byte, lease port.LeaseID) (fleet.Revision, bool, error) {
-	put := &putRequest{Key: []byte(key), Value: value, Lease: int64Text(lease)}
+	put := &putRequest{Key: []byte(key), Value: value, Lease: decimalInt64(lease)}
 	return c.txn(ctx, key, expect, requestOp{Put: put})
 }
 
@@ -182,7 +182,7 @@
 
 func (c *Client) txn(ctx context.Context, key string, expect fleet.Revision, op requestOp) (fleet.Revision, bool, error) {
 	req := txnRequest{
-		Compare: []compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: int64Text(expect)}},
+		Compare: []compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: decimalInt64(expect)}},
 		Success: []requestOp{op},
 	}
 	var resp txnResponse
@@ -197,14 +197,14 @@
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
 	seconds := (ttl + time.Second - 1) / time.Second
 	var resp leaseMessage
-	err := c.call(ctx, "/v3/lease/grant", true, leaseMessage{TTL: int64Text(seconds)}, &resp)
+	err := c.call(ctx, "/v3/lease/grant", true, leaseMessage{TTL: decimalInt64(seconds)}, &resp)
 	return port.LeaseID(resp.ID), err
 }
 
 // KeepAlive implements port.Store.
 func (c *Client) KeepAlive(ctx context.Context, id port.LeaseID) (bool, error) {
-	var resp streamed[leaseMessage]
-	if err := c.call(ctx, "/v3/lease/keepalive", true, leaseMessage{ID: int64Text(id)}, &resp); err != nil {
+	var resp streamMessage[leaseMessage]
+	if err := c.call(ctx, "/v3/lease/keepalive", true, leaseMessage{ID: decimalInt64(id)}, &resp); err != nil {
 		return false, err
 	}
 	return resp.Result.TTL > 0, nil
@@ -213,7 +213,7 @@
 // RevokeLease implements port.Store.
 func (c *Client) RevokeLease(ctx context.Context, id port.LeaseID) error {
 	var resp leaseMessage
-	return c.call(ctx, "/v3/lease/revoke", true, leaseMessage{ID: int64Text(id)}, &resp)
+	return c.call(ctx, "/v3/lease/revoke", true, leaseMessage{ID: decimalInt64(id)}, &resp)
 }
 
 // Watch implements port.Store.
@@ -224,24 +224,24 @@
 	defer idle.Stop()
 	c.Counters.Watches.Add(1)
 	resp, err := c.post(ctx, "/v3/watch", watchRequest{Create: watchCreate{
-		Key: []byte(prefix), RangeEnd: prefixEnd(prefix), StartRevision: int64Text(from + 1), ProgressNotify: true,
+		Key: []byte(prefix), RangeEnd: prefixEnd(prefix), StartRevision: decimalInt64(from + 1), ProgressNotify: true,
 	}})
 	if err != nil {
-		return c.failed(err, false)
+		return c.transportError(err, false)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
 		body, _ := io.ReadAll(io.LimitReader(resp.Body, 1024))
-		return c.refused(resp.StatusCode, body)
+		return c.statusError(resp.StatusCode, body)
 	}
 	return c.readWatch(json.NewDecoder(countingReader{resp.Body, &c.Counters.BytesIn}), idle, fn)
 }
 
 func (c *Client) readWatch(dec *json.Decoder, idle *time.Timer, fn func([]port.Event)) error {
 	for {
-		var m streamed[watchResponse]
+		var m streamMessage[watchResponse]
 		if err := dec.Decode(&m); err != nil {
-			return c.failed(err, false)
+			return c.transportError(err, false)
 		}
 		idle.Reset(c.opts.WatchIdleTimeout)
 		if m.Result.Canceled {
@@ -274,20 +274,20 @@
 	return []byte{0}
 }
 
-// int64Text is a 64-bit integer in the gateway's form: decimal text.
-type int64Text int64
+// decimalInt64 is a 64-bit integer in the gateway's form: decimal text.
+type decimalInt64 int64
 
 // MarshalJSON implements json.Marshaler.
-func (n int64Text) MarshalJSON() ([]byte, error) {
+func (n decimalInt64) MarshalJSON() ([]byte, error) {
 	return []byte(strconv.Quote(strconv.FormatInt(int64(n), 10))), nil
 }
 
 // UnmarshalJSON implements json.Unmarshaler; it accepts a bare number as well.
-func (n *int64Text) UnmarshalJSON(b []byte) error {
+func (n *decimalInt64) UnmarshalJSON(b []byte) error {
 	v, err := strconv.ParseInt(string(bytes.Trim(b, `"`)), 10, 64)
 	if err != nil {
 		return fmt.Errorf("want a 64-bit integer, got %s", b)
 	}
-	*n = int64Text(v)
+	*n = decimalInt64(v)
 	return nil
 }
--- a/adapter/etcdkv/messages.go
+++ b/adapter/etcdkv/messages.go
@@ -9,13 +9,13 @@
 // uses (package etcdserverpb): bytes are base64, 64-bit integers decimal text.
 
 type header struct {
-	Revision int64Text `json:"revision"`
+	Revision decimalInt64 `json:"revision"`
 }
 
 type keyValue struct {
-	Key         []byte    `json:"key"`
-	ModRevision int64Text `json:"mod_revision"`
-	Value       []byte    `json:"value"`
+	Key         []byte       `json:"key"`
+	ModRevision decimalInt64 `json:"mod_revision"`
+	Value       []byte       `json:"value"`
 }
 
 func (kv keyValue) port() port.KV {
@@ -33,16 +33,16 @@
 }
 
 type compare struct {
-	Key         []byte    `json:"key"`
-	Target      string    `json:"target"`
-	Result      string    `json:"result"`
-	ModRevision int64Text `json:"mod_revision"`
+	Key         []byte       `json:"key"`
+	Target      string       `json:"target"`
+	Result      string       `json:"result"`
+	ModRevision decimalInt64 `json:"mod_revision"`
 }
 
 type putRequest struct {
-	Key   []byte    `json:"key"`
-	Value []byte    `json:"value"`
-	Lease int64Text `json:"lease"`
+	Key   []byte       `json:"key"`
+	Value []byte       `json:"value"`
+	Lease decimalInt64 `json:"lease"`
 }
 
 type deleteRequest struct {
@@ -65,20 +65,20 @@
 }
 
 type leaseMessage struct {
-	ID  int64Text `json:"ID"`
-	TTL int64Text `json:"TTL"`
+	ID  decimalInt64 `json:"ID"`
+	TTL decimalInt64 `json:"TTL"`
 }
 
-// streamed is the envelope of one message of a streaming call.
-type streamed[T any] struct {
+// streamMessage is the envelope of one message of a streaming call.
+type streamMessage[T any] struct {
 	Result T `json:"result"`
 }
 
 type watchCreate struct {
-	Key            []byte    `json:"key"`
-	RangeEnd       []byte    `json:"range_end"`
-	StartRevision  int64Text `json:"start_revision"`
-	ProgressNotify bool      `json:"progress_notify"`
+	Key            []byte       `json:"key"`
+	RangeEnd       []byte       `json:"range_end"`
+	StartRevision  decimalInt64 `json:"start_revision"`
+	ProgressNotify bool         `json:"progress_notify"`
 }
 
 type watchRequest struct {
@@ -93,7 +93,7 @@
 type watchResponse struct {
 	Header          header       `json:"header"`
 	Canceled        bool         `json:"canceled"`
-	CompactRevision int64Text    `json:"compact_revision"`
+	CompactRevision decimalInt64 `json:"compact_revision"`
 	Events          []watchEvent `json:"events"`
 }
 
--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	_ = tcp.SetWriteDeadline(time.Now().Add(c.connectTimeout))
-	if _, err := fmt.Fprintf(tcp, "%s%s\n", greeting, c.token); err != nil {
+	if _, err := fmt.Fprintf(tcp, "%s%s\n", handshakePrefix, c.token); err != nil {
 		tcp.Close()
 		return nil, err
 	}
@@ -74,39 +74,39 @@
 // The reply is read only after the call has ended well: net/rpc may still be
 // writing to the reply of a call that was given up.
 func call[R any](ctx context.Context, c *Client, addr, method string, args any) (R, error) {
-	var none R
+	var zero R
 	if c.Blocked != nil && c.Blocked(addr) {
-		return none, verdict.New(verdict.NotRun, CodePeerUnreachable, "peer %s: cut off", addr)
+		return zero, verdict.New(verdict.NotRun, CodePeerUnreachable, "peer %s: cut off", addr)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	conn, err := c.conns.Get(addr, func() (net.Conn, error) { return c.dial(ctx, addr) })
 	if err != nil {
-		return none, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "peer %s", addr)
+		return zero, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "peer %s", addr)
 	}
 	defer c.conns.Release(conn)
 	reply := new(R)
 	call := conn.Go(serviceName+"."+method, args, reply, make(chan *rpc.Call, 1))
 	select {
 	case <-call.Done:
-		if err := c.finished(addr, conn, call.Error); err != nil {
-			return none, err
+		if err := c.callError(addr, conn, call.Error); err != nil {
+			return zero, err
 		}
 		return *reply, nil
 	case <-ctx.Done():
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.conns.Retire(conn)
 		}
-		return none, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
+		return zero, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
 	}
 }
 
-func (c *Client) finished(addr string, conn *rpcconn.Conn, err error) error {
+func (c *Client) callError(addr string, conn *rpcconn.Conn, err error) error {
 	if err == nil {
 		return nil
 	}
-	var answered rpc.ServerError
-	if !errors.As(err, &answered) {
+	var serverErr rpc.ServerError
+	if !errors.As(err, &serverErr) {
 		c.conns.Discard(conn)
 	}
 	return verdict.Wrap(err, verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -34,7 +34,7 @@
 
 const token = "a-token-of-the-tests"
 
-func start(t *testing.T) (addr string, s *Server, e *echo) {
+func startServer(t *testing.T) (addr string, s *Server, e *echo) {
 	e = &echo{release: make(chan struct{})}
 	s = NewServer(token, e, &ByteCounts{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,8 +47,8 @@
 	return l.Addr().String(), s, e
 }
 
-func TestCallsThereAndBack(t *testing.T) {
-	addr, _, e := start(t)
+func TestCallsReturnReplies(t *testing.T) {
+	addr, _, e := startServer(t)
 	close(e.release)
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
@@ -62,8 +62,8 @@
 	assert.Positive(t, c.Bytes.Out.Load())
 }
 
-func TestCallThatIsGivenUpMayHaveRun(t *testing.T) {
-	addr, _, e := start(t)
+func TestCancelledCallFails(t *testing.T) {
+	addr, _, e := startServer(t)
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -73,10 +73,10 @@
 	close(e.release)
 }
 
-// TestALateAnswerEndsNoClaim: all calls to a peer share a connection, and one that was
+// TestCallTimeoutKeepsOtherCalls: all calls to a peer share a connection, and one that was
 // answered late closed it. The others that were under way failed with it, as ones that may
 // have run: a claim that the peer was about to grant, say, so that its request was given up.
-func TestALateAnswerEndsNoClaim(t *testing.T) {
+func TestCallTimeoutKeepsOtherCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	e := &slowEcho{echo: &echo{release: make(chan struct{})}, claimed: make(chan struct{}, 1)}
@@ -121,7 +121,7 @@
 	return e.echo.OnHeartbeat(b)
 }
 
-func TestNobodyThereDidNotRun(t *testing.T) {
+func TestDialFailureIsNotRun(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	addr := l.Addr().String()
@@ -130,16 +130,16 @@
 	assert.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
-// TestNonsenseIsDroppedBeforeItIsDecoded sends what no peer would.
-func TestNonsenseIsDroppedBeforeItIsDecoded(t *testing.T) {
+// TestInvalidHandshakeIsRejected sends what no peer would.
+func TestInvalidHandshakeIsRejected(t *testing.T) {
 	for name, text := range map[string][]byte{
-		"wrong token":     []byte(greeting + "another\n"),
+		"wrong token":     []byte(handshakePrefix + "another\n"),
 		"another program": []byte("GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-		"endless line":    bytes.Repeat([]byte("x"), 10*maxGreeting),
+		"endless line":    bytes.Repeat([]byte("x"), 10*maxHandshakeBytes),
 		"binary":          bytes.Repeat([]byte{0xff, 0, '\n'}, 100),
 	} {
 		t.Run(name, func(t *testing.T) {
-			addr, s, _ := start(t)
+			addr, s, _ := startServer(t)
 			conn, err := net.Dial("tcp", addr)
 			require.NoError(t, err)
 			defer conn.Close()
@@ -151,12 +151,12 @@
 	}
 }
 
-func TestNonsenseAfterTheGreetingEndsOnlyItsConnection(t *testing.T) {
-	addr, _, _ := start(t)
+func TestInvalidRPCDataClosesOnlyItsConnection(t *testing.T) {
+	addr, _, _ := startServer(t)
 	conn, err := net.Dial("tcp", addr)
 	require.NoError(t, err)
 	defer conn.Close()
-	_, _ = conn.Write(append([]byte(greeting+token+"\n"), bytes.Repeat([]byte{0x7f}, 4096)...))
+	_, _ = conn.Write(append([]byte(handshakePrefix+token+"\n"), bytes.Repeat([]byte{0x7f}, 4096)...))
 	_, err = conn.Read(make([]byte, 1))
 	assert.Error(t, err)
 	c := NewClient(token, time.Second, 10*time.Second)
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -24,9 +24,9 @@
 
 // Connection set-up.
 const (
-	greeting        = "postmount-peer/1 "
-	maxGreeting     = 256
-	greetingTimeout = 2 * time.Second
+	handshakePrefix   = "postmount-peer/1 "
+	maxHandshakeBytes = 256
+	handshakeTimeout  = 2 * time.Second
 	// idleTimeout ends a connection on which nothing arrives; heartbeats come
 	// far more often.
 	idleTimeout = time.Minute
@@ -68,7 +68,7 @@
 			time.Sleep(10 * time.Millisecond)
 			continue
 		}
-		if !s.add(conn) {
+		if !s.addConn(conn) {
 			s.Rejected.Add(1)
 			conn.Close()
 			continue
@@ -77,7 +77,7 @@
 	}
 }
 
-func (s *Server) add(conn net.Conn) bool {
+func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed || len(s.conns) >= maxConnections {
@@ -90,37 +90,37 @@
 
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.wg.Done()
-	defer s.remove(conn)
-	_ = conn.SetReadDeadline(time.Now().Add(greetingTimeout))
+	defer s.removeConn(conn)
+	_ = conn.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	r := bufio.NewReader(conn)
-	if !s.greeted(r) {
+	if !s.readHandshake(r) {
 		s.Rejected.Add(1)
 		return
 	}
-	s.rpc.ServeConn(&idleConn{Conn: conn, r: r, bytes: s.bytes})
+	s.rpc.ServeConn(&readDeadlineConn{Conn: conn, r: r, bytes: s.bytes})
 }
 
-func (s *Server) greeted(r *bufio.Reader) bool {
-	line, err := bufio.NewReader(io.LimitReader(oneByte{r}, maxGreeting)).ReadString('\n')
+func (s *Server) readHandshake(r *bufio.Reader) bool {
+	line, err := bufio.NewReader(io.LimitReader(oneByteReader{r}, maxHandshakeBytes)).ReadString('\n')
 	if err != nil {
 		return false
 	}
-	token, ok := strings.CutPrefix(strings.TrimSuffix(line, "\n"), greeting)
+	token, ok := strings.CutPrefix(strings.TrimSuffix(line, "\n"), handshakePrefix)
 	return ok && subtle.ConstantTimeCompare([]byte(token), []byte(s.token)) == 1
 }
 
-// oneByte reads a byte at a time, so that nothing after the greeting is taken.
-type oneByte struct{ r io.Reader }
+// oneByteReader reads a byte at a time, so that nothing after the greeting is taken.
+type oneByteReader struct{ r io.Reader }
 
 // Read implements io.Reader.
-func (o oneByte) Read(p []byte) (int, error) {
+func (o oneByteReader) Read(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
 	return o.r.Read(p[:1])
 }
 
-func (s *Server) remove(conn net.Conn) {
+func (s *Server) removeConn(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,21 +138,21 @@
 	s.wg.Wait()
 }
 
-// idleConn renews the read deadline at every read.
-type idleConn struct {
+// readDeadlineConn renews the read deadline at every read.
+type readDeadlineConn struct {
 	net.Conn
 	r     io.Reader
 	bytes *ByteCounts
 }
 
 // Write implements net.Conn.
-func (c *idleConn) Write(p []byte) (int, error) {
+func (c *readDeadlineConn) Write(p []byte) (int, error) {
 	c.bytes.Out.Add(int64(len(p)))
 	return c.Conn.Write(p)
 }
 
 // Read implements net.Conn.
-func (c *idleConn) Read(p []byte) (int, error) {
+func (c *readDeadlineConn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 		return 0, err
 	}
--- a/adapter/platformhttp/client.go
+++ b/adapter/platformhttp/client.go
@@ -82,8 +82,8 @@
 	Generation int64  `json:"generation"`
 }
 
-// maxAnswer bounds an answer: 13,000 instances take about 4 MB.
-const maxAnswer = 32 << 20
+// maxResponseBytes bounds an answer: 13,000 instances take about 4 MB.
+const maxResponseBytes = 32 << 20
 
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -101,7 +101,7 @@
 		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	c.BytesOut.Add(int64(len(data)))
 	c.BytesIn.Add(int64(len(answer)))
 	switch {
--- a/adapter/workerhttp/client.go
+++ b/adapter/workerhttp/client.go
@@ -69,13 +69,13 @@
 	Tasks []TaskMessage `json:"tasks"`
 }
 
-const maxAnswer = 4 << 20
+const maxResponseBytes = 4 << 20
 
 // Sync implements port.Tasks.
 func (c *Client) Sync(ctx context.Context, addr string, r port.TaskSyncRequest) ([]fleet.Task, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	body, err := json.Marshal(message(r))
+	body, err := json.Marshal(syncMessage(r))
 	if err != nil {
 		return nil, err
 	}
@@ -88,7 +88,7 @@
 		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s", addr)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
 		return nil, verdict.New(verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s answered %d", addr, resp.StatusCode)
 	}
@@ -96,11 +96,11 @@
 	if err := json.Unmarshal(data, &answer); err != nil {
 		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s", addr)
 	}
-	return tasks(answer), nil
+	return tasksFromResponse(answer), nil
 }
 
-func message(r port.TaskSyncRequest) SyncMessage {
-	m := SyncMessage{LeaseMS: r.Lease.Milliseconds(), Checkpoint: r.Checkpoint, Keep: refs(r.Keep), Stop: refs(r.Stop)}
+func syncMessage(r port.TaskSyncRequest) SyncMessage {
+	m := SyncMessage{LeaseMS: r.Lease.Milliseconds(), Checkpoint: r.Checkpoint, Keep: refMessages(r.Keep), Stop: refMessages(r.Stop)}
 	for _, s := range r.Start {
 		m.Start = append(m.Start, TaskMessage{
 			Pool: string(s.Pool), Job: string(s.Job), Attempt: s.Attempt, RunForMS: s.RunFor.Milliseconds(),
@@ -110,7 +110,7 @@
 	return m
 }
 
-func refs(in []port.TaskRef) []TaskMessage {
+func refMessages(in []port.TaskRef) []TaskMessage {
 	out := make([]TaskMessage, 0, len(in))
 	for _, r := range in {
 		out = append(out, TaskMessage{Pool: string(r.Pool), Job: string(r.Job), Attempt: r.Attempt})
@@ -118,7 +118,7 @@
 	return out
 }
 
-func tasks(a SyncResponse) []fleet.Task {
+func tasksFromResponse(a SyncResponse) []fleet.Task {
 	out := make([]fleet.Task, 0, len(a.Tasks))
 	for _, t := range a.Tasks {
 		out = append(out, fleet.Task{
--- a/cmd/postmount-lab/demo.go
+++ b/cmd/postmount-lab/demo.go
@@ -14,8 +14,8 @@
 	"github.com/postmount/postmount/lab/jobsdemo"
 )
 
-// errBroken says that the demo saw a broken promise.
-var errBroken = errors.New("the demo saw a broken invariant")
+// errInvariantViolated says that the demo saw a broken promise.
+var errInvariantViolated = errors.New("the demo saw a broken invariant")
 
 // demoCommand adds "demo", the main job on embedded stand-ins.
 func demoCommand(app *kingpin.Application, runners map[string]runner) {
@@ -91,7 +91,7 @@
 		broken = broken || len(r.Jobs.Broken) > 0
 	}
 	if broken {
-		return errBroken
+		return errInvariantViolated
 	}
 	return nil
 }
--- a/cmd/postmount-lab/load.go
+++ b/cmd/postmount-lab/load.go
@@ -14,8 +14,8 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
-// errFailed says that the load saw a broken promise.
-var errFailed = errors.New("some answers were cut, foreign or differed, or a request ran twice")
+// errLoadCheckFailed says that the load saw a broken promise.
+var errLoadCheckFailed = errors.New("some answers were cut, foreign or differed, or a request ran twice")
 
 // loadCommand adds "load", the open-loop caller.
 func loadCommand(app *kingpin.Application, runners map[string]runner) {
@@ -43,14 +43,14 @@
 		} else {
 			lab.PrintSummaries(os.Stdout, sums)
 		}
-		return check(sums, *workers)
+		return checkSummaries(sums, *workers)
 	}
 }
 
-func check(sums []lab.Summary, workers string) error {
+func checkSummaries(sums []lab.Summary, workers string) error {
 	for _, s := range sums {
 		if s.Cut+s.Foreign+s.Differs > 0 {
-			return errFailed
+			return errLoadCheckFailed
 		}
 	}
 	c := &http.Client{Timeout: 5 * time.Second}
@@ -64,7 +64,7 @@
 		return err
 	}
 	if len(r.Duplicates) > 0 {
-		return errFailed
+		return errLoadCheckFailed
 	}
 	return nil
 }
--- a/cmd/postmount/exec.go
+++ b/cmd/postmount/exec.go
@@ -35,7 +35,7 @@
 	case file != "" && text != "":
 		return "", fmt.Errorf("give statements or --file, not both")
 	case file == "-":
-		data, err := io.ReadAll(io.LimitReader(os.Stdin, query.MaxLength+1))
+		data, err := io.ReadAll(io.LimitReader(os.Stdin, query.MaxProgramBytes+1))
 		return string(data), err
 	case file != "":
 		data, err := os.ReadFile(file)
--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -110,11 +110,11 @@
 		YAxisSecondary: chart.HideYAxis(),
 	}
 	// The series of the highest sums comes first, so that the others cover it.
-	causes := causesOf(groups)
+	causes := sortedCauses(groups)
 	for n := len(causes); n > 0; n-- {
-		graph.Series = append(graph.Series, sumSeries(groups, causes[:n], slice))
+		graph.Series = append(graph.Series, stackedSeries(groups, causes[:n], slice))
 	}
-	graph.YAxis.Range = &chart.ContinuousRange{Min: 0, Max: mostJobs(groups) + 1}
+	graph.YAxis.Range = &chart.ContinuousRange{Min: 0, Max: maxGroupJobs(groups) + 1}
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
 	var out bytes.Buffer
 	if err := graph.Render(chart.SVG, &out); err != nil {
@@ -123,9 +123,9 @@
 	return os.WriteFile(file, out.Bytes(), plotMode)
 }
 
-// sumSeries is the number of jobs of these causes over time, in steps, named after the
+// stackedSeries is the number of jobs of these causes over time, in steps, named after the
 // last of them.
-func sumSeries(groups []late.Group, causes []string, slice time.Duration) chart.ContinuousSeries {
+func stackedSeries(groups []late.Group, causes []string, slice time.Duration) chart.ContinuousSeries {
 	color := drawing.ColorFromHex(causeColors[(len(causes)-1)%len(causeColors)])
 	s := chart.ContinuousSeries{Name: causes[len(causes)-1], Style: chart.Style{StrokeColor: color, FillColor: color}}
 	add := func(at time.Duration, jobs float64) {
@@ -140,7 +140,7 @@
 		}
 		sum := 0.0
 		for _, c := range causes {
-			sum += jobsOf(g, c)
+			sum += jobsDelayedBy(g, c)
 		}
 		end = g.From + slice
 		add(g.From, sum)
@@ -149,7 +149,7 @@
 	return s
 }
 
-func mostJobs(groups []late.Group) float64 {
+func maxGroupJobs(groups []late.Group) float64 {
 	most := 0
 	for _, g := range groups {
 		most = max(most, g.Jobs)
@@ -157,7 +157,7 @@
 	return float64(most)
 }
 
-func causesOf(groups []late.Group) []string {
+func sortedCauses(groups []late.Group) []string {
 	var out []string
 	for _, g := range groups {
 		for _, s := range g.Causes {
@@ -170,7 +170,7 @@
 	return out
 }
 
-func jobsOf(g late.Group, cause string) float64 {
+func jobsDelayedBy(g late.Group, cause string) float64 {
 	for _, s := range g.Causes {
 		if s.Cause == cause {
 			return float64(s.Jobs)
--- a/cmd/postmount/report_wave.go
+++ b/cmd/postmount/report_wave.go
@@ -77,7 +77,7 @@
 		Background:     chart.Style{Padding: chart.Box{Top: 60, Left: 20, Right: 20, Bottom: 20}},
 		XAxis:          chart.XAxis{Name: "seconds since wave " + r.Wave + " started; instances in service, dashed: the least that the budget allows"},
 		YAxisSecondary: chart.HideYAxis(),
-		YAxis:          chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: mostInstances(r) + 1}},
+		YAxis:          chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: maxInstances(r) + 1}},
 	}
 	for i, p := range r.Pools {
 		if only != "" && p.Pool != only {
@@ -99,7 +99,7 @@
 	return os.WriteFile(file, out.Bytes(), plotMode)
 }
 
-func mostInstances(r api.WaveReport) float64 {
+func maxInstances(r api.WaveReport) float64 {
 	most := 0
 	for _, p := range r.Pools {
 		for _, s := range p.Samples {
--- a/cmd/postmount/status.go
+++ b/cmd/postmount/status.go
@@ -30,7 +30,7 @@
 			{"version", s.Version},
 			{"view", fmt.Sprintf("epoch %d: %s", s.Epoch, strings.Join(s.Members, ", "))},
 			{"serving", strconv.FormatBool(s.Serving) + " " + s.Reason},
-			{"store", up(s.StoreUp) + ", revision " + strconv.FormatInt(s.Revision, 10)},
+			{"store", upOrDown(s.StoreUp) + ", revision " + strconv.FormatInt(s.Revision, 10)},
 			{"instances", fmt.Sprintf("%d, listed at %s", s.Instances, s.ListedAt.Format("15:04:05"))},
 			{"requests in flight", strconv.FormatInt(s.InFlight, 10)},
 			{"claims", fmt.Sprintf("%d, answers of %d bytes", s.Claims, s.ClaimBytes)},
@@ -41,7 +41,7 @@
 	}
 }
 
-func up(b bool) string {
+func upOrDown(b bool) string {
 	if b {
 		return "up"
 	}
--- a/cmd/postmount/wait.go
+++ b/cmd/postmount/wait.go
@@ -22,11 +22,11 @@
 	}
 }
 
-// waitInterval is the pause between questions; after giveUpAfter failed ones in
+// pollInterval is the pause between questions; after maxFailedPolls failed ones in
 // a row the wave's end is left unknown.
 const (
-	waitInterval = time.Second
-	giveUpAfter  = 60
+	pollInterval   = time.Second
+	maxFailedPolls = 60
 )
 
 func waitForWave(ctx context.Context, c *client.Client, name string) int {
@@ -39,7 +39,7 @@
 			if verdict.CodeOf(err) != client.CodeUnreachable {
 				return exitNotRun
 			}
-			if failed++; failed >= giveUpAfter {
+			if failed++; failed >= maxFailedPolls {
 				return exitMayHaveRun
 			}
 		} else {
@@ -58,7 +58,7 @@
 		select {
 		case <-ctx.Done():
 			return exitMayHaveRun
-		case <-time.After(waitInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/cmd/postmountd/platform.go
+++ b/cmd/postmountd/platform.go
@@ -19,16 +19,16 @@
 
 // Memory of the process.
 const (
-	// memoryShare of the process' limit is what the runtime aims to stay under.
-	memoryShare = 0.6
+	// memoryLimitShare of the process' limit is what the runtime aims to stay under.
+	memoryLimitShare = 0.6
 	// gcPercent lets the heap grow threefold between collections: the heap is
 	// some megabytes, and processor time is dearer.
 	gcPercent = 300
 )
 
-// loadAll reads the platform's settings and the policies. A check without the
+// loadSettings reads the platform's settings and the policies. A check without the
 // platform's file looks at the policies alone.
-func loadAll(policies string, checkOnly bool) (set node.Settings, err error) {
+func loadSettings(policies string, checkOnly bool) (set node.Settings, err error) {
 	chosen := policy.Default()
 	if policies != "" {
 		if chosen, err = policy.Load(policies); err != nil {
@@ -45,17 +45,17 @@
 
 // runOnPlatform serves jobs on the users' platform.
 func runOnPlatform(policies string, checkOnly bool) int {
-	set, err := loadAll(policies, checkOnly)
+	set, err := loadSettings(policies, checkOnly)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
 	if checkOnly {
-		return printSettings(set)
+		return printPolicy(set)
 	}
 	debug.SetGCPercent(gcPercent)
 	if set.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(set.MemoryMB) * memoryShare * (1 << 20)))
+		debug.SetMemoryLimit(int64(float64(set.MemoryMB) * memoryLimitShare * (1 << 20)))
 	}
 	lines := telemetry.NewAsyncWriter(os.Stdout)
 	defer lines.Close()
@@ -66,14 +66,14 @@
 	}
 	m := telemetry.NewMetrics()
 	defer m.Close()
-	left := m.Scope.Counter("log_lines_left_out")
-	log = telemetry.Sampled(log, func() { left.Inc(1) })
-	reach, err := platform.New(set)
+	dropped := m.Scope.Counter("log_lines_left_out")
+	log = telemetry.Sampled(log, func() { dropped.Inc(1) })
+	adapters, err := platform.New(set)
 	if err != nil {
 		log.Error("failed", zap.Error(err))
 		return exitFailed
 	}
-	n := node.New(set, reach, log, node.NewMetrics(m.Scope, m.Handler))
+	n := node.New(set, adapters, log, node.NewMetrics(m.Scope, m.Handler))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	go logReloads(log)
@@ -84,8 +84,8 @@
 	return 0
 }
 
-// printSettings prints what holds, defaults included.
-func printSettings(set node.Settings) int {
+// printPolicy prints what holds, defaults included.
+func printPolicy(set node.Settings) int {
 	if err := toml.NewEncoder(os.Stdout).Encode(set.Policy); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
--- a/operators/api/exec.go
+++ b/operators/api/exec.go
@@ -30,8 +30,8 @@
 const (
 	// writeTimeout bounds the write of one statement with all its repeats.
 	writeTimeout = 8 * time.Second
-	// inForceWait bounds the wait for the other daemons.
-	inForceWait = 4 * time.Second
+	// inForceTimeout bounds the wait for the other daemons.
+	inForceTimeout = 4 * time.Second
 	// maxPlans bounds how often a statement is planned: it is planned again
 	// after each write and after each lost race.
 	maxPlans = 200
@@ -42,8 +42,8 @@
 func (e *Executor) Exec(ctx context.Context, id string, p *query.Program) []Result {
 	var out []Result
 	for i, s := range p.Statements {
-		in := fleet.CommandID(fmt.Sprintf("%s/%d", id, i+1))
-		r := e.one(ctx, in, s)
+		commandID := fleet.CommandID(fmt.Sprintf("%s/%d", id, i+1))
+		r := e.execStatement(ctx, commandID, s)
 		r.Statement = i + 1
 		out = append(out, r)
 		if r.Verdict != verdict.Done {
@@ -53,8 +53,8 @@
 	return out
 }
 
-func (e *Executor) one(ctx context.Context, id fleet.CommandID, s *query.Statement) Result {
-	plan, err := e.settle(ctx, id, s)
+func (e *Executor) execStatement(ctx context.Context, id fleet.CommandID, s *query.Statement) Result {
+	plan, err := e.planAndWrite(ctx, id, s)
 	if err != nil {
 		return Result{Verdict: verdict.Of(err), Code: verdict.CodeOf(err), Message: err.Error()}
 	}
@@ -63,7 +63,7 @@
 	}
 	r := Result{Verdict: verdict.Done, Message: plan.Summary, Revision: int64(plan.Revision)}
 	recorded := time.Now()
-	wait, cancel := context.WithTimeout(ctx, inForceWait)
+	wait, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	for _, m := range e.WaitInForce(wait, plan.Revision) {
 		r.Behind = append(r.Behind, string(m))
@@ -73,26 +73,26 @@
 	return r
 }
 
-// settle plans and writes until nothing is left. A race lost to another writer
+// planAndWrite plans and writes until nothing is left. A race lost to another writer
 // is planned again from what won; the plan itself decides whether that is a
 // conflict.
-func (e *Executor) settle(ctx context.Context, id fleet.CommandID, s *query.Statement) (command.Plan, error) {
+func (e *Executor) planAndWrite(ctx context.Context, id fleet.CommandID, s *query.Statement) (command.Plan, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	wrote, read := false, s.ReadOnly()
+	written, noReload := false, s.ReadOnly()
 	for range maxPlans {
-		plan, err := command.PlanStep(s, command.Input{ID: id, Now: time.Now(), Snapshot: e.fresh()})
-		if err != nil && !read {
+		plan, err := command.PlanStep(s, command.Input{ID: id, Now: time.Now(), Snapshot: e.latestSnapshot()})
+		if err != nil && !noReload {
 			// The refusal may come from records that lag behind the store, where
 			// the same command may have been carried out by another daemon.
-			read = true
-			if listErr := e.reread(ctx); listErr != nil {
-				return plan, afterWrites(listErr, wrote)
+			noReload = true
+			if listErr := e.reloadAll(ctx); listErr != nil {
+				return plan, adjustVerdict(listErr, written)
 			}
 			continue
 		}
 		if err != nil {
-			return plan, afterWrites(err, wrote)
+			return plan, adjustVerdict(err, written)
 		}
 		if plan.Write == nil {
 			return plan, nil
@@ -100,37 +100,37 @@
 		w, err := plan.Write.Do(ctx, e.Writer)
 		switch {
 		case err == nil:
-			wrote = true
+			written = true
 			e.Mirror.Apply([]port.Event{{KV: w.KV}}, 0)
 		case verdict.CodeOf(err) == record.CodeConflict:
-			if err := e.refresh(ctx, plan.Write.Key); err != nil {
-				return plan, afterWrites(err, wrote)
+			if err := e.reloadKey(ctx, plan.Write.Key); err != nil {
+				return plan, adjustVerdict(err, written)
 			}
 		default:
-			return plan, afterWrites(err, wrote)
+			return plan, adjustVerdict(err, written)
 		}
 	}
-	return command.Plan{}, afterWrites(verdict.New(verdict.NotRun, record.CodeConflict, "others kept changing the record"), wrote)
+	return command.Plan{}, adjustVerdict(verdict.New(verdict.NotRun, record.CodeConflict, "others kept changing the record"), written)
 }
 
-// afterWrites makes sure that a statement of which a part was written is not
+// adjustVerdict makes sure that a statement of which a part was written is not
 // reported as not run.
-func afterWrites(err error, wrote bool) error {
-	if !wrote || verdict.Of(err) != verdict.NotRun {
+func adjustVerdict(err error, written bool) error {
+	if !written || verdict.Of(err) != verdict.NotRun {
 		return err
 	}
 	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeOf(err), "a part was done")
 }
 
-// fresh returns the newest records with the newest instance list.
-func (e *Executor) fresh() *control.Snapshot {
+// latestSnapshot returns the newest records with the newest instance list.
+func (e *Executor) latestSnapshot() *control.Snapshot {
 	s := *e.Snapshot()
 	s.State = e.Mirror.State()
 	return &s
 }
 
-// reread reads every record anew.
-func (e *Executor) reread(ctx context.Context) error {
+// reloadAll reads every record anew.
+func (e *Executor) reloadAll(ctx context.Context) error {
 	l, err := e.Store.List(ctx, record.Root)
 	if err != nil {
 		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read the records")
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// refresh reads one record anew after a lost race.
-func (e *Executor) refresh(ctx context.Context, key string) error {
+// reloadKey reads one record anew after a lost race.
+func (e *Executor) reloadKey(ctx context.Context, key string) error {
 	kv, found, err := e.Store.Get(ctx, key)
 	if err != nil {
 		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read %s", key)
--- a/operators/api/server.go
+++ b/operators/api/server.go
@@ -28,8 +28,8 @@
 	Metrics http.Handler
 }
 
-// maxRequest bounds the body of a request.
-const maxRequest = query.MaxLength + 4096
+// maxRequestBytes bounds the body of a request.
+const maxRequestBytes = query.MaxProgramBytes + 4096
 
 // Handler returns the HTTP handler.
 func (s *Server) Handler() http.Handler {
@@ -63,7 +63,7 @@
 
 func (s *Server) exec(w http.ResponseWriter, r *http.Request) {
 	var req ExecRequest
-	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest))
+	dec := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&req); err != nil || req.ID == "" {
 		writeJSON(w, http.StatusBadRequest, ErrorResponse{Verdict: verdict.NotRun, Code: CodeBadRequest, Message: "want a JSON object with id and text"})
--- a/operators/client/client.go
+++ b/operators/client/client.go
@@ -53,15 +53,15 @@
 		return api.ExecResponse{}, err
 	}
 	var out api.ExecResponse
-	uncertain, err := c.try(ctx, http.MethodPost, "/v1/exec", body, &out)
+	uncertain, err := c.tryServers(ctx, http.MethodPost, "/v1/exec", body, &out)
 	if uncertain {
-		doubt(out.Results)
+		notRunToMayHaveRun(out.Results)
 	}
 	return out, err
 }
 
-// doubt takes back every "not run": an earlier server may still be at it.
-func doubt(results []api.Result) {
+// notRunToMayHaveRun takes back every "not run": an earlier server may still be at it.
+func notRunToMayHaveRun(results []api.Result) {
 	for i := range results {
 		if results[i].Verdict == verdict.NotRun {
 			results[i].Verdict = verdict.MayHaveRun
@@ -72,28 +72,28 @@
 // Status returns the status of the first server that answers.
 func (c *Client) Status(ctx context.Context) (api.Status, error) {
 	var out api.Status
-	_, err := c.try(ctx, http.MethodGet, "/v1/status", nil, &out)
+	_, err := c.tryServers(ctx, http.MethodGet, "/v1/status", nil, &out)
 	return out, err
 }
 
 // Wave returns how a wave went, as the first server that answers saw it.
 func (c *Client) Wave(ctx context.Context, name string) (api.WaveReport, error) {
 	var out api.WaveReport
-	_, err := c.try(ctx, http.MethodGet, "/v1/waves/"+url.PathEscape(name)+"/report", nil, &out)
+	_, err := c.tryServers(ctx, http.MethodGet, "/v1/waves/"+url.PathEscape(name)+"/report", nil, &out)
 	return out, err
 }
 
 // Burn returns the fleet's burn report.
 func (c *Client) Burn(ctx context.Context) (api.BurnReport, error) {
 	var out api.BurnReport
-	_, err := c.try(ctx, http.MethodGet, "/v1/burn", nil, &out)
+	_, err := c.tryServers(ctx, http.MethodGet, "/v1/burn", nil, &out)
 	return out, err
 }
 
-// try calls one server after another until one answers. uncertain tells that
+// tryServers calls one server after another until one answers. uncertain tells that
 // a server before that one may have carried the request out, or still may. The
 // verdict of the error covers all tries.
-func (c *Client) try(ctx context.Context, method, path string, body []byte, out any) (uncertain bool, err error) {
+func (c *Client) tryServers(ctx context.Context, method, path string, body []byte, out any) (uncertain bool, err error) {
 	var last error
 	for _, server := range c.servers {
 		err := c.call(ctx, server, method, path, body, out)
@@ -116,7 +116,7 @@
 	}
 }
 
-const maxAnswer = 16 << 20
+const maxResponseBytes = 16 << 20
 
 func (c *Client) call(ctx context.Context, server, method, path string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, struct{ io.Reader }{bytes.NewReader(body)})
@@ -129,15 +129,15 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return verdict.Wrap(err, sent(err), CodeUnreachable, "%s", server)
+		return verdict.Wrap(err, transportVerdict(err), CodeUnreachable, "%s", server)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return verdict.Wrap(err, verdict.MayHaveRun, CodeUnreachable, "%s", server)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return refusal(server, resp.StatusCode, data)
+		return decodeError(server, resp.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
 		return verdict.Wrap(err, verdict.MayHaveRun, CodeUnreachable, "%s", server)
@@ -145,8 +145,8 @@
 	return nil
 }
 
-// sent says whether a request that got no answer may have reached its server.
-func sent(err error) verdict.Verdict {
+// transportVerdict says whether a request that got no answer may have reached its server.
+func transportVerdict(err error) verdict.Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return verdict.NotRun
@@ -154,7 +154,7 @@
 	return verdict.MayHaveRun
 }
 
-func refusal(server string, status int, data []byte) error {
+func decodeError(server string, status int, data []byte) error {
 	var e api.ErrorResponse
 	if err := json.Unmarshal(data, &e); err != nil || e.Code == "" {
 		return verdict.New(verdict.MayHaveRun, CodeUnreachable, "%s answered %d", server, status)
--- a/operators/command/command_test.go
+++ b/operators/command/command_test.go
@@ -51,13 +51,13 @@
 	return &control.Snapshot{State: s.mirror.State(), Instances: s.instances, ListedAt: s.now}
 }
 
-// say carries out statements under an id of their own.
-func (s *session) say(text string) {
+// run carries out statements under an id of their own.
+func (s *session) run(text string) {
 	s.ids++
-	s.sayAs(fmt.Sprint("id", s.ids), text)
+	s.runAs(fmt.Sprint("id", s.ids), text)
 }
 
-func (s *session) sayAs(id, text string) {
+func (s *session) runAs(id, text string) {
 	for _, line := range strings.Split(strings.TrimSpace(text), "\n") {
 		fmt.Fprintf(&s.out, "> %s\n", strings.TrimSpace(line))
 	}
@@ -67,11 +67,11 @@
 		return
 	}
 	for i, st := range p.Statements {
-		s.one(fleet.CommandID(fmt.Sprintf("%s/%d", id, i)), st)
+		s.runStatement(fleet.CommandID(fmt.Sprintf("%s/%d", id, i)), st)
 	}
 }
 
-func (s *session) one(id fleet.CommandID, st *query.Statement) {
+func (s *session) runStatement(id fleet.CommandID, st *query.Statement) {
 	for range 10 {
 		plan, err := PlanStep(st, Input{ID: id, Now: s.now, Snapshot: s.snapshot()})
 		switch {
@@ -79,7 +79,7 @@
 			fmt.Fprintf(&s.out, "  %s (%s): %s\n", verdict.Of(err), verdict.CodeOf(err), err)
 			return
 		case plan.Table != nil:
-			s.table(plan.Table)
+			s.printTable(plan.Table)
 			return
 		case plan.Write == nil:
 			fmt.Fprintf(&s.out, "  %s, revision %d\n", plan.Summary, plan.Revision)
@@ -92,7 +92,7 @@
 	s.t.Fatal("a statement does not settle")
 }
 
-func (s *session) table(t *Table) {
+func (s *session) printTable(t *Table) {
 	fmt.Fprintf(&s.out, "  %s\n", strings.Join(t.Columns, " | "))
 	for _, r := range t.Rows {
 		fmt.Fprintf(&s.out, "  %s\n", strings.Join(r, " | "))
@@ -121,7 +121,7 @@
 }
 
 func (s *session) setUp() {
-	s.say(`create service giving class donation weight 8, class staff weight 1
+	s.run(`create service giving class donation weight 8, class staff weight 1
 		create service events class registration weight 4
 		create route "giving.example/donate" to service giving class donation timeout 5s
 		create pool giving for service giving max-unavailable 1
@@ -135,51 +135,51 @@
 	sessions := map[string]func(*session){
 		"set-up-and-look": func(s *session) {
 			s.setUp()
-			s.say("show pools; show instances where pool = giving; show services; show routes")
-			s.say("show pools where colour = red")
+			s.run("show pools; show instances where pool = giving; show services; show routes")
+			s.run("show pools where colour = red")
 		},
 		"wave-and-why": func(s *session) {
 			s.setUp()
-			s.say("start wave w1 on pools giving within 2h")
+			s.run("start wave w1 on pools giving within 2h")
 			s.reconcile("giving")
-			s.say("why instance giving-01; why instance giving-02; why wave w1; why pool giving")
-			s.say("pause wave w1; show waves; resume wave w1; cancel wave w1; cancel wave w1")
+			s.run("why instance giving-01; why instance giving-02; why wave w1; why pool giving")
+			s.run("pause wave w1; show waves; resume wave w1; cancel wave w1; cancel wave w1")
 		},
 		"drain-waits-for-the-budget": func(s *session) {
 			s.setUp()
-			s.say("drain instance giving-01")
+			s.run("drain instance giving-01")
 			s.reconcile("giving")
-			s.say("drain instance giving-02; drain instance giving-02")
+			s.run("drain instance giving-02; drain instance giving-02")
 			s.reconcile("giving")
-			s.say("why instance giving-02; return instance giving-02; return instance giving-02; return instance giving-01")
-			s.say("move instance giving-02 to pool giving; move instance giving-02 to pool nowhere")
+			s.run("why instance giving-02; return instance giving-02; return instance giving-02; return instance giving-01")
+			s.run("move instance giving-02 to pool giving; move instance giving-02 to pool nowhere")
 		},
 		"repeated-and-conflicting": func(s *session) {
 			s.setUp()
-			s.sayAs("same", "set budget giving max-unavailable 2")
-			s.sayAs("same", "set budget giving max-unavailable 2")
-			s.say("set budget giving max-unavailable 50% at revision 6")
-			s.say("create pool giving for service giving max-unavailable 1")
-			s.say("add instance events-01 to pool giving")
+			s.runAs("same", "set budget giving max-unavailable 2")
+			s.runAs("same", "set budget giving max-unavailable 2")
+			s.run("set budget giving max-unavailable 50% at revision 6")
+			s.run("create pool giving for service giving max-unavailable 1")
+			s.run("add instance events-01 to pool giving")
 		},
 		"jobs": func(s *session) {
 			s.setUp()
-			s.say("create team finance quota cpu 8 memory 64GB")
-			s.say("submit job rebuild to pool giving team finance count 2 cpu 4 memory 16GB run 1h within 6h; submit job now to pool giving cpu 1 urgent")
-			s.say("show jobs; why job now in pool giving; cancel job now in pool giving; cancel job now in pool giving; cancel jobs in pool giving; show jobs")
+			s.run("create team finance quota cpu 8 memory 64GB")
+			s.run("submit job rebuild to pool giving team finance count 2 cpu 4 memory 16GB run 1h within 6h; submit job now to pool giving cpu 1 urgent")
+			s.run("show jobs; why job now in pool giving; cancel job now in pool giving; cancel job now in pool giving; cancel jobs in pool giving; show jobs")
 		},
 		"mistakes": func(s *session) {
-			s.say("show poles")
-			s.say("drain instance")
-			s.say("create pool p for service s max-unavailable 200%")
-			s.say("set budget nowhere max-unavailable 1")
-			s.say("why job x")
+			s.run("show poles")
+			s.run("drain instance")
+			s.run("create pool p for service s max-unavailable 200%")
+			s.run("set budget nowhere max-unavailable 1")
+			s.run("why job x")
 		},
 	}
-	for name, play := range sessions {
+	for name, script := range sessions {
 		t.Run(name, func(t *testing.T) {
 			s := newSession(t)
-			play(s)
+			script(s)
 			goldie.New(t).Assert(t, name, []byte(s.out.String()))
 		})
 	}
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -16,7 +16,7 @@
 	}
 	cfg := p.state.Config
 	if cfg.Value.Applied.Contains(p.ID) {
-		return done(cfg.Revision, "created")
+		return completed(cfg.Revision, "created")
 	}
 	next := cfg.Value.Clone()
 	var err error
@@ -84,15 +84,15 @@
 	return nil
 }
 
-// milli is the number of thousandths of a core in one.
-const milli = 1000
+// milliPerCore is the number of thousandths of a core in one.
+const milliPerCore = 1000
 
 func resources(needs []*query.ResourceAmount) fleet.Resources {
 	var r fleet.Resources
 	for _, n := range needs {
 		switch {
 		case n.CPU != nil:
-			r.CPUMilli = int(*n.CPU * milli)
+			r.CPUMilli = int(*n.CPU * milliPerCore)
 		case n.Memory != nil:
 			r.MemoryMB = int(*n.Memory)
 		case n.Accelerators != nil:
@@ -118,7 +118,7 @@
 	name := fleet.PoolName(s.Name)
 	if old, ok := p.state.Pools[name]; ok {
 		if old.Value.Applied.Contains(p.ID) {
-			return done(old.Revision, "pool %s created", name)
+			return completed(old.Revision, "pool %s created", name)
 		}
 		return Plan{}, refuse(CodeExists, "there is a pool %q already", name)
 	}
@@ -139,7 +139,7 @@
 	}
 	cfg := p.state.Config
 	if cfg.Value.Applied.Contains(p.ID) {
-		return done(cfg.Revision, "set")
+		return completed(cfg.Revision, "set")
 	}
 	next := cfg.Value.Clone()
 	if s.Weights != nil {
@@ -176,7 +176,7 @@
 	}
 	if v.Value.Applied.Contains(p.ID) {
 		account := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snapshot.Instances)
-		return done(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, account.Explain())
+		return completed(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, account.Explain())
 	}
 	b, err := availabilityBudget(s.Budget)
 	if err != nil {
--- a/operators/command/instance.go
+++ b/operators/command/instance.go
@@ -9,7 +9,7 @@
 // drain records that an operator wants an instance out of service. The
 // reconcile loop takes it out when the pool's budget allows it.
 func (p *planner) drain(id fleet.InstanceID) (Plan, error) {
-	return p.request(fleet.Request{Instance: id, Kind: fleet.DisruptByDrain, At: p.Now})
+	return p.recordRequest(fleet.Request{Instance: id, Kind: fleet.DisruptByDrain, At: p.Now})
 }
 
 // move records that an operator wants an instance in another pool.
@@ -17,18 +17,18 @@
 	if _, err := p.pool(target); err != nil {
 		return Plan{}, err
 	}
-	if v, ok := p.appliedIn(); ok {
-		return done(v.Revision, "move of instance %s to pool %s recorded", id, target)
+	if v, ok := p.poolWithCommand(); ok {
+		return completed(v.Revision, "move of instance %s to pool %s recorded", id, target)
 	}
 	if m := p.state.Membership(id); m != nil && m.Pool == target {
 		return Plan{}, refuse(CodeNotAllowed, "instance %s is in pool %s already", id, target)
 	}
-	return p.request(fleet.Request{Instance: id, Kind: fleet.DisruptByMove, Target: target, At: p.Now})
+	return p.recordRequest(fleet.Request{Instance: id, Kind: fleet.DisruptByMove, Target: target, At: p.Now})
 }
 
-// appliedIn finds the pool whose record already includes the command. After a
+// poolWithCommand finds the pool whose record already includes the command. After a
 // move that is not the instance's pool any more.
-func (p *planner) appliedIn() (fleet.Versioned[fleet.Pool], bool) {
+func (p *planner) poolWithCommand() (fleet.Versioned[fleet.Pool], bool) {
 	for _, v := range p.state.Pools {
 		if v.Value.Applied.Contains(p.ID) {
 			return v, true
@@ -37,15 +37,15 @@
 	return fleet.Versioned[fleet.Pool]{}, false
 }
 
-func (p *planner) request(r fleet.Request) (Plan, error) {
-	v, err := p.memberPool(r.Instance)
+func (p *planner) recordRequest(r fleet.Request) (Plan, error) {
+	v, err := p.poolOfInstance(r.Instance)
 	if err != nil {
 		return Plan{}, err
 	}
 	if v.Value.Applied.Contains(p.ID) {
-		return done(v.Revision, "%s of instance %s recorded; %s", r.Kind, r.Instance, p.account(v.Value).Explain())
+		return completed(v.Revision, "%s of instance %s recorded; %s", r.Kind, r.Instance, p.budgetStatus(v.Value).Explain())
 	}
-	if other, d := p.claimOn(r.Instance); d != nil && d.Kind != fleet.DisruptByWave {
+	if other, d := p.disruptionOf(r.Instance); d != nil && d.Kind != fleet.DisruptByWave {
 		return Plan{}, refuse(CodeNotAllowed, "instance %s is already out: pool %s has it in %s for a %s since %s",
 			r.Instance, other.Value.Name, d.Phase, d.Kind, d.Since.Format("15:04:05"))
 	}
@@ -58,15 +58,15 @@
 	return write(p, record.PoolKey(v.Value.Name), v, next)
 }
 
-// bringBack returns an instance that an operator's drain holds, or withdraws a
+// returnInstance returns an instance that an operator's drain holds, or withdraws a
 // request that still waits.
-func (p *planner) bringBack(id fleet.InstanceID) (Plan, error) {
-	v, err := p.memberPool(id)
+func (p *planner) returnInstance(id fleet.InstanceID) (Plan, error) {
+	v, err := p.poolOfInstance(id)
 	if err != nil {
 		return Plan{}, err
 	}
 	if v.Value.Applied.Contains(p.ID) {
-		return done(v.Revision, "return of instance %s recorded", id)
+		return completed(v.Revision, "return of instance %s recorded", id)
 	}
 	next := v.Value.Clone()
 	next.Applied = next.Applied.Append(p.ID)
@@ -74,7 +74,7 @@
 		next.RemoveRequest(id)
 		return write(p, record.PoolKey(v.Value.Name), v, next)
 	}
-	claim, d := p.claimOn(id)
+	claim, d := p.disruptionOf(id)
 	switch {
 	case d == nil:
 		return Plan{}, refuse(CodeNotAllowed, "instance %s is not out", id)
@@ -87,8 +87,8 @@
 	return write(p, record.PoolKey(v.Value.Name), v, next)
 }
 
-// add puts instances into a pool, one membership shard at a time.
-func (p *planner) add(s *query.Add) (Plan, error) {
+// addInstances puts instances into a pool, one membership shard at a time.
+func (p *planner) addInstances(s *query.Add) (Plan, error) {
 	pool := fleet.PoolName(s.Pool)
 	if _, err := p.pool(pool); err != nil {
 		return Plan{}, err
@@ -100,16 +100,16 @@
 		m := p.state.Membership(id)
 		switch {
 		case m == nil:
-			return p.addTo(fleet.ShardOf(id), s.Instances, pool)
+			return p.addToShard(fleet.ShardOf(id), s.Instances, pool)
 		case m.Pool != pool:
 			return Plan{}, refuse(CodeExists, "instance %s belongs to pool %s; use move", id, m.Pool)
 		}
 		newest = max(newest, shard.Revision)
 	}
-	return done(newest, "pool %s has %d instances", pool, len(p.state.MembersOf(pool)))
+	return completed(newest, "pool %s has %d instances", pool, len(p.state.MembersOf(pool)))
 }
 
-func (p *planner) addTo(shard int, names []string, pool fleet.PoolName) (Plan, error) {
+func (p *planner) addToShard(shard int, names []string, pool fleet.PoolName) (Plan, error) {
 	base := p.state.Shards[shard]
 	next := &fleet.MemberShard{}
 	if base.Value != nil {
--- a/operators/command/job.go
+++ b/operators/command/job.go
@@ -9,12 +9,12 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-// maxJobs bounds the jobs of one pool, so that their record stays below the
+// maxJobsPerPool bounds the jobs of one pool, so that their record stays below the
 // store's limit of 1 MB.
-const maxJobs = 2500
+const maxJobsPerPool = 2500
 
-// defaultRun is how long a job runs that does not say.
-const defaultRun = 10 * time.Second
+// defaultRunTime is how long a job runs that does not say.
+const defaultRunTime = 10 * time.Second
 
 func (p *planner) submit(s *query.Submit) (Plan, error) {
 	pool := fleet.PoolName(s.Pool)
@@ -25,19 +25,19 @@
 	next := &fleet.JobSet{Pool: pool}
 	if base.Value != nil {
 		if base.Value.Applied.Contains(p.ID) {
-			return done(base.Revision, "%d job(s) submitted to pool %s", max(s.Count, 1), pool)
+			return completed(base.Revision, "%d job(s) submitted to pool %s", max(s.Count, 1), pool)
 		}
 		next = base.Value.Clone()
 	}
-	next.Jobs = forgetEnded(next.Jobs, p.Now)
+	next.Jobs = dropExpiredJobs(next.Jobs, p.Now)
 	for _, name := range jobNames(s) {
 		if next.Job(name) != nil {
 			return Plan{}, refuse(CodeExists, "pool %s has a job %q already", pool, name)
 		}
 		next.Jobs = append(next.Jobs, p.newJob(name, s))
 	}
-	if len(next.Jobs) > maxJobs {
-		return Plan{}, refuse(CodeNotAllowed, "pool %s would have %d jobs; at most %d are kept", pool, len(next.Jobs), maxJobs)
+	if len(next.Jobs) > maxJobsPerPool {
+		return Plan{}, refuse(CodeNotAllowed, "pool %s would have %d jobs; at most %d are kept", pool, len(next.Jobs), maxJobsPerPool)
 	}
 	next.Applied = next.Applied.Append(p.ID)
 	return write(p, record.JobsKey(pool), base, next)
@@ -60,7 +60,7 @@
 		State: fleet.JobPending, Submitted: p.Now,
 	}
 	if j.RunFor == 0 {
-		j.RunFor = defaultRun
+		j.RunFor = defaultRunTime
 	}
 	if s.Within > 0 {
 		j.Deadline = p.Now.Add(time.Duration(s.Within))
@@ -68,13 +68,13 @@
 	return j
 }
 
-// endedKept is how long an ended job stays visible.
-const endedKept = time.Hour
+// endedJobRetention is how long an ended job stays visible.
+const endedJobRetention = time.Hour
 
-func forgetEnded(jobs []fleet.Job, now time.Time) []fleet.Job {
+func dropExpiredJobs(jobs []fleet.Job, now time.Time) []fleet.Job {
 	var out []fleet.Job
 	for _, j := range jobs {
-		if !j.State.Ended() || now.Sub(j.Submitted) < endedKept {
+		if !j.State.Ended() || now.Sub(j.Submitted) < endedJobRetention {
 			out = append(out, j)
 		}
 	}
@@ -89,7 +89,7 @@
 		return Plan{}, refuse(CodeUnknownName, "pool %q has no jobs", pool)
 	}
 	if base.Value.Applied.Contains(p.ID) {
-		return done(base.Revision, "cancelled")
+		return completed(base.Revision, "cancelled")
 	}
 	next := base.Value.Clone()
 	cancelled := 0
--- a/operators/command/plan.go
+++ b/operators/command/plan.go
@@ -60,7 +60,7 @@
 
 // PlanStep plans the next step of statement s. An error has verdict NotRun.
 func PlanStep(s *query.Statement, in Input) (Plan, error) {
-	p := &planner{Input: in, state: in.Snapshot.State, at: fleet.Revision(s.AtRevision)}
+	p := &planner{Input: in, state: in.Snapshot.State, atRevision: fleet.Revision(s.AtRevision)}
 	switch {
 	case s.Show != nil:
 		return p.show(s.Show)
@@ -69,13 +69,13 @@
 	case s.Drain != nil:
 		return p.drain(fleet.InstanceID(s.Drain.Instance))
 	case s.Return != nil:
-		return p.bringBack(fleet.InstanceID(s.Return.Instance))
+		return p.returnInstance(fleet.InstanceID(s.Return.Instance))
 	case s.Move != nil:
 		return p.move(fleet.InstanceID(s.Move.Instance), fleet.PoolName(s.Move.Pool))
 	case s.Create != nil:
 		return p.create(s.Create)
 	case s.Add != nil:
-		return p.add(s.Add)
+		return p.addInstances(s.Add)
 	case s.Set != nil:
 		return p.set(s.Set)
 	case s.StartWave != nil:
@@ -92,21 +92,21 @@
 
 type planner struct {
 	Input
-	state *fleet.State
-	at    fleet.Revision // the operator's "at revision", 0 if not said
+	state      *fleet.State
+	atRevision fleet.Revision // the operator's "at revision", 0 if not said
 }
 
 // write plans to store value in place of base.
 func write[T any](p *planner, key string, base fleet.Versioned[T], value *T) (Plan, error) {
-	if p.at != 0 && base.Revision > p.at {
-		return Plan{}, refuse(CodeChanged, "%s was changed at revision %d, after revision %d", key, base.Revision, p.at)
+	if p.atRevision != 0 && base.Revision > p.atRevision {
+		return Plan{}, refuse(CodeChanged, "%s was changed at revision %d, after revision %d", key, base.Revision, p.atRevision)
 	}
 	return Plan{Write: &RecordWrite{Key: key, Base: base.Revision, Do: func(ctx context.Context, w *record.Writer) (record.Written, error) {
 		return record.Write(ctx, w, key, base, value, 0)
 	}}}, nil
 }
 
-func done(rev fleet.Revision, format string, args ...any) (Plan, error) {
+func completed(rev fleet.Revision, format string, args ...any) (Plan, error) {
 	return Plan{Summary: fmt.Sprintf(format, args...), Revision: rev}, nil
 }
 
@@ -119,8 +119,8 @@
 	return v, nil
 }
 
-// memberPool returns the pool that an instance belongs to.
-func (p *planner) memberPool(id fleet.InstanceID) (fleet.Versioned[fleet.Pool], error) {
+// poolOfInstance returns the pool that an instance belongs to.
+func (p *planner) poolOfInstance(id fleet.InstanceID) (fleet.Versioned[fleet.Pool], error) {
 	m := p.state.Membership(id)
 	if m == nil {
 		return fleet.Versioned[fleet.Pool]{}, refuse(CodeUnknownName, "instance %q belongs to no pool", id)
@@ -128,9 +128,9 @@
 	return p.pool(m.Pool)
 }
 
-// claimOn returns the pool that has a disruption recorded for an instance. In
+// disruptionOf returns the pool that has a disruption recorded for an instance. In
 // the middle of a move that is still the old pool.
-func (p *planner) claimOn(id fleet.InstanceID) (fleet.Versioned[fleet.Pool], *fleet.Disruption) {
+func (p *planner) disruptionOf(id fleet.InstanceID) (fleet.Versioned[fleet.Pool], *fleet.Disruption) {
 	for _, name := range p.state.SortedPools() {
 		v := p.state.Pools[name]
 		if d := v.Value.Disruption(id); d != nil {
--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -55,13 +55,13 @@
 		a := budget.Compute(v.Value, members[name], p.Snapshot.Instances)
 		t.Rows = append(t.Rows, []string{
 			string(name), string(v.Value.Service), strconv.Itoa(a.Size), strconv.Itoa(a.Allowed), strconv.Itoa(a.Out()),
-			strconv.Itoa(len(a.Failed)), v.Value.Budget.String(), revision(v.Revision),
+			strconv.Itoa(len(a.Failed)), v.Value.Budget.String(), formatRevision(v.Revision),
 		})
 	}
 	return t
 }
 
-func revision(r fleet.Revision) string { return strconv.FormatInt(int64(r), 10) }
+func formatRevision(r fleet.Revision) string { return strconv.FormatInt(int64(r), 10) }
 
 func (p *planner) instances() *Table {
 	t := &Table{Columns: []string{"instance", "pool", "zone", "rack", "state", "phase", "reason", "generation"}}
@@ -71,8 +71,8 @@
 		if m := p.state.Membership(id); m != nil {
 			pool = string(m.Pool)
 		}
-		if _, d := p.claimOn(id); d != nil {
-			phase, reason = string(d.Phase), describe(d)
+		if _, d := p.disruptionOf(id); d != nil {
+			phase, reason = string(d.Phase), describeDisruption(d)
 		}
 		t.Rows = append(t.Rows, []string{
 			string(id), pool, string(inst.Zone), string(inst.Rack), string(inst.State), phase, reason, strconv.FormatInt(inst.Generation, 10),
@@ -81,8 +81,8 @@
 	return t
 }
 
-// describe names what a disruption is for.
-func describe(d *fleet.Disruption) string {
+// describeDisruption names what a disruption is for.
+func describeDisruption(d *fleet.Disruption) string {
 	switch d.Kind {
 	case fleet.DisruptByWave:
 		return "wave " + string(d.Wave)
@@ -117,13 +117,13 @@
 		}
 		t.Rows = append(t.Rows, []string{
 			string(name), string(v.Value.State), strings.Join(pools, " "), strconv.Itoa(c.Remaining), strconv.Itoa(c.Finished), strconv.Itoa(c.Failed),
-			clock(v.Value.StartedAt), clock(v.Value.Deadline), clock(c.End), v.Value.Reason, revision(v.Revision),
+			formatTime(v.Value.StartedAt), formatTime(v.Value.Deadline), formatTime(c.End), v.Value.Reason, formatRevision(v.Revision),
 		})
 	}
 	return t
 }
 
-func clock(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return ""
 	}
@@ -157,7 +157,7 @@
 	t := &Table{Columns: []string{"team", "cpu", "memory", "accelerators"}}
 	for _, x := range p.state.Config.Value.Teams {
 		t.Rows = append(t.Rows, []string{
-			x.Name, strconv.FormatFloat(float64(x.Quota.CPUMilli)/milli, 'f', -1, 64), strconv.Itoa(x.Quota.MemoryMB), strconv.Itoa(x.Quota.Accelerators),
+			x.Name, strconv.FormatFloat(float64(x.Quota.CPUMilli)/milliPerCore, 'f', -1, 64), strconv.Itoa(x.Quota.MemoryMB), strconv.Itoa(x.Quota.Accelerators),
 		})
 	}
 	return t
@@ -165,14 +165,14 @@
 
 func (p *planner) revisions() *Table {
 	t := &Table{Columns: []string{"record", "revision"}}
-	t.Rows = append(t.Rows, []string{"known", revision(p.state.Revision)})
-	t.Rows = append(t.Rows, []string{"config", revision(p.state.Config.Revision)})
-	t.Rows = append(t.Rows, []string{"view", revision(p.state.View.Revision)})
+	t.Rows = append(t.Rows, []string{"known", formatRevision(p.state.Revision)})
+	t.Rows = append(t.Rows, []string{"config", formatRevision(p.state.Config.Revision)})
+	t.Rows = append(t.Rows, []string{"view", formatRevision(p.state.View.Revision)})
 	for _, n := range p.state.SortedPools() {
-		t.Rows = append(t.Rows, []string{"pool " + string(n), revision(p.state.Pools[n].Revision)})
+		t.Rows = append(t.Rows, []string{"pool " + string(n), formatRevision(p.state.Pools[n].Revision)})
 	}
 	for _, n := range p.state.SortedWaves() {
-		t.Rows = append(t.Rows, []string{"wave " + string(n), revision(p.state.Waves[n].Revision)})
+		t.Rows = append(t.Rows, []string{"wave " + string(n), formatRevision(p.state.Waves[n].Revision)})
 	}
 	return t
 }
--- a/operators/command/wave.go
+++ b/operators/command/wave.go
@@ -13,7 +13,7 @@
 	name := fleet.WaveName(s.Name)
 	if old, ok := p.state.Waves[name]; ok {
 		if old.Value.Applied.Contains(p.ID) {
-			return done(old.Revision, "wave %s started on %d pools", name, len(old.Value.Pools))
+			return completed(old.Revision, "wave %s started on %d pools", name, len(old.Value.Pools))
 		}
 		return Plan{}, refuse(CodeExists, "there was a wave %q already", name)
 	}
@@ -45,7 +45,7 @@
 		return Plan{}, refuse(CodeUnknownName, "there is no wave %q", s.Name)
 	}
 	if v.Value.Applied.Contains(p.ID) {
-		return done(v.Revision, "wave %s is %s", s.Name, v.Value.State)
+		return completed(v.Revision, "wave %s is %s", s.Name, v.Value.State)
 	}
 	if v.Value.Ended() {
 		return Plan{}, refuse(CodeNotAllowed, "wave %s is %s", s.Name, v.Value.State)
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -31,9 +31,9 @@
 	return Plan{Table: t}, nil
 }
 
-type adder func(format string, args ...any)
+type addLineFunc func(format string, args ...any)
 
-func (p *planner) whyInstance(id fleet.InstanceID, add adder) error {
+func (p *planner) whyInstance(id fleet.InstanceID, add addLineFunc) error {
 	m := p.state.Membership(id)
 	inst, listed := p.Snapshot.Instances[id]
 	if m == nil && !listed {
@@ -43,7 +43,7 @@
 		add("the platform does not list %s", id)
 	} else {
 		add("the platform reports %s as %s in zone %s, rack %s, generation %d (list read at %s)",
-			id, inst.State, inst.Zone, inst.Rack, inst.Generation, clock(p.Snapshot.ListedAt))
+			id, inst.State, inst.Zone, inst.Rack, inst.Generation, formatTime(p.Snapshot.ListedAt))
 	}
 	if m == nil {
 		add("%s belongs to no pool", id)
@@ -55,25 +55,25 @@
 	}
 	if v, ok := p.state.Pools[m.Pool]; ok {
 		if r := v.Value.Request(id); r != nil {
-			add("an operator's %s has waited for the budget since %s: %s", r.Kind, clock(r.At), p.account(v.Value).Explain())
+			add("an operator's %s has waited for the budget since %s: %s", r.Kind, formatTime(r.At), p.budgetStatus(v.Value).Explain())
 		}
 	}
-	claim, d := p.claimOn(id)
+	claim, d := p.disruptionOf(id)
 	if d == nil {
 		add("nothing takes it out")
 		p.whyNotDrained(id, m.Pool, add)
 		return nil
 	}
-	add("pool %s has it out for %s since %s, in phase %s since %s", claim.Value.Name, describe(d), clock(d.Since), d.Phase, clock(d.PhaseAt))
+	add("pool %s has it out for %s since %s, in phase %s since %s", claim.Value.Name, describeDisruption(d), formatTime(d.Since), d.Phase, formatTime(d.PhaseAt))
 	if d.Command.ID != "" {
 		add("command %s %s for generation %d is sent until the platform shows its effect", d.Command.Action, d.Command.ID, d.Command.Generation)
 	}
-	p.notesAbout(claim.Value.Name, id, add)
+	p.addNotes(claim.Value.Name, id, add)
 	return nil
 }
 
 // whyNotDrained explains what a running wave waits for.
-func (p *planner) whyNotDrained(id fleet.InstanceID, pool fleet.PoolName, add adder) {
+func (p *planner) whyNotDrained(id fleet.InstanceID, pool fleet.PoolName, add addLineFunc) {
 	v, ok := p.state.Pools[pool]
 	if !ok {
 		return
@@ -87,16 +87,16 @@
 		case w.State != fleet.WaveRunning:
 			add("wave %s has not drained it: the wave is %s %s", name, w.State, w.Reason)
 		default:
-			add("wave %s has not drained it: %s", name, p.account(v.Value).Explain())
+			add("wave %s has not drained it: %s", name, p.budgetStatus(v.Value).Explain())
 		}
 	}
 }
 
-func (p *planner) account(pool *fleet.Pool) budget.Status {
+func (p *planner) budgetStatus(pool *fleet.Pool) budget.Status {
 	return budget.Compute(pool, p.state.MembersOf(pool.Name), p.Snapshot.Instances)
 }
 
-func (p *planner) notesAbout(pool fleet.PoolName, id fleet.InstanceID, add adder) {
+func (p *planner) addNotes(pool fleet.PoolName, id fleet.InstanceID, add addLineFunc) {
 	for _, n := range p.Snapshot.Notes[pool] {
 		if n.Instance == id {
 			add("%s", n.Text)
@@ -104,19 +104,19 @@
 	}
 }
 
-func (p *planner) whyPool(name fleet.PoolName, add adder) error {
+func (p *planner) whyPool(name fleet.PoolName, add addLineFunc) error {
 	v, err := p.pool(name)
 	if err != nil {
 		return err
 	}
-	a := p.account(v.Value)
+	a := p.budgetStatus(v.Value)
 	add("%s", a.Explain())
 	add("budget %s of %d members allows %d out, so %d more may go", v.Value.Budget, a.Size, a.Allowed, max(a.Headroom(), 0))
 	if a.Headroom() < 0 {
 		add("more is out than allowed: nothing is taken out until enough has returned")
 	}
 	for _, d := range v.Value.Disruptions {
-		add("%s: %s, in phase %s since %s", d.Instance, describe(&d), d.Phase, clock(d.PhaseAt))
+		add("%s: %s, in phase %s since %s", d.Instance, describeDisruption(&d), d.Phase, formatTime(d.PhaseAt))
 	}
 	for _, id := range a.Failed {
 		add("%s: out by itself, the platform reports %q", id, p.Snapshot.Instances[id].State)
@@ -127,7 +127,7 @@
 	return nil
 }
 
-func (p *planner) whyWave(name fleet.WaveName, add adder) error {
+func (p *planner) whyWave(name fleet.WaveName, add addLineFunc) error {
 	v, ok := p.state.Waves[name]
 	if !ok {
 		return refuse(CodeUnknownName, "there is no wave %q", name)
@@ -136,19 +136,19 @@
 	c := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), w)
 	add("wave %s is %s %s", name, w.State, w.Reason)
 	if w.Ended() {
-		add("it ran from %s to %s", clock(w.StartedAt), clock(w.EndedAt))
+		add("it ran from %s to %s", formatTime(w.StartedAt), formatTime(w.EndedAt))
 		return nil
 	}
 	add("%d instances are finished, %d given up, %d remain", c.Finished, c.Failed, c.Remaining)
 	if !c.End.IsZero() {
-		add("it is forecast to end at %s", clock(c.End))
+		add("it is forecast to end at %s", formatTime(c.End))
 	}
 	if !w.Deadline.IsZero() && c.End.After(w.Deadline) {
-		add("it will not meet its deadline %s", clock(w.Deadline))
+		add("it will not meet its deadline %s", formatTime(w.Deadline))
 	}
 	for _, pool := range w.Pools {
 		if pv, ok := p.state.Pools[pool]; ok {
-			add("%s", p.account(pv.Value).Explain())
+			add("%s", p.budgetStatus(pv.Value).Explain())
 		}
 		for _, n := range p.Snapshot.Notes[pool] {
 			add("%s: %s", pool, n.Text)
@@ -157,7 +157,7 @@
 	return nil
 }
 
-func (p *planner) whyJob(name fleet.JobName, pool fleet.PoolName, add adder) error {
+func (p *planner) whyJob(name fleet.JobName, pool fleet.PoolName, add addLineFunc) error {
 	found := false
 	for _, n := range p.state.SortedPools() {
 		js, ok := p.state.Jobs[n]
@@ -177,17 +177,17 @@
 	return nil
 }
 
-func (p *planner) explainJob(pool fleet.PoolName, j *fleet.Job, add adder) {
+func (p *planner) explainJob(pool fleet.PoolName, j *fleet.Job, add addLineFunc) {
 	add("job %s of pool %s is %s", j.Name, pool, j.State)
 	if j.Reason != "" {
 		add("%s", j.Reason)
 	}
-	add("it asks for %d thousandths of a core, %d MB, %d accelerators; submitted at %s", j.Need.CPUMilli, j.Need.MemoryMB, j.Need.Accelerators, clock(j.Submitted))
+	add("it asks for %d thousandths of a core, %d MB, %d accelerators; submitted at %s", j.Need.CPUMilli, j.Need.MemoryMB, j.Need.Accelerators, formatTime(j.Submitted))
 	if j.Worker != "" {
-		add("attempt %d was placed on %s at %s", j.Attempt, j.Worker, clock(j.PlacedAt))
+		add("attempt %d was placed on %s at %s", j.Attempt, j.Worker, formatTime(j.PlacedAt))
 	}
 	if !j.LostAt.IsZero() {
-		add("its worker has not reported it since %s; it is placed anew once the task's lease has certainly lapsed", clock(j.LostAt))
+		add("its worker has not reported it since %s; it is placed anew once the task's lease has certainly lapsed", formatTime(j.LostAt))
 	}
 	if j.Failures > 0 {
 		add("%d of its attempts failed", j.Failures)
--- a/operators/query/grammar.go
+++ b/operators/query/grammar.go
@@ -256,7 +256,7 @@
 	return nil
 }
 
-var words = lexer.MustSimple([]lexer.SimpleRule{
+var statementLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "String", Pattern: `"[^"\n]*"`},
 	{Name: "Number", Pattern: `[0-9]+(\.[0-9]+)?([a-zA-Z%][a-zA-Z0-9]*)?`},
@@ -266,7 +266,7 @@
 })
 
 var parser = participle.MustBuild[Program](
-	participle.Lexer(words),
+	participle.Lexer(statementLexer),
 	participle.Elide("Comment", "Space"),
 	participle.UseLookahead(3),
 )
@@ -282,14 +282,14 @@
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// MaxLength bounds the text of a program in bytes.
-const MaxLength = 256 << 10
+// MaxProgramBytes bounds the text of a program in bytes.
+const MaxProgramBytes = 256 << 10
 
 // Parse reads a program. A mistake is returned as an *Error that says where it
 // is and what was expected.
 func Parse(text string) (*Program, error) {
-	if len(text) > MaxLength {
-		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("the text has %d bytes; at most %d are taken", len(text), MaxLength)}
+	if len(text) > MaxProgramBytes {
+		return nil, &Error{Line: 1, Column: 1, Message: fmt.Sprintf("the text has %d bytes; at most %d are taken", len(text), MaxProgramBytes)}
 	}
 	p, err := parser.ParseString("", text)
 	if err == nil {
@@ -297,13 +297,13 @@
 	}
 	var at participle.Error
 	if errors.As(err, &at) {
-		return nil, &Error{Line: at.Position().Line, Column: at.Position().Column, Message: readable(at.Message())}
+		return nil, &Error{Line: at.Position().Line, Column: at.Position().Column, Message: readableMessage(at.Message())}
 	}
 	return nil, &Error{Line: 1, Column: 1, Message: err.Error()}
 }
 
-// expected words what the grammar's own names stand for.
-var expected = strings.NewReplacer(
+// readableTerms words what the grammar's own names stand for.
+var readableTerms = strings.NewReplacer(
 	"(expected Show)", "(expected pools, instances, jobs, waves, services, routes, teams or revisions)",
 	"(expected Why)", "(expected instance, job, wave or pool, and its name)",
 	"(expected Create)", "(expected service, route, team or pool)",
@@ -322,14 +322,14 @@
 	"<ident>", "a name", "<number>", "a number", "<string>", "a quoted text",
 )
 
-const statements = "show, why, drain, return, move, create, add, set, start, pause, resume, cancel or submit"
+const statementKeywords = "show, why, drain, return, move, create, add, set, start, pause, resume, cancel or submit"
 
-func readable(message string) string {
+func readableMessage(message string) string {
 	if unlexed, found := strings.CutPrefix(message, "lexer: "); found {
 		return unlexed
 	}
 	if before, _, found := strings.Cut(message, " (expected"); !found {
-		return before + " (expected " + statements + ")"
+		return before + " (expected " + statementKeywords + ")"
 	}
-	return expected.Replace(message)
+	return readableTerms.Replace(message)
 }
--- a/operators/query/grammar_test.go
+++ b/operators/query/grammar_test.go
@@ -40,10 +40,10 @@
 	assert.True(t, p.Statements[20].CancelJobs.All)
 }
 
-func TestParseSaysWhereAndWhatWasExpected(t *testing.T) {
+func TestParseErrorHasPositionAndExpectation(t *testing.T) {
 	for _, tc := range []struct{ text, want string }{
 		{"show poles", `line 1, column 6: unexpected token "poles" (expected pools, instances, jobs, waves, services, routes, teams or revisions)`},
-		{"show pools\nfetch x", `line 2, column 1: unexpected token "fetch" (expected ` + statements + `)`},
+		{"show pools\nfetch x", `line 2, column 1: unexpected token "fetch" (expected ` + statementKeywords + `)`},
 		{"move instance a to pol b", `line 1, column 20: unexpected token "pol" (expected "pool" a name)`},
 		{"set budget p max-unavailable", `line 1, column 29: unexpected token "<EOF>" (expected a number ("min-available" a number)? "survive-zone"?)`},
 		{"start wave w on all pools within soon", `line 1, column 34: unexpected token "soon" (expected a number)`},
