--- a/internal/jobmatrix/burst_test.go
+++ b/internal/jobmatrix/burst_test.go
@@ -17,25 +17,25 @@
 )
 
 // processor is that of a daemon: calls use it one after the other.
-type processor struct{ turn chan struct{} }
+type processor struct{ slot chan struct{} }
 
 func newProcessor() *processor { return &processor{make(chan struct{}, 1)} }
 
 func (p *processor) use(d time.Duration) {
-	p.turn <- struct{}{}
+	p.slot <- struct{}{}
 	time.Sleep(d)
-	<-p.turn
+	<-p.slot
 }
 
 // busyWorkers is a way to workers that takes processor time of the daemon for each call,
 // also for one that is given up meanwhile: half before and half after the answer.
-type busyWorkers struct {
+type cpuLimitedWorkers struct {
 	owner.WorkerClient
 	processor *processor
 	cost      time.Duration
 }
 
-func charged[A any](b busyWorkers, ctx context.Context, late A, call func() A) A {
+func chargeCall[A any](b cpuLimitedWorkers, ctx context.Context, late A, call func() A) A {
 	b.processor.use(b.cost / 2)
 	if ctx.Err() != nil {
 		return late
@@ -48,32 +48,32 @@
 	return a
 }
 
-var lateAnswer = owner.Answer{Outcome: owner.Unanswered, Err: context.DeadlineExceeded}
+var timeoutAnswer = owner.Answer{Outcome: owner.Unanswered, Err: context.DeadlineExceeded}
 
-func (b busyWorkers) Start(ctx context.Context, o owner.Start) owner.Answer {
-	return charged(b, ctx, lateAnswer, func() owner.Answer { return b.WorkerClient.Start(ctx, o) })
+func (b cpuLimitedWorkers) Start(ctx context.Context, o owner.Start) owner.Answer {
+	return chargeCall(b, ctx, timeoutAnswer, func() owner.Answer { return b.WorkerClient.Start(ctx, o) })
 }
 
-func (b busyWorkers) Stop(ctx context.Context, o owner.Stop) owner.Answer {
-	return charged(b, ctx, lateAnswer, func() owner.Answer { return b.WorkerClient.Stop(ctx, o) })
+func (b cpuLimitedWorkers) Stop(ctx context.Context, o owner.Stop) owner.Answer {
+	return chargeCall(b, ctx, timeoutAnswer, func() owner.Answer { return b.WorkerClient.Stop(ctx, o) })
 }
 
-func (b busyWorkers) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
-	return charged(b, ctx, owner.HoldAnswer{Answer: lateAnswer}, func() owner.HoldAnswer { return b.WorkerClient.Hold(ctx, o) })
+func (b cpuLimitedWorkers) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
+	return chargeCall(b, ctx, owner.HoldAnswer{Answer: timeoutAnswer}, func() owner.HoldAnswer { return b.WorkerClient.Hold(ctx, o) })
 }
 
 // What a call to a worker costs, measured at 0.8 and at 0.19 of a core.
 const (
-	strongCall = 300 * time.Microsecond
-	weakCall   = 1300 * time.Microsecond
+	strongCallCost = 300 * time.Microsecond
+	weakCallCost   = 1300 * time.Microsecond
 )
 
 // playBusy plays a day of daemons that are short of processor time.
-func playBusy(t *testing.T, instances int, call time.Duration, f func(in *jobfleet.Installation)) {
+func simulateCPULimited(t *testing.T, instances int, call time.Duration, f func(in *jobfleet.Installation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		in := jobfleet.NewInstallation(ctx, zap.NewNop())
-		in.WrapWorkers = func(w owner.WorkerClient) owner.WorkerClient { return busyWorkers{w, newProcessor(), call} }
+		in.WrapWorkers = func(w owner.WorkerClient) owner.WorkerClient { return cpuLimitedWorkers{w, newProcessor(), call} }
 		for i := range instances {
 			in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "orders", "r1", job.Resources{CPUMilli: 32000, MemMB: 64000})
 		}
@@ -111,7 +111,7 @@
 // TestABurstOfStartsIsNotGivenUp lets 4,800 tasks become ready at the same moment.
 func TestABurstOfStartsIsNotGivenUp(t *testing.T) {
 	const instances, jobs, width = 240, 200, 24
-	playBusy(t, instances, strongCall, func(in *jobfleet.Installation) {
+	simulateCPULimited(t, instances, strongCallCost, func(in *jobfleet.Installation) {
 		in.Start("d1")
 		time.Sleep(3 * time.Second)
 		require.NotNil(t, in.Owner())
@@ -127,12 +127,12 @@
 // it has not been seen to fail, as half of the first calls get through in any case.
 func TestAWeakOwnerKeepsLeases(t *testing.T) {
 	const instances, jobs, width = 350, 10, 24
-	playBusy(t, instances, weakCall, func(in *jobfleet.Installation) {
+	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
 		in.Start("d1")
 		time.Sleep(3 * time.Second)
 		caller := in.Caller()
 		for n := range jobs {
-			j := lastingJob(n)
+			j := longRunningJob(n)
 			j.Steps[0].Count = width
 			accepted, _ := caller.Submit(ordersPrefix, j)
 			require.True(t, accepted)
--- a/internal/jobmatrix/calls_test.go
+++ b/internal/jobmatrix/calls_test.go
@@ -12,11 +12,11 @@
 )
 
 // kindsOfCalls are the store's priced calls; a renewal costs a tenth.
-var kindsOfCalls = []string{"get", "range", "watch", "commit", "lease", "keep"}
+var storeCallKinds = []string{"get", "range", "watch", "commit", "lease", "keep"}
 
-func calls(d *day) map[string]int {
+func storeCallCounts(d *deployment) map[string]int {
 	out := map[string]int{}
-	for _, k := range kindsOfCalls {
+	for _, k := range storeCallKinds {
 		out[k] = d.in.Store.Calls(k)
 	}
 	return out
@@ -25,14 +25,14 @@
 // TestStoreCalls counts the calls of six daemons and ten workers: idle, and for
 // jobs that come one at a time. The bounds are those of docs/CAPACITY.md.
 func TestStoreCalls(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		time.Sleep(10 * time.Second) // pools have shrunk
-		before := calls(d)
+		before := storeCallCounts(d)
 		const idle = 60
 		time.Sleep(idle * time.Second)
-		after := calls(d)
+		after := storeCallCounts(d)
 		total := 0.0
-		for _, k := range kindsOfCalls {
+		for _, k := range storeCallKinds {
 			perSecond := float64(after[k]-before[k]) / idle
 			t.Logf("idle: %-6s %.2f a second", k, perSecond)
 			if k == "keep" {
@@ -42,14 +42,14 @@
 		}
 		assert.Less(t, total, idleCallsPerSecond)
 
-		before = calls(d)
+		before = storeCallCounts(d)
 		start := time.Now()
-		d.submitSome(0, 40)
+		d.submitBatchJobs(0, 40)
 		time.Sleep(2 * time.Second)
 		took := time.Since(start).Seconds()
-		after = calls(d)
+		after = storeCallCounts(d)
 		perJob := 0.0
-		for _, k := range kindsOfCalls {
+		for _, k := range storeCallKinds {
 			n := float64(after[k]-before[k]) / 40
 			t.Logf("busy: %-6s %.2f a job, idle ones included", k, n)
 			if k != "keep" {
@@ -58,7 +58,7 @@
 		}
 		perJob -= idleCallsPerSecond * took / 40
 		assert.Less(t, perJob, callsPerJob)
-		d.finish(5 * time.Second)
+		d.awaitCompletion(5 * time.Second)
 	})
 }
 
@@ -72,13 +72,13 @@
 // has begun the owner reads the changes of the workers' entries only; what is left of
 // readings of lists are the daemons' own of each other, every two seconds.
 func TestListsAreReadOnce(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		time.Sleep(10 * time.Second)
-		before := calls(d)["range"]
+		before := storeCallCounts(d)["range"]
 		const idle = 20
 		time.Sleep(idle * time.Second)
 		members := len(d.in.Daemons()) * idle / 2
-		assert.LessOrEqual(t, calls(d)["range"]-before, members+len(d.in.Daemons()))
+		assert.LessOrEqual(t, storeCallCounts(d)["range"]-before, members+len(d.in.Daemons()))
 	})
 }
 
@@ -86,14 +86,14 @@
 // reads the changes of all their entries in one call.
 func TestStoreCallsDoNotGrowWithWorkers(t *testing.T) {
 	idle := func(more int) (total int) {
-		play(t, func(d *day) {
+		simulate(t, func(d *deployment) {
 			for i := range more {
 				d.in.Fleet.Add(owner.InstanceID(fmt.Sprintf("more%d", i)), "spare", "r8", job.Resources{CPUMilli: 8000, MemMB: 16000})
 			}
 			time.Sleep(10 * time.Second) // pools have shrunk
-			before := calls(d)
+			before := storeCallCounts(d)
 			time.Sleep(30 * time.Second)
-			for kind, n := range calls(d) {
+			for kind, n := range storeCallCounts(d) {
 				total += n - before[kind]
 			}
 		})
--- a/internal/jobmatrix/config_test.go
+++ b/internal/jobmatrix/config_test.go
@@ -12,36 +12,36 @@
 // Bounds of the users' platform.
 const (
 	configureBound = 2 * time.Second
-	settledAfter   = 3 * time.Second // after a disturbance
+	settleTime     = 3 * time.Second // after a disturbance
 )
 
 // versions watches which configuration each life of a daemon has in force.
-type versions struct {
-	d    *day
-	seen map[*jobfleet.Daemon]int64
+type versionTracker struct {
+	d      *deployment
+	newest map[*jobfleet.Daemon]int64
 }
 
 // look checks that no daemon went back.
-func (v *versions) look() {
+func (v *versionTracker) check() {
 	for _, dm := range v.d.in.Daemons() {
 		c := dm.Node.Catalog()
 		if c == nil {
 			continue
 		}
-		assert.GreaterOrEqual(v.d.t, c.Version, v.seen[dm], "%s went back", dm.Name)
-		v.seen[dm] = c.Version
+		assert.GreaterOrEqual(v.d.t, c.Version, v.newest[dm], "%s went back", dm.Name)
+		v.newest[dm] = c.Version
 	}
 }
 
 // pass lets time pass and looks.
-func (v *versions) pass(d time.Duration) {
+func (v *versionTracker) checkFor(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-		v.look()
+		v.check()
 	}
 }
 
 // inForce checks that every daemon has the version.
-func (v *versions) inForce(version int64) {
+func (v *versionTracker) checkInForce(version int64) {
 	for _, dm := range v.d.in.Daemons() {
 		c := dm.Node.Catalog()
 		if assert.NotNil(v.d.t, c, "%s has no configuration", dm.Name) {
@@ -55,40 +55,40 @@
 func TestConfigurationIsInForceInTime(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		disturb func(d *day)
+		disturb func(d *deployment)
 		lasts   time.Duration
 	}{
-		{"calm", func(*day) {}, 0},
-		{"a storm of versions", func(d *day) {
+		{"calm", func(*deployment) {}, 0},
+		{"a storm of versions", func(d *deployment) {
 			for v := int64(2); v < 8; v++ {
 				d.in.Configure(catalog(v))
 				time.Sleep(30 * time.Millisecond)
 			}
 		}, 0},
-		{"the owner is killed", func(d *day) { d.in.Kill(d.in.Owner().Name) }, 0},
-		{"a daemon is cut off", func(d *day) { gateOf(d, "d2").CutStoreAndPeers(2 * time.Second) }, 2 * time.Second},
-		{"the store turns a daemon away", func(d *day) { gateOf(d, "d2").CutStoreOnly(2 * time.Second) }, 2 * time.Second},
-		{"the store is silent", func(d *day) { storeFor(d, jobfleet.RequestLost, 2*time.Second) }, 2 * time.Second},
-		{"the store forgets its history", func(d *day) { d.in.Store.CompactHistory() }, 0},
-		{"all connections go silent", silence, 0},
-		{"all daemons are killed", func(d *day) {
+		{"the owner is killed", func(d *deployment) { d.in.Kill(d.in.Owner().Name) }, 0},
+		{"a daemon is cut off", func(d *deployment) { gateOf(d, "d2").CutStoreAndPeers(2 * time.Second) }, 2 * time.Second},
+		{"the store turns a daemon away", func(d *deployment) { gateOf(d, "d2").CutStoreOnly(2 * time.Second) }, 2 * time.Second},
+		{"the store is silent", func(d *deployment) { failStoreFor(d, jobfleet.RequestLost, 2*time.Second) }, 2 * time.Second},
+		{"the store forgets its history", func(d *deployment) { d.in.Store.CompactHistory() }, 0},
+		{"all connections go silent", dropFirstCalls, 0},
+		{"all daemons are killed", func(d *deployment) {
 			for _, n := range daemonNames {
 				d.in.Kill(n)
-				restart(d, n)
+				restartLater(d, n)
 			}
 		}, time.Second},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(d *day) {
-				v := &versions{d, map[*jobfleet.Daemon]int64{}}
+			simulate(t, func(d *deployment) {
+				v := &versionTracker{d, map[*jobfleet.Daemon]int64{}}
 				c.disturb(d)
-				v.pass(c.lasts + settledAfter - configureBound)
+				v.checkFor(c.lasts + settleTime - configureBound)
 				d.in.Configure(catalog(10))
-				v.pass(configureBound)
-				v.inForce(10)
+				v.checkFor(configureBound)
+				v.checkInForce(10)
 				d.in.Configure(catalog(9)) // an older one must change nothing
-				v.pass(time.Second)
-				v.inForce(10)
+				v.checkFor(time.Second)
+				v.checkInForce(10)
 			})
 		})
 	}
--- a/internal/jobmatrix/counts_test.go
+++ b/internal/jobmatrix/counts_test.go
@@ -17,16 +17,16 @@
 )
 
 // countEvery is the pause between two questions for the count to one daemon.
-const countEvery = 130 * time.Millisecond
+const countPollInterval = 130 * time.Millisecond
 
 // askCounts asks all daemons for the count of the orders until ctx ends; the checker looks
 // at each answer.
-func (d *day) askCounts(ctx context.Context) {
+func (d *deployment) pollCounts(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, dm := range d.in.Daemons() {
 			go d.in.CallerTo(dm).Pending(ordersPrefix)
 		}
-		time.Sleep(countEvery)
+		time.Sleep(countPollInterval)
 	}
 }
 
@@ -37,27 +37,27 @@
 // long meanwhile.
 var ownerFaults = []struct {
 	name   string
-	strike func(d *day, o *jobfleet.Daemon, lasts time.Duration)
+	strike func(d *deployment, o *jobfleet.Daemon, lasts time.Duration)
 }{
-	{"it is cut off from the store and its peers", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreAndPeers(lasts) }},
-	{"the store turns it away", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreOnly(lasts) }},
-	{"it is frozen", func(_ *day, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.Freeze(lasts) }},
-	{"its watches are silent", func(d *day, o *jobfleet.Daemon, lasts time.Duration) { d.swallow(o, lasts, "watch") }},
-	{"its watches are silent, and its lease is revoked", func(d *day, o *jobfleet.Daemon, lasts time.Duration) {
-		d.swallow(o, lasts, "watch")
+	{"it is cut off from the store and its peers", func(_ *deployment, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreAndPeers(lasts) }},
+	{"the store turns it away", func(_ *deployment, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreOnly(lasts) }},
+	{"it is frozen", func(_ *deployment, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.Freeze(lasts) }},
+	{"its watches are silent", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) { d.dropCalls(o, lasts, "watch") }},
+	{"its watches are silent, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) {
+		d.dropCalls(o, lasts, "watch")
 		d.in.Store.RevokeAll()
 	}},
-	{"its watches and reads are silent, and its lease is revoked", func(d *day, o *jobfleet.Daemon, lasts time.Duration) {
-		d.swallow(o, lasts, "watch", "get", "range")
+	{"its watches and reads are silent, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) {
+		d.dropCalls(o, lasts, "watch", "get", "range")
 		d.in.Store.RevokeAll()
 	}},
-	{"its renewals and commits are silent", func(d *day, o *jobfleet.Daemon, lasts time.Duration) { d.swallow(o, lasts, "keep", "commit") }},
-	{"its lease is revoked time and again", func(d *day, _ *jobfleet.Daemon, lasts time.Duration) {
+	{"its renewals and commits are silent", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) { d.dropCalls(o, lasts, "keep", "commit") }},
+	{"its lease is revoked time and again", func(d *deployment, _ *jobfleet.Daemon, lasts time.Duration) {
 		for at := time.Duration(0); at < lasts; at += 700 * time.Millisecond {
 			time.AfterFunc(at, d.in.Store.RevokeAll)
 		}
 	}},
-	{"the store forgets its history time and again", func(d *day, _ *jobfleet.Daemon, lasts time.Duration) {
+	{"the store forgets its history time and again", func(d *deployment, _ *jobfleet.Daemon, lasts time.Duration) {
 		for at := time.Duration(0); at < lasts; at += 300 * time.Millisecond {
 			time.AfterFunc(at, d.in.Store.CompactHistory)
 		}
@@ -65,7 +65,7 @@
 }
 
 // swallow leaves a daemon's own calls of some kinds to the store without an answer.
-func (d *day) swallow(o *jobfleet.Daemon, lasts time.Duration, ops ...string) {
+func (d *deployment) dropCalls(o *jobfleet.Daemon, lasts time.Duration, ops ...string) {
 	end := time.Now().Add(lasts)
 	d.in.SetHook(func(daemon, op string) jobfleet.Failure {
 		if daemon == o.Name && time.Now().Before(end) && slices.Contains(ops, op) {
@@ -80,11 +80,11 @@
 func TestCountWhileTheOwnerIsInTrouble(t *testing.T) {
 	for _, f := range ownerFaults {
 		t.Run(f.name, func(t *testing.T) {
-			play(t, func(d *day) {
+			simulate(t, func(d *deployment) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				time.Sleep(3 * time.Second) // lists of the live daemons
-				go d.askCounts(ctx)
+				go d.pollCounts(ctx)
 				o := d.in.Owner()
 				require.NotNil(t, o)
 				f.strike(d, o, 12*time.Second)
@@ -104,15 +104,15 @@
 // TestCountWhileDaemonsAreStoppedInTurn: each owner is stopped a moment after it has
 // heard of its workers, which are slow to answer.
 func TestCountWhileDaemonsAreStoppedInTurn(t *testing.T) {
-	for seed := range uint64(rollSeeds) {
+	for seed := range uint64(rollingStopSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
-			play(t, func(d *day) {
+			simulate(t, func(d *deployment) {
 				ctx, cancel := context.WithCancel(context.Background())
 				defer cancel()
 				time.Sleep(3 * time.Second) // lists of the live daemons
-				d.slowWorkers(seed)
-				go d.askCounts(ctx)
-				go d.stopInTurn(ctx)
+				d.delayWorkerCalls(seed)
+				go d.pollCounts(ctx)
+				go d.stopOwnersInTurn(ctx)
 				for _, i := range []owner.InstanceID{"i0", "i1", "i2", "i3"} {
 					d.in.Fleet.Cut(i, 7*time.Second)
 				}
@@ -124,17 +124,17 @@
 				}
 				time.Sleep(10 * time.Second)
 				cancel()
-				d.finish(60 * time.Second)
+				d.awaitCompletion(60 * time.Second)
 			})
 		})
 	}
 }
 
 // rollSeeds is how many such days are played.
-const rollSeeds = 12
+const rollingStopSeeds = 12
 
 // slowWorkers lets orders to workers take up to slowest, by seed.
-func (d *day) slowWorkers(seed uint64) {
+func (d *deployment) delayWorkerCalls(seed uint64) {
 	const slowest = 600 * time.Millisecond
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 2))
@@ -150,11 +150,11 @@
 }
 
 // stopInTurn stops the owner time and again and starts it anew.
-func (d *day) stopInTurn(ctx context.Context) {
+func (d *deployment) stopOwnersInTurn(ctx context.Context) {
 	for ctx.Err() == nil {
 		if o := d.in.Owner(); o != nil {
 			d.in.Stop(o.Name)
-			restart(d, o.Name)
+			restartLater(d, o.Name)
 		}
 		time.Sleep(1500 * time.Millisecond)
 	}
--- a/internal/jobmatrix/crash_test.go
+++ b/internal/jobmatrix/crash_test.go
@@ -23,16 +23,16 @@
 
 // crashCase is a day with jobs of which a task crashes its workers.
 type crashCase struct {
-	name   string
-	jobs   []*job.Job                // each with such a task: the first of its first step
-	after  time.Duration             // from its start to the crash
-	during func(d *day, crashes int) // called after each crash
-	serves bool                      // its other tasks go on, and the job does not fail
+	name         string
+	jobs         []*job.Job                       // each with such a task: the first of its first step
+	crashDelay   time.Duration                    // from its start to the crash
+	onCrash      func(d *deployment, crashes int) // called after each crash
+	keepsServing bool                             // its other tasks go on, and the job does not fail
 }
 
 const (
-	crashSoon = 6 * time.Millisecond // from the start of a task to the crash of its worker
-	crashBack = 1500 * time.Millisecond
+	defaultCrashDelay  = 6 * time.Millisecond // from the start of a task to the crash of its worker
+	workerRestartDelay = 1500 * time.Millisecond
 )
 
 // crashingJob has a task that crashes its workers, and others beside it.
@@ -55,24 +55,24 @@
 		{name: "copies", jobs: one(904, func(s *job.Step) { s.Speculative = true })},
 		{name: "occurrences", jobs: []*job.Job{recurring}},
 		{name: "a gang", jobs: one(906, func(s *job.Step) { s.Gang = true })},
-		{name: "a long-running task", jobs: one(907, func(s *job.Step) { s.LongRunning, s.MayMiss, s.MaxPerWorker = true, 1, 1 }), serves: true},
-		{name: "crashes after a while", jobs: one(908, func(s *job.Step) { s.Estimate = 2 * time.Second }), after: 900 * time.Millisecond},
-		{name: "the owner is killed after each crash", jobs: one(909, nil), during: killOwner},
-		{name: "the owner is killed after each crash of copies", jobs: one(910, func(s *job.Step) { s.Speculative = true }), during: killOwner},
-		{name: "the store is away", jobs: one(911, nil), during: func(d *day, crashes int) {
+		{name: "a long-running task", jobs: one(907, func(s *job.Step) { s.LongRunning, s.MayMiss, s.MaxPerWorker = true, 1, 1 }), keepsServing: true},
+		{name: "crashes after a while", jobs: one(908, func(s *job.Step) { s.Estimate = 2 * time.Second }), crashDelay: 900 * time.Millisecond},
+		{name: "the owner is killed after each crash", jobs: one(909, nil), onCrash: killOwner},
+		{name: "the owner is killed after each crash of copies", jobs: one(910, func(s *job.Step) { s.Speculative = true }), onCrash: killOwner},
+		{name: "the store is away", jobs: one(911, nil), onCrash: func(d *deployment, crashes int) {
 			if crashes == 1 {
-				storeFor(d, jobfleet.Refused, 5*time.Second)
+				failStoreFor(d, jobfleet.Refused, 5*time.Second)
 			}
 		}},
 	}
 }
 
 // killOwner kills the owner once it can have heard of a crash.
-func killOwner(d *day, _ int) {
+func killOwner(d *deployment, _ int) {
 	time.Sleep(40 * time.Millisecond)
 	if o := d.in.Owner(); o != nil {
 		d.in.Kill(o.Name)
-		restart(d, o.Name)
+		restartLater(d, o.Name)
 	}
 }
 
@@ -81,47 +81,47 @@
 func TestTasksThatCrashTheirWorkers(t *testing.T) {
 	for _, c := range crashCases() {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(d *day) { d.playCrashes(c) })
+			simulate(t, func(d *deployment) { d.runCrashCase(c) })
 		})
 	}
 }
 
-func (d *day) playCrashes(c crashCase) {
-	after := c.after
+func (d *deployment) runCrashCase(c crashCase) {
+	after := c.crashDelay
 	if after == 0 {
-		after = crashSoon
+		after = defaultCrashDelay
 	}
 	crashes := 0
 	d.in.Fleet.OnCrash(func(job.TaskID) {
 		crashes++
-		if c.during != nil {
-			c.during(d, crashes)
+		if c.onCrash != nil {
+			c.onCrash(d, crashes)
 		}
 	})
-	d.submitSome(0, 6)
+	d.submitBatchJobs(0, 6)
 	for _, j := range c.jobs {
-		d.in.Fleet.CrashOnStart(job.TaskID{Job: j.ID}, after, crashBack)
+		d.in.Fleet.CrashOnStart(job.TaskID{Job: j.ID}, after, workerRestartDelay)
 		if j.Repeat > 0 {
 			j.StartAt = time.Now().Add(500 * time.Millisecond)
 		}
 		d.submit(ordersPrefix, j)
 	}
-	d.submitSome(6, 12)
+	d.submitBatchJobs(6, 12)
 	failing := c.jobs
-	if c.serves {
+	if c.keepsServing {
 		failing = nil
 	}
-	d.finishBut(40*time.Second, failing)
+	d.awaitCompletionExcept(40*time.Second, failing)
 	for _, j := range c.jobs {
 		assert.LessOrEqual(d.t, d.in.Checker.MaxCrasherCrashes(j.ID), 5, "workers that job %s has crashed", j.ID)
-		if c.serves {
+		if c.keepsServing {
 			assert.Equal(d.t, j.Steps[0].Count-1, d.in.Checker.Running(j.ID), "tasks that go on serving")
 		}
 	}
 }
 
 // finishBut waits until the given jobs are shown as failed and all others as completed.
-func (d *day) finishBut(within time.Duration, failing []*job.Job) {
+func (d *deployment) awaitCompletionExcept(within time.Duration, failing []*job.Job) {
 	end := time.Now().Add(within)
 	open := []string{"not looked at"}
 	for len(open) > 0 && time.Now().Before(end) {
@@ -134,7 +134,7 @@
 			if j.Steps[0].LongRunning {
 				want = job.Running
 			}
-			if s := d.caller.State(d.queue[j.ID], j.ID); d.ok[j.ID] && s != want {
+			if s := d.caller.State(d.queuePrefix[j.ID], j.ID); d.accepted[j.ID] && s != want {
 				open = append(open, fmt.Sprintf("%s is %s, not %s", j.ID, s, want))
 			}
 		}
@@ -147,14 +147,14 @@
 // TestOtherLossesAreNoCrashOfATask: racks, single instances that go down again and again,
 // waves and moves end tasks too, and none of their jobs fails.
 func TestOtherLossesAreNoCrashOfATask(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		long := batchJob(1)
 		long.Steps[0].Estimate = 3 * time.Second
 		long.Steps[1].Speculative = true
 		d.submit(ordersPrefix, long)
-		d.submit(ordersPrefix, lastingJob(2))
+		d.submit(ordersPrefix, longRunningJob(2))
 		for i := range 8 {
-			d.submitSome(3+2*i, 2)
+			d.submitBatchJobs(3+2*i, 2)
 			if i%2 == 0 { // the rack of two instances, again and again
 				d.in.Fleet.Crash("i0", time.Second)
 				d.in.Fleet.Crash("i1", time.Second)
@@ -164,7 +164,7 @@
 			time.Sleep(1200 * time.Millisecond)
 		}
 		d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{"i0", "i1", "i2", "i3"}, Within: 30 * time.Second, MaxDown: 2})
-		d.submitSome(40, 6)
-		d.finish(40 * time.Second)
+		d.submitBatchJobs(40, 6)
+		d.awaitCompletion(40 * time.Second)
 	})
 }
--- a/internal/jobmatrix/cutowner_test.go
+++ b/internal/jobmatrix/cutowner_test.go
@@ -10,7 +10,7 @@
 
 // replacedWithin is how long replacing an owner may take that is alive and cut off: as for one that
 // has lost power, the lease of 2 s, what was left of its last renewal, and the election.
-const replacedWithin = 3 * time.Second
+const replacementBound = 3 * time.Second
 
 // TestAnOwnerCutOffFromTheStoreHandsOver.
 //
@@ -20,8 +20,8 @@
 // which nothing was recorded and no instance ordered. Proof: the owner's log, with orders for
 // instances 1.6 s old when the platform got them.
 func TestAnOwnerCutOffFromTheStoreHandsOver(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 2)
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 2)
 		time.Sleep(3 * time.Second) // some lists of the live daemons
 		first := d.in.Owner()
 		require.NotNil(t, first)
@@ -40,20 +40,20 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		assert.Less(t, time.Since(began), replacedWithin)
+		assert.Less(t, time.Since(began), replacementBound)
 		second := d.in.Owner()
 		require.NotNil(t, second)
-		d.submitSome(2, 6)
+		d.submitBatchJobs(2, 6)
 		require.NotNil(t, d.in.Owner())
 		assert.Equal(t, second.Name, d.in.Owner().Name, "it stays")
-		d.finish(10 * time.Second)
+		d.awaitCompletion(10 * time.Second)
 	})
 }
 
 // TestNobodyHandsOverWhileTheStoreIsAway: no other daemon would do better.
 func TestNobodyHandsOverWhileTheStoreIsAway(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 2)
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 2)
 		time.Sleep(3 * time.Second)
 		first := d.in.Owner()
 		require.NotNil(t, first)
@@ -63,6 +63,6 @@
 		time.Sleep(4 * time.Second)
 		require.NotNil(t, d.in.Owner())
 		assert.Equal(t, first.Name, d.in.Owner().Name)
-		d.finish(10 * time.Second)
+		d.awaitCompletion(10 * time.Second)
 	})
 }
--- a/internal/jobmatrix/day_test.go
+++ b/internal/jobmatrix/day_test.go
@@ -31,31 +31,31 @@
 var daemonNames = []string{"d1", "d2", "d3", "d4", "d5", "d6"}
 
 // day is one short day.
-type day struct {
-	t      *testing.T
-	in     *jobfleet.Installation
-	caller *jobfleet.Caller
-	jobs   []*job.Job
-	queue  map[job.ID]string // prefix
-	ok     map[job.ID]bool   // accepted
+type deployment struct {
+	t           *testing.T
+	in          *jobfleet.Installation
+	caller      *jobfleet.Caller
+	jobs        []*job.Job
+	queuePrefix map[job.ID]string // prefix
+	accepted    map[job.ID]bool   // accepted
 }
 
 // logTo is where the daemons' logs go: POSTMOUNT_TEST_LOG=1 shows them.
-func logTo() io.Writer {
+func logWriter() io.Writer {
 	if os.Getenv("POSTMOUNT_TEST_LOG") != "" {
 		return os.Stderr
 	}
 	return io.Discard
 }
 
-func newDay(t *testing.T, ctx context.Context) *day {
+func newDeployment(t *testing.T, ctx context.Context) *deployment {
 	log := zap.NewNop()
-	if logTo() != io.Discard {
+	if logWriter() != io.Discard {
 		var err error
-		log, err = telemetry.NewLogger("info", "console", logTo())
+		log, err = telemetry.NewLogger("info", "console", logWriter())
 		require.NoError(t, err)
 	}
-	d := &day{t: t, in: jobfleet.NewInstallation(ctx, log), queue: map[job.ID]string{}, ok: map[job.ID]bool{}}
+	d := &deployment{t: t, in: jobfleet.NewInstallation(ctx, log), queuePrefix: map[job.ID]string{}, accepted: map[job.ID]bool{}}
 	d.caller = d.in.Caller()
 	for i := range 8 {
 		pool := "orders"
@@ -95,7 +95,7 @@
 }
 
 // lastingJob serves until it is cancelled.
-func lastingJob(n int) *job.Job {
+func longRunningJob(n int) *job.Job {
 	return &job.Job{ID: job.ID(fmt.Sprintf("%016x", n+1)), Steps: []job.Step{
 		{Count: 3, Need: job.Resources{CPUMilli: 1000, MemMB: 500}, LongRunning: true, MaxPerWorker: 1, MayMiss: 1},
 	}}
@@ -103,13 +103,13 @@
 
 // submit sends a job until it is accepted, as callers do after a refusal or
 // without an answer.
-func (d *day) submit(prefix string, j *job.Job) {
+func (d *deployment) submit(prefix string, j *job.Job) {
 	d.jobs = append(d.jobs, j)
-	d.queue[j.ID] = prefix
+	d.queuePrefix[j.ID] = prefix
 	for range 12 {
 		accepted, _ := d.caller.Submit(prefix, j)
 		if accepted {
-			d.ok[j.ID] = true
+			d.accepted[j.ID] = true
 			return
 		}
 		time.Sleep(500 * time.Millisecond)
@@ -117,7 +117,7 @@
 }
 
 // submitSome sends jobs to both queues over some seconds.
-func (d *day) submitSome(from, n int) {
+func (d *deployment) submitBatchJobs(from, n int) {
 	for i := from; i < from+n; i++ {
 		prefix := ordersPrefix
 		if i%2 == 1 {
@@ -130,16 +130,16 @@
 
 // finish waits until every accepted job without long-running tasks is shown as
 // completed, and checks the promises.
-func (d *day) finish(within time.Duration) {
+func (d *deployment) awaitCompletion(within time.Duration) {
 	end := time.Now().Add(within)
 	open := 1
 	for open > 0 && time.Now().Before(end) {
 		open = 0
 		for _, j := range d.jobs {
-			if !d.ok[j.ID] || j.Steps[0].LongRunning {
+			if !d.accepted[j.ID] || j.Steps[0].LongRunning {
 				continue
 			}
-			if s := d.caller.State(d.queue[j.ID], j.ID); s != job.Completed && s != job.Cancelled {
+			if s := d.caller.State(d.queuePrefix[j.ID], j.ID); s != job.Completed && s != job.Cancelled {
 				open++
 			}
 		}
@@ -150,10 +150,10 @@
 }
 
 // play runs a day in virtual time.
-func play(t *testing.T, f func(d *day)) {
+func simulate(t *testing.T, f func(d *deployment)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		d := newDay(t, ctx)
+		d := newDeployment(t, ctx)
 		time.Sleep(2 * time.Second)
 		f(d)
 		cancel()
@@ -164,22 +164,22 @@
 	})
 }
 
-func TestCalmDay(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 10)
-		d.finish(10 * time.Second)
-		assert.Len(t, d.ok, 10)
+func TestNoFaults(t *testing.T) {
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 10)
+		d.awaitCompletion(10 * time.Second)
+		assert.Len(t, d.accepted, 10)
 		assert.Equal(t, 50, d.in.Checker.Starts())
 	})
 }
 
 // TestLongTasks lets tasks run that are much longer than all timeouts.
 func TestLongTasks(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		j := batchJob(1)
 		j.Steps[0].Estimate = 20 * time.Second
 		d.submit(ordersPrefix, j)
-		d.finish(30 * time.Second)
+		d.awaitCompletion(30 * time.Second)
 		assert.Equal(t, 5, d.in.Checker.Starts())
 	})
 }
@@ -187,8 +187,8 @@
 // TestWaveThinsOutWorkers maintains a worker that has more tasks of a
 // long-running step than maintenance may take away at once.
 func TestWaveThinsOutWorkers(t *testing.T) {
-	play(t, func(d *day) {
-		j := lastingJob(1)
+	simulate(t, func(d *deployment) {
+		j := longRunningJob(1)
 		j.Steps[0].Count = 6 // on four instances
 		j.Steps[0].MaxPerWorker = 0
 		d.submit(ordersPrefix, j)
@@ -198,24 +198,24 @@
 			time.Sleep(500 * time.Millisecond)
 		}
 		assert.True(t, d.in.WaveDone(1), "the wave is not completed")
-		d.lastingServes(j)
+		d.checkAllRunning(j)
 		assert.Empty(t, d.in.Checker.Violations())
 	})
 }
 
 // TestTheStrongestDaemonIsTheOwner: at the start, and after the owner is gone.
 func TestTheStrongestDaemonIsTheOwner(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		d.in.StartWith("strong1", 0.8)
 		d.in.StartWith("strong2", 0.8)
 		time.Sleep(6 * time.Second) // some lists of the live daemons
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		assert.Contains(t, []string{"strong1", "strong2"}, first.Name, "an idle owner yields to a stronger daemon")
-		d.submitSome(0, 4)
+		d.submitBatchJobs(0, 4)
 		d.in.Kill(first.Name)
-		d.submitSome(4, 4)
-		d.finish(20 * time.Second)
+		d.submitBatchJobs(4, 4)
+		d.awaitCompletion(20 * time.Second)
 		second := d.in.Owner()
 		require.NotNil(t, second)
 		assert.Contains(t, []string{"strong1", "strong2"}, second.Name)
@@ -225,8 +225,8 @@
 // TestAKilledOwnerIsReplacedAtOnce: its process is seen to be gone, so that nobody
 // waits for its lease to end.
 func TestAKilledOwnerIsReplacedAtOnce(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 2)
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 2)
 		time.Sleep(3 * time.Second) // a list of the live daemons
 		first := d.in.Owner()
 		require.NotNil(t, first)
@@ -236,16 +236,16 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		assert.Less(t, time.Since(killed), 300*time.Millisecond)
-		d.submitSome(2, 2)
-		d.finish(10 * time.Second)
+		d.submitBatchJobs(2, 2)
+		d.awaitCompletion(10 * time.Second)
 	})
 }
 
 // TestAnOwnerThatStopsWhileTheStoreIsAway goes on with its work, as nobody can take
 // over, and asks the store a few times a second whether it may release its lock.
 func TestAnOwnerThatStopsWhileTheStoreIsAway(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 1)
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 1)
 		time.Sleep(time.Second)
 		long := batchJob(1)
 		long.Steps[0].Estimate = 1500 * time.Millisecond
@@ -269,7 +269,7 @@
 		assert.Less(t, commits, 60, "tries to release the lock and to write progress")
 		assert.Equal(t, started+2, d.in.Checker.Starts(), "the second step of the job is started meanwhile")
 		d.in.SetHook(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
-		d.finish(15 * time.Second)
+		d.awaitCompletion(15 * time.Second)
 	})
 }
 
@@ -282,8 +282,8 @@
 // not heard of and its leases run out. Proof: the step after a task that ends does not
 // start.
 func TestAnOwnerThatStopsAsTheStoreGoesAway(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 1)
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 1)
 		time.Sleep(time.Second)
 		long := batchJob(1)
 		long.Steps[0].Estimate = 1900 * time.Millisecond // ends 1.2 s after the stop
@@ -309,7 +309,7 @@
 		d.in.Stop(first.Name) // takes 1.8 s
 		assert.Equal(t, started+2, d.in.Checker.Starts(), "the second step of the job is started meanwhile")
 		d.in.SetHook(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
-		d.finish(15 * time.Second)
+		d.awaitCompletion(15 * time.Second)
 	})
 }
 
@@ -318,8 +318,8 @@
 // owner's takeover, too. Seen in the code, by the review of an incident in which leases
 // ended after a change of owner; a release that is refused shows it.
 func TestAnOwnerThatStopsRenewsLeases(t *testing.T) {
-	play(t, func(d *day) {
-		d.submit(ordersPrefix, lastingJob(0))
+	simulate(t, func(d *deployment) {
+		d.submit(ordersPrefix, longRunningJob(0))
 		time.Sleep(2 * time.Second)
 		first := d.in.Owner()
 		require.NotNil(t, first)
--- a/internal/jobmatrix/entries_test.go
+++ b/internal/jobmatrix/entries_test.go
@@ -11,7 +11,7 @@
 
 // badEntries are bytes of another writer by the key that they are written to. The job's key is
 // of none that a caller submits.
-var badEntries = map[string]string{
+var malformedEntries = map[string]string{
 	"worker/stranger":           `{"Service":"orders"}`,
 	"worker/of-no-service":      `{"Worker":"of-no-service","Service":"nobody's","Addr":"x","Room":{"CPUMilli":64000,"MemMB":64000}}`,
 	"worker/\xff":               "\xff",
@@ -30,23 +30,23 @@
 
 // TestBadEntriesAtEachKey: the day goes on, before and after a change of owner.
 func TestBadEntriesAtEachKey(t *testing.T) {
-	for key, value := range badEntries {
+	for key, value := range malformedEntries {
 		t.Run(key, func(t *testing.T) {
-			play(t, func(d *day) {
-				lasting := lastingJob(100)
+			simulate(t, func(d *deployment) {
+				lasting := longRunningJob(100)
 				d.submit(ordersPrefix, lasting)
-				d.submitSome(0, 4)
+				d.submitBatchJobs(0, 4)
 				d.in.Store.Put(key, []byte(value))
-				d.submitSome(4, 4)
+				d.submitBatchJobs(4, 4)
 				if o := d.in.Owner(); o != nil {
 					d.in.Kill(o.Name)
 					if key != "operator/catalog" { // one without a configuration is not ready, and gets no callers
-						restart(d, o.Name)
+						restartLater(d, o.Name)
 					}
 				}
-				d.submitSome(8, 4)
-				d.finish(30 * time.Second)
-				d.lastingServes(lasting)
+				d.submitBatchJobs(8, 4)
+				d.awaitCompletion(30 * time.Second)
+				d.checkAllRunning(lasting)
 				assert.NotNil(t, d.in.Owner())
 			})
 		})
@@ -56,7 +56,7 @@
 // TestABadEntryIsNoProofOfDeath: the entry of a worker at work is overwritten. What runs there
 // runs on, nothing new starts there, and it is used again once its entry is good.
 func TestABadEntryIsNoProofOfDeath(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		j := batchJob(0)
 		j.Steps = []job.Step{{Count: 4, Need: job.Resources{CPUMilli: 8000, MemMB: 100}, Estimate: 4 * time.Second}}
 		d.submit(ordersPrefix, j) // a task on each worker
@@ -65,7 +65,7 @@
 		for _, w := range []string{"w-001", "w-002"} {
 			d.in.Store.Put("worker/"+w, []byte("\xff"))
 		}
-		d.finish(20 * time.Second)
+		d.awaitCompletion(20 * time.Second)
 		assert.Equal(t, 4, started)
 		assert.Equal(t, 4, d.in.Checker.Starts(), "no task is lost")
 	})
--- a/internal/jobmatrix/evacuation_test.go
+++ b/internal/jobmatrix/evacuation_test.go
@@ -12,7 +12,7 @@
 )
 
 // inZones puts the instances with even numbers into zone z1, and the others into z2.
-func (d *day) inZones() {
+func (d *deployment) assignZones() {
 	for i := range 8 {
 		d.in.Fleet.SetZone(owner.InstanceID(fmt.Sprintf("i%d", i)), fmt.Sprintf("z%d", 1+i%2))
 	}
@@ -24,52 +24,52 @@
 // TestAnEvacuatedZoneGetsNoTasks: not while the owner that heard of it schedules, nor by the
 // next one, until it is taken back. What runs there goes on.
 func TestAnEvacuatedZoneGetsNoTasks(t *testing.T) {
-	play(t, func(d *day) {
-		d.inZones()
-		lasting := lastingJob(900)
+	simulate(t, func(d *deployment) {
+		d.assignZones()
+		lasting := longRunningJob(900)
 		d.submit(ordersPrefix, lasting)
-		d.submitSome(0, 4)
+		d.submitBatchJobs(0, 4)
 		d.in.Evacuate("z1")
 		d.in.Evacuate("nowhere")
-		d.submitSome(4, 6)
+		d.submitBatchJobs(4, 6)
 		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		d.in.Kill(first.Name)
-		d.submitSome(10, 6)
-		d.finish(20 * time.Second)
-		d.lastingServes(lasting)
+		d.submitBatchJobs(10, 6)
+		d.awaitCompletion(20 * time.Second)
+		d.checkAllRunning(lasting)
 		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 
 		d.in.EndEvacuation("z1")
 		d.in.Evacuate("z2")
 		time.Sleep(time.Second)
-		d.submitSome(16, 6)
-		d.finish(20 * time.Second)
+		d.submitBatchJobs(16, 6)
+		d.awaitCompletion(20 * time.Second)
 		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 	})
 }
 
 // TestAllZonesEvacuated: jobs that are accepted wait, and are done once a zone is back.
 func TestAllZonesEvacuated(t *testing.T) {
-	play(t, func(d *day) {
-		d.inZones()
+	simulate(t, func(d *deployment) {
+		d.assignZones()
 		d.in.Evacuate("z1")
 		d.in.Evacuate("z2")
 		time.Sleep(time.Second)
 		starts := d.in.Checker.Starts()
-		d.submitSome(0, 4)
+		d.submitBatchJobs(0, 4)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, starts, d.in.Checker.Starts())
 		d.in.EndEvacuation("z2")
-		d.finish(20 * time.Second)
+		d.awaitCompletion(20 * time.Second)
 	})
 }
 
 // TestAnEvacuationThatIsTakenBackAtOnce, and one that is asked for twice.
 func TestAnEvacuationThatIsTakenBackAtOnce(t *testing.T) {
-	play(t, func(d *day) {
-		d.inZones()
+	simulate(t, func(d *deployment) {
+		d.assignZones()
 		for range 3 {
 			d.in.Evacuate("z1")
 			d.in.Evacuate("z1")
@@ -79,13 +79,13 @@
 		d.in.Evacuate("z2")
 		d.in.EndEvacuation("z2")
 		time.Sleep(time.Second)
-		d.submitSome(0, 6)
-		d.finish(10 * time.Second)
+		d.submitBatchJobs(0, 6)
+		d.awaitCompletion(10 * time.Second)
 	})
 }
 
 // outerStretch is by how much a store that does not serve may delay what is asked for through it.
-const outerStretch = 5 * time.Second
+const storeOutageExtension = 5 * time.Second
 
 // TestEvacuationsUnderFaults: a zone is evacuated, and taken back, while each kind of fault
 // strikes at some steps.
@@ -96,25 +96,25 @@
 			n  int
 		}{{"watch", 4}, {"start", 3}, {"hold", 20}, {"commit", 8}} {
 			t.Run(fmt.Sprintf("%s at %s %d", f.name, s.op, s.n), func(t *testing.T) {
-				play(t, func(d *day) {
-					d.inZones()
-					d.in.Checker.ExtendEvacuationBound(outerStretch)
-					lasting := lastingJob(900)
+				simulate(t, func(d *deployment) {
+					d.assignZones()
+					d.in.Checker.ExtendEvacuationBound(storeOutageExtension)
+					lasting := longRunningJob(900)
 					d.submit(ordersPrefix, lasting)
-					d.at(s.op, s.n, f)
-					d.submitSome(0, 3)
+					d.strikeAt(s.op, s.n, f)
+					d.submitBatchJobs(0, 3)
 					d.in.Evacuate("z1")
 					d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{"i0", "i3"}, Within: 20 * time.Second, MaxDown: 2})
-					d.submitSome(3, 3)
+					d.submitBatchJobs(3, 3)
 					time.Sleep(12 * time.Second)
-					d.submitSome(6, 3)
+					d.submitBatchJobs(6, 3)
 					d.in.EndEvacuation("z1")
 					d.in.Evacuate("z2")
 					time.Sleep(12 * time.Second)
-					d.submitSome(9, 3)
+					d.submitBatchJobs(9, 3)
 					d.in.EndEvacuation("z2")
-					d.finish(30 * time.Second)
-					d.lastingServes(lasting)
+					d.awaitCompletion(30 * time.Second)
+					d.checkAllRunning(lasting)
 				})
 			})
 		}
--- a/internal/jobmatrix/faults_test.go
+++ b/internal/jobmatrix/faults_test.go
@@ -21,23 +21,23 @@
 // what it returns becomes of the call that was the step.
 type fault struct {
 	name   string
-	strike func(d *day, daemon string) jobfleet.Failure
+	strike func(d *deployment, daemon string) jobfleet.Failure
 }
 
 // call returns a fault of the call alone.
-func call(name string, f jobfleet.Failure) fault {
-	return fault{name, func(*day, string) jobfleet.Failure { return f }}
+func callFault(name string, f jobfleet.Failure) fault {
+	return fault{name, func(*deployment, string) jobfleet.Failure { return f }}
 }
 
 // around returns a fault of something else, while the call goes on.
-func around(name string, f func(d *day, daemon string)) fault {
-	return fault{name, func(d *day, daemon string) jobfleet.Failure {
+func sideFault(name string, f func(d *deployment, daemon string)) fault {
+	return fault{name, func(d *deployment, daemon string) jobfleet.Failure {
 		f(d, daemon)
 		return jobfleet.NoFailure
 	}}
 }
 
-func gateOf(d *day, daemon string) *jobfleet.Gate {
+func gateOf(d *deployment, daemon string) *jobfleet.Gate {
 	for _, dm := range d.in.Daemons() {
 		if dm.Name == daemon {
 			return dm.Gate
@@ -47,7 +47,7 @@
 }
 
 // storeFor gives all calls to the store a failure for a while.
-func storeFor(d *day, f jobfleet.Failure, lasts time.Duration) {
+func failStoreFor(d *deployment, f jobfleet.Failure, lasts time.Duration) {
 	end := time.Now().Add(lasts)
 	d.in.SetHook(func(_, op string) jobfleet.Failure {
 		if time.Now().Before(end) && storeOps[op] {
@@ -59,7 +59,7 @@
 
 // silence swallows the next call of each kind from each daemon, as connections do
 // that are open and have gone silent.
-func silence(d *day) {
+func dropFirstCalls(d *deployment) {
 	var mu sync.Mutex
 	tried := map[string]bool{}
 	d.in.SetHook(func(daemon, op string) jobfleet.Failure {
@@ -76,71 +76,71 @@
 var storeOps = map[string]bool{"get": true, "range": true, "watch": true, "commit": true, "grant": true, "keep": true, "end": true}
 
 // restart starts a daemon again a moment later, at the same address.
-func restart(d *day, daemon string) {
+func restartLater(d *deployment, daemon string) {
 	time.AfterFunc(time.Second, func() { d.in.Start(daemon) })
 }
 
 var faults = []fault{
-	call("the call is refused", jobfleet.Refused),
-	call("the call is swallowed", jobfleet.RequestLost),
-	call("its answer is lost", jobfleet.AnswerLost),
-	call("it is carried out late", jobfleet.Delayed),
-	around("the daemon is killed", func(d *day, dm string) { go func() { d.in.Kill(dm); restart(d, dm) }() }),
-	{"the daemon is killed before the answer", func(d *day, dm string) jobfleet.Failure {
-		go func() { d.in.Kill(dm); restart(d, dm) }()
+	callFault("the call is refused", jobfleet.Refused),
+	callFault("the call is swallowed", jobfleet.RequestLost),
+	callFault("its answer is lost", jobfleet.AnswerLost),
+	callFault("it is carried out late", jobfleet.Delayed),
+	sideFault("the daemon is killed", func(d *deployment, dm string) { go func() { d.in.Kill(dm); restartLater(d, dm) }() }),
+	{"the daemon is killed before the answer", func(d *deployment, dm string) jobfleet.Failure {
+		go func() { d.in.Kill(dm); restartLater(d, dm) }()
 		return jobfleet.AnswerLost
 	}},
-	around("the daemon is stopped", func(d *day, dm string) { go func() { d.in.Stop(dm); restart(d, dm) }() }),
-	around("all daemons are killed", func(d *day, _ string) {
+	sideFault("the daemon is stopped", func(d *deployment, dm string) { go func() { d.in.Stop(dm); restartLater(d, dm) }() }),
+	sideFault("all daemons are killed", func(d *deployment, _ string) {
 		go func() {
 			for _, n := range daemonNames {
 				d.in.Kill(n)
-				restart(d, n)
+				restartLater(d, n)
 			}
 		}()
 	}),
-	around("the daemon freezes for 1 s", func(d *day, dm string) { gateOf(d, dm).Freeze(time.Second) }),
-	around("the daemon freezes for 4 s", func(d *day, dm string) { gateOf(d, dm).Freeze(4 * time.Second) }),
-	around("the daemon is cut off from the store and its peers", func(d *day, dm string) { gateOf(d, dm).CutStoreAndPeers(4 * time.Second) }),
-	around("the store turns the daemon away", func(d *day, dm string) { gateOf(d, dm).CutStoreOnly(5 * time.Second) }),
-	around("the store refuses all", func(d *day, _ string) { storeFor(d, jobfleet.Refused, 4*time.Second) }),
-	around("the store is silent", func(d *day, _ string) { storeFor(d, jobfleet.RequestLost, 4*time.Second) }),
-	around("the store loses answers", func(d *day, _ string) { storeFor(d, jobfleet.AnswerLost, 3*time.Second) }),
-	around("the store is late", func(d *day, _ string) { storeFor(d, jobfleet.Delayed, 3*time.Second) }),
-	around("the store ends all leases", func(d *day, _ string) { d.in.Store.RevokeAll() }),
-	around("all connections go silent", func(d *day, _ string) { silence(d) }),
-	around("the store forgets its history", func(d *day, _ string) { d.in.Store.CompactHistory() }),
-	around("an instance crashes", func(d *day, _ string) { go d.in.Fleet.Crash("i0", 3*time.Second) }),
-	around("a rack crashes", func(d *day, _ string) {
+	sideFault("the daemon freezes for 1 s", func(d *deployment, dm string) { gateOf(d, dm).Freeze(time.Second) }),
+	sideFault("the daemon freezes for 4 s", func(d *deployment, dm string) { gateOf(d, dm).Freeze(4 * time.Second) }),
+	sideFault("the daemon is cut off from the store and its peers", func(d *deployment, dm string) { gateOf(d, dm).CutStoreAndPeers(4 * time.Second) }),
+	sideFault("the store turns the daemon away", func(d *deployment, dm string) { gateOf(d, dm).CutStoreOnly(5 * time.Second) }),
+	sideFault("the store refuses all", func(d *deployment, _ string) { failStoreFor(d, jobfleet.Refused, 4*time.Second) }),
+	sideFault("the store is silent", func(d *deployment, _ string) { failStoreFor(d, jobfleet.RequestLost, 4*time.Second) }),
+	sideFault("the store loses answers", func(d *deployment, _ string) { failStoreFor(d, jobfleet.AnswerLost, 3*time.Second) }),
+	sideFault("the store is late", func(d *deployment, _ string) { failStoreFor(d, jobfleet.Delayed, 3*time.Second) }),
+	sideFault("the store ends all leases", func(d *deployment, _ string) { d.in.Store.RevokeAll() }),
+	sideFault("all connections go silent", func(d *deployment, _ string) { dropFirstCalls(d) }),
+	sideFault("the store forgets its history", func(d *deployment, _ string) { d.in.Store.CompactHistory() }),
+	sideFault("an instance crashes", func(d *deployment, _ string) { go d.in.Fleet.Crash("i0", 3*time.Second) }),
+	sideFault("a rack crashes", func(d *deployment, _ string) {
 		go func() { d.in.Fleet.Crash("i4", 3*time.Second); d.in.Fleet.Crash("i5", 3*time.Second) }()
 	}),
-	around("an instance is cut off and runs on", func(d *day, _ string) { go d.in.Fleet.Cut("i1", 7*time.Second) }),
-	around("tasks fail on an instance", func(d *day, _ string) { go d.in.Fleet.FailTasks("i0", 2*time.Second) }),
-	around("tasks stand still on an instance", func(d *day, _ string) { go d.in.Fleet.HangTasks("i5", 2*time.Second) }),
-	around("an instance drains", func(d *day, _ string) { go d.in.Fleet.Drain("i1") }),
+	sideFault("an instance is cut off and runs on", func(d *deployment, _ string) { go d.in.Fleet.Cut("i1", 7*time.Second) }),
+	sideFault("tasks fail on an instance", func(d *deployment, _ string) { go d.in.Fleet.FailTasks("i0", 2*time.Second) }),
+	sideFault("tasks stand still on an instance", func(d *deployment, _ string) { go d.in.Fleet.HangTasks("i5", 2*time.Second) }),
+	sideFault("an instance drains", func(d *deployment, _ string) { go d.in.Fleet.Drain("i1") }),
 }
 
 // laterFaults come after those that the failed pairs drew from.
-var laterFaults = []fault{
-	around("the daemon is suspended for 1 s", func(d *day, dm string) { gateOf(d, dm).Suspend(time.Second) }),
-	around("the daemon is suspended for 6 s", func(d *day, dm string) { gateOf(d, dm).Suspend(6 * time.Second) }),
-	around("an instance shrinks", func(d *day, _ string) { go d.in.Fleet.Shrink("i4", 0.25, 3*time.Second) }),
-	around("an instance shrinks to nothing", func(d *day, _ string) { go d.in.Fleet.Shrink("i5", 0, 2*time.Second) }),
-	around("the daemon's instance is slow", func(d *day, dm string) { gateOf(d, dm).ReportSlow(5, 6*time.Second) }),
-	around("the lock is overwritten", func(d *day, _ string) { d.in.Store.Put("owner/lock", []byte("\xff")) }),
-	around("the sequence is overwritten", func(d *day, _ string) { d.in.Store.Put("sequence", []byte("\xff")) }),
-	around("a worker restarts under its id", func(d *day, _ string) { go d.in.Fleet.Restart("i1", 50*time.Millisecond) }),
-	around("workers restart under their ids, in series", func(d *day, _ string) {
+var addedFaults = []fault{
+	sideFault("the daemon is suspended for 1 s", func(d *deployment, dm string) { gateOf(d, dm).Suspend(time.Second) }),
+	sideFault("the daemon is suspended for 6 s", func(d *deployment, dm string) { gateOf(d, dm).Suspend(6 * time.Second) }),
+	sideFault("an instance shrinks", func(d *deployment, _ string) { go d.in.Fleet.Shrink("i4", 0.25, 3*time.Second) }),
+	sideFault("an instance shrinks to nothing", func(d *deployment, _ string) { go d.in.Fleet.Shrink("i5", 0, 2*time.Second) }),
+	sideFault("the daemon's instance is slow", func(d *deployment, dm string) { gateOf(d, dm).ReportSlow(5, 6*time.Second) }),
+	sideFault("the lock is overwritten", func(d *deployment, _ string) { d.in.Store.Put("owner/lock", []byte("\xff")) }),
+	sideFault("the sequence is overwritten", func(d *deployment, _ string) { d.in.Store.Put("sequence", []byte("\xff")) }),
+	sideFault("a worker restarts under its id", func(d *deployment, _ string) { go d.in.Fleet.Restart("i1", 50*time.Millisecond) }),
+	sideFault("workers restart under their ids, in series", func(d *deployment, _ string) {
 		for n := range 8 {
 			time.AfterFunc(time.Duration(n)*150*time.Millisecond, func() {
 				d.in.Fleet.Restart(owner.InstanceID(fmt.Sprintf("i%d", n)), 300*time.Millisecond)
 			})
 		}
 	}),
-	around("a registration is overwritten", func(d *day, _ string) { d.in.Store.Put("worker/w-003", []byte("null")) }),
+	sideFault("a registration is overwritten", func(d *deployment, _ string) { d.in.Store.Put("worker/w-003", []byte("null")) }),
 }
 
-func allFaults() []fault { return append(slices.Clone(faults), laterFaults...) }
+func allFaults() []fault { return append(slices.Clone(faults), addedFaults...) }
 
 // steps are the calls at which faults strike; n tells which of them.
 var steps = []struct {
@@ -152,7 +152,7 @@
 }
 
 // at calls strike at the n-th call of a kind from now on.
-func (d *day) at(op string, n int, f fault) *sync.Once {
+func (d *deployment) strikeAt(op string, n int, f fault) *sync.Once {
 	var mu sync.Mutex
 	var once sync.Once
 	seen := 0
@@ -175,26 +175,26 @@
 }
 
 // wholeDay submits, cancels, maintains and configures.
-func (d *day) wholeDay() {
-	lasting := lastingJob(900)
+func (d *deployment) runMixedWorkload() {
+	lasting := longRunningJob(900)
 	d.submit(ordersPrefix, lasting)
-	d.submitSome(0, 4)
+	d.submitBatchJobs(0, 4)
 	d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{"i0", "i4", "spare0"}, Within: 20 * time.Second, MaxDown: 2})
-	d.submitSome(4, 4)
+	d.submitBatchJobs(4, 4)
 	cancelled := batchJob(500)
 	cancelled.Steps[0].Estimate = 20 * time.Second
 	d.submit(reportsPrefix, cancelled)
 	time.Sleep(400 * time.Millisecond)
 	for range 10 {
-		if !d.ok[cancelled.ID] || d.caller.Cancel(reportsPrefix, cancelled.ID) {
+		if !d.accepted[cancelled.ID] || d.caller.Cancel(reportsPrefix, cancelled.ID) {
 			break
 		}
 		time.Sleep(500 * time.Millisecond)
 	}
 	d.in.Configure(catalog(2))
-	d.submitSome(8, 4)
-	d.finish(30 * time.Second)
-	d.lastingServes(lasting)
+	d.submitBatchJobs(8, 4)
+	d.awaitCompletion(30 * time.Second)
+	d.checkAllRunning(lasting)
 	for i := 0; i < 60 && !d.in.WaveDone(1); i++ {
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -204,8 +204,8 @@
 }
 
 // lastingServes checks that all tasks of a long-running job run in the end.
-func (d *day) lastingServes(j *job.Job) {
-	if !d.ok[j.ID] {
+func (d *deployment) checkAllRunning(j *job.Job) {
+	if !d.accepted[j.ID] {
 		return
 	}
 	runs := 0
@@ -220,9 +220,9 @@
 	for _, f := range allFaults() {
 		for _, s := range steps {
 			t.Run(fmt.Sprintf("%s at %s %d", f.name, s.op, s.n), func(t *testing.T) {
-				play(t, func(d *day) {
-					d.at(s.op, s.n, f)
-					d.wholeDay()
+				simulate(t, func(d *deployment) {
+					d.strikeAt(s.op, s.n, f)
+					d.runMixedWorkload()
 				})
 			})
 		}
@@ -246,24 +246,24 @@
 		require.NoError(t, err)
 	}
 	for _, seed := range failedPairs {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { playPair(t, seed, faults) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runFaultPair(t, seed, faults) })
 	}
 	for seed := from; seed < to; seed++ {
-		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { playPair(t, seed, allFaults()) })
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) { runFaultPair(t, seed, allFaults()) })
 	}
 }
 
 // playPair plays the pair that the seed draws from some faults.
-func playPair(t *testing.T, seed uint64, faults []fault) {
+func runFaultPair(t *testing.T, seed uint64, faults []fault) {
 	r := rand.New(rand.NewPCG(seed, 1))
 	first, second := faults[r.IntN(len(faults))], faults[r.IntN(len(faults))]
 	a, b := steps[r.IntN(len(steps))], steps[r.IntN(len(steps))]
 	gap := time.Duration(r.IntN(4000)) * time.Millisecond
 	t.Logf("%s at %s %d, then after %s %s at %s %d", first.name, a.op, a.n, gap, second.name, b.op, b.n)
-	play(t, func(d *day) {
-		d.at(a.op, a.n, first)
-		timer := time.AfterFunc(gap+time.Second, func() { d.at(b.op, b.n, second) })
+	simulate(t, func(d *deployment) {
+		d.strikeAt(a.op, a.n, first)
+		timer := time.AfterFunc(gap+time.Second, func() { d.strikeAt(b.op, b.n, second) })
 		defer timer.Stop()
-		d.wholeDay()
+		d.runMixedWorkload()
 	})
 }
--- a/internal/jobmatrix/lag_test.go
+++ b/internal/jobmatrix/lag_test.go
@@ -23,11 +23,11 @@
 func TestEntriesThatOutgrowAWatch(t *testing.T) {
 	for _, c := range []struct{ instances, most int }{{40, 4}, {120, 10}, {400, 33}} {
 		t.Run(fmt.Sprintf("%d instances", c.instances), func(t *testing.T) {
-			play(t, func(d *day) {
+			simulate(t, func(d *deployment) {
 				for i := range c.instances {
 					d.in.Fleet.Add(owner.InstanceID(fmt.Sprintf("m%03d", i)), "orders", fmt.Sprintf("r%d", i/8), job.Resources{CPUMilli: 8000, MemMB: 16000})
 				}
-				lasting := lastingJob(900) // on each, so that none is given back
+				lasting := longRunningJob(900) // on each, so that none is given back
 				lasting.Steps[0].Count = c.instances + 4
 				lasting.Steps[0].MayMiss = c.instances
 				d.submit(ordersPrefix, lasting)
@@ -57,7 +57,7 @@
 					time.Sleep(400 * time.Millisecond)
 				}
 				close(ended)
-				d.finish(60 * time.Second)
+				d.awaitCompletion(60 * time.Second)
 				assert.Empty(t, d.in.Checker.Violations())
 			})
 		})
--- a/internal/jobmatrix/lives_test.go
+++ b/internal/jobmatrix/lives_test.go
@@ -13,7 +13,7 @@
 
 // mayGiveUpAfter is after how many crashes of workers under a task it may be given up: the users'
 // page says two, whatever caused them. The workers below go down once a second.
-const mayGiveUpAfter = 2
+const minCrashesToGiveUp = 2
 
 // TestWorkersThatRestartUnderTheirID: workers start again under the id that they had, while
 // orders to them go unanswered and are carried out late, some by the next life. Their numbers
@@ -28,8 +28,8 @@
 		{50 * time.Millisecond, 4, 1}, {400 * time.Millisecond, 4, 1}, {3 * time.Second, 4, 1},
 	} {
 		t.Run(fmt.Sprintf("%s, %d times", c.away, c.rounds), func(t *testing.T) {
-			play(t, func(d *day) {
-				lasting := lastingJob(900)
+			simulate(t, func(d *deployment) {
+				lasting := longRunningJob(900)
 				d.submit(ordersPrefix, lasting)
 				calls := 0
 				d.in.SetHook(func(_, op string) jobfleet.Failure {
@@ -44,11 +44,11 @@
 							d.in.Fleet.Restart(owner.InstanceID(fmt.Sprintf("i%d", n)), c.away)
 						})
 					}
-					d.submitSome(6*round, 6)
+					d.submitBatchJobs(6*round, 6)
 				}
-				d.finish(30 * time.Second)
-				if d.in.Checker.MaxTaskCrashes(lasting.ID) < mayGiveUpAfter {
-					d.lastingServes(lasting)
+				d.awaitCompletion(30 * time.Second)
+				if d.in.Checker.MaxTaskCrashes(lasting.ID) < minCrashesToGiveUp {
+					d.checkAllRunning(lasting)
 				}
 				assert.Empty(t, d.in.Checker.Violations())
 			})
--- a/internal/jobmatrix/manystops_test.go
+++ b/internal/jobmatrix/manystops_test.go
@@ -24,13 +24,13 @@
 // TestStopsLeaveTimeForLeases: each stop is sent about once, and no other lease ends.
 func TestStopsLeaveTimeForLeases(t *testing.T) {
 	const instances, width, lasting, cancelled = 240, 24, 10, 60
-	playBusy(t, instances, weakCall, func(in *jobfleet.Installation) {
+	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
 		in.Start("d1")
 		time.Sleep(3 * time.Second)
 		caller := in.Caller()
 		var ids []job.ID
 		for n := range lasting + cancelled {
-			j := lastingJob(n)
+			j := longRunningJob(n)
 			j.Steps[0].Count = width
 			accepted, _ := caller.Submit(ordersPrefix, j)
 			require.True(t, accepted)
--- a/internal/jobmatrix/overload_test.go
+++ b/internal/jobmatrix/overload_test.go
@@ -23,8 +23,8 @@
 // Cause: nothing measured whether an owner can keep up. Proved by its log: four workers in
 // a hundred heard, no inherited task let go, until it lost its lease.
 func TestAnOverloadedOwnerYields(t *testing.T) {
-	play(t, func(d *day) {
-		j := lastingJob(0) // an owner with work does not yield for strength alone
+	simulate(t, func(d *deployment) {
+		j := longRunningJob(0) // an owner with work does not yield for strength alone
 		d.submit(ordersPrefix, j)
 		time.Sleep(2 * time.Second)
 		weak := d.in.Owner()
@@ -39,12 +39,12 @@
 			}
 			return jobfleet.NoFailure
 		})
-		d.submitSome(1, 4)
+		d.submitBatchJobs(1, 4)
 		time.Sleep(10 * time.Second)
 		next := d.in.Owner()
 		require.NotNil(t, next)
 		assert.Equal(t, "strong1", next.Name)
-		d.lastingServes(j)
+		d.checkAllRunning(j)
 		assert.Empty(t, d.in.Checker.Violations())
 	})
 }
@@ -59,7 +59,7 @@
 func TestAMuchWeakerOwnerYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		d := &day{t: t, in: jobfleet.NewInstallation(ctx, zap.NewNop()), queue: map[job.ID]string{}, ok: map[job.ID]bool{}}
+		d := &deployment{t: t, in: jobfleet.NewInstallation(ctx, zap.NewNop()), queuePrefix: map[job.ID]string{}, accepted: map[job.ID]bool{}}
 		d.caller = d.in.Caller()
 		for i := range 4 {
 			d.in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "orders", "r0", job.Resources{CPUMilli: 8000, MemMB: 16000})
@@ -67,7 +67,7 @@
 		d.in.Configure(catalog(1))
 		d.in.StartWith("weak", 0.19)
 		time.Sleep(3 * time.Second)
-		j := lastingJob(0)
+		j := longRunningJob(0)
 		d.submit(ordersPrefix, j)
 		time.Sleep(2 * time.Second)
 		require.Equal(t, "weak", d.in.Owner().Name)
@@ -76,7 +76,7 @@
 		next := d.in.Owner()
 		require.NotNil(t, next)
 		assert.Equal(t, "strong", next.Name)
-		d.lastingServes(j)
+		d.checkAllRunning(j)
 		assert.Empty(t, d.in.Checker.Violations())
 		cancel()
 		for _, dm := range d.in.Daemons() {
--- a/internal/jobmatrix/pending_test.go
+++ b/internal/jobmatrix/pending_test.go
@@ -15,7 +15,7 @@
 
 // countAt asks a daemon how many jobs of the orders wait; ok is false if it gives
 // no count.
-func countAt(d *jobfleet.Daemon) (n int, ok bool) {
+func pendingCount(d *jobfleet.Daemon) (n int, ok bool) {
 	r := httptest.NewRequest(http.MethodGet, ordersPrefix, nil)
 	r.Host = "jobs.example"
 	w := httptest.NewRecorder()
@@ -28,7 +28,7 @@
 // TestACutOffOwnerGivesNoCount: while it does not know that another daemon is the
 // owner, it is not told of new jobs.
 func TestACutOffOwnerGivesNoCount(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		old := d.in.Owner()
 		require.NotNil(t, old)
 		old.Gate.CutStoreAndPeers(40 * time.Second)
@@ -41,7 +41,7 @@
 		}
 		time.Sleep(5 * time.Second)
 		for _, dm := range d.in.Daemons() {
-			n, ok := countAt(dm)
+			n, ok := pendingCount(dm)
 			if dm.Name == old.Name {
 				assert.False(t, ok, "the cut off owner says that %d wait", n)
 				continue
--- a/internal/jobmatrix/refusal_test.go
+++ b/internal/jobmatrix/refusal_test.go
@@ -16,7 +16,7 @@
 // jobs a second.
 func TestAnOverloadedOwnerRefuses(t *testing.T) {
 	const instances, jobs, width, every = 200, 600, 24, 20 * time.Millisecond
-	playBusy(t, instances, weakCall, func(in *jobfleet.Installation) {
+	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
 		in.StartWith("d1", 0.12)
 		time.Sleep(3 * time.Second)
 		require.NotNil(t, in.Owner())
--- a/internal/jobmatrix/shrink_test.go
+++ b/internal/jobmatrix/shrink_test.go
@@ -15,29 +15,29 @@
 // for an owner that takes over meanwhile and finds workers that are fuller than that. Some
 // flap. Nothing that runs there is harmed.
 func TestWorkersThatShrink(t *testing.T) {
-	play(t, func(d *day) {
-		lasting := lastingJob(100)
+	simulate(t, func(d *deployment) {
+		lasting := longRunningJob(100)
 		d.submit(reportsPrefix, lasting)
 		time.Sleep(time.Second)
 		for i, share := range []float64{0.5, 0.1, 0, 0.3, 0.05, 0.6} {
 			d.in.Fleet.Shrink("i4", share, 1500*time.Millisecond)
 			d.in.Fleet.Shrink("i6", 1-share, 400*time.Millisecond)
-			d.submitSome(8*i, 8)
+			d.submitBatchJobs(8*i, 8)
 			if i == 2 || i == 4 {
 				o := d.in.Owner()
 				require.NotNil(t, o)
 				d.in.Kill(o.Name)
-				restart(d, o.Name)
+				restartLater(d, o.Name)
 			}
 		}
-		d.finish(40 * time.Second)
-		d.lastingServes(lasting)
+		d.awaitCompletion(40 * time.Second)
+		d.checkAllRunning(lasting)
 	})
 }
 
 // TestAPoolOfWorkersThatShrankGrows: half of a pool's room is gone, and instances are spare.
 func TestAPoolOfWorkersThatShrankGrows(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		for _, id := range []owner.InstanceID{"i0", "i1", "i2", "i3"} {
 			d.in.Fleet.Shrink(id, 0.1, time.Minute)
 		}
@@ -46,7 +46,7 @@
 		wide.Steps = []job.Step{{Count: 8, Need: job.Resources{CPUMilli: 1000, MemMB: 100}, Estimate: 2 * time.Second}}
 		d.submit(ordersPrefix, wide)
 		began := time.Now()
-		d.finish(20 * time.Second)
+		d.awaitCompletion(20 * time.Second)
 		assert.Less(t, time.Since(began), 8*time.Second)
 	})
 }
--- a/internal/jobmatrix/slowowner_test.go
+++ b/internal/jobmatrix/slowowner_test.go
@@ -17,7 +17,7 @@
 // of 0.747 and 0.388 in place of 0.681, while an owner that was killed cost nothing.
 
 // ownersDuring plays a slow time and returns who the owners were, in their order.
-func (d *day) ownersDuring(lasts time.Duration) []string {
+func (d *deployment) observeOwners(lasts time.Duration) []string {
 	var names []string
 	for end := time.Now().Add(lasts); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		o := d.in.Owner()
@@ -28,7 +28,7 @@
 	return names
 }
 
-func (d *day) slowAll(times float64, lasts time.Duration) {
+func (d *deployment) reportAllSlow(times float64, lasts time.Duration) {
 	for _, dm := range d.in.Daemons() {
 		dm.Gate.ReportSlow(times, lasts)
 	}
@@ -39,34 +39,34 @@
 	const lasts = 8 * time.Second
 	for _, c := range []struct {
 		name    string
-		slow    func(d *day, o *jobfleet.Daemon)
+		slow    func(d *deployment, o *jobfleet.Daemon)
 		changes int
 	}{
-		{"five times", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, lasts) }, 1},
-		{"three times", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(3, lasts) }, 1},
-		{"twice", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(2, lasts) }, 0},
-		{"for a moment", func(_ *day, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, 250*time.Millisecond) }, 0},
-		{"others", func(d *day, o *jobfleet.Daemon) { d.slowAll(5, lasts); o.Gate.ReportSlow(1, lasts) }, 0},
-		{"while the store is away", func(d *day, o *jobfleet.Daemon) {
-			storeFor(d, jobfleet.Refused, 1300*time.Millisecond) // less than is left of its lease
-			time.Sleep(500 * time.Millisecond)                   // it is noticed
+		{"five times", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, lasts) }, 1},
+		{"three times", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(3, lasts) }, 1},
+		{"twice", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(2, lasts) }, 0},
+		{"for a moment", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, 250*time.Millisecond) }, 0},
+		{"others", func(d *deployment, o *jobfleet.Daemon) { d.reportAllSlow(5, lasts); o.Gate.ReportSlow(1, lasts) }, 0},
+		{"while the store is away", func(d *deployment, o *jobfleet.Daemon) {
+			failStoreFor(d, jobfleet.Refused, 1300*time.Millisecond) // less than is left of its lease
+			time.Sleep(500 * time.Millisecond)                       // it is noticed
 			o.Gate.ReportSlow(5, 700*time.Millisecond)
 		}, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			play(t, func(d *day) {
-				lasting := lastingJob(100)
+			simulate(t, func(d *deployment) {
+				lasting := longRunningJob(100)
 				d.submit(ordersPrefix, lasting)
-				d.submitSome(0, 4)
+				d.submitBatchJobs(0, 4)
 				time.Sleep(12 * time.Second) // a list of the live daemons, and what is usual
 				o := d.in.Owner()
 				require.NotNil(t, o)
 				c.slow(d, o)
-				owners := d.ownersDuring(lasts + 4*time.Second)
+				owners := d.observeOwners(lasts + 4*time.Second)
 				assert.Len(t, owners, 1+c.changes, "%v", owners)
-				d.submitSome(4, 4)
-				d.finish(20 * time.Second)
-				d.lastingServes(lasting)
+				d.submitBatchJobs(4, 4)
+				d.awaitCompletion(20 * time.Second)
+				d.checkAllRunning(lasting)
 			})
 		})
 	}
@@ -75,13 +75,13 @@
 // TestAllDaemonsSlow: the first to find out may hand over before it knows of the others; the
 // lock goes round no more than that.
 func TestAllDaemonsSlow(t *testing.T) {
-	play(t, func(d *day) {
-		d.submitSome(0, 4)
+	simulate(t, func(d *deployment) {
+		d.submitBatchJobs(0, 4)
 		time.Sleep(12 * time.Second)
-		d.slowAll(5, 20*time.Second)
-		owners := d.ownersDuring(20 * time.Second)
+		d.reportAllSlow(5, 20*time.Second)
+		owners := d.observeOwners(20 * time.Second)
 		assert.LessOrEqual(t, len(owners), 2, "%v", owners)
-		d.submitSome(4, 4)
-		d.finish(20 * time.Second)
+		d.submitBatchJobs(4, 4)
+		d.awaitCompletion(20 * time.Second)
 	})
 }
--- a/internal/jobmatrix/storm_test.go
+++ b/internal/jobmatrix/storm_test.go
@@ -19,10 +19,10 @@
 // Figures of a burst as it was seen: a queue's demand rises to 65 jobs a second for some
 // seconds, on a pool of 35 workers, and one job in twenty has a task that crashes its workers.
 const (
-	stormWorkers = 36
-	stormJobs    = 400
-	stormEvery   = 15 * time.Millisecond
-	stormCrashes = 20 // one job in so many
+	burstWorkers    = 36
+	burstJobs       = 400
+	burstInterval   = 15 * time.Millisecond
+	burstCrashEvery = 20 // one job in so many
 )
 
 // TestABurstWithTasksThatCrashTheirWorkers: each of these tasks is given up after few crashes,
@@ -31,9 +31,9 @@
 func TestABurstWithTasksThatCrashTheirWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		d := &day{t: t, in: jobfleet.NewInstallation(ctx, zap.NewNop()), queue: map[job.ID]string{}, ok: map[job.ID]bool{}}
+		d := &deployment{t: t, in: jobfleet.NewInstallation(ctx, zap.NewNop()), queuePrefix: map[job.ID]string{}, accepted: map[job.ID]bool{}}
 		d.caller = d.in.Caller()
-		for i := range stormWorkers {
+		for i := range burstWorkers {
 			d.in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%02d", i)), "orders", fmt.Sprintf("r%d", i/4), job.Resources{CPUMilli: 32000, MemMB: 128000})
 		}
 		d.in.Configure(catalog(1))
@@ -44,18 +44,18 @@
 		crashes := 0
 		d.in.Fleet.OnCrash(func(job.TaskID) { crashes++ })
 		var failing []*job.Job
-		for n := range stormJobs {
+		for n := range burstJobs {
 			j := batchJob(n)
 			j.Steps[0].Count, j.Steps[0].Need.CPUMilli, j.Steps[0].Estimate = 6, 2300, 640*time.Millisecond
 			j.Steps[0].Speculative = n%3 == 0
-			if n%stormCrashes == 7 {
-				d.in.Fleet.CrashOnStart(job.TaskID{Job: j.ID, Index: n % 6}, crashSoon, 2*time.Second)
+			if n%burstCrashEvery == 7 {
+				d.in.Fleet.CrashOnStart(job.TaskID{Job: j.ID, Index: n % 6}, defaultCrashDelay, 2*time.Second)
 				failing = append(failing, j)
 			}
 			d.submit(ordersPrefix, j)
-			time.Sleep(stormEvery)
+			time.Sleep(burstInterval)
 		}
-		d.finishBut(40*time.Second, failing)
+		d.awaitCompletionExcept(40*time.Second, failing)
 		most := 0
 		for _, j := range failing {
 			most = max(most, d.in.Checker.MaxCrasherCrashes(j.ID))
--- a/internal/jobmatrix/suspend_test.go
+++ b/internal/jobmatrix/suspend_test.go
@@ -22,26 +22,26 @@
 	for _, lasts := range suspensions {
 		for _, at := range []time.Duration{0, 300 * time.Millisecond, 1100 * time.Millisecond} {
 			t.Run(fmt.Sprintf("%s at %s", lasts, at), func(t *testing.T) {
-				play(t, func(d *day) { d.suspendOwner(lasts, at) })
+				simulate(t, func(d *deployment) { d.suspendOwner(lasts, at) })
 			})
 		}
 	}
 }
 
-func (d *day) suspendOwner(lasts, at time.Duration) {
-	lasting := lastingJob(100)
+func (d *deployment) suspendOwner(lasts, at time.Duration) {
+	lasting := longRunningJob(100)
 	d.submit(ordersPrefix, lasting)
-	d.submitSome(0, 4)
+	d.submitBatchJobs(0, 4)
 	d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{"i0", "i1", "i2", "i4", "i5"}, Within: 30 * time.Second, MaxDown: 2})
 	time.Sleep(at)
 	o := d.in.Owner()
 	require.NotNil(d.t, o)
 	o.Gate.Suspend(lasts)
-	d.submitSome(4, 10)
+	d.submitBatchJobs(4, 10)
 	for i := 0; i < 120 && !d.in.WaveDone(1); i++ {
 		time.Sleep(500 * time.Millisecond)
 	}
 	assert.True(d.t, d.in.WaveDone(1), "the wave is not completed")
-	d.finish(30 * time.Second)
-	d.lastingServes(lasting)
+	d.awaitCompletion(30 * time.Second)
+	d.checkAllRunning(lasting)
 }
--- a/internal/jobmatrix/takeovercount_test.go
+++ b/internal/jobmatrix/takeovercount_test.go
@@ -20,7 +20,7 @@
 // of them are sent at the same moment. Cause: a job counted as begun by the
 // sending. Proof: the count is asked for while all starts are on their way.
 func TestCountWhileInheritedTasksGo(t *testing.T) {
-	play(t, func(d *day) {
+	simulate(t, func(d *deployment) {
 		time.Sleep(3 * time.Second) // lists of the live daemons
 		old := d.in.Owner()
 		require.NotNil(t, old)
@@ -31,7 +31,7 @@
 		time.Sleep(1500 * time.Millisecond)
 
 		const jobs = 8
-		other := d.otherThan(old)
+		other := d.otherDaemon(old)
 		caller := d.in.CallerTo(other)
 		waitsSince := time.Now()
 		for i := range jobs {
@@ -64,7 +64,7 @@
 }
 
 // otherThan returns a daemon that is not the one given.
-func (d *day) otherThan(not *jobfleet.Daemon) *jobfleet.Daemon {
+func (d *deployment) otherDaemon(not *jobfleet.Daemon) *jobfleet.Daemon {
 	for _, dm := range d.in.Daemons() {
 		if dm != not {
 			return dm
--- a/internal/jobmatrix/weakowner_test.go
+++ b/internal/jobmatrix/weakowner_test.go
@@ -23,7 +23,7 @@
 // TestABurstOfStartsByAWeakOwner needs 2.5 s of the owner's processor.
 func TestABurstOfStartsByAWeakOwner(t *testing.T) {
 	const instances, jobs, width = 240, 80, 24
-	playBusy(t, instances, weakCall, func(in *jobfleet.Installation) {
+	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
 		in.Start("d1")
 		time.Sleep(3 * time.Second)
 		require.NotNil(t, in.Owner())
