--- a/requests/admit/admit.go
+++ b/requests/admit/admit.go
@@ -175,13 +175,13 @@
 		k.virtualTime = max(k.virtualTime, c.virtualTime)
 	}
 	c.arrivals++
-	it := &waitingRequest{ID: id, Class: name, Deadline: deadline, enqueuedAt: now}
+	req := &waitingRequest{ID: id, Class: name, Deadline: deadline, enqueuedAt: now}
 	if c.opts.Policy == PolicyFIFO {
-		it.enqueuedAt = time.Unix(0, int64(c.arrivals))
+		req.enqueuedAt = time.Unix(0, int64(c.arrivals))
 	}
-	c.waiting[id] = it
+	c.waiting[id] = req
 	k.queue.fifo = c.opts.Policy == PolicyFIFO
-	heap.Push(&k.queue, it)
+	heap.Push(&k.queue, req)
 	return nil
 }
 
@@ -231,26 +231,26 @@
 		if k == nil {
 			return 0, false, expired
 		}
-		it := heap.Pop(&k.queue).(*waitingRequest)
-		delete(c.waiting, it.ID)
-		if c.cannotMeetDeadline(now, it) {
-			expired = append(expired, it.ID)
+		req := heap.Pop(&k.queue).(*waitingRequest)
+		delete(c.waiting, req.ID)
+		if c.cannotMeetDeadline(now, req) {
+			expired = append(expired, req.ID)
 			continue
 		}
 		c.recordDispatch(now, k)
 		c.virtualTime = k.virtualTime
 		k.virtualTime += 1 / float64(k.weight)
-		return it.ID, true, expired
+		return req.ID, true, expired
 	}
 }
 
 // cannotMeetDeadline reports whether a request started now would be answered
 // after its deadline. A slot is better used for a request that can meet its own.
-func (c *Controller) cannotMeetDeadline(now time.Time, it *waitingRequest) bool {
+func (c *Controller) cannotMeetDeadline(now time.Time, req *waitingRequest) bool {
 	if c.opts.Policy == PolicyFIFO {
-		return !now.Before(it.Deadline)
+		return !now.Before(req.Deadline)
 	}
-	return !now.Add(c.serviceTime).Before(it.Deadline)
+	return !now.Add(c.serviceTime).Before(req.Deadline)
 }
 
 func (c *Controller) nextClass() *class {
@@ -281,9 +281,9 @@
 	for _, name := range c.classOrder {
 		k := c.classes[name]
 		for k.queue.Len() > 0 && !now.Before(k.queue.items[0].Deadline) {
-			it := heap.Pop(&k.queue).(*waitingRequest)
-			delete(c.waiting, it.ID)
-			out = append(out, it.ID)
+			req := heap.Pop(&k.queue).(*waitingRequest)
+			delete(c.waiting, req.ID)
+			out = append(out, req.ID)
 		}
 	}
 	return out
@@ -292,11 +292,11 @@
 // Remove removes a request whose caller has disconnected. It returns false if
 // the request is no longer waiting.
 func (c *Controller) Remove(id ID) bool {
-	it, ok := c.waiting[id]
+	req, ok := c.waiting[id]
 	if !ok {
 		return false
 	}
-	heap.Remove(&c.classes[it.Class].queue, it.heapIndex)
+	heap.Remove(&c.classes[req.Class].queue, req.heapIndex)
 	delete(c.waiting, id)
 	return true
 }
@@ -323,14 +323,14 @@
 
 // Push implements heap.Interface.
 func (q *queue) Push(x any) {
-	it := x.(*waitingRequest)
-	it.heapIndex = len(q.items)
-	q.items = append(q.items, it)
+	req := x.(*waitingRequest)
+	req.heapIndex = len(q.items)
+	q.items = append(q.items, req)
 }
 
 // Pop implements heap.Interface.
 func (q *queue) Pop() any {
-	it := q.items[len(q.items)-1]
+	req := q.items[len(q.items)-1]
 	q.items = q.items[:len(q.items)-1]
-	return it
+	return req
 }
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -366,8 +366,8 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// fingerprint hashes a request's content and its caller's credentials. Each part
-// is prefixed by its length, so that different parts can't give the same input.
+// fingerprint hashes a request's content and its caller's credentials. The parts
+// before the body are prefixed by their length, so that their boundaries count.
 func fingerprint(c *call) once.Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{c.req.Method, c.req.Host, c.req.URL.RequestURI(), c.req.Header.Get("Authorization"), c.req.Header.Get("Content-Type")} {
--- a/requests/place/place.go
+++ b/requests/place/place.go
@@ -53,8 +53,8 @@
 	Workers []Worker
 	Teams   map[string]TeamUsage
 	Policy  Policy
-	// PreferTightFit ranks a tight fit above Maintained. This fragments capacity
-	// less, but jobs may have to move again.
+	// PreferTightFit ranks a tight fit above Maintained: less capacity is held
+	// back, but jobs may have to move again.
 	PreferTightFit bool
 }
 
--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -126,7 +126,8 @@
 // total. Until every member of the new view has settled and the requests of lost
 // members have ended, each daemon may acquire slots only up to the minimum of
 // its shares in all unsettled views, less what it has lent. Borrowers drop their
-// loans when the view changes; lenders count them as lent until then.
+// loans when the view changes; lenders count the slots as lent until the new view
+// has settled.
 func (a *Allocator) SetView(v *fleet.View) {
 	a.memberLost = a.memberLost || a.anyMemberLost(v)
 	a.drainStart = time.Time{}
