--- a/adapter/backendhttp/client.go
+++ b/adapter/backendhttp/client.go
@@ -1,5 +1,5 @@
-// Package backendhttp sends one request to one worker over HTTP/1.1 and says
-// exactly whether it may have run.
+// Package backendhttp sends one request to one worker over HTTP/1.1 and reports
+// whether the request may have run.
 package backendhttp
 
 import (
@@ -18,12 +18,12 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Header names on the way to a worker and back.
+// Headers of requests to workers and of their responses.
 const (
-	// HeaderRequestID is sent with every try and echoed by the backend server.
+	// HeaderRequestID is sent with every attempt and echoed by the backend server.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderNotRun set to "true" on an answer says that the backend server
-	// refused the request before it ran.
+	// HeaderNotRun with the value "true" in a response means that the backend
+	// server refused the request before running it.
 	HeaderNotRun = "X-Request-Not-Run"
 )
 
@@ -40,7 +40,7 @@
 type Client struct {
 	opts Options
 	mu   sync.Mutex
-	// transports are keyed by worker, so that a worker that is replaced at
+	// transports are keyed by worker and address, so that a worker replaced at
 	// another address does not share connections with its predecessor.
 	transports map[workerAddr]*http.Transport
 }
@@ -57,7 +57,7 @@
 	return &Client{opts: opts, transports: map[workerAddr]*http.Transport{}}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -66,7 +66,8 @@
 	}
 }
 
-// RetainConnections drops the connections to workers that are not in live.
+// RetainConnections closes the idle connections to workers that are not in live,
+// which maps each worker in use to its address.
 func (c *Client) RetainConnections(live map[fleet.InstanceID]string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -102,9 +103,9 @@
 	return t
 }
 
-// opaqueBody hides the request's body from net/http. A body that is neither
-// nil nor http.NoBody and has no GetBody makes the transport's own replays of
-// a request impossible, also those it permits itself for an Idempotency-Key.
+// opaqueBody hides the type of the request's body from net/http. The transport
+// cannot replay a request whose body is neither nil nor http.NoBody and has no
+// GetBody, not even one with an Idempotency-Key, which it would otherwise replay.
 type opaqueBody struct{ io.Reader }
 
 // Close implements io.Closer.
@@ -131,8 +132,8 @@
 	return c.readResponse(ctx, r, resp)
 }
 
-// classifyError says what a failed round trip means. Nothing ran if no byte was
-// ever handed to a connection.
+// classifyError converts the error of a failed round trip. unsent means that no
+// byte was written to a connection, so that nothing ran.
 func classifyError(ctx context.Context, err error, unsent bool, w fleet.InstanceID) error {
 	if unsent {
 		return verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "worker %s", w)
@@ -143,8 +144,8 @@
 	return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendConnectionBroken, "worker %s", w)
 }
 
-// readResponse takes in the whole answer; one that is cut, foreign or too large is an
-// error.
+// readResponse reads the whole response. One that is truncated, too large, for another
+// request or marked as not run is an error.
 func (c *Client) readResponse(ctx context.Context, r port.BackendRequest, resp *http.Response) (*port.BackendAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.opts.MaxAnswerBytes+1))
 	switch {
@@ -164,8 +165,8 @@
 	return &port.BackendAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// trackedConn counts the writes that were attempted, and can be closed to
-// further writes as long as there were none since a mark.
+// trackedConn counts attempted writes. It can be sealed against further writes if
+// there were none since an earlier count.
 type trackedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -191,8 +192,8 @@
 	return c.writes
 }
 
-// sealIfUnwritten reports whether nothing was written since mark. If so, nothing ever
-// will be: a write that the transport still has under way fails.
+// sealIfUnwritten reports whether nothing was written since the count was writes.
+// If so, it seals the connection: a write that the transport makes later fails.
 func (c *trackedConn) sealIfUnwritten(writes int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -203,7 +204,8 @@
 	return true
 }
 
-// requestConns remembers the connections that one request was given.
+// requestConns records the connections that the transport assigned to one request,
+// with their write counts at that time.
 type requestConns struct {
 	mu           sync.Mutex
 	conns        []*trackedConn
@@ -227,8 +229,8 @@
 	t.writesBefore = append(t.writesBefore, writes)
 }
 
-// sealUnwritten reports whether the request reached none of its connections, and makes
-// sure that it never will.
+// sealUnwritten reports whether the request was written to none of its connections,
+// and seals these against later writes.
 func (t *requestConns) sealUnwritten() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/adapter/backendhttp/client_test.go
+++ b/adapter/backendhttp/client_test.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// backendServer answers every request with handle and counts them.
+// backendServer starts a server that counts requests and passes them to handle.
 func backendServer(t *testing.T, handle http.HandlerFunc) (addr string, count *atomic.Int64) {
 	count = new(atomic.Int64)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -93,9 +93,9 @@
 	assert.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
-// TestNoReplayOnBrokenReusedConnection: net/http repeats a request by itself
-// when a reused connection breaks, if the request has an Idempotency-Key and its
-// body can be had again. Here it must not, also for an empty body.
+// TestNoReplayOnBrokenReusedConnection guards against replays by net/http: when a
+// reused connection breaks, it repeats a request with an Idempotency-Key whose body
+// can be read again. It must not here, also for an empty body.
 func TestNoReplayOnBrokenReusedConnection(t *testing.T) {
 	for _, body := range []string{"", "buy"} {
 		t.Run("body "+body, func(t *testing.T) {
@@ -113,13 +113,13 @@
 			_, err = c.Send(context.Background(), request(addr, body))
 			require.Error(t, err)
 			assert.Equal(t, verdict.MayHaveRun, verdict.Of(err))
-			assert.EqualValues(t, 2, count.Load(), "one request each")
+			assert.EqualValues(t, 2, count.Load(), "one request per Send")
 		})
 	}
 }
 
-// TestExecutedRequestIsNeverNotRun closes idle connections under the client's feet; a
-// request that the server saw is never said not to have run.
+// TestExecutedRequestIsNeverNotRun lets the server close every connection after its
+// response. A request that the server received must never be reported as not run.
 func TestExecutedRequestIsNeverNotRun(t *testing.T) {
 	addr, count := backendServer(t, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close")
@@ -146,7 +146,7 @@
 
 func TestSealedConnectionRejectsWrites(t *testing.T) {
 	client, server := net.Pipe()
-	server.Close() // a write that is let through fails with another error
+	server.Close() // an unsealed write would fail with another error
 	c := &trackedConn{Conn: client}
 	require.True(t, c.sealIfUnwritten(c.writeCount()))
 	_, err := c.Write([]byte("late"))
--- a/adapter/etcdkv/client.go
+++ b/adapter/etcdkv/client.go
@@ -1,5 +1,5 @@
-// Package etcdkv reaches the platform's key-value service through the etcd v3
-// JSON gateway. It offers nothing beyond port.Store: no election, no locks.
+// Package etcdkv is a client of the platform's key-value service through the etcd
+// v3 JSON gateway. It implements port.Store only, without elections and locks.
 package etcdkv
 
 import (
@@ -24,7 +24,8 @@
 type Options struct {
 	Addr    string        // IP:port of the service
 	Timeout time.Duration // of every call except a watch
-	// WatchIdleTimeout is how long a watch may be silent before it counts as broken.
+	// WatchIdleTimeout is how long a watch may receive nothing before it is closed
+	// as broken.
 	WatchIdleTimeout time.Duration
 }
 
@@ -35,14 +36,14 @@
 	Counters Counters
 }
 
-// Counters are the calls and bytes since the start.
+// Counters count the calls and the bytes of bodies since the start.
 type Counters struct {
 	Reads, Writes, Watches, Errors, BytesIn, BytesOut atomic.Int64
 }
 
 var _ port.Store = (*Client)(nil)
 
-// New returns a client; it connects on the first call.
+// New returns a client. It connects on the first call.
 func New(opts Options) *Client {
 	dialer := &net.Dialer{Timeout: opts.Timeout}
 	return &Client{
@@ -56,13 +57,13 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// maxResponseBytes bounds the answer of one call.
+// maxResponseBytes bounds the response of one call except a watch.
 const maxResponseBytes = 64 << 20
 
-// call makes one call that is answered by one JSON message.
+// call makes one call whose response is one JSON message.
 func (c *Client) call(ctx context.Context, path string, write bool, req, resp any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -100,8 +101,8 @@
 		return nil, err
 	}
 	c.Counters.BytesOut.Add(int64(len(body)))
-	// A reader of a type that net/http does not know gives the request no
-	// GetBody, so the transport never replays a write on its own.
+	// net/http sets no GetBody for a reader of an unknown type, so the transport
+	// never replays a write.
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.opts.Addr+path, struct{ io.Reader }{bytes.NewReader(body)})
 	if err != nil {
 		return nil, err
@@ -111,8 +112,8 @@
 	return c.http.Do(r)
 }
 
-// transportError classifies a call that got no whole answer. A write may have taken
-// effect unless the connection was never made.
+// transportError converts the error of a call without a complete response. A write
+// may have taken effect unless the dial failed.
 func (c *Client) transportError(err error, write bool) error {
 	c.Counters.Errors.Add(1)
 	v := verdict.NotRun
@@ -124,15 +125,15 @@
 	return verdict.Wrap(err, v, port.CodeStoreUnavailable, "store call")
 }
 
-// statusError classifies an answer that says the call was not carried out.
+// statusError converts a response with an error status.
 func (c *Client) statusError(status int, body []byte) error {
 	c.Counters.Errors.Add(1)
 	switch status {
 	case http.StatusTooManyRequests:
 		return verdict.New(verdict.NotRun, port.CodeStoreRateLimited, "store: too many requests")
 	case http.StatusServiceUnavailable:
-		// The service also answers 503 to a proposal that timed out, which may
-		// still take effect. Only "no leader" says that nothing was proposed.
+		// The service also responds with 503 when a proposal timed out, which may
+		// still take effect. Only "no leader" means that nothing was proposed.
 		if !bytes.Contains(body, []byte("no leader")) {
 			return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store unavailable: %s", bytes.TrimSpace(body))
 		}
@@ -192,8 +193,8 @@
 	return fleet.Revision(resp.Header.Revision), resp.Succeeded, nil
 }
 
-// GrantLease implements port.Store. The service counts whole seconds; ttl is
-// rounded up.
+// GrantLease implements port.Store. ttl is rounded up to whole seconds, the unit of
+// the service.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
 	seconds := (ttl + time.Second - 1) / time.Second
 	var resp leaseMessage
@@ -251,6 +252,7 @@
 	}
 }
 
+// countingReader adds the number of bytes read to n.
 type countingReader struct {
 	io.Reader
 	n *atomic.Int64
@@ -274,7 +276,7 @@
 	return []byte{0}
 }
 
-// decimalInt64 is a 64-bit integer in the gateway's form: decimal text.
+// decimalInt64 is a 64-bit integer that the gateway encodes as a decimal string.
 type decimalInt64 int64
 
 // MarshalJSON implements json.Marshaler.
--- a/adapter/etcdkv/messages.go
+++ b/adapter/etcdkv/messages.go
@@ -6,7 +6,7 @@
 )
 
 // The types below are the JSON forms of the etcd v3 API messages that postmount
-// uses (package etcdserverpb): bytes are base64, 64-bit integers decimal text.
+// uses (package etcdserverpb): bytes are base64, 64-bit integers decimal strings.
 
 type header struct {
 	Revision decimalInt64 `json:"revision"`
@@ -69,7 +69,7 @@
 	TTL decimalInt64 `json:"TTL"`
 }
 
-// streamMessage is the envelope of one message of a streaming call.
+// streamMessage wraps one message of a streaming call.
 type streamMessage[T any] struct {
 	Result T `json:"result"`
 }
--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -17,21 +17,21 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// CodePeerUnreachable is the code of a failed call to a peer.
+// CodePeerUnreachable is the code of every failed call to a peer.
 const CodePeerUnreachable verdict.Code = "peer-unreachable"
 
-// Client implements port.Peers with one connection per peer, made on demand.
+// Client implements port.Peers with one connection per peer, opened on demand.
 type Client struct {
 	token          string
 	connectTimeout time.Duration
 	callTimeout    time.Duration
 
 	conns rpcconn.Pool
-	// Bytes counts what was sent and received, also as a server if the server
-	// was given this client's counter.
+	// Bytes counts the bytes sent and received, including those of a Server that
+	// was given this counter.
 	Bytes ByteCounts
-	// Blocked drops the traffic to the addresses it returns true for; tests and
-	// the demo use it to part peers. Nil cuts nothing.
+	// Blocked makes calls to the addresses for which it returns true fail; tests
+	// and the demo use it to partition peers. Nil blocks none.
 	Blocked func(addr string) bool
 }
 
@@ -49,10 +49,10 @@
 	}
 }
 
-// Close ends every connection.
+// Close closes every connection.
 func (c *Client) Close() { c.conns.Close() }
 
-// dial opens a connection to addr and says who calls.
+// dial opens a connection to addr and sends the handshake.
 func (c *Client) dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: c.connectTimeout}
 	tcp, err := dialer.DialContext(ctx, "tcp", addr)
@@ -68,15 +68,15 @@
 	return &writeDeadlineConn{tcp, c.callTimeout, &c.Bytes}, nil
 }
 
-// call makes one call within the shorter of ctx and the call timeout. A call that
-// times out takes its connection out of use.
+// call makes one call, bounded by ctx and the call timeout. After a call that timed
+// out, its connection takes no new calls.
 //
-// The reply is read only after the call has ended well: net/rpc may still be
-// writing to the reply of a call that was given up.
+// The reply is read only after the call has succeeded: net/rpc may still write to
+// the reply of an abandoned call.
 func call[R any](ctx context.Context, c *Client, addr, method string, args any) (R, error) {
 	var zero R
 	if c.Blocked != nil && c.Blocked(addr) {
-		return zero, verdict.New(verdict.NotRun, CodePeerUnreachable, "peer %s: cut off", addr)
+		return zero, verdict.New(verdict.NotRun, CodePeerUnreachable, "peer %s: blocked by a simulated partition", addr)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
@@ -101,6 +101,8 @@
 	}
 }
 
+// callError converts the error of a completed call, and discards the connection
+// unless the error is the peer's answer.
 func (c *Client) callError(addr string, conn *rpcconn.Conn, err error) error {
 	if err == nil {
 		return nil
@@ -112,8 +114,8 @@
 	return verdict.Wrap(err, verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
 }
 
-// writeDeadlineConn bounds every write, so that a peer that reads nothing
-// cannot hold a caller's goroutine.
+// writeDeadlineConn bounds every write, so that a peer that does not read cannot
+// block a caller's goroutine, and counts the traffic.
 type writeDeadlineConn struct {
 	net.Conn
 	timeout time.Duration
--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -73,9 +73,9 @@
 	close(e.release)
 }
 
-// TestCallTimeoutKeepsOtherCalls: all calls to a peer share a connection, and one that was
-// answered late closed it. The others that were under way failed with it, as ones that may
-// have run: a claim that the peer was about to grant, say, so that its request was given up.
+// TestCallTimeoutKeepsOtherCalls guards against a timed-out call that closes the connection
+// which all calls to a peer share. The other calls in progress then failed as ones that may
+// have run; a request was abandoned because its claim, about to be granted, failed this way.
 func TestCallTimeoutKeepsOtherCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -102,10 +102,10 @@
 	close(e.release)
 	assert.NoError(t, <-claimed)
 	_, err = c.Heartbeat(context.Background(), addr, port.Heartbeat{})
-	assert.NoError(t, err, "the next call goes by another connection")
+	assert.NoError(t, err, "the next call uses another connection")
 }
 
-// slowEcho tells of claims, and blocks heartbeats as well.
+// slowEcho signals claims on claimed, and blocks heartbeats as well until released.
 type slowEcho struct {
 	*echo
 	claimed chan struct{}
@@ -130,7 +130,6 @@
 	assert.Equal(t, verdict.NotRun, verdict.Of(err))
 }
 
-// TestInvalidHandshakeIsRejected sends what no peer would.
 func TestInvalidHandshakeIsRejected(t *testing.T) {
 	for name, text := range map[string][]byte{
 		"wrong token":     []byte(handshakePrefix + "another\n"),
@@ -162,5 +161,5 @@
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
 	_, err = c.Heartbeat(context.Background(), addr, port.Heartbeat{})
-	assert.NoError(t, err, "others are served")
+	assert.NoError(t, err, "other connections are served")
 }
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -1,7 +1,7 @@
 // Package peerrpc carries the messages between entry daemons over net/rpc.
 //
-// A connection starts with one line that holds the fleet's shared token. What
-// does not start so is dropped before any decoder sees it.
+// A connection starts with a handshake line that holds the fleet's shared token.
+// Without a valid handshake the server closes it before decoding anything.
 package peerrpc
 
 import (
@@ -30,7 +30,7 @@
 	// idleTimeout ends a connection on which nothing arrives; heartbeats come
 	// far more often.
 	idleTimeout = time.Minute
-	// maxConnections bounds the accepted connections.
+	// maxConnections bounds the connections open at the same time.
 	maxConnections = 128
 )
 
@@ -43,14 +43,14 @@
 	conns    map[net.Conn]bool
 	closed   bool
 	wg       sync.WaitGroup
-	Rejected atomic.Int64 // connections dropped for a wrong greeting or number
+	Rejected atomic.Int64 // connections closed for an invalid handshake or over maxConnections
 }
 
-// NewServer returns a server that accepts peers with the given token and counts
-// its traffic into bytes.
+// NewServer returns a server that accepts peers with the given token and adds its
+// traffic to bytes.
 func NewServer(token string, handler port.PeerServer, bytes *ByteCounts) *Server {
 	s := &Server{token: token, bytes: bytes, rpc: rpc.NewServer(), conns: map[net.Conn]bool{}}
-	// The only error is a receiver without suitable methods.
+	// It fails only for a receiver without suitable methods.
 	if err := s.rpc.RegisterName(serviceName, &service{handler}); err != nil {
 		panic(err)
 	}
@@ -77,6 +77,8 @@
 	}
 }
 
+// addConn registers a connection. It returns false if the server is closed or has
+// maxConnections.
 func (s *Server) addConn(conn net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,6 +102,7 @@
 	s.rpc.ServeConn(&readDeadlineConn{Conn: conn, r: r, bytes: s.bytes})
 }
 
+// readHandshake reads the handshake line and reports whether its token is valid.
 func (s *Server) readHandshake(r *bufio.Reader) bool {
 	line, err := bufio.NewReader(io.LimitReader(oneByteReader{r}, maxHandshakeBytes)).ReadString('\n')
 	if err != nil {
@@ -109,7 +112,8 @@
 	return ok && subtle.ConstantTimeCompare([]byte(token), []byte(s.token)) == 1
 }
 
-// oneByteReader reads a byte at a time, so that nothing after the greeting is taken.
+// oneByteReader reads one byte per call, so that nothing after the handshake is
+// consumed.
 type oneByteReader struct{ r io.Reader }
 
 // Read implements io.Reader.
@@ -127,7 +131,7 @@
 	delete(s.conns, conn)
 }
 
-// Close ends every connection and waits for their goroutines.
+// Close closes every connection and waits for their goroutines.
 func (s *Server) Close() {
 	s.mu.Lock()
 	s.closed = true
@@ -138,7 +142,7 @@
 	s.wg.Wait()
 }
 
-// readDeadlineConn renews the read deadline at every read.
+// readDeadlineConn renews the read deadline at every read and counts the traffic.
 type readDeadlineConn struct {
 	net.Conn
 	r     io.Reader
--- a/adapter/platformhttp/client.go
+++ b/adapter/platformhttp/client.go
@@ -1,5 +1,5 @@
-// Package platformhttp reaches the platform's instance list and pool actions
-// over HTTP and JSON. docs/PROTOCOLS.md describes the calls.
+// Package platformhttp is a client of the platform's instance list and instance
+// actions, JSON over HTTP. docs/PROTOCOLS.md describes the calls.
 package platformhttp
 
 import (
@@ -29,7 +29,7 @@
 	addr    string
 	timeout time.Duration
 	http    *http.Client
-	// BytesIn and BytesOut count bodies.
+	// BytesIn and BytesOut count the bytes of bodies.
 	BytesIn, BytesOut atomic.Int64
 }
 
@@ -48,7 +48,7 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
 // InstanceMessage is one instance on the wire.
@@ -67,7 +67,7 @@
 	Accelerators int    `json:"accelerators"`
 }
 
-// ListMessage is the answer of GET /v1/instances?since=VERSION.
+// ListMessage is the response to GET /v1/instances?since=VERSION.
 type ListMessage struct {
 	Version     int64             `json:"version"`
 	Full        bool              `json:"full"`
@@ -82,9 +82,11 @@
 	Generation int64  `json:"generation"`
 }
 
-// maxResponseBytes bounds an answer: 13,000 instances take about 4 MB.
+// maxResponseBytes bounds a response: 13,000 instances take about 4 MB.
 const maxResponseBytes = 32 << 20
 
+// call makes one call and decodes the response into out unless that is nil. Status
+// 409 means that the generation did not match.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
--- a/adapter/workerhttp/client.go
+++ b/adapter/workerhttp/client.go
@@ -1,4 +1,4 @@
-// Package workerhttp reaches the task API of workers over HTTP and JSON.
+// Package workerhttp is a client of the workers' task API, JSON over HTTP.
 // docs/PROTOCOLS.md describes the call.
 package workerhttp
 
@@ -19,7 +19,7 @@
 // CodeWorkerUnavailable is the code of a failed call to a worker's task API.
 const CodeWorkerUnavailable verdict.Code = "worker-unavailable"
 
-// TasksPath is where a worker takes task rounds.
+// TasksPath is the path of a worker's task API.
 const TasksPath = "/_worker/tasks"
 
 // Client implements port.Tasks.
@@ -30,7 +30,7 @@
 
 var _ port.Tasks = (*Client)(nil)
 
-// New returns a client; it keeps one idle connection per worker.
+// New returns a client that uses one connection per worker. timeout bounds a call.
 func New(timeout time.Duration) *Client {
 	dialer := &net.Dialer{Timeout: timeout}
 	return &Client{
@@ -39,10 +39,11 @@
 	}
 }
 
-// Close drops idle connections.
+// Close closes idle connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// TaskMessage names one attempt of a job on the wire, with what a start needs.
+// TaskMessage is one attempt of a job on the wire. Only a start has resources and a
+// run time, and only a response has a state and the resources in use.
 type TaskMessage struct {
 	Pool         string `json:"pool"`
 	Job          string `json:"job"`
@@ -55,7 +56,7 @@
 	RunForMS     int64  `json:"run_for_ms,omitempty"`
 }
 
-// SyncMessage is one round with a worker.
+// SyncMessage lists the tasks that a worker is to start, keep and stop.
 type SyncMessage struct {
 	LeaseMS    int64         `json:"lease_ms"`
 	Start      []TaskMessage `json:"start,omitempty"`
@@ -64,11 +65,12 @@
 	Checkpoint bool          `json:"checkpoint,omitempty"`
 }
 
-// SyncResponse lists the tasks that the worker knows.
+// SyncResponse lists all tasks of the worker.
 type SyncResponse struct {
 	Tasks []TaskMessage `json:"tasks"`
 }
 
+// maxResponseBytes bounds the body of a response.
 const maxResponseBytes = 4 << 20
 
 // Sync implements port.Tasks.
