--- a/cmd/postmount/exec.go
+++ b/cmd/postmount/exec.go
@@ -14,12 +14,12 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// execCommand adds "exec", which carries out statements.
+// execCommand adds "exec", which executes statements.
 func execCommand(app *kingpin.Application, runners map[string]runner) {
-	cmd := app.Command("exec", "Carry out statements of the operators' language.")
+	cmd := app.Command("exec", "Execute statements of the operators' language.")
 	text := cmd.Arg("statements", "The statements, separated by ';'.").String()
 	file := cmd.Flag("file", "Read the statements from a file; '-' is standard input.").Short('f').String()
-	id := cmd.Flag("id", "Id of the command; a repeat with the same id is answered and not carried out again.").String()
+	id := cmd.Flag("id", "Id of the command; a repeat with the same id is answered but not executed again.").String()
 	runners[cmd.FullCommand()] = func(ctx context.Context, o *options) int {
 		program, err := readProgram(*text, *file)
 		if err != nil {
@@ -30,10 +30,12 @@
 	}
 }
 
+// readProgram returns the statements from the argument text, from file, or from
+// standard input if file is "-".
 func readProgram(text, file string) (string, error) {
 	switch {
 	case file != "" && text != "":
-		return "", fmt.Errorf("give statements or --file, not both")
+		return "", fmt.Errorf("statements and --file exclude each other")
 	case file == "-":
 		data, err := io.ReadAll(io.LimitReader(os.Stdin, query.MaxProgramBytes+1))
 		return string(data), err
@@ -41,12 +43,14 @@
 		data, err := os.ReadFile(file)
 		return string(data), err
 	case strings.TrimSpace(text) == "":
-		return "", fmt.Errorf("there is no statement")
+		return "", fmt.Errorf("no statements given")
 	default:
 		return text, nil
 	}
 }
 
+// exec executes the statements in text and returns the exit status. Syntax errors
+// are found before anything is sent.
 func exec(ctx context.Context, o *options, id, text string) int {
 	if _, err := query.Parse(text); err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/cmd/postmount/explain.go
+++ b/cmd/postmount/explain.go
@@ -13,10 +13,11 @@
 	"github.com/postmount/postmount/jobs/explain"
 )
 
-// explainCommand adds the command that tells from log files what befell a job.
+// explainCommand adds "explain", which reconstructs the history of a job from log
+// files.
 func explainCommand(app *kingpin.Application, runners map[string]runner) {
-	cmd := app.Command("explain", "Tell from the daemons' log files what befell a job.")
-	id := cmd.Arg("job", "The job's id.").Required().String()
+	cmd := app.Command("explain", "Reconstruct the history of a job from the daemons' log files.")
+	id := cmd.Arg("job", "Job id.").Required().String()
 	files := cmd.Arg("files", "Log files, one or more for each daemon.").Required().ExistingFiles()
 	runners[cmd.FullCommand()] = func(_ context.Context, o *options) int {
 		t, err := explainFiles(*id, *files)
--- a/cmd/postmount/main.go
+++ b/cmd/postmount/main.go
@@ -18,9 +18,9 @@
 // Exit statuses.
 const (
 	exitDone       = 0
-	exitNotRun     = 1
+	exitNotRun     = 1 // certainly not executed, or failed
 	exitUsage      = 2
-	exitMayHaveRun = 3
+	exitMayHaveRun = 3 // the outcome is unknown
 )
 
 // exitStatus maps a verdict to the exit status.
@@ -35,7 +35,7 @@
 	}
 }
 
-// options are the flags that every command shares.
+// options are the flags that all commands share.
 type options struct {
 	servers []string
 	output  string
@@ -44,18 +44,18 @@
 
 func (o *options) client() *client.Client { return client.New(o.servers, o.timeout) }
 
-// runner carries out one command and returns the exit status.
+// runner executes one command and returns the exit status.
 type runner func(ctx context.Context, o *options) int
 
 func main() {
-	app := kingpin.New("postmount", "Asks and orders what runs where on a fleet that postmount manages.")
+	app := kingpin.New("postmount", "Queries and controls a fleet that postmount manages.")
 	app.Version(daemon.Version)
 	app.HelpFlag.Short('h')
 	o := &options{}
-	app.Flag("server", "Operators' address of an entry daemon (IP:PORT); name several to try the next when one is down.").
+	app.Flag("server", "Operators' address of an entry daemon (IP:PORT); repeat the flag to name fallbacks.").
 		Short('s').Default("127.0.0.1:7001").Envar("POSTMOUNT_SERVER").StringsVar(&o.servers)
-	app.Flag("output", "How results are printed.").Short('o').Default("table").EnumVar(&o.output, "table", "json")
-	app.Flag("timeout", "Longest time for one call.").Default("20s").DurationVar(&o.timeout)
+	app.Flag("output", "Output format.").Short('o').Default("table").EnumVar(&o.output, "table", "json")
+	app.Flag("timeout", "Timeout of one call.").Default("20s").DurationVar(&o.timeout)
 	runners := map[string]runner{}
 	execCommand(app, runners)
 	statusCommand(app, runners)
--- a/cmd/postmount/report.go
+++ b/cmd/postmount/report.go
@@ -14,10 +14,10 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// reportCommand adds "report burn", "report wave" and "report late".
+// reportCommand adds "report" and its subcommands.
 func reportCommand(app *kingpin.Application, runners map[string]runner) {
 	cmd := app.Command("report", "Print a report.")
-	burn := cmd.Command("burn", "Service-level burn of the whole fleet.")
+	burn := cmd.Command("burn", "Burn rates of the service-level objectives of the whole fleet.")
 	runners[burn.FullCommand()] = func(ctx context.Context, o *options) int {
 		r, err := o.client().Burn(ctx)
 		if err != nil {
@@ -55,6 +55,7 @@
 	}
 }
 
+// burnCells returns the table row of one class of a service.
 func burnCells(row api.BurnRow) []string {
 	objective := "none"
 	if row.Objective > 0 {
--- a/cmd/postmount/report_entries.go
+++ b/cmd/postmount/report_entries.go
@@ -14,7 +14,7 @@
 
 // reportEntriesCommand adds "report entries".
 func reportEntriesCommand(report *kingpin.CmdClause, runners map[string]runner) {
-	cmd := report.Command("entries", "Tell from the daemons' log files which entries of the store they refuse, and why.")
+	cmd := report.Command("entries", "List the store entries that daemons refuse, and why, from their log files.")
 	files := cmd.Arg("files", "Log files, one or more for each daemon.").Required().ExistingFiles()
 	runners[cmd.FullCommand()] = func(_ context.Context, o *options) int {
 		lines, _, err := readLogs(*files)
--- a/cmd/postmount/report_evacuations.go
+++ b/cmd/postmount/report_evacuations.go
@@ -13,7 +13,7 @@
 
 // reportEvacuationsCommand adds "report evacuations".
 func reportEvacuationsCommand(report *kingpin.CmdClause, runners map[string]runner) {
-	cmd := report.Command("evacuations", "Tell from the daemons' log files which availability zones got no new tasks, and when.")
+	cmd := report.Command("evacuations", "List when availability zones were evacuated and got no new tasks, from the daemons' log files.")
 	files := cmd.Arg("files", "Log files, one or more for each daemon.").Required().ExistingFiles()
 	runners[cmd.FullCommand()] = func(_ context.Context, o *options) int {
 		lines, _, err := readLogs(*files)
--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -18,10 +18,10 @@
 	"github.com/postmount/postmount/jobs/late"
 )
 
-// reportLateCommand adds "report late".
+// reportLateCommand adds "report late", which works on log files.
 func reportLateCommand(report *kingpin.CmdClause, runners map[string]runner) {
-	cmd := report.Command("late", "Tell from the daemons' log files where the time of late and unserved jobs went.")
-	slice := cmd.Flag("slice", "Length of the slices of time.").Default("2s").Duration()
+	cmd := report.Command("late", "Break down the delays of late and unserved jobs by cause, from the daemons' log files.")
+	slice := cmd.Flag("slice", "Length of one time slice.").Default("2s").Duration()
 	plot := cmd.Flag("plot", "Write a plot of the causes over time to this file (SVG).").String()
 	files := cmd.Arg("files", "Log files, one or more for each daemon.").Required().ExistingFiles()
 	runners[cmd.FullCommand()] = func(_ context.Context, o *options) int {
@@ -35,7 +35,7 @@
 
 func reportLate(files []string, slice time.Duration, plot, output string) error {
 	if slice <= 0 {
-		return fmt.Errorf("--slice has to be longer than 0")
+		return fmt.Errorf("--slice must be positive, got %s", slice)
 	}
 	lines, unreadable, err := readLogs(files)
 	if err != nil {
@@ -76,7 +76,7 @@
 	return out
 }
 
-// shownCauses is how many causes of a group a row of the table names.
+// shownCauses is the number of causes that a table row names.
 const shownCauses = 3
 
 func groupRows(groups []late.Group) [][]string {
@@ -94,14 +94,14 @@
 	return out
 }
 
-// causeColors tell the causes of a plot apart.
+// causeColors are the colors of the causes in a plot, as RGB hex.
 var causeColors = []string{"1f77b4", "ff7f0e", "2ca02c", "d62728", "9467bd", "8c564b", "e377c2", "7f7f7f", "bcbd22", "17becf", "393b79", "637939"}
 
-// plotLate draws, for each slice of time, how many jobs each cause delayed most, one
-// above the other.
+// plotLate writes a stacked SVG plot: for each time slice, the number of jobs by the
+// cause that delayed them most.
 func plotLate(file string, groups []late.Group, slice time.Duration) error {
 	if len(groups) == 0 {
-		return fmt.Errorf("there is nothing to plot: every job was in time")
+		return fmt.Errorf("nothing to plot: every job was in time")
 	}
 	graph := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
@@ -109,7 +109,7 @@
 		XAxis:          chart.XAxis{Name: "seconds since the first line; jobs not in time, by what delayed them most"},
 		YAxisSecondary: chart.HideYAxis(),
 	}
-	// The series of the highest sums comes first, so that the others cover it.
+	// The largest sum is drawn first, so that the smaller ones cover part of it.
 	causes := sortedCauses(groups)
 	for n := len(causes); n > 0; n-- {
 		graph.Series = append(graph.Series, stackedSeries(groups, causes[:n], slice))
@@ -123,8 +123,8 @@
 	return os.WriteFile(file, out.Bytes(), plotMode)
 }
 
-// stackedSeries is the number of jobs of these causes over time, in steps, named after the
-// last of them.
+// stackedSeries returns a step line of the number of jobs that any of causes delayed
+// most. It is named after the last cause.
 func stackedSeries(groups []late.Group, causes []string, slice time.Duration) chart.ContinuousSeries {
 	color := drawing.ColorFromHex(causeColors[(len(causes)-1)%len(causeColors)])
 	s := chart.ContinuousSeries{Name: causes[len(causes)-1], Style: chart.Style{StrokeColor: color, FillColor: color}}
@@ -157,6 +157,7 @@
 	return float64(most)
 }
 
+// sortedCauses returns the causes that delayed a job most in any group.
 func sortedCauses(groups []late.Group) []string {
 	var out []string
 	for _, g := range groups {
@@ -170,6 +171,7 @@
 	return out
 }
 
+// jobsDelayedBy returns the number of a group's jobs that cause delayed most.
 func jobsDelayedBy(g late.Group, cause string) float64 {
 	for _, s := range g.Causes {
 		if s.Cause == cause {
--- a/cmd/postmount/report_wave.go
+++ b/cmd/postmount/report_wave.go
@@ -17,7 +17,7 @@
 
 // reportWaveCommand adds "report wave".
 func reportWaveCommand(report *kingpin.CmdClause, runners map[string]runner) {
-	cmd := report.Command("wave", "How a wave went: availability of its pools against their budgets.")
+	cmd := report.Command("wave", "Availability of a wave's pools against their budgets.")
 	name := cmd.Arg("wave", "Name of the wave.").Required().String()
 	plot := cmd.Flag("plot", "Write a plot of availability over time to this file (SVG).").String()
 	pool := cmd.Flag("pool", "Plot only this pool.").String()
@@ -43,7 +43,7 @@
 }
 
 func printWave(r api.WaveReport) {
-	took := "still going on"
+	took := "still running"
 	if !r.Ended.IsZero() {
 		took = "took " + r.Ended.Sub(r.Started).Round(time.Millisecond).String()
 	}
@@ -67,15 +67,16 @@
 	plotHeight = 500
 )
 
-// plotMode is the mode of a plot's file.
+// plotMode is the file mode of plots.
 const plotMode = 0o644
 
-// plotWave draws each pool's availability as steps, with its floor.
+// plotWave writes an SVG plot of each pool's availability and its floor. If only is
+// not empty, it draws this pool alone.
 func plotWave(file, only string, r api.WaveReport) error {
 	graph := chart.Chart{
 		Width: plotWidth, Height: plotHeight,
 		Background:     chart.Style{Padding: chart.Box{Top: 60, Left: 20, Right: 20, Bottom: 20}},
-		XAxis:          chart.XAxis{Name: "seconds since wave " + r.Wave + " started; instances in service, dashed: the least that the budget allows"},
+		XAxis:          chart.XAxis{Name: "seconds since wave " + r.Wave + " started; available instances, dashed: the minimum that the budget allows"},
 		YAxisSecondary: chart.HideYAxis(),
 		YAxis:          chart.YAxis{Range: &chart.ContinuousRange{Min: 0, Max: maxInstances(r) + 1}},
 	}
@@ -89,7 +90,7 @@
 			stepSeries(p.Pool+" floor", r, p, chart.Style{StrokeColor: color, StrokeDashArray: []float64{4, 4}}, func(s api.PoolSample) float64 { return float64(s.Floor) }))
 	}
 	if len(graph.Series) == 0 {
-		return fmt.Errorf("there is nothing to plot")
+		return fmt.Errorf("wave %s has no pool to plot", r.Wave)
 	}
 	graph.Elements = []chart.Renderable{chart.LegendThin(&graph)}
 	var out bytes.Buffer
@@ -109,7 +110,7 @@
 	return float64(most)
 }
 
-// stepSeries turns samples, each in force until the next, into a line.
+// stepSeries converts a pool's samples, each valid until the next, to a step line.
 func stepSeries(name string, r api.WaveReport, p api.WavePool, style chart.Style, value func(api.PoolSample) float64) chart.ContinuousSeries {
 	end := r.Ended
 	if end.IsZero() {
--- a/cmd/postmount/status.go
+++ b/cmd/postmount/status.go
@@ -12,9 +12,9 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// statusCommand adds "status", which prints one daemon's account of itself.
+// statusCommand adds "status", which prints the status of one daemon.
 func statusCommand(app *kingpin.Application, runners map[string]runner) {
-	cmd := app.Command("status", "Print how an entry daemon and its view are.")
+	cmd := app.Command("status", "Print the status of an entry daemon and its membership view.")
 	runners[cmd.FullCommand()] = func(ctx context.Context, o *options) int {
 		s, err := o.client().Status(ctx)
 		if err != nil {
--- a/cmd/postmount/wait.go
+++ b/cmd/postmount/wait.go
@@ -22,13 +22,15 @@
 	}
 }
 
-// pollInterval is the pause between questions; after maxFailedPolls failed ones in
-// a row the wave's end is left unknown.
+// pollInterval is the pause between polls. After maxFailedPolls unreachable polls
+// in a row the outcome is reported as unknown.
 const (
 	pollInterval   = time.Second
 	maxFailedPolls = 60
 )
 
+// waitForWave polls a wave, prints each change of its progress, and returns the
+// exit status.
 func waitForWave(ctx context.Context, c *client.Client, name string) int {
 	last := ""
 	failed := 0
@@ -63,6 +65,7 @@
 	}
 }
 
+// waveProgress returns the state of a wave and a line that describes its progress.
 func waveProgress(ctx context.Context, c *client.Client, name string) (state, line string, err error) {
 	answer, err := c.Exec(ctx, "show waves where wave = "+name)
 	if err != nil {
@@ -70,7 +73,7 @@
 	}
 	r := answer.Results[0]
 	if r.Verdict != verdict.Done || r.Table == nil || len(r.Table.Rows) == 0 {
-		return "", "", fmt.Errorf("there is no wave %q %s", name, r.Message)
+		return "", "", fmt.Errorf("no wave %q found %s", name, r.Message)
 	}
 	row := r.Table.Rows[0]
 	field := func(column string) string { return row[slices.Index(r.Table.Columns, column)] }
--- a/cmd/postmountd/main.go
+++ b/cmd/postmountd/main.go
@@ -1,5 +1,5 @@
-// Command postmountd is the entry daemon. Every entry instance runs the same
-// one.
+// Command postmountd is the entry daemon. All entry instances run the same
+// program.
 package main
 
 import (
@@ -26,9 +26,9 @@
 	app := kingpin.New("postmountd", "The postmount entry daemon.")
 	app.Version(daemon.Version)
 	app.HelpFlag.Short('h')
-	file := app.Flag("settings", "File with the settings (TOML).").String()
-	onPlatform := app.Flag("platform", "Serve jobs on the users' platform, with its settings file.").Bool()
-	policies := app.Flag("policy", "File with the scheduler's policies (TOML), for --platform.").String()
+	file := app.Flag("settings", "Settings file (TOML).").String()
+	onPlatform := app.Flag("platform", "Serve jobs on the users' platform, with the settings file that the platform provides.").Bool()
+	policies := app.Flag("policy", "Scheduler policy file (TOML), for --platform.").String()
 	check := app.Flag("check", "Check the settings and exit.").Bool()
 	if _, err := app.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "postmountd: %v, try --help\n", err)
@@ -38,12 +38,14 @@
 		os.Exit(runOnPlatform(*policies, *check))
 	}
 	if *file == "" {
-		fmt.Fprintln(os.Stderr, "postmountd: --settings FILE or --platform is needed, try --help")
+		fmt.Fprintln(os.Stderr, "postmountd: --settings FILE or --platform is required, try --help")
 		os.Exit(exitSettings)
 	}
 	os.Exit(run(*file, *check))
 }
 
+// run serves with the settings in file, or only checks them, and returns the
+// exit status.
 func run(file string, checkOnly bool) int {
 	set, err := settings.Load(file)
 	if err != nil {
--- a/cmd/postmountd/platform.go
+++ b/cmd/postmountd/platform.go
@@ -17,17 +17,18 @@
 	"github.com/postmount/postmount/telemetry"
 )
 
-// Memory of the process.
+// Memory settings of the Go runtime.
 const (
-	// memoryLimitShare of the process' limit is what the runtime aims to stay under.
+	// memoryLimitShare is the share of the process's memory limit that becomes the
+	// runtime's soft limit.
 	memoryLimitShare = 0.6
-	// gcPercent lets the heap grow threefold between collections: the heap is
-	// some megabytes, and processor time is dearer.
+	// gcPercent lets the heap grow by 300% between collections: it takes only
+	// some megabytes, and CPU time matters more.
 	gcPercent = 300
 )
 
-// loadSettings reads the platform's settings and the policies. A check without the
-// platform's file looks at the policies alone.
+// loadSettings reads the platform's settings and the policies. With checkOnly and no
+// settings file of the platform it reads the policies alone.
 func loadSettings(policies string, checkOnly bool) (set node.Settings, err error) {
 	chosen := policy.Default()
 	if policies != "" {
@@ -43,7 +44,7 @@
 	return set, err
 }
 
-// runOnPlatform serves jobs on the users' platform.
+// runOnPlatform serves jobs on the users' platform and returns the exit status.
 func runOnPlatform(policies string, checkOnly bool) int {
 	set, err := loadSettings(policies, checkOnly)
 	if err != nil {
@@ -70,7 +71,7 @@
 	log = telemetry.Sampled(log, func() { dropped.Inc(1) })
 	adapters, err := platform.New(set)
 	if err != nil {
-		log.Error("failed", zap.Error(err))
+		log.Error("platform-setup-failed", zap.Error(err))
 		return exitFailed
 	}
 	n := node.New(set, adapters, log, node.NewMetrics(m.Scope, m.Handler))
@@ -78,13 +79,13 @@
 	defer stop()
 	go logReloads(log)
 	if err := n.Run(ctx); err != nil {
-		log.Error("failed", zap.Error(err))
+		log.Error("daemon-failed", zap.Error(err))
 		return exitFailed
 	}
 	return 0
 }
 
-// printPolicy prints what holds, defaults included.
+// printPolicy prints the policies in effect, defaults included.
 func printPolicy(set node.Settings) int {
 	if err := toml.NewEncoder(os.Stdout).Encode(set.Policy); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -93,8 +94,9 @@
 	return 0
 }
 
-// logReloads notes each SIGHUP: what the settings hold of a running daemon does
-// not change, and the operators' configuration comes from the store.
+// logReloads checks the settings file at each SIGHUP and logs the result. It
+// applies nothing: settings are read only at start, and the operators'
+// configuration comes from the store.
 func logReloads(log *zap.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
@@ -103,6 +105,6 @@
 			log.Error("settings-invalid", zap.Error(err))
 			continue
 		}
-		log.Info("reload", zap.String("outcome", "the settings are valid, nothing in them changes a running daemon"))
+		log.Info("reload", zap.String("outcome", "the settings are valid; they apply only after a restart"))
 	}
 }
