--- a/requests/control/controller.go
+++ b/requests/control/controller.go
@@ -1,9 +1,10 @@
-// Package control runs the reconcile loops: one goroutine derives plans from
-// the records and the observed instances, and hands their parts to workers
-// that write by compare-and-swap, send commands and talk to task APIs.
+// Package control runs the reconcile loops. One goroutine computes plans from the
+// records and the observed instances; others write by compare-and-swap, send
+// commands and call task APIs.
 //
-// Every daemon runs the same loops. Which one tries for a pool or wave follows
-// from the view; that two try at once costs a lost swap and nothing else.
+// Every daemon runs the same loops. The view determines which daemon reconciles a
+// pool or wave. If two do so at the same time, one fails its compare-and-swap, and
+// nothing else goes wrong.
 package control
 
 import (
@@ -26,19 +27,20 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Options of a controller.
+// Options configure a Controller.
 type Options struct {
 	Self         fleet.Incarnation
-	Tick         time.Duration // between rounds without a change
-	ListInterval time.Duration // between readings of the instance list
-	// ListMaxAge is how old the list may be for a new disruption to be granted.
+	Tick         time.Duration // between rounds if nothing changes
+	ListInterval time.Duration // between reads of the instance list
+	// ListMaxAge is the greatest age of the instance list at which records are
+	// still written.
 	ListMaxAge time.Duration
-	TaskLease  time.Duration
+	TaskLease  time.Duration // how long a task may run without renewal
 	Wave       wave.Options
 	Place      place.Policy
 }
 
-// DefaultOptions are those of production.
+// DefaultOptions are the options used in production.
 var DefaultOptions = Options{
 	Tick:         200 * time.Millisecond,
 	ListInterval: 200 * time.Millisecond,
@@ -48,29 +50,30 @@
 	Place:        place.PolicyBestFit,
 }
 
-// Deps are what a controller works with.
+// Deps are the dependencies of a Controller.
 type Deps struct {
 	Store   port.Store
 	Mirror  *mirror.Mirror
 	List    port.InstanceList
 	Actions port.Actions
 	Tasks   port.Tasks
-	// LiveMembers lists the members of the view that were heard of lately. They
-	// divide the work among themselves.
+	// LiveMembers lists the members of the view that answered recently. The pools
+	// and waves are divided among them.
 	LiveMembers    func() []fleet.Incarnation
 	StoreConnected func() bool // whether the store's watch is alive
-	// OnEntriesEnded is told of entry daemons that the platform knows to have ended.
+	// OnEntriesEnded is called with the entry daemons that the platform knows to
+	// have ended.
 	OnEntriesEnded func([]fleet.Incarnation)
-	// OnSnapshot is told of every new snapshot.
+	// OnSnapshot is called with every snapshot that differs from the last one.
 	OnSnapshot func(*Snapshot)
 	Log        *zap.Logger
 }
 
-// Snapshot is what a controller knows. It is immutable.
+// Snapshot is the state that a controller knows. It is immutable.
 type Snapshot struct {
 	State     *fleet.State
 	Instances map[fleet.InstanceID]fleet.Instance
-	ListedAt  time.Time // when the instance list was read; zero: never
+	ListedAt  time.Time // when the instance list was requested; zero if it never was read
 	version   int       // of Instances
 	// Notes explain the last decisions by pool.
 	Notes map[fleet.PoolName][]wave.Note
@@ -89,7 +92,7 @@
 	deps     Deps
 	writer   *record.Writer
 	Counters Counters
-	// History is how the pools' availability changed.
+	// History holds the changes of the pools' availability.
 	History *History
 
 	snapshot atomic.Pointer[Snapshot]
@@ -97,28 +100,31 @@
 	done     chan struct{}
 	wg       sync.WaitGroup
 
-	listFrom int64 // version of the instance list, of the polling goroutine
+	// nextListVersion is the platform's version of the instance list. It belongs to
+	// the polling goroutine.
+	nextListVersion int64
 
 	// The fields below belong to the control goroutine.
-	instances   map[fleet.InstanceID]fleet.Instance
-	listVersion int // counts changes of instances
-	listedAt    time.Time
-	reconnected time.Time // when the store was last found again
-	reconciled  time.Time // when the last whole round was made
-	active      bool      // the last round found something under way
-	wasUp       bool
-	// members groups the memberships of the state in grouped.
-	grouped   *fleet.State
-	groupedAt time.Time
-	members   map[fleet.PoolName][]fleet.Membership
-	// historyDue tells that something changed since the history was added to.
-	// That waits for a list read after the newest record came: a list from
-	// before shows instances as out whose claims are released already.
-	historyDue bool
-	busy       map[string]bool // keys whose write is under way
-	sent       map[fleet.CommandID]time.Time
-	notes      map[fleet.PoolName][]wave.Note
-	tasks      *taskBoard
+	instances     map[fleet.InstanceID]fleet.Instance
+	listVersion   int // counts changes of instances
+	listedAt      time.Time
+	reconnectedAt time.Time // when the connection to the store was last restored
+	reconciledAt  time.Time // when the last full round ran
+	active        bool      // the last round found work pending
+	wasConnected  bool
+	// members groups the memberships of groupedState by pool.
+	groupedState *fleet.State
+	groupedAt    time.Time
+	members      map[fleet.PoolName][]fleet.Membership
+	// historyPending is true if something changed since the last sample of the
+	// history. The next sample waits for an instance list that was requested after
+	// the newest record arrived: an older list shows instances as out whose claims
+	// are already released.
+	historyPending bool
+	writing        map[string]bool // keys with a write in progress
+	lastSent       map[fleet.CommandID]time.Time
+	notes          map[fleet.PoolName][]wave.Note
+	tasks          *taskTracker
 }
 
 // New returns a controller that has not started.
@@ -131,10 +137,10 @@
 		events:    make(chan func()),
 		done:      make(chan struct{}),
 		instances: map[fleet.InstanceID]fleet.Instance{},
-		busy:      map[string]bool{},
-		sent:      map[fleet.CommandID]time.Time{},
+		writing:   map[string]bool{},
+		lastSent:  map[fleet.CommandID]time.Time{},
 		notes:     map[fleet.PoolName][]wave.Note{},
-		tasks:     newTaskBoard(),
+		tasks:     newTaskTracker(),
 	}
 	c.snapshot.Store(&Snapshot{State: fleet.NewState(), Instances: c.instances})
 	return c
@@ -143,12 +149,12 @@
 // Snapshot returns the newest snapshot.
 func (c *Controller) Snapshot() *Snapshot { return c.snapshot.Load() }
 
-// SeedInstances takes in a peer's instance list until the platform's own has
-// been read.
+// SeedInstances uses a peer's instance list until the platform's list has been
+// read.
 func (c *Controller) SeedInstances(list []fleet.Instance) {
 	c.post(func() {
 		if c.listedAt.IsZero() && len(c.instances) == 0 {
-			c.instances = index(list)
+			c.instances = byID(list)
 			c.listVersion++
 		}
 	})
@@ -161,7 +167,7 @@
 	defer tick.Stop()
 	for {
 		changed := c.deps.Mirror.Changed()
-		c.round(ctx, time.Now())
+		c.reconcile(ctx, time.Now())
 		select {
 		case <-ctx.Done():
 			close(c.done)
@@ -190,7 +196,7 @@
 	}
 }
 
-// pollList reads the instance list at a steady rate.
+// pollList reads the instance list every ListInterval.
 func (c *Controller) pollList(ctx context.Context) {
 	t := time.NewTicker(c.opts.ListInterval)
 	defer t.Stop()
@@ -206,27 +212,27 @@
 
 func (c *Controller) readList(ctx context.Context) {
 	asked := time.Now()
-	ch, err := c.deps.List.Changes(ctx, c.listFrom)
+	ch, err := c.deps.List.Changes(ctx, c.nextListVersion)
 	if err != nil {
 		c.Counters.ListErrors.Add(1)
 		return
 	}
-	c.listFrom = ch.Version
+	c.nextListVersion = ch.Version
 	c.post(func() {
 		c.listedAt = asked
 		if ch.Full || len(ch.Instances) > 0 {
-			c.instances = merge(c.instances, ch)
+			c.instances = applyListChanges(c.instances, ch)
 			c.listVersion++
 		}
 	})
 	c.deps.OnEntriesEnded(ch.GoneEntries)
 }
 
-// merge returns the list with the changes taken in. The old one is left as it
-// is: snapshots share it.
-func merge(old map[fleet.InstanceID]fleet.Instance, ch port.InstanceChanges) map[fleet.InstanceID]fleet.Instance {
+// applyListChanges returns a copy of old with the changes applied. old stays as it
+// is, because snapshots share it.
+func applyListChanges(old map[fleet.InstanceID]fleet.Instance, ch port.InstanceChanges) map[fleet.InstanceID]fleet.Instance {
 	if ch.Full {
-		return index(ch.Instances)
+		return byID(ch.Instances)
 	}
 	next := maps.Clone(old)
 	for _, i := range ch.Instances {
@@ -235,7 +241,7 @@
 	return next
 }
 
-func index(list []fleet.Instance) map[fleet.InstanceID]fleet.Instance {
+func byID(list []fleet.Instance) map[fleet.InstanceID]fleet.Instance {
 	out := make(map[fleet.InstanceID]fleet.Instance, len(list))
 	for _, i := range list {
 		out[i.ID] = i
@@ -243,52 +249,53 @@
 	return out
 }
 
-// round publishes a snapshot and reconciles everything this daemon tries for.
-func (c *Controller) round(ctx context.Context, now time.Time) {
+// reconcile runs one round: it publishes a snapshot and reconciles the pools,
+// waves and jobs that are assigned to this daemon.
+func (c *Controller) reconcile(ctx context.Context, now time.Time) {
 	before := c.snapshot.Load()
 	s := c.publish()
 	up := c.deps.StoreConnected()
-	if up && !c.wasUp {
-		c.reconnected = now
+	if up && !c.wasConnected {
+		c.reconnectedAt = now
 	}
-	c.wasUp = up
-	c.forgetSent(now)
+	c.wasConnected = up
+	c.pruneSent(now)
 	unchanged := s.State == before.State && s.version == before.version
-	if unchanged && !c.active && !c.historyDue && now.Sub(c.reconciled) < idleRound {
+	if unchanged && !c.active && !c.historyPending && now.Sub(c.reconciledAt) < idleInterval {
 		return
 	}
-	c.reconciled = now
-	c.active = busy(s.State)
-	if c.grouped != s.State {
-		c.grouped, c.members = s.State, s.State.MembersByPool()
+	c.reconciledAt = now
+	c.active = workPending(s.State)
+	if c.groupedState != s.State {
+		c.groupedState, c.members = s.State, s.State.MembersByPool()
 		c.groupedAt = now
 	}
-	r := &roundState{c: c, ctx: ctx, now: now, snap: s, members: c.members, mayWrite: c.mayWrite(now, up)}
-	c.historyDue = c.historyDue || !unchanged
-	if c.historyDue && c.listedAt.After(c.groupedAt) {
-		c.historyDue = false
-		r.remember()
+	r := &round{c: c, ctx: ctx, now: now, snap: s, members: c.members, mayWrite: c.mayWrite(now, up)}
+	c.historyPending = c.historyPending || !unchanged
+	if c.historyPending && c.listedAt.After(c.groupedAt) {
+		c.historyPending = false
+		r.recordHistory()
 	}
 	for _, name := range s.State.SortedPools() {
-		if c.mine("pool/" + string(name)) {
-			r.pool(name)
+		if c.assignedToSelf("pool/" + string(name)) {
+			r.reconcilePool(name)
 		}
 	}
 	for _, name := range s.State.SortedWaves() {
-		if c.mine("wave/" + string(name)) {
-			r.wave(name)
+		if c.assignedToSelf("wave/" + string(name)) {
+			r.reconcileWave(name)
 		}
 	}
-	r.jobs()
+	r.reconcileJobs()
 }
 
-// idleRound is the time between whole rounds while nothing changes and nothing
-// is under way.
-const idleRound = 2 * time.Second
+// idleInterval is the time between full rounds while nothing changes and no work
+// is pending.
+const idleInterval = 2 * time.Second
 
-// busy reports whether anything is under way that a round may have to move on
-// though no record or instance changed.
-func busy(s *fleet.State) bool {
+// workPending reports whether a round may have work to do although no record or
+// instance changed.
+func workPending(s *fleet.State) bool {
 	for _, p := range s.Pools {
 		if len(p.Value.Disruptions)+len(p.Value.Requests) > 0 {
 			return true
@@ -309,14 +316,15 @@
 	return false
 }
 
-// mayWrite reports whether plans may be made from what is known. After a time
-// without the store, the instance list must first have been read anew.
+// mayWrite reports whether the state is recent enough to write records. After a
+// reconnection to the store, the instance list must first be read again.
 func (c *Controller) mayWrite(now time.Time, up bool) bool {
-	return up && c.listedAt.After(c.reconnected) && now.Sub(c.listedAt) < c.opts.ListMaxAge
+	return up && c.listedAt.After(c.reconnectedAt) && now.Sub(c.listedAt) < c.opts.ListMaxAge
 }
 
-// mine reports whether this daemon is the one that tries for a key.
-func (c *Controller) mine(key string) bool {
+// assignedToSelf reports whether this daemon reconciles the object with the given
+// key. The live members share the keys by rendezvous hashing.
+func (c *Controller) assignedToSelf(key string) bool {
 	return rendezvous.Owner(c.deps.LiveMembers(), key) == c.opts.Self
 }
 
@@ -335,16 +343,17 @@
 	return s
 }
 
-// writeTimeout bounds one write with the resolution of a lost answer.
+// writeTimeout bounds one write, including the reads that find out whether a write
+// whose answer was lost took effect.
 const writeTimeout = 5 * time.Second
 
-// write stores a record on a goroutine of its own, one write per key at a
-// time. A lost race is not an error: the next round plans from what won.
+// write stores a record on its own goroutine, one write per key at a time. A
+// conflict is not an error: the next round plans from the record that won.
 func write[T any](ctx context.Context, c *Controller, key string, base fleet.Versioned[T], value *T) {
-	if c.busy[key] {
+	if c.writing[key] {
 		return
 	}
-	c.busy[key] = true
+	c.writing[key] = true
 	c.background(func() {
 		ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 		defer cancel()
@@ -358,19 +367,20 @@
 		default:
 			c.Counters.WriteErrors.Add(1)
 		}
-		c.post(func() { delete(c.busy, key) })
+		c.post(func() { delete(c.writing, key) })
 	})
 }
 
-// resendEvery is the pause between sends of a command not yet seen to work.
-const resendEvery = time.Second
+// resendInterval is the pause between sends of a command whose effect the platform
+// does not report yet.
+const resendInterval = time.Second
 
-// send passes a recorded command on to the platform, at least once.
+// send sends a recorded command to the platform, at least once.
 func (c *Controller) send(ctx context.Context, now time.Time, s wave.InstanceCommand) {
-	if at, ok := c.sent[s.Command.ID]; ok && now.Sub(at) < resendEvery {
+	if at, ok := c.lastSent[s.Command.ID]; ok && now.Sub(at) < resendInterval {
 		return
 	}
-	c.sent[s.Command.ID] = now
+	c.lastSent[s.Command.ID] = now
 	c.background(func() {
 		c.Counters.Commands.Add(1)
 		if err := c.deps.Actions.Send(ctx, s.Instance, s.Command); err != nil {
@@ -379,11 +389,11 @@
 	})
 }
 
-func (c *Controller) forgetSent(now time.Time) {
+func (c *Controller) pruneSent(now time.Time) {
 	const keep = time.Minute
-	for id, at := range c.sent {
+	for id, at := range c.lastSent {
 		if now.Sub(at) > keep {
-			delete(c.sent, id)
+			delete(c.lastSent, id)
 		}
 	}
 }
--- a/requests/control/history.go
+++ b/requests/control/history.go
@@ -9,7 +9,8 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Sample is the state of a pool's availability budget from a time on.
+// Sample is the state of a pool's availability budget from At until the next
+// sample. Counts are in instances.
 type Sample struct {
 	At      time.Time
 	Size    int
@@ -17,12 +18,12 @@
 	Out     int
 }
 
-// samplesKept bounds the samples of one pool: a wave over 100 instances makes
+// maxSamplesPerPool bounds the samples of one pool: a wave over 100 instances makes
 // about 200. At 392 pools the history takes about 10 MB.
-const samplesKept = 512
+const maxSamplesPerPool = 512
 
-// History keeps how the availability of each pool changed, as this daemon saw
-// it since its start.
+// History holds the changes of each pool's availability that this daemon observed
+// since its start.
 type History struct {
 	mu    sync.Mutex
 	pools map[fleet.PoolName][]Sample
@@ -30,7 +31,7 @@
 
 func newHistory() *History { return &History{pools: map[fleet.PoolName][]Sample{}} }
 
-// add notes a pool's account if it differs from the last one.
+// add records a pool's budget if it differs from the last sample.
 func (h *History) add(now time.Time, a budget.Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -39,14 +40,14 @@
 	if n := len(old); n > 0 && old[n-1].Size == s.Size && old[n-1].Allowed == s.Allowed && old[n-1].Out == s.Out {
 		return
 	}
-	if len(old) >= samplesKept {
-		old = slices.Clone(old[len(old)-samplesKept/2:])
+	if len(old) >= maxSamplesPerPool {
+		old = slices.Clone(old[len(old)-maxSamplesPerPool/2:])
 	}
 	h.pools[a.Pool] = append(old, s)
 }
 
-// SamplesBetween returns the samples of a pool that were in force from one time to
-// another.
+// SamplesBetween returns the samples of a pool that applied at any time between
+// from and to.
 func (h *History) SamplesBetween(name fleet.PoolName, from, to time.Time) []Sample {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/requests/control/history_test.go
+++ b/requests/control/history_test.go
@@ -21,13 +21,13 @@
 	return port.Event{KV: port.KV{Key: key, Value: body, Revision: rev}}
 }
 
-// TestHistoryWaitsForAListAsNewAsTheRecords: a record says that one instance is
-// back and another was taken out; the list from before shows the first as out.
-// Together they would show a broken budget that never was.
-func TestHistoryWaitsForAListAsNewAsTheRecords(t *testing.T) {
+// TestHistoryWaitsForNewerInstanceList guards against a false budget violation in
+// the history: a record shows one instance back and another taken out, while an
+// older instance list still shows the first as out.
+func TestHistoryWaitsForNewerInstanceList(t *testing.T) {
 	m := mirror.New()
 	opts := DefaultOptions
-	opts.Self = "another daemon tries for the pool"
+	opts.Self = "not responsible for the pool"
 	c := New(opts, Deps{
 		Mirror: m, StoreConnected: func() bool { return false }, LiveMembers: func() []fleet.Incarnation { return nil },
 		OnSnapshot: func(*Snapshot) {}, Log: zap.NewNop(),
@@ -41,10 +41,10 @@
 		c.listVersion++
 	}
 	list(t0, fleet.InstanceDrained)
-	c.round(context.Background(), t0.Add(time.Second))
+	c.reconcile(context.Background(), t0.Add(time.Second))
 	assert.Empty(t, c.History.SamplesBetween("p", t0, t0.Add(time.Hour)))
 	list(t0.Add(2*time.Second), fleet.InstanceReady)
-	c.round(context.Background(), t0.Add(3*time.Second))
+	c.reconcile(context.Background(), t0.Add(3*time.Second))
 	got := c.History.SamplesBetween("p", t0, t0.Add(time.Hour))
 	if assert.Len(t, got, 1) {
 		assert.Equal(t, 1, got[0].Out)
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -10,17 +10,17 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-// taskBoard is what the control goroutine knows of tasks on workers.
-type taskBoard struct {
+// taskTracker holds what the control goroutine knows about tasks on workers.
+type taskTracker struct {
 	reports  map[fleet.InstanceID]taskReport
-	busy     map[fleet.InstanceID]bool
+	syncing  map[fleet.InstanceID]bool
 	syncedAt map[fleet.InstanceID]time.Time
-	// failures counts tasks that failed on a worker in a row.
-	failures map[fleet.InstanceID]int
-	counted  map[taskKey]bool // failed attempts already counted
-	// unsureAt is when a round with a worker last got no answer: what it
-	// started may be running, or may yet be started.
-	unsureAt map[fleet.InstanceID]time.Time
+	// failures counts the consecutive task failures on each worker.
+	failures        map[fleet.InstanceID]int
+	countedFailures map[taskKey]bool // failed attempts already counted
+	// unansweredAt is when a sync request to a worker last failed. The tasks that it
+	// was to start may be running, or may still be started.
+	unansweredAt map[fleet.InstanceID]time.Time
 }
 
 type taskKey struct {
@@ -29,25 +29,25 @@
 	attempt int
 }
 
-// taskReport is a worker's last word on its tasks.
+// taskReport is a worker's last answer to a sync request.
 type taskReport struct {
-	at    time.Time
-	asked time.Time
-	tasks []fleet.Task
+	receivedAt time.Time
+	sentAt     time.Time
+	tasks      []fleet.Task
 }
 
-func newTaskBoard() *taskBoard {
-	return &taskBoard{
-		reports:  map[fleet.InstanceID]taskReport{},
-		busy:     map[fleet.InstanceID]bool{},
-		syncedAt: map[fleet.InstanceID]time.Time{},
-		failures: map[fleet.InstanceID]int{},
-		counted:  map[taskKey]bool{},
-		unsureAt: map[fleet.InstanceID]time.Time{},
+func newTaskTracker() *taskTracker {
+	return &taskTracker{
+		reports:         map[fleet.InstanceID]taskReport{},
+		syncing:         map[fleet.InstanceID]bool{},
+		syncedAt:        map[fleet.InstanceID]time.Time{},
+		failures:        map[fleet.InstanceID]int{},
+		countedFailures: map[taskKey]bool{},
+		unansweredAt:    map[fleet.InstanceID]time.Time{},
 	}
 }
 
-func (b *taskBoard) find(id fleet.InstanceID, pool fleet.PoolName, j *fleet.Job) (fleet.Task, bool) {
+func (b *taskTracker) find(id fleet.InstanceID, pool fleet.PoolName, j *fleet.Job) (fleet.Task, bool) {
 	for _, t := range b.reports[id].tasks {
 		if t.Pool == pool && t.Job == j.Name && t.Attempt == j.Attempt {
 			return t, true
@@ -56,20 +56,20 @@
 	return fleet.Task{}, false
 }
 
-// maxAttempts bounds how often a job that ends badly is tried.
+// maxAttempts is the number of failed attempts after which a job has failed.
 const maxAttempts = 5
 
-// jobs reconciles the jobs of every pool this daemon tries for.
-func (r *roundState) jobs() {
+// reconcileJobs reconciles the jobs of the pools that are assigned to this daemon.
+func (r *round) reconcileJobs() {
 	for _, name := range r.snap.State.SortedPools() {
 		js, ok := r.snap.State.Jobs[name]
-		if ok && len(js.Value.Jobs) > 0 && r.c.mine("jobs/"+string(name)) {
-			r.poolJobs(name, js)
+		if ok && len(js.Value.Jobs) > 0 && r.c.assignedToSelf("jobs/"+string(name)) {
+			r.reconcilePoolJobs(name, js)
 		}
 	}
 }
 
-func (r *roundState) poolJobs(name fleet.PoolName, js fleet.Versioned[fleet.JobSet]) {
+func (r *round) reconcilePoolJobs(name fleet.PoolName, js fleet.Versioned[fleet.JobSet]) {
 	if r.mayWrite {
 		next, changed := r.planJobs(name, js.Value)
 		if changed {
@@ -79,8 +79,9 @@
 	r.syncWorkers(name, js.Value)
 }
 
-// planJobs takes in what workers reported and places pending jobs.
-func (r *roundState) planJobs(name fleet.PoolName, js *fleet.JobSet) (*fleet.JobSet, bool) {
+// planJobs updates jobs from the workers' reports and places pending ones. It
+// returns a changed copy of js and whether it differs.
+func (r *round) planJobs(name fleet.PoolName, js *fleet.JobSet) (*fleet.JobSet, bool) {
 	next := js.Clone()
 	changed := false
 	for i := range next.Jobs {
@@ -88,7 +89,7 @@
 			changed = r.observeJob(name, &next.Jobs[i]) || changed
 		}
 	}
-	in := place.Input{Now: r.now, Jobs: next.Jobs, Workers: r.placeWorkers(name, next), Teams: r.teams(), Policy: r.c.opts.Place}
+	in := place.Input{Now: r.now, Jobs: next.Jobs, Workers: r.placeWorkers(name, next), Teams: r.teamUsage(), Policy: r.c.opts.Place}
 	weights := r.snap.State.Config.Value.Weights
 	in.PreferTightFit = weights.Buffer > weights.RollOut && weights.Buffer > weights.Moves
 	for _, d := range place.Plan(in) {
@@ -97,7 +98,7 @@
 	return next, changed
 }
 
-func (r *roundState) applyDecision(j *fleet.Job, d place.Decision) bool {
+func (r *round) applyDecision(j *fleet.Job, d place.Decision) bool {
 	if d.State == fleet.JobPending && j.Reason == d.Reason {
 		return false
 	}
@@ -112,8 +113,9 @@
 	return true
 }
 
-// observeJob moves a placed job on from what its worker reports.
-func (r *roundState) observeJob(pool fleet.PoolName, j *fleet.Job) bool {
+// observeJob updates a placed job from its worker's report and reports whether the
+// job changed.
+func (r *round) observeJob(pool fleet.PoolName, j *fleet.Job) bool {
 	t, known := r.c.tasks.find(j.Worker, pool, j)
 	switch {
 	case known && t.State == fleet.TaskDone:
@@ -133,10 +135,10 @@
 	}
 }
 
-func (r *roundState) jobFailed(pool fleet.PoolName, j *fleet.Job) bool {
+func (r *round) jobFailed(pool fleet.PoolName, j *fleet.Job) bool {
 	key := taskKey{pool, j.Name, j.Attempt}
-	if !r.c.tasks.counted[key] {
-		r.c.tasks.counted[key] = true
+	if !r.c.tasks.countedFailures[key] {
+		r.c.tasks.countedFailures[key] = true
 		r.c.tasks.failures[j.Worker]++
 	}
 	j.Failures++
@@ -151,18 +153,18 @@
 // jobMissing handles a placed job that its worker does not report: it may not
 // have been started yet, was stopped for a drain, or is lost with the worker.
 //
-// Invariant: a job is placed anew only when its last attempt does not run.
-// Reason: the worker said so after it was asked to stop, at a time when no start
-// of the attempt could still be under way; or the task's lease has lapsed, which
+// Invariant: a job is placed again only when its last attempt has stopped. Either
+// the worker no longer reported it after it was told to stop it, at a time when no
+// request to start it could still arrive; or the task's lease has expired, which
 // stops the task on the worker.
-func (r *roundState) jobMissing(j *fleet.Job) bool {
+func (r *round) jobMissing(j *fleet.Job) bool {
 	rep, reported := r.c.tasks.reports[j.Worker]
 	settled := j.PlacedAt
-	if unsure := r.c.tasks.unsureAt[j.Worker]; unsure.After(settled) {
+	if unsure := r.c.tasks.unansweredAt[j.Worker]; unsure.After(settled) {
 		settled = unsure
 	}
 	leaving := !r.usable(j.Worker)
-	if leaving && reported && rep.asked.After(settled.Add(r.c.opts.TaskLease)) {
+	if leaving && reported && rep.sentAt.After(settled.Add(r.c.opts.TaskLease)) {
 		j.State, j.Worker, j.Reason = fleet.JobPending, "", "its worker was drained"
 		return true
 	}
@@ -181,7 +183,7 @@
 }
 
 // usable reports whether a worker may get and keep tasks.
-func (r *roundState) usable(id fleet.InstanceID) bool {
+func (r *round) usable(id fleet.InstanceID) bool {
 	m := r.snap.State.Membership(id)
 	if m == nil || !r.snap.Instances[id].Serving() {
 		return false
@@ -189,7 +191,7 @@
 	return r.disruption(id) == nil
 }
 
-func (r *roundState) disruption(id fleet.InstanceID) *fleet.Disruption {
+func (r *round) disruption(id fleet.InstanceID) *fleet.Disruption {
 	for _, p := range r.snap.State.Pools {
 		if d := p.Value.Disruption(id); d != nil {
 			return d
@@ -198,14 +200,14 @@
 	return nil
 }
 
-// usageMaxAge is how old a worker's report may be to count as fresh.
+// usageMaxAge is the age up to which a worker's reported resource usage is used.
 const usageMaxAge = 10 * time.Second
 
-func (r *roundState) placeWorkers(name fleet.PoolName, js *fleet.JobSet) []place.Worker {
+func (r *round) placeWorkers(name fleet.PoolName, js *fleet.JobSet) []place.Worker {
 	declared := map[fleet.InstanceID]fleet.Resources{}
 	for _, j := range js.Jobs {
 		if j.State == fleet.JobPlaced {
-			declared[j.Worker] = declared[j.Worker].Add(r.useOf(name, &j))
+			declared[j.Worker] = declared[j.Worker].Add(r.jobUsage(name, &j))
 		}
 	}
 	waves := r.runningWaves(name)
@@ -219,25 +221,25 @@
 			ID: inst.ID, Zone: inst.Zone, Rack: inst.Rack, Capacity: inst.Capacity,
 			Used:                declared[inst.ID],
 			Usable:              !m.Joining && r.usable(inst.ID),
-			Maintained:          r.maintained(name, waves, inst.ID),
+			Maintained:          r.maintainedByAll(name, waves, inst.ID),
 			ConsecutiveFailures: r.c.tasks.failures[inst.ID],
 		})
 	}
 	return out
 }
 
-// useOf returns what a placed job uses: as its worker observed it while that
-// report is fresh, as declared otherwise.
-func (r *roundState) useOf(pool fleet.PoolName, j *fleet.Job) fleet.Resources {
+// jobUsage returns the resources that a placed job uses: those that its worker
+// observed if the report is recent enough, else those that the job declared.
+func (r *round) jobUsage(pool fleet.PoolName, j *fleet.Job) fleet.Resources {
 	t, known := r.c.tasks.find(j.Worker, pool, j)
 	rep := r.c.tasks.reports[j.Worker]
-	if !known || t.Used == (fleet.Resources{}) || r.now.Sub(rep.at) > usageMaxAge {
+	if !known || t.Used == (fleet.Resources{}) || r.now.Sub(rep.receivedAt) > usageMaxAge {
 		return j.Need
 	}
 	return t.Used
 }
 
-func (r *roundState) runningWaves(name fleet.PoolName) []fleet.WaveName {
+func (r *round) runningWaves(name fleet.PoolName) []fleet.WaveName {
 	var out []fleet.WaveName
 	for _, w := range r.snap.State.SortedWaves() {
 		if v := r.snap.State.Waves[w].Value; !v.Ended() && v.Covers(name) {
@@ -247,7 +249,7 @@
 	return out
 }
 
-func (r *roundState) maintained(name fleet.PoolName, waves []fleet.WaveName, id fleet.InstanceID) bool {
+func (r *round) maintainedByAll(name fleet.PoolName, waves []fleet.WaveName, id fleet.InstanceID) bool {
 	for _, w := range waves {
 		if !r.snap.State.Pools[name].Value.MaintainedBy(w, id) {
 			return false
@@ -256,8 +258,8 @@
 	return true
 }
 
-// teams adds up what each team uses in all pools.
-func (r *roundState) teams() map[string]place.TeamUsage {
+// teamUsage sums the declared resources of each team's placed jobs over all pools.
+func (r *round) teamUsage() map[string]place.TeamUsage {
 	out := map[string]place.TeamUsage{}
 	for _, t := range r.snap.State.Config.Value.Teams {
 		out[t.Name] = place.TeamUsage{Quota: t.Quota, HasQuota: true}
@@ -274,10 +276,10 @@
 	return out
 }
 
-// syncWorkers has one round with each worker that has something to start, keep
-// or stop. A round is due at once for something new, else well before the
-// leases lapse.
-func (r *roundState) syncWorkers(name fleet.PoolName, js *fleet.JobSet) {
+// syncWorkers sends a sync request to each worker that has tasks to start, keep or
+// stop: after urgentSyncInterval if anything changes, else after
+// routineSyncInterval, which is well before the leases expire.
+func (r *round) syncWorkers(name fleet.PoolName, js *fleet.JobSet) {
 	rounds := map[fleet.InstanceID]*port.TaskSyncRequest{}
 	urgent := map[fleet.InstanceID]bool{}
 	for i := range js.Jobs {
@@ -290,7 +292,7 @@
 			s = &port.TaskSyncRequest{Lease: r.c.opts.TaskLease, Checkpoint: true}
 			rounds[j.Worker] = s
 		}
-		if r.addJob(name, j, s) {
+		if r.addToSync(name, j, s) {
 			urgent[j.Worker] = true
 		}
 	}
@@ -299,8 +301,9 @@
 	}
 }
 
-// addJob puts a job into its worker's round and reports whether that is urgent.
-func (r *roundState) addJob(pool fleet.PoolName, j *fleet.Job, s *port.TaskSyncRequest) bool {
+// addToSync adds a job to its worker's sync request and reports whether it is
+// urgent.
+func (r *round) addToSync(pool fleet.PoolName, j *fleet.Job, s *port.TaskSyncRequest) bool {
 	t, known := r.c.tasks.find(j.Worker, pool, j)
 	ref := port.TaskRef{Pool: pool, Job: j.Name, Attempt: j.Attempt}
 	switch {
@@ -321,26 +324,26 @@
 	}
 }
 
-// Pauses between rounds with one worker.
+// Shortest time between sync requests to one worker.
 const (
-	urgentRound = 100 * time.Millisecond
-	quietRound  = 700 * time.Millisecond
+	urgentSyncInterval  = 100 * time.Millisecond
+	routineSyncInterval = 700 * time.Millisecond
 )
 
-func (r *roundState) syncWorker(id fleet.InstanceID, s port.TaskSyncRequest, urgent bool) {
+func (r *round) syncWorker(id fleet.InstanceID, s port.TaskSyncRequest, urgent bool) {
 	b := r.c.tasks
-	due := quietRound
+	due := routineSyncInterval
 	if urgent {
-		due = urgentRound
+		due = urgentSyncInterval
 	}
 	inst, listed := r.snap.Instances[id]
-	if !listed || b.busy[id] || r.now.Sub(b.syncedAt[id]) < due {
+	if !listed || b.syncing[id] || r.now.Sub(b.syncedAt[id]) < due {
 		return
 	}
 	if len(s.Start)+len(s.Keep)+len(s.Stop) == 0 {
 		return
 	}
-	b.busy[id] = true
+	b.syncing[id] = true
 	b.syncedAt[id] = r.now
 	r.c.background(func() { r.c.syncTasks(r.ctx, id, inst.Addr, s) })
 }
@@ -353,11 +356,11 @@
 		c.Counters.TaskErrors.Add(1)
 	}
 	c.post(func() {
-		delete(c.tasks.busy, id)
+		delete(c.tasks.syncing, id)
 		if err != nil {
-			c.tasks.unsureAt[id] = time.Now()
+			c.tasks.unansweredAt[id] = time.Now()
 		} else {
-			c.tasks.reports[id] = taskReport{at: time.Now(), asked: asked, tasks: tasks}
+			c.tasks.reports[id] = taskReport{receivedAt: time.Now(), sentAt: asked, tasks: tasks}
 		}
 	})
 }
--- a/requests/control/reconcile.go
+++ b/requests/control/reconcile.go
@@ -14,20 +14,20 @@
 	"github.com/postmount/postmount/requests/wave"
 )
 
-// roundState is one round of the control goroutine.
-type roundState struct {
+// round is one reconcile round of the control goroutine.
+type round struct {
 	c       *Controller
 	ctx     context.Context
 	now     time.Time
 	snap    *Snapshot
 	members map[fleet.PoolName][]fleet.Membership
-	// mayWrite is false while the store or the instance list cannot be relied
-	// on: recorded commands are still sent, nothing new is recorded.
+	// mayWrite is false while the store is not connected or the instance list is
+	// too old. Recorded commands are then still sent, but nothing is written.
 	mayWrite bool
 }
 
-// remember keeps how the pools' availability is.
-func (r *roundState) remember() {
+// recordHistory adds the pools' current availability to the history.
+func (r *round) recordHistory() {
 	if len(r.snap.Instances) == 0 {
 		return
 	}
@@ -36,10 +36,10 @@
 	}
 }
 
-// pool reconciles one pool.
-func (r *roundState) pool(name fleet.PoolName) {
+// reconcilePool plans one pool and applies the plan.
+func (r *round) reconcilePool(name fleet.PoolName) {
 	p := r.snap.State.Pools[name]
-	plan := wave.Reconcile(r.input(name, p.Value))
+	plan := wave.Reconcile(r.waveInput(name, p.Value))
 	r.c.notes[name] = plan.Notes
 	for _, s := range plan.Commands {
 		r.c.send(r.ctx, r.now, s)
@@ -55,7 +55,7 @@
 	}
 }
 
-func (r *roundState) input(name fleet.PoolName, p *fleet.Pool) wave.Input {
+func (r *round) waveInput(name fleet.PoolName, p *fleet.Pool) wave.Input {
 	members := slices.Clone(r.members[name])
 	slices.SortFunc(members, func(a, b fleet.Membership) int { return cmp.Compare(a.Instance, b.Instance) })
 	in := wave.Input{
@@ -77,8 +77,9 @@
 	return in
 }
 
-// changeMembership changes the one record that says where an instance belongs.
-func (r *roundState) changeMembership(ch wave.MembershipChange) {
+// changeMembership writes the membership record of one instance, if the instance
+// is still in pool ch.From.
+func (r *round) changeMembership(ch wave.MembershipChange) {
 	shard := fleet.ShardOf(ch.Instance)
 	base := r.snap.State.Shards[shard]
 	if base.Value == nil {
@@ -95,8 +96,8 @@
 	write(r.ctx, r.c, record.ShardKey(shard), base, next)
 }
 
-// wave decides whether a wave has ended or must halt.
-func (r *roundState) wave(name fleet.WaveName) {
+// reconcileWave marks a wave as done or halted if it has ended or must halt.
+func (r *round) reconcileWave(name fleet.WaveName) {
 	w := r.snap.State.Waves[name]
 	if !r.mayWrite || w.Value.Ended() {
 		return
@@ -119,18 +120,18 @@
 	write(r.ctx, r.c, record.WaveKey(name), w, next)
 }
 
-// WaveProgress counts how far a wave is.
+// WaveProgress counts the instances of a wave by outcome.
 type WaveProgress struct {
-	Remaining int // members it has not finished with
-	Finished  int // members it rebooted
-	Failed    int // members it gave up
-	Granted   int // members it has taken out so far
-	Known     bool
-	// End is the forecast of the end, zero if there is none yet.
+	Remaining int  // not done yet
+	Finished  int  // rebooted and back in service
+	Failed    int  // skipped because they failed
+	Granted   int  // taken out of service so far
+	Known     bool // false if no instance list has been read
+	// End is the estimated end of the wave; zero if there is no estimate.
 	End time.Time
 }
 
-// ComputeWaveProgress works out how far a wave is.
+// ComputeWaveProgress counts the progress of w over all its pools.
 func ComputeWaveProgress(s *Snapshot, members map[fleet.PoolName][]fleet.Membership, w *fleet.Wave) WaveProgress {
 	if w.Ended() {
 		return WaveProgress{Finished: w.Finished, Failed: w.Failed, Known: true}
--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -66,10 +66,11 @@
 	Text     string
 }
 
-// planner computes the plan of one pool.
+// planner computes the plan of one pool. It applies the changes to next, a copy of
+// the pool's record.
 type planner struct {
 	in   Input
-	next *fleet.Pool // the pool's record as the plan changes it
+	next *fleet.Pool
 	plan Plan
 	// poolChanged is true if next differs from in.Pool.
 	poolChanged bool
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -10,12 +10,12 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// grantDisruptions takes further instances out for the running waves, as far as the
-// pool's budget allows.
+// grantDisruptions adds disruptions for operators' requests and running waves, as
+// far as the pool's budget allows.
 //
-// Invariant: a disruption is only added while the account that includes every
-// recorded one has headroom. Reason: the account and the new claim go into the
-// same record, so of two daemons that grantDisruptions at once one loses its
+// Invariant: a disruption is added only while the budget, computed with every
+// recorded disruption, has headroom. This holds because all disruptions of a pool
+// are in one record: if two daemons grant at the same time, one of them fails its
 // compare-and-swap and plans again.
 func (p *planner) grantDisruptions() {
 	waiting := p.grantRequests()
