--- a/cmd/postmount-lab/demo.go
+++ b/cmd/postmount-lab/demo.go
@@ -14,20 +14,20 @@
 	"github.com/postmount/postmount/lab/jobsdemo"
 )
 
-// errInvariantViolated says that the demo saw a broken promise.
-var errInvariantViolated = errors.New("the demo saw a broken invariant")
+// errInvariantViolated is returned if a part of the demo violated an invariant.
+var errInvariantViolated = errors.New("the demo violated an invariant")
 
-// demoCommand adds "demo", the main job on embedded stand-ins.
+// demoCommand adds "demo", which runs the main use case on embedded stand-ins.
 func demoCommand(app *kingpin.Application, runners map[string]runner) {
-	cmd := app.Command("demo", "Run the main job in one process: entry daemons, workers, load, a wave, and faults.")
+	cmd := app.Command("demo", "Run the main use case in one process: entry daemons, workers, load, a wave, and faults.")
 	o := lab.DemoOptions{Progress: os.Stderr}
 	fleet := fleetFlag(cmd)
 	cmd.Flag("seed", "Seed of the load.").Default("1").Uint64Var(&o.Seed)
-	cmd.Flag("for", "How long the load lasts.").Default("24s").DurationVar(&o.For)
+	cmd.Flag("for", "Duration of the load.").Default("24s").DurationVar(&o.For)
 	cmd.Flag("entries", "Number of entry daemons.").Default("6").IntVar(&o.Entries)
 	logs := cmd.Flag("logs", "Print the daemons' logs.").Bool()
-	only := cmd.Flag("only", "Which part to run: callers' requests to backend servers, jobs, or both at the same time.").Default("all").Enum("all", "requests", "jobs")
-	output := cmd.Flag("output", "How results are printed.").Default("table").Enum("table", "json")
+	only := cmd.Flag("only", "Part to run: callers' requests to backend servers, jobs, or both at the same time.").Default("all").Enum("all", "requests", "jobs")
+	output := cmd.Flag("output", "Output format.").Default("table").Enum("table", "json")
 	runners[cmd.FullCommand()] = func(ctx context.Context) error {
 		t, err := lab.TopologyByName(*fleet)
 		if err != nil {
@@ -47,6 +47,7 @@
 	Jobs     *jobsdemo.Report `json:"jobs,omitempty"`
 }
 
+// runDemo runs the chosen parts and prints their reports.
 func runDemo(ctx context.Context, o lab.DemoOptions, only, output string) error {
 	var rep demoReport
 	var wg sync.WaitGroup
@@ -67,7 +68,7 @@
 	return rep.print(output)
 }
 
-// print writes the reports and returns errBroken if a promise was broken.
+// print prints the reports. It returns errInvariantViolated if one lists a violation.
 func (r *demoReport) print(output string) error {
 	if output == "json" {
 		if err := json.NewEncoder(os.Stdout).Encode(r); err != nil {
--- a/cmd/postmount-lab/load.go
+++ b/cmd/postmount-lab/load.go
@@ -14,41 +14,43 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
-// errLoadCheckFailed says that the load saw a broken promise.
-var errLoadCheckFailed = errors.New("some answers were cut, foreign or differed, or a request ran twice")
+// errLoadCheckFailed is returned if an answer was wrong or a request ran twice.
+var errLoadCheckFailed = errors.New("some answers were truncated, for another request or differed, or a request ran twice")
 
-// loadCommand adds "load", the open-loop caller.
+// loadCommand adds "load", the open-loop load generator.
 func loadCommand(app *kingpin.Application, runners map[string]runner) {
-	cmd := app.Command("load", "Put open-loop load on entry daemons and check every answer.")
-	entries := cmd.Flag("entry", "Traffic address of an entry daemon; name all of them.").Default("127.0.0.1:7000").Strings()
-	workers := cmd.Flag("workers", "Control address of the workers, to count what ran twice.").Default("127.0.0.1:7300").String()
+	cmd := app.Command("load", "Generate open-loop load on entry daemons and check every answer.")
+	entries := cmd.Flag("entry", "Traffic address of an entry daemon; repeat the flag for each daemon.").Default("127.0.0.1:7000").Strings()
+	workers := cmd.Flag("workers", "Control address of the workers, to check that no request ran twice.").Default("127.0.0.1:7300").String()
 	fleet := fleetFlag(cmd)
-	scale := cmd.Flag("scale", "Multiplies every arrival rate.").Default("1").Float64()
-	resend := cmd.Flag("resend", "Share of keyed requests sent again through another entry.").Default("0.1").Float64()
+	scale := cmd.Flag("scale", "Factor for every arrival rate.").Default("1").Float64()
+	resend := cmd.Flag("resend", "Fraction of requests with an idempotency key that are sent again through another entry daemon.").Default("0.1").Float64()
 	seed := cmd.Flag("seed", "Seed of the arrivals.").Default("1").Uint64()
-	length := cmd.Flag("for", "How long.").Default("10s").Duration()
-	output := cmd.Flag("output", "How results are printed.").Default("table").Enum("table", "json")
+	duration := cmd.Flag("for", "Duration of the load.").Default("10s").Duration()
+	output := cmd.Flag("output", "Output format.").Default("table").Enum("table", "json")
 	runners[cmd.FullCommand()] = func(ctx context.Context) error {
 		t, err := lab.TopologyByName(*fleet)
 		if err != nil {
 			return err
 		}
-		ctx, cancel := context.WithTimeout(ctx, *length)
+		ctx, cancel := context.WithTimeout(ctx, *duration)
 		defer cancel()
 		l := lab.NewLoad(lab.LoadOptions{Topology: t, Entries: *entries, Scale: *scale, Resend: *resend, Seed: *seed})
 		l.Run(ctx)
-		sums := l.Summaries()
+		summaries := l.Summaries()
 		if *output == "json" {
-			_ = json.NewEncoder(os.Stdout).Encode(sums)
+			_ = json.NewEncoder(os.Stdout).Encode(summaries)
 		} else {
-			lab.PrintSummaries(os.Stdout, sums)
+			lab.PrintSummaries(os.Stdout, summaries)
 		}
-		return checkSummaries(sums, *workers)
+		return checkSummaries(summaries, *workers)
 	}
 }
 
-func checkSummaries(sums []lab.Summary, workers string) error {
-	for _, s := range sums {
+// checkSummaries returns errLoadCheckFailed if an answer was wrong or, according to
+// the workers, a request ran twice.
+func checkSummaries(summaries []lab.Summary, workers string) error {
+	for _, s := range summaries {
 		if s.Cut+s.Foreign+s.Differs > 0 {
 			return errLoadCheckFailed
 		}
--- a/cmd/postmount-lab/main.go
+++ b/cmd/postmount-lab/main.go
@@ -1,5 +1,5 @@
-// Command postmount-lab runs postmount's stand-ins, puts load on entry daemons,
-// and runs the demo.
+// Command postmount-lab runs stand-ins for postmount's environment, generates load
+// on entry daemons, and runs the demo and the measurements.
 package main
 
 import (
@@ -17,10 +17,10 @@
 	"github.com/postmount/postmount/requests/daemon"
 )
 
-// exitUsage is the exit status of a command line that is not understood.
+// exitUsage is the exit status for an invalid command line.
 const exitUsage = 2
 
-// runner carries out one command.
+// runner executes one command.
 type runner func(ctx context.Context) error
 
 func main() {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// fleetFlag adds the flag that chooses a user's fleet.
+// fleetFlag adds the flag that selects a user's fleet.
 func fleetFlag(cmd *kingpin.CmdClause) *string {
-	return cmd.Flag("fleet", "Which user's fleet.").Default("order-desks").Enum("order-desks", "alumni-hub")
+	return cmd.Flag("fleet", "User's fleet to simulate.").Default("order-desks").Enum("order-desks", "alumni-hub")
 }
--- a/cmd/postmount-lab/measure.go
+++ b/cmd/postmount-lab/measure.go
@@ -14,7 +14,7 @@
 // baselines and prints Markdown.
 func measureCommand(app *kingpin.Application, runners map[string]runner) {
 	cmd := app.Command("measure", "Run the measurements against their baselines; prints Markdown.")
-	only := cmd.Flag("only", "Run only those whose name contains this.").String()
+	only := cmd.Flag("only", "Run only measurements whose name contains this text.").String()
 	seed := cmd.Flag("seed", "Seed of the load.").Default("1").Uint64()
 	runners[cmd.FullCommand()] = func(ctx context.Context) error {
 		for _, e := range append(lab.Experiments(), lab.ControlExperiments()...) {
--- a/cmd/postmount-lab/statements.go
+++ b/cmd/postmount-lab/statements.go
@@ -9,10 +9,10 @@
 	"github.com/postmount/postmount/lab"
 )
 
-// statementsCommand adds "statements", which prints the commands that set a
-// user's fleet up.
+// statementsCommand adds "statements", which prints the statements that set up a
+// user's fleet.
 func statementsCommand(app *kingpin.Application, runners map[string]runner) {
-	cmd := app.Command("statements", "Print the operators' statements that set a fleet up.")
+	cmd := app.Command("statements", "Print the operators' statements that set up a fleet.")
 	fleet := fleetFlag(cmd)
 	runners[cmd.FullCommand()] = func(context.Context) error {
 		t, err := lab.TopologyByName(*fleet)
--- a/cmd/postmount-lab/store.go
+++ b/cmd/postmount-lab/store.go
@@ -11,12 +11,12 @@
 // storeCommand adds "store", the stand-in for the platform's key-value service.
 func storeCommand(app *kingpin.Application, runners map[string]runner) {
 	cmd := app.Command("store", "Stand-in for the platform's key-value service (etcd v3 JSON gateway).")
-	listen := cmd.Flag("listen", "Address to listen at.").Default("127.0.0.1:7100").String()
-	down := cmd.Flag("down", "Start with every call refused.").Bool()
-	delay := cmd.Flag("delay-ms", "Hold every call for that long.").Int()
-	reads := cmd.Flag("reads-per-second", "Limit of reads, 0 for none.").Default("2000").Int()
-	writes := cmd.Flag("writes-per-second", "Limit of writes, 0 for none.").Default("400").Int()
-	lose := cmd.Flag("lose-answers", "Lose the answers of that many writes after they took effect.").Int()
+	listen := cmd.Flag("listen", "Listen address.").Default("127.0.0.1:7100").String()
+	down := cmd.Flag("down", "Refuse every call from the start.").Bool()
+	delay := cmd.Flag("delay-ms", "Delay of every call, in milliseconds.").Int()
+	reads := cmd.Flag("reads-per-second", "Limit of reads per second, 0 for none.").Default("2000").Int()
+	writes := cmd.Flag("writes-per-second", "Limit of writes per second, 0 for none.").Default("400").Int()
+	lose := cmd.Flag("lose-answers", "Number of writes whose responses are lost after they took effect.").Int()
 	runners[cmd.FullCommand()] = func(ctx context.Context) error {
 		s := store.NewServer()
 		defer s.Close()
--- a/cmd/postmount-lab/workers.go
+++ b/cmd/postmount-lab/workers.go
@@ -15,13 +15,13 @@
 // workersCommand adds "workers", the stand-in for a user's workers.
 func workersCommand(app *kingpin.Application, runners map[string]runner) {
 	cmd := app.Command("workers", "Stand-in for all workers of a user's fleet.")
-	listen := cmd.Flag("listen", "Control address to listen at.").Default("127.0.0.1:7300").String()
-	platformAddr := cmd.Flag("platform", "Address of the platform stand-in to register at.").Default("127.0.0.1:7200").String()
+	listen := cmd.Flag("listen", "Listen address of the control API.").Default("127.0.0.1:7300").String()
+	platformAddr := cmd.Flag("platform", "Address of the platform stand-in to register with.").Default("127.0.0.1:7200").String()
 	fleet := fleetFlag(cmd)
 	fail := cmd.Flag("fail", "Worker that fails every request and task.").Strings()
 	slow := cmd.Flag("slow", "Worker that is 500 ms slower.").Strings()
 	hang := cmd.Flag("hang", "Worker that never answers.").Strings()
-	cut := cmd.Flag("cut", "Worker that breaks its answers off.").Strings()
+	cut := cmd.Flag("cut", "Worker that truncates its answers.").Strings()
 	runners[cmd.FullCommand()] = func(ctx context.Context) error {
 		t, err := lab.TopologyByName(*fleet)
 		if err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// register puts the workers into service once the platform answers.
+// register registers the workers with the platform; it retries until that succeeds.
 func register(ctx context.Context, addr string, specs []worker.Spec) {
 	for ctx.Err() == nil {
 		if platform.Register(addr, specs) == nil {
--- a/cmd/postmount/explain.go
+++ b/cmd/postmount/explain.go
@@ -61,13 +61,13 @@
 			return nil, 0, err
 		}
 		source := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
-		lines, bad, err := explain.Read(source, f)
+		lines, skipped, err := explain.Read(source, f)
 		f.Close()
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", name, err)
 		}
 		all = append(all, lines...)
-		unreadable += bad
+		unreadable += skipped
 	}
 	return all, unreadable, nil
 }
--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -150,11 +150,11 @@
 }
 
 func maxGroupJobs(groups []late.Group) float64 {
-	most := 0
+	highest := 0
 	for _, g := range groups {
-		most = max(most, g.Jobs)
+		highest = max(highest, g.Jobs)
 	}
-	return float64(most)
+	return float64(highest)
 }
 
 // sortedCauses returns the causes that delayed a job most in any group.
--- a/cmd/postmount/report_wave.go
+++ b/cmd/postmount/report_wave.go
@@ -50,13 +50,13 @@
 	fmt.Printf("wave %s is %s: %d finished, %d failed, %s\n", r.Wave, r.State, r.Finished, r.Failed, took)
 	var rows [][]string
 	for _, p := range r.Pools {
-		least, floor := -1, 0
+		minAvailable, floor := -1, 0
 		for _, s := range p.Samples {
-			if least < 0 || s.Available < least {
-				least, floor = s.Available, s.Floor
+			if minAvailable < 0 || s.Available < minAvailable {
+				minAvailable, floor = s.Available, s.Floor
 			}
 		}
-		rows = append(rows, []string{p.Pool, strconv.Itoa(least), strconv.Itoa(floor), strconv.Itoa(p.MaxOut), strconv.FormatBool(!p.BudgetExceeded)})
+		rows = append(rows, []string{p.Pool, strconv.Itoa(minAvailable), strconv.Itoa(floor), strconv.Itoa(p.MaxOut), strconv.FormatBool(!p.BudgetExceeded)})
 	}
 	printTable([]string{"pool", "least available", "floor then", "most out", "budget held"}, rows)
 }
@@ -101,13 +101,13 @@
 }
 
 func maxInstances(r api.WaveReport) float64 {
-	most := 0
+	highest := 0
 	for _, p := range r.Pools {
 		for _, s := range p.Samples {
-			most = max(most, s.Available+s.Out)
+			highest = max(highest, s.Available+s.Out)
 		}
 	}
-	return float64(most)
+	return float64(highest)
 }
 
 // stepSeries converts a pool's samples, each valid until the next, to a step line.
--- a/cmd/postmount/wait.go
+++ b/cmd/postmount/wait.go
@@ -32,8 +32,8 @@
 // waitForWave polls a wave, prints each change of its progress, and returns the
 // exit status.
 func waitForWave(ctx context.Context, c *client.Client, name string) int {
-	last := ""
-	failed := 0
+	lastLine := ""
+	failedPolls := 0
 	for {
 		state, line, err := waveProgress(ctx, c, name)
 		if err != nil {
@@ -41,15 +41,15 @@
 			if verdict.CodeOf(err) != client.CodeUnreachable {
 				return exitNotRun
 			}
-			if failed++; failed >= maxFailedPolls {
+			if failedPolls++; failedPolls >= maxFailedPolls {
 				return exitMayHaveRun
 			}
 		} else {
-			failed = 0
+			failedPolls = 0
 		}
-		if line != "" && line != last {
+		if line != "" && line != lastLine {
 			fmt.Println(line)
-			last = line
+			lastLine = line
 		}
 		switch state {
 		case "done":
