--- a/adapter/backendhttp/client.go
+++ b/adapter/backendhttp/client.go
@@ -230,7 +230,7 @@
 }
 
 // sealUnwritten reports whether the request was written to none of its connections,
-// and seals these against later writes.
+// and seals each connection that it was not written to, those assigned later too.
 func (t *requestConns) sealUnwritten() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -27,8 +27,8 @@
 	handshakePrefix   = "postmount-peer/1 "
 	maxHandshakeBytes = 256
 	handshakeTimeout  = 2 * time.Second
-	// idleTimeout ends a connection on which nothing arrives; heartbeats come
-	// far more often.
+	// idleTimeout closes a connection that receives nothing; heartbeats are far
+	// more frequent.
 	idleTimeout = time.Minute
 	// maxConnections bounds the connections open at the same time.
 	maxConnections = 128
--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -52,7 +52,7 @@
 	}
 	printLate(&r, slice)
 	if unreadable+r.LeftOut > 0 {
-		fmt.Printf("%d lines could not be read, %d were dropped by the daemons: jobs may be missing\n", unreadable, r.LeftOut)
+		fmt.Printf("%d lines could not be read and daemons dropped %d lines: jobs may be missing\n", unreadable, r.LeftOut)
 	}
 	return nil
 }
--- a/operators/api/exec.go
+++ b/operators/api/exec.go
@@ -38,7 +38,7 @@
 )
 
 // Exec executes the statements of p in order and stops at the first that fails.
-// A repeat with the same id does not execute them again.
+// A repeat with the same id does not write again.
 func (e *Executor) Exec(ctx context.Context, id string, p *query.Program) []Result {
 	var out []Result
 	for i, s := range p.Statements {
@@ -87,12 +87,12 @@
 			// have executed the same command.
 			noReload = true
 			if listErr := e.reloadAll(ctx); listErr != nil {
-				return plan, adjustVerdict(listErr, written)
+				return plan, mayHaveRunIfWritten(listErr, written)
 			}
 			continue
 		}
 		if err != nil {
-			return plan, adjustVerdict(err, written)
+			return plan, mayHaveRunIfWritten(err, written)
 		}
 		if plan.Write == nil {
 			return plan, nil
@@ -104,18 +104,18 @@
 			e.Mirror.Apply([]port.Event{{KV: w.KV}}, 0)
 		case verdict.CodeOf(err) == record.CodeConflict:
 			if err := e.reloadKey(ctx, plan.Write.Key); err != nil {
-				return plan, adjustVerdict(err, written)
+				return plan, mayHaveRunIfWritten(err, written)
 			}
 		default:
-			return plan, adjustVerdict(err, written)
+			return plan, mayHaveRunIfWritten(err, written)
 		}
 	}
-	return command.Plan{}, adjustVerdict(verdict.New(verdict.NotRun, record.CodeConflict, "gave up: the record kept changing"), written)
+	return command.Plan{}, mayHaveRunIfWritten(verdict.New(verdict.NotRun, record.CodeConflict, "gave up: the record kept changing"), written)
 }
 
-// adjustVerdict changes the verdict NotRun of err to MayHaveRun if a part of the
+// mayHaveRunIfWritten changes the verdict NotRun of err to MayHaveRun if a part of the
 // statement was written.
-func adjustVerdict(err error, written bool) error {
+func mayHaveRunIfWritten(err error, written bool) error {
 	if !written || verdict.Of(err) != verdict.NotRun {
 		return err
 	}
--- a/operators/api/messages.go
+++ b/operators/api/messages.go
@@ -34,7 +34,8 @@
 	// Behind names those that had not when the wait timed out.
 	InForce bool     `json:"in_force"`
 	Behind  []string `json:"behind,omitempty"`
-	// InForceMillis is the time from recording the change until it was in force.
+	// InForceMillis is the time from recording the change until it was in force
+	// or the wait timed out.
 	InForceMillis int64 `json:"in_force_ms,omitempty"`
 }
 
--- a/operators/client/client.go
+++ b/operators/client/client.go
@@ -24,7 +24,7 @@
 	CodeRefused     verdict.Code = "server-refused"
 )
 
-// Client calls the first of its servers that responds.
+// Client calls its servers in order until one answers.
 type Client struct {
 	servers []string // IP:port of operators' APIs
 	http    *http.Client
@@ -109,7 +109,7 @@
 	}
 	switch {
 	case last == nil:
-		return false, verdict.New(verdict.NotRun, CodeUnreachable, "no server given")
+		return false, verdict.New(verdict.NotRun, CodeUnreachable, "no server address given")
 	case uncertain:
 		return true, verdict.Wrap(last, verdict.MayHaveRun, verdict.CodeOf(last), "an earlier server may have executed it")
 	default:
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -87,8 +87,8 @@
 // milliPerCore converts cores to thousandths of a core.
 const milliPerCore = 1000
 
-// resources adds up the amounts of a statement; of two for the same resource the
-// last counts.
+// resources converts the amounts of a statement. If a resource is given twice, the
+// last amount counts.
 func resources(needs []*query.ResourceAmount) fleet.Resources {
 	var r fleet.Resources
 	for _, n := range needs {
@@ -178,8 +178,8 @@
 		return Plan{}, err
 	}
 	if v.Value.Applied.Contains(p.ID) {
-		account := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snapshot.Instances)
-		return completed(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, account.Explain())
+		status := budget.Compute(v.Value, p.state.MembersOf(v.Value.Name), p.Snapshot.Instances)
+		return completed(v.Revision, "budget of pool %s is %s: %s", s.Pool, v.Value.Budget, status.Explain())
 	}
 	b, err := availabilityBudget(s.Budget)
 	if err != nil {
--- a/operators/command/instance.go
+++ b/operators/command/instance.go
@@ -75,14 +75,14 @@
 		next.RemoveRequest(id)
 		return write(p, record.PoolKey(v.Value.Name), v, next)
 	}
-	claim, d := p.disruptionOf(id)
+	poolRecord, d := p.disruptionOf(id)
 	switch {
 	case d == nil:
 		return Plan{}, refuse(CodeNotAllowed, "instance %s is not out", id)
 	case d.Kind != fleet.DisruptByDrain:
 		return Plan{}, refuse(CodeNotAllowed, "instance %s is out for a %s, which brings it back by itself", id, d.Kind)
-	case claim.Value.Name != v.Value.Name:
-		return Plan{}, refuse(CodeNotAllowed, "instance %s is out of pool %s", id, claim.Value.Name)
+	case poolRecord.Value.Name != v.Value.Name:
+		return Plan{}, refuse(CodeNotAllowed, "instance %s is out of pool %s", id, poolRecord.Value.Name)
 	}
 	next.Disruption(id).LeaveWanted = true
 	return write(p, record.PoolKey(v.Value.Name), v, next)
--- a/operators/command/wave.go
+++ b/operators/command/wave.go
@@ -34,7 +34,7 @@
 		w.Pools = append(w.Pools, fleet.PoolName(pool))
 	}
 	if len(w.Pools) == 0 {
-		return Plan{}, refuse(CodeNotAllowed, "there are no pools")
+		return Plan{}, refuse(CodeNotAllowed, "there are no pools to maintain")
 	}
 	return write(p, record.WaveKey(name), fleet.Versioned[fleet.Wave]{}, w)
 }
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -59,22 +59,22 @@
 			add("an operator's %s has waited for the budget since %s: %s", r.Kind, formatTime(r.At), p.budgetStatus(v.Value).Explain())
 		}
 	}
-	claim, d := p.disruptionOf(id)
+	poolRecord, d := p.disruptionOf(id)
 	if d == nil {
 		add("nothing takes it out")
 		p.whyNotDrained(id, m.Pool, add)
 		return nil
 	}
-	add("pool %s has it out for %s since %s, in phase %s since %s", claim.Value.Name, describeDisruption(d), formatTime(d.Since), d.Phase, formatTime(d.PhaseAt))
+	add("pool %s has it out for %s since %s, in phase %s since %s", poolRecord.Value.Name, describeDisruption(d), formatTime(d.Since), d.Phase, formatTime(d.PhaseAt))
 	if d.Command.ID != "" {
 		add("command %s %s for generation %d is sent until the platform shows its effect", d.Command.Action, d.Command.ID, d.Command.Generation)
 	}
-	p.addNotes(claim.Value.Name, id, add)
+	p.addNotes(poolRecord.Value.Name, id, add)
 	return nil
 }
 
-// whyNotDrained explains, for each wave that is not over, why it has not drained an
-// instance.
+// whyNotDrained explains, for each wave in progress on the pool, whether it has
+// finished with the instance, or else why it has not drained it.
 func (p *planner) whyNotDrained(id fleet.InstanceID, pool fleet.PoolName, add addLineFunc) {
 	v, ok := p.state.Pools[pool]
 	if !ok {
@@ -122,7 +122,7 @@
 		add("%s: %s, in phase %s since %s", d.Instance, describeDisruption(&d), d.Phase, formatTime(d.PhaseAt))
 	}
 	for _, id := range a.Failed {
-		add("%s: out by itself, the platform reports %q", id, p.Snapshot.Instances[id].State)
+		add("%s: out because the platform reports it as %q", id, p.Snapshot.Instances[id].State)
 	}
 	for _, n := range p.Snapshot.Notes[name] {
 		add("%s", n.Text)
@@ -190,7 +190,7 @@
 		add("attempt %d was placed on %s at %s", j.Attempt, j.Worker, formatTime(j.PlacedAt))
 	}
 	if !j.LostAt.IsZero() {
-		add("its worker has not reported it since %s; it is placed anew once the task's lease has certainly lapsed", formatTime(j.LostAt))
+		add("its worker has not reported it since %s; it is placed again once the task's lease has certainly expired", formatTime(j.LostAt))
 	}
 	if j.Failures > 0 {
 		add("%d of its attempts failed", j.Failures)
--- a/operators/query/grammar.go
+++ b/operators/query/grammar.go
@@ -181,7 +181,7 @@
 	Name string `parser:"@Ident"`
 }
 
-// Submit submits one job, or Count equal ones.
+// Submit submits one job, or Count identical ones.
 type Submit struct {
 	Name   string            `parser:"@Ident"`
 	Pool   string            `parser:"'to' 'pool' @Ident"`
