--- a/internal/matrix/control_test.go
+++ b/internal/matrix/control_test.go
@@ -14,23 +14,23 @@
 	"github.com/postmount/postmount/requests/wave"
 )
 
-// versioned is one record of the model store.
-type versioned struct {
+// poolRecord is one record of the model store.
+type poolRecord struct {
 	pool *fleet.Pool
 	rev  int
 }
 
-// controller is one daemon's knowledge, which lags.
-type controller struct {
-	pools     map[fleet.PoolName]versioned
+// daemonState is one daemon's knowledge, which lags.
+type daemonState struct {
+	pools     map[fleet.PoolName]poolRecord
 	members   map[fleet.InstanceID]fleet.Membership
 	memberRev map[fleet.InstanceID]int
 	instances map[fleet.InstanceID]fleet.Instance
 	waves     map[fleet.WaveName]fleet.Wave
 }
 
-// sent is a command on its way to the platform. It may arrive late and often.
-type sent struct {
+// pendingCommand is a command on its way to the platform. It may arrive late and often.
+type pendingCommand struct {
 	instance fleet.InstanceID
 	command  fleet.Command
 }
@@ -39,57 +39,57 @@
 // decisions and act on what they planned in any order.
 type model struct {
 	now       time.Time
-	pools     map[fleet.PoolName]versioned
+	pools     map[fleet.PoolName]poolRecord
 	members   map[fleet.InstanceID]fleet.Membership
 	memberRev map[fleet.InstanceID]int
 	waves     map[fleet.WaveName]fleet.Wave
-	truth     map[fleet.InstanceID]fleet.Instance
+	actual    map[fleet.InstanceID]fleet.Instance
 	// listed is the platform's list, which lags behind the truth.
 	listed   map[fleet.InstanceID]fleet.Instance
-	commands map[fleet.CommandID]bool // carried out
-	network  []sent
-	daemons  []*controller
-	ids      int
+	executed map[fleet.CommandID]bool // carried out
+	network  []pendingCommand
+	states   []*daemonState
+	lastID   int
 }
 
 const (
 	poolSize    = 5
-	controllers = 6
+	daemonCount = 6
 )
 
 func newModel() *model {
 	m := &model{
-		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), pools: map[fleet.PoolName]versioned{}, members: map[fleet.InstanceID]fleet.Membership{},
-		memberRev: map[fleet.InstanceID]int{}, waves: map[fleet.WaveName]fleet.Wave{}, truth: map[fleet.InstanceID]fleet.Instance{}, commands: map[fleet.CommandID]bool{},
+		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), pools: map[fleet.PoolName]poolRecord{}, members: map[fleet.InstanceID]fleet.Membership{},
+		memberRev: map[fleet.InstanceID]int{}, waves: map[fleet.WaveName]fleet.Wave{}, actual: map[fleet.InstanceID]fleet.Instance{}, executed: map[fleet.CommandID]bool{},
 	}
 	for _, p := range []fleet.PoolName{"a", "b"} {
-		m.pools[p] = versioned{&fleet.Pool{Name: p, Budget: fleet.AvailabilityBudget{MaxUnavailable: 2}}, 1}
+		m.pools[p] = poolRecord{&fleet.Pool{Name: p, Budget: fleet.AvailabilityBudget{MaxUnavailable: 2}}, 1}
 		for i := range poolSize {
 			id := fleet.InstanceID(fmt.Sprintf("%s%d", p, i))
 			m.members[id] = fleet.Membership{Instance: id, Pool: p}
-			m.truth[id] = fleet.Instance{ID: id, State: fleet.InstanceReady, Generation: 1}
+			m.actual[id] = fleet.Instance{ID: id, State: fleet.InstanceReady, Generation: 1}
 		}
 	}
-	m.listed = maps.Clone(m.truth)
-	for range controllers {
-		c := &controller{}
-		m.daemons = append(m.daemons, c)
-		m.read(c)
-		m.readList(c)
+	m.listed = maps.Clone(m.actual)
+	for range daemonCount {
+		c := &daemonState{}
+		m.states = append(m.states, c)
+		m.refreshRecords(c)
+		m.refreshInstances(c)
 	}
 	return m
 }
 
-// read brings a daemon's records up to date. Records are values that nobody
+// refreshRecords brings a daemon's records up to date. Records are values that nobody
 // changes, as in the mirror.
-func (m *model) read(c *controller) {
+func (m *model) refreshRecords(c *daemonState) {
 	c.pools, c.members, c.memberRev, c.waves = maps.Clone(m.pools), maps.Clone(m.members), maps.Clone(m.memberRev), maps.Clone(m.waves)
 }
 
-func (m *model) readList(c *controller) { c.instances = maps.Clone(m.listed) }
+func (m *model) refreshInstances(c *daemonState) { c.instances = maps.Clone(m.listed) }
 
-func (m *model) daemon(t *rapid.T) *controller {
-	return m.daemons[rapid.IntRange(0, controllers-1).Draw(t, "daemon")]
+func (m *model) daemon(t *rapid.T) *daemonState {
+	return m.states[rapid.IntRange(0, daemonCount-1).Draw(t, "daemon")]
 }
 
 func (m *model) pool(t *rapid.T) fleet.PoolName {
@@ -97,10 +97,10 @@
 }
 
 func (m *model) instance(t *rapid.T) fleet.InstanceID {
-	return rapid.SampledFrom(slices.Sorted(maps.Keys(m.truth))).Draw(t, "instance")
+	return rapid.SampledFrom(slices.Sorted(maps.Keys(m.actual))).Draw(t, "instance")
 }
 
-func (c *controller) membersOf(p fleet.PoolName) (out []fleet.Membership) {
+func (c *daemonState) membersOf(p fleet.PoolName) (out []fleet.Membership) {
 	for _, id := range slices.Sorted(maps.Keys(c.members)) {
 		if c.members[id].Pool == p {
 			out = append(out, c.members[id])
@@ -109,16 +109,16 @@
 	return out
 }
 
-// act plans for one pool from what the daemon knows and applies the parts: the
+// reconcile plans for one pool from what the daemon knows and applies the parts: the
 // commands of the record it knows go out, and its changes win only if the
 // records are still those that it planned from. The answer of a write may be
 // lost, which changes nothing: the daemon reads again before it acts again.
-func (m *model) act(t *rapid.T) {
+func (m *model) reconcile(t *rapid.T) {
 	c, name := m.daemon(t), m.pool(t)
 	base := c.pools[name]
 	plan := wave.Reconcile(m.input(c, name))
 	for _, s := range plan.Commands {
-		m.network = append(m.network, sent{s.Instance, s.Command})
+		m.network = append(m.network, pendingCommand{s.Instance, s.Command})
 	}
 	for _, ch := range plan.MembershipChanges {
 		if m.memberRev[ch.Instance] == c.memberRev[ch.Instance] && m.members[ch.Instance].Pool == ch.From {
@@ -129,16 +129,16 @@
 	if plan.Pool == nil || m.pools[name].rev != base.rev {
 		return
 	}
-	m.checkGrant(t, c, base.pool, plan.Pool)
-	m.pools[name] = versioned{plan.Pool, base.rev + 1}
+	m.checkBudget(t, c, base.pool, plan.Pool)
+	m.pools[name] = poolRecord{plan.Pool, base.rev + 1}
 }
 
-func (m *model) input(c *controller, name fleet.PoolName) wave.Input {
+func (m *model) input(c *daemonState, name fleet.PoolName) wave.Input {
 	in := wave.Input{
 		Now: m.now, Pool: c.pools[name].pool, Members: c.membersOf(name), Instances: c.instances,
 		Membership: func(id fleet.InstanceID) *fleet.Membership { v := c.members[id]; return &v },
 		Options:    wave.Options{RebootTimeout: time.Minute},
-		NewID:      func() fleet.CommandID { m.ids++; return fleet.CommandID(fmt.Sprint("c", m.ids)) },
+		NewID:      func() fleet.CommandID { m.lastID++; return fleet.CommandID(fmt.Sprint("c", m.lastID)) },
 	}
 	for _, w := range slices.Sorted(maps.Keys(c.waves)) {
 		v := c.waves[w]
@@ -147,9 +147,9 @@
 	return in
 }
 
-// checkGrant fails if a write claims an instance beyond the budget as the
+// checkBudget fails if a write claims an instance beyond the budget as the
 // writer could know it.
-func (m *model) checkGrant(t *rapid.T, c *controller, old, next *fleet.Pool) {
+func (m *model) checkBudget(t *rapid.T, c *daemonState, old, next *fleet.Pool) {
 	granted := 0
 	for _, d := range next.Disruptions {
 		if old.Disruption(d.Instance) == nil {
@@ -165,19 +165,19 @@
 	}
 }
 
-func (m *model) readRecords(t *rapid.T) { m.read(m.daemon(t)) }
+func (m *model) readRecords(t *rapid.T) { m.refreshRecords(m.daemon(t)) }
 func (m *model) readInstances(t *rapid.T) {
-	m.readList(m.daemon(t))
+	m.refreshInstances(m.daemon(t))
 }
 
-// show lets one change become visible in the platform's list.
-func (m *model) show(t *rapid.T) {
+// publishInstance lets one change become visible in the platform's list.
+func (m *model) publishInstance(t *rapid.T) {
 	id := m.instance(t)
-	m.listed[id] = m.truth[id]
+	m.listed[id] = m.actual[id]
 }
 
-// stateOf is the state that an action puts an instance into.
-var stateOf = map[fleet.Action]fleet.InstanceState{
+// resultingState is the state that an action puts an instance into.
+var resultingState = map[fleet.Action]fleet.InstanceState{
 	fleet.ActionDrain: fleet.InstanceDraining, fleet.ActionReboot: fleet.InstanceRebooting, fleet.ActionReturn: fleet.InstanceReady,
 }
 
@@ -191,45 +191,45 @@
 	if !rapid.Bool().Draw(t, "again later") {
 		m.network = slices.Delete(m.network, i, i+1)
 	}
-	inst := m.truth[s.instance]
-	if m.commands[s.command.ID] || inst.Generation != s.command.Generation || inst.State == fleet.InstanceFailed {
+	inst := m.actual[s.instance]
+	if m.executed[s.command.ID] || inst.Generation != s.command.Generation || inst.State == fleet.InstanceFailed {
 		return
 	}
-	m.commands[s.command.ID] = true
+	m.executed[s.command.ID] = true
 	inst.Generation++
 	inst.LastCommand = s.command.ID
-	inst.State = stateOf[s.command.Action]
-	m.truth[s.instance] = inst
+	inst.State = resultingState[s.command.Action]
+	m.actual[s.instance] = inst
 }
 
 // finish lets a drain or reboot end.
 func (m *model) finish(t *rapid.T) {
 	id := m.instance(t)
-	inst := m.truth[id]
+	inst := m.actual[id]
 	if inst.State == fleet.InstanceDraining || inst.State == fleet.InstanceRebooting {
 		inst.State = fleet.InstanceDrained
-		m.truth[id] = inst
+		m.actual[id] = inst
 	}
 }
 
-// fail takes an instance down by itself, or brings it back.
-func (m *model) fail(t *rapid.T) {
+// failOrRestart takes an instance down by itself, or brings it back.
+func (m *model) failOrRestart(t *rapid.T) {
 	id := m.instance(t)
-	inst := m.truth[id]
+	inst := m.actual[id]
 	inst.Generation++
 	inst.State = fleet.InstanceFailed
 	if rapid.Bool().Draw(t, "restart") {
 		inst.State = fleet.InstanceReady
 	}
-	m.truth[id] = inst
+	m.actual[id] = inst
 }
 
-func (m *model) pass(t *rapid.T) {
+func (m *model) advanceTime(t *rapid.T) {
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
 }
 
-// order is an operator's command, which is planned from the newest records.
-func (m *model) order(t *rapid.T) {
+// requestDisruption is an operator's command, which is planned from the newest records.
+func (m *model) requestDisruption(t *rapid.T) {
 	id := m.instance(t)
 	name := m.members[id].Pool
 	v := m.pools[name]
@@ -252,7 +252,7 @@
 	if v.pool.Request(id) != nil && len(next.Requests) > len(v.pool.Requests) {
 		return
 	}
-	m.pools[name] = versioned{next, v.rev + 1}
+	m.pools[name] = poolRecord{next, v.rev + 1}
 }
 
 func (m *model) startWave(*rapid.T) {
@@ -265,7 +265,7 @@
 // check tests after every step that each instance that a command took out is
 // claimed by some pool, and by one only.
 func (m *model) check(t *rapid.T) {
-	for id, inst := range m.truth {
+	for id, inst := range m.actual {
 		claims := 0
 		for _, v := range m.pools {
 			if v.pool.Disruption(id) != nil {
@@ -288,9 +288,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"": m.check, "act": m.act, "act2": m.act, "act3": m.act, "read records": m.readRecords, "read records2": m.readRecords,
-			"read instances": m.readInstances, "read instances2": m.readInstances, "show": m.show, "show2": m.show, "deliver": m.deliver, "deliver2": m.deliver,
-			"finish": m.finish, "fail": m.fail, "pass": m.pass, "order": m.order, "start wave": m.startWave,
+			"": m.check, "act": m.reconcile, "act2": m.reconcile, "act3": m.reconcile, "read records": m.readRecords, "read records2": m.readRecords,
+			"read instances": m.readInstances, "read instances2": m.readInstances, "show": m.publishInstance, "show2": m.publishInstance, "deliver": m.deliver, "deliver2": m.deliver,
+			"finish": m.finish, "fail": m.failOrRestart, "pass": m.advanceTime, "order": m.requestDisruption, "start wave": m.startWave,
 		})
 	})
 }
@@ -302,32 +302,32 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
 		m.startWave(t)
-		steps := []func(*rapid.T){m.act, m.act, m.readRecords, m.readInstances, m.show, m.deliver, m.finish, m.order, m.fail}
+		steps := []func(*rapid.T){m.reconcile, m.reconcile, m.readRecords, m.readInstances, m.publishInstance, m.deliver, m.finish, m.requestDisruption, m.failOrRestart}
 		for range rapid.IntRange(0, 60).Draw(t, "steps") {
 			steps[rapid.IntRange(0, len(steps)-1).Draw(t, "step")](t)
 		}
 		for name, v := range m.pools {
 			next := v.pool.Clone()
 			next.Budget = fleet.AvailabilityBudget{MaxUnavailable: 2}
-			m.pools[name] = versioned{next, v.rev + 1}
+			m.pools[name] = poolRecord{next, v.rev + 1}
 		}
 		for round := range 120 {
-			m.heal(m.daemons[round%controllers], t)
+			m.runHealthyRound(m.states[round%daemonCount], t)
 		}
 		for name, v := range m.pools {
 			for _, d := range v.pool.Disruptions {
 				if d.Kind != fleet.DisruptByDrain {
-					t.Fatalf("pool %s still has %s out: %+v, instance %+v", name, d.Instance, d, m.truth[d.Instance])
+					t.Fatalf("pool %s still has %s out: %+v, instance %+v", name, d.Instance, d, m.actual[d.Instance])
 				}
 			}
 		}
 	})
 }
 
-// heal lets one round go well: the platform repairs what failed, finishes what
+// runHealthyRound lets one round go well: the platform repairs what failed, finishes what
 // it was told and lists it, and the daemon acts on all of it.
-func (m *model) heal(c *controller, t *rapid.T) {
-	for id, inst := range m.truth {
+func (m *model) runHealthyRound(c *daemonState, t *rapid.T) {
+	for id, inst := range m.actual {
 		switch inst.State {
 		case fleet.InstanceFailed:
 			inst.State = fleet.InstanceReady
@@ -335,38 +335,38 @@
 		case fleet.InstanceDraining, fleet.InstanceRebooting:
 			inst.State = fleet.InstanceDrained
 		}
-		m.truth[id] = inst
+		m.actual[id] = inst
 	}
-	m.listed = maps.Clone(m.truth)
-	m.read(c)
-	m.readList(c)
+	m.listed = maps.Clone(m.actual)
+	m.refreshRecords(c)
+	m.refreshInstances(c)
 	for _, name := range []fleet.PoolName{"a", "b"} {
 		plan := wave.Reconcile(m.input(c, name))
 		for _, s := range plan.Commands {
-			m.network = []sent{{s.Instance, s.Command}}
+			m.network = []pendingCommand{{s.Instance, s.Command}}
 			m.deliverAll()
 		}
 		for _, ch := range plan.MembershipChanges {
 			m.members[ch.Instance] = fleet.Membership{Instance: ch.Instance, Pool: ch.To, Joining: ch.Joining}
 		}
 		if plan.Pool != nil {
-			m.checkGrant(t, c, c.pools[name].pool, plan.Pool)
-			m.pools[name] = versioned{plan.Pool, m.pools[name].rev + 1}
+			m.checkBudget(t, c, c.pools[name].pool, plan.Pool)
+			m.pools[name] = poolRecord{plan.Pool, m.pools[name].rev + 1}
 		}
 	}
 }
 
 func (m *model) deliverAll() {
 	for _, s := range m.network {
-		inst := m.truth[s.instance]
-		if m.commands[s.command.ID] || inst.Generation != s.command.Generation {
+		inst := m.actual[s.instance]
+		if m.executed[s.command.ID] || inst.Generation != s.command.Generation {
 			continue
 		}
-		m.commands[s.command.ID] = true
+		m.executed[s.command.ID] = true
 		inst.Generation++
 		inst.LastCommand = s.command.ID
-		inst.State = stateOf[s.command.Action]
-		m.truth[s.instance] = inst
+		inst.State = resultingState[s.command.Action]
+		m.actual[s.instance] = inst
 	}
 	m.network = nil
 }
--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -53,19 +53,19 @@
 // daemon is one entry daemon with its fake surroundings.
 type daemon struct {
 	in         *installation
-	number     int
+	index      int
 	self       fleet.Entry
 	store      *store.Direct
 	mirror     *mirror.Mirror
-	feed       *mirror.Syncer
+	syncer     *mirror.Syncer
 	node       *cluster.Node
 	dispatcher *entry.Dispatcher
 	handler    *entry.Handler
 	cancel     context.CancelFunc
 
-	// accepted counts the requests that Daemon.stop's http.Server.Shutdown would
+	// openRequests counts the requests that Daemon.stop's http.Server.Shutdown would
 	// wait for: from the accepted connection on, which is before the handler's count.
-	accepted atomic.Int64
+	openRequests atomic.Int64
 
 	mu     sync.Mutex
 	dead   bool
@@ -80,20 +80,20 @@
 	backend *backend
 	wg      sync.WaitGroup
 
-	seeds []string // peers that a new daemon knows from its settings
-	down  bool     // the store is down for a new daemon
+	seedPeers []string // peers that a new daemon knows from its settings
+	storeDown bool     // the store is down for a new daemon
 
-	mu  sync.Mutex
-	cut map[[2]int]bool
-	// hook is called when the first request reaches a step at a daemon.
-	hook func(s step, d *daemon)
+	mu         sync.Mutex
+	partitions map[[2]int]bool
+	// onStep is called when the first request reaches a step at a daemon.
+	onStep func(s step, d *daemon)
 }
 
 const workers = 3
 
 func newInstallation(n int) *installation {
-	in := &installation{engine: store.NewEngine(), cut: map[[2]int]bool{}}
-	in.backend = &backend{in: in, ran: map[string][]string{}, atOnce: map[fleet.InstanceID]int{}}
+	in := &installation{engine: store.NewEngine(), partitions: map[[2]int]bool{}}
+	in.backend = &backend{in: in, sendsByKey: map[string][]string{}, inFlight: map[fleet.InstanceID]int{}}
 	for range n {
 		in.start()
 	}
@@ -104,22 +104,22 @@
 func (in *installation) start() *daemon {
 	n := len(in.daemons)
 	name := fmt.Sprintf("e%d", n+1)
-	d := &daemon{in: in, number: n, store: store.NewDirect(in.engine), mirror: mirror.New()}
+	d := &daemon{in: in, index: n, store: store.NewDirect(in.engine), mirror: mirror.New()}
 	d.self = fleet.Entry{ID: fleet.EntryID(name), Incarnation: fleet.Incarnation(name), PeerAddr: name}
-	d.store.SetFaults(store.Faults{Down: in.down})
+	d.store.SetFaults(store.Faults{Down: in.storeDown})
 	rnd := rand.New(rand.NewPCG(1, uint64(n)))
-	d.feed = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: rnd}
+	d.syncer = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: rnd}
 	d.dispatcher = entry.NewDispatcher(d.self.Incarnation, "z", 10*time.Second, entry.DefaultPolicies, rand.New(rand.NewPCG(2, uint64(n))))
 	d.node = cluster.New(cluster.Options{
-		Self: d.self, Seeds: in.seeds, Heartbeat: 300 * time.Millisecond, LeaseTTL: 2 * time.Second, Grace: 2 * time.Second,
+		Self: d.self, Seeds: in.seedPeers, Heartbeat: 300 * time.Millisecond, LeaseTTL: 2 * time.Second, Grace: 2 * time.Second,
 		Member: member.DefaultOptions, Once: once.DefaultOptions,
 	}, cluster.Deps{
-		Store: d.store, Peers: &peers{in, d}, Mirror: d.mirror, Shares: d.dispatcher, Log: zap.NewNop(), Seed: uint64(n),
-		Connected: d.feed.Connected.Load, Burn: func() port.BurnCounts { return port.BurnCounts{} },
+		Store: d.store, Peers: &peerClient{in, d}, Mirror: d.mirror, Shares: d.dispatcher, Log: zap.NewNop(), Seed: uint64(n),
+		Connected: d.syncer.Connected.Load, Burn: func() port.BurnCounts { return port.BurnCounts{} },
 		Instances: func() []fleet.Instance { return nil }, SeedInstances: func([]fleet.Instance) {},
 	})
 	d.handler = &entry.Handler{
-		Dispatcher: d.dispatcher, Claims: &hookedClaims{d.node.Claims, d}, Backend: &hookedBackend{d}, Standing: d.node.ServingStatus, Observer: &hookedObserver{d},
+		Dispatcher: d.dispatcher, Claims: &stepClaims{d.node.Claims, d}, Backend: &stepBackend{d}, Standing: d.node.ServingStatus, Observer: &stepObserver{d},
 		Limits: entry.Limits{MaxBody: 1 << 20, DefaultTimeout: 2 * time.Second, MaxTimeout: 10 * time.Second, MaxInFlight: 100, MaxBuffered: 1 << 30, MaxRetained: 1 << 16},
 	}
 	d.dispatcher.SetDirectory(fixedDirectory())
@@ -129,9 +129,9 @@
 	in.daemons = append(in.daemons, d)
 	in.mu.Unlock()
 	for _, run := range []func(){
-		func() { d.feed.Run(ctx) },
+		func() { d.syncer.Run(ctx) },
 		func() { d.node.Run(ctx) },
-		func() { d.dispatcher.RunLoans(ctx, d.self.Incarnation, &peers{in, d}) },
+		func() { d.dispatcher.RunLoans(ctx, d.self.Incarnation, &peerClient{in, d}) },
 	} {
 		in.wg.Add(1)
 		go func() {
@@ -155,18 +155,18 @@
 	return d
 }
 
-// settle waits until every live daemon serves the same view.
-func (in *installation) settle() {
+// awaitView waits until every live daemon serves the same view.
+func (in *installation) awaitView() {
 	for range 400 {
 		time.Sleep(50 * time.Millisecond)
 		synctest.Wait()
-		if in.agreed() {
+		if in.viewAgreed() {
 			return
 		}
 	}
 }
 
-func (in *installation) agreed() bool {
+func (in *installation) viewAgreed() bool {
 	var epoch fleet.Epoch
 	live := 0
 	for _, d := range in.daemons {
@@ -203,7 +203,7 @@
 	d.dead = true
 	d.mu.Unlock()
 	d.cancel()
-	d.in.later(2*time.Second, func() {
+	d.in.after(2*time.Second, func() {
 		for _, other := range d.in.daemons {
 			if !other.isDead() {
 				other.node.MarkEnded([]fleet.Incarnation{d.self.Incarnation})
@@ -215,13 +215,13 @@
 // stop is the daemon's planned stop, in the order of Daemon.stop: it finishes what
 // it has accepted, refuses what is new and leaves.
 func (d *daemon) stop(ctx context.Context) {
-	for d.accepted.Load() > 0 && pause(ctx) {
+	for d.openRequests.Load() > 0 && waitTick(ctx) {
 	}
 	d.handler.Stop()
 	_ = d.node.Leave(ctx)
 }
 
-func (in *installation) later(after time.Duration, fn func()) {
+func (in *installation) after(after time.Duration, fn func()) {
 	in.wg.Add(1)
 	go func() {
 		defer in.wg.Done()
@@ -238,7 +238,7 @@
 		d.frozen = make(chan struct{})
 	}
 	d.mu.Unlock()
-	d.in.later(length, d.thaw)
+	d.in.after(length, d.thaw)
 }
 
 func (d *daemon) thaw() {
@@ -250,8 +250,8 @@
 	}
 }
 
-// pass waits while the daemon is frozen and reports whether it is alive.
-func (d *daemon) pass() bool {
+// awaitThaw waits while the daemon is frozen and reports whether it is alive.
+func (d *daemon) awaitThaw() bool {
 	d.mu.Lock()
 	frozen := d.frozen
 	d.mu.Unlock()
@@ -261,29 +261,29 @@
 	return !d.isDead()
 }
 
-// at announces that a request has reached a step, and reports whether the
+// reachStep announces that a request has reached a step, and reports whether the
 // daemon is alive afterwards.
-func (d *daemon) at(s step) bool {
+func (d *daemon) reachStep(s step) bool {
 	d.in.mu.Lock()
-	hook := d.in.hook
+	hook := d.in.onStep
 	d.in.mu.Unlock()
 	if hook != nil {
 		hook(s, d)
 	}
-	return d.pass()
+	return d.awaitThaw()
 }
 
-// setCut parts a daemon from all others, or joins it again.
-func (in *installation) setCut(d *daemon, cut bool) {
+// setIsolated parts a daemon from all others, or joins it again.
+func (in *installation) setIsolated(d *daemon, cut bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, other := range in.daemons {
-		in.cut[[2]int{d.number, other.number}] = cut
-		in.cut[[2]int{other.number, d.number}] = cut
+		in.partitions[[2]int{d.index, other.index}] = cut
+		in.partitions[[2]int{other.index, d.index}] = cut
 	}
 }
 
-func (in *installation) find(addr string) *daemon {
+func (in *installation) daemonAt(addr string) *daemon {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	for _, d := range in.daemons {
@@ -294,52 +294,52 @@
 	return nil
 }
 
-func (in *installation) parted(a, b *daemon) bool {
+func (in *installation) partitioned(a, b *daemon) bool {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	return in.cut[[2]int{a.number, b.number}]
+	return in.partitions[[2]int{a.index, b.index}]
 }
 
-// peers is one daemon's way to the others.
-type peers struct {
+// peerClient is one daemon's way to the others.
+type peerClient struct {
 	in   *installation
 	from *daemon
 }
 
-const oneWay = time.Millisecond
+const networkDelay = time.Millisecond
 
 // callTimeout is that of a call between daemons.
 const callTimeout = time.Second
 
 var errUnreachable = verdict.New(verdict.NotRun, "peer-unreachable", "unreachable")
 
-// call carries a message to addr and its answer back. A message may be lost on
+// callPeer carries a message to addr and its answer back. A message may be lost on
 // either way; the caller then waits for its timeout.
-func call[R any](p *peers, ctx context.Context, addr string, serve func(port.PeerServer) R) (R, error) {
+func callPeer[R any](p *peerClient, ctx context.Context, addr string, serve func(port.PeerServer) R) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var none R
-	to := p.in.find(addr)
-	if to == nil || !p.from.pass() {
+	to := p.in.daemonAt(addr)
+	if to == nil || !p.from.awaitThaw() {
 		return none, errUnreachable
 	}
 	done := make(chan R, 1)
 	p.in.wg.Add(1)
 	go func() {
 		defer p.in.wg.Done()
-		time.Sleep(oneWay)
-		if p.in.parted(p.from, to) || !to.pass() {
+		time.Sleep(networkDelay)
+		if p.in.partitioned(p.from, to) || !to.awaitThaw() {
 			return
 		}
 		r := serve(to.node)
-		time.Sleep(oneWay)
-		if to.pass() && !p.in.parted(p.from, to) {
+		time.Sleep(networkDelay)
+		if to.awaitThaw() && !p.in.partitioned(p.from, to) {
 			done <- r
 		}
 	}()
 	select {
 	case r := <-done:
-		if !p.from.pass() {
+		if !p.from.awaitThaw() {
 			return none, errUnreachable
 		}
 		return r, nil
@@ -348,127 +348,127 @@
 	}
 }
 
-func (p *peers) Heartbeat(ctx context.Context, addr string, b port.Heartbeat) (port.HeartbeatReply, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) port.HeartbeatReply { return s.OnHeartbeat(b) })
+func (p *peerClient) Heartbeat(ctx context.Context, addr string, b port.Heartbeat) (port.HeartbeatReply, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) port.HeartbeatReply { return s.OnHeartbeat(b) })
 }
 
-func (p *peers) Changes(ctx context.Context, addr string, since fleet.Revision) (port.Changes, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) port.Changes { return s.OnChanges(since) })
+func (p *peerClient) Changes(ctx context.Context, addr string, since fleet.Revision) (port.Changes, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) port.Changes { return s.OnChanges(since) })
 }
 
-func (p *peers) Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) once.Reply { return s.OnClaim(r) })
+func (p *peerClient) Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) once.Reply { return s.OnClaim(r) })
 }
 
-func (p *peers) Note(ctx context.Context, addr string, n once.Claim) (bool, error) {
-	time.Sleep(oneWay) // so that the answer is certainly out before a fault strikes
-	p.from.at(stepRecord)
-	return call(p, ctx, addr, func(s port.PeerServer) bool { return s.OnNote(n) })
+func (p *peerClient) Note(ctx context.Context, addr string, n once.Claim) (bool, error) {
+	time.Sleep(networkDelay) // so that the answer is certainly out before a fault strikes
+	p.from.reachStep(stepRecord)
+	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnNote(n) })
 }
 
-func (p *peers) Transfer(ctx context.Context, addr string, t once.Transfer) (bool, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) bool { return s.OnTransfer(t) })
+func (p *peerClient) Transfer(ctx context.Context, addr string, t once.Transfer) (bool, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnTransfer(t) })
 }
 
-func (p *peers) Borrow(ctx context.Context, addr string, r port.BorrowRequest) (port.BorrowReply, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) port.BorrowReply { return s.OnBorrow(r) })
+func (p *peerClient) Borrow(ctx context.Context, addr string, r port.BorrowRequest) (port.BorrowReply, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) port.BorrowReply { return s.OnBorrow(r) })
 }
 
-func (p *peers) Return(ctx context.Context, addr string, ids []slots.LoanID) error {
-	_, err := call(p, ctx, addr, func(s port.PeerServer) bool { s.OnReturn(ids); return true })
+func (p *peerClient) Return(ctx context.Context, addr string, ids []slots.LoanID) error {
+	_, err := callPeer(p, ctx, addr, func(s port.PeerServer) bool { s.OnReturn(ids); return true })
 	return err
 }
 
-func (p *peers) Burn(ctx context.Context, addr string) (port.BurnCounts, error) {
-	return call(p, ctx, addr, func(s port.PeerServer) port.BurnCounts { return s.OnBurn() })
+func (p *peerClient) Burn(ctx context.Context, addr string) (port.BurnCounts, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) port.BurnCounts { return s.OnBurn() })
 }
 
-// hookedClaims announces the steps around a claim.
-type hookedClaims struct {
+// stepClaims announces the steps around a claim.
+type stepClaims struct {
 	entry.Claims
 	d *daemon
 }
 
-func (h *hookedClaims) Reachable(key once.Key) bool {
-	h.d.at(stepAdmit)
+func (h *stepClaims) Reachable(key once.Key) bool {
+	h.d.reachStep(stepAdmit)
 	return h.Claims.Reachable(key)
 }
 
-func (h *hookedClaims) Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error) {
-	h.d.at(stepClaim)
+func (h *stepClaims) Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error) {
+	h.d.reachStep(stepClaim)
 	attempt, reply, err := h.Claims.Ask(ctx, key, fp)
-	h.d.at(stepClaimed)
+	h.d.reachStep(stepClaimed)
 	return attempt, reply, err
 }
 
-// hookedObserver announces that an answer is about to be written.
-type hookedObserver struct{ d *daemon }
+// stepObserver announces that an answer is about to be written.
+type stepObserver struct{ d *daemon }
 
-func (h *hookedObserver) Answered(fleet.ServiceName, fleet.ClassName, verdict.Verdict, verdict.Code, int, time.Duration) {
-	h.d.at(stepAnswer)
+func (h *stepObserver) Answered(fleet.ServiceName, fleet.ClassName, verdict.Verdict, verdict.Code, int, time.Duration) {
+	h.d.reachStep(stepAnswer)
 }
-func (h *hookedObserver) AttemptEnded(fleet.ServiceName, fleet.InstanceID, int, error) {}
-func (h *hookedObserver) HealthChanged(fleet.ServiceName, fleet.InstanceID, bool)      {}
+func (h *stepObserver) AttemptEnded(fleet.ServiceName, fleet.InstanceID, int, error) {}
+func (h *stepObserver) HealthChanged(fleet.ServiceName, fleet.InstanceID, bool)      {}
 
 // backend is the workers of all daemons.
 type backend struct {
 	in *installation
 
-	mu   sync.Mutex
-	down bool // refuses connections
-	hang bool // never answers
-	cut  bool // breaks its answers off
-	// ran lists, per key, the sends that ran it.
-	ran map[string][]string
-	// atOnce counts the requests on each worker, most the highest count seen.
-	atOnce map[fleet.InstanceID]int
-	most   int
+	mu       sync.Mutex
+	down     bool // refuses connections
+	hang     bool // never answers
+	truncate bool // breaks its answers off
+	// sendsByKey lists, per key, the sends that ran it.
+	sendsByKey map[string][]string
+	// inFlight counts the requests on each worker, most the highest count seen.
+	inFlight    map[fleet.InstanceID]int
+	maxInFlight int
 }
 
 // enter counts a request on a worker until the returned function is called.
 func (b *backend) enter(w fleet.InstanceID) func() {
-	b.set(func(b *backend) {
-		b.atOnce[w]++
-		b.most = max(b.most, b.atOnce[w])
+	b.update(func(b *backend) {
+		b.inFlight[w]++
+		b.maxInFlight = max(b.maxInFlight, b.inFlight[w])
 	})
-	return func() { b.set(func(b *backend) { b.atOnce[w]-- }) }
+	return func() { b.update(func(b *backend) { b.inFlight[w]-- }) }
 }
 
-func (b *backend) set(fn func(*backend)) {
+func (b *backend) update(fn func(*backend)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	fn(b)
 }
 
-// hookedBackend is one daemon's way to the workers.
-type hookedBackend struct{ d *daemon }
+// stepBackend is one daemon's way to the workers.
+type stepBackend struct{ daemon *daemon }
 
-func (h *hookedBackend) RetainConnections(map[fleet.InstanceID]string) {}
+func (h *stepBackend) RetainConnections(map[fleet.InstanceID]string) {}
 
 const serviceTime = 100 * time.Millisecond
 
 // Send runs a request the way a worker does, with a step at each point where
 // something may go wrong.
-func (h *hookedBackend) Send(ctx context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
-	b := h.d.in.backend
-	if !h.d.at(stepConnect) || ctx.Err() != nil || b.isDown() {
+func (h *stepBackend) Send(ctx context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
+	b := h.daemon.in.backend
+	if !h.daemon.reachStep(stepConnect) || ctx.Err() != nil || b.isDown() {
 		return nil, verdict.New(verdict.NotRun, port.CodeBackendUnreachable, "refused")
 	}
-	if !h.d.at(stepWrite) || b.isDown() {
+	if !h.daemon.reachStep(stepWrite) || b.isDown() {
 		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendConnectionBroken, "broken")
 	}
 	key := r.Header.Get(entry.HeaderKey)
-	b.set(func(b *backend) { b.ran[key] = append(b.ran[key], r.Header.Get(headerSend)) })
+	b.update(func(b *backend) { b.sendsByKey[key] = append(b.sendsByKey[key], r.Header.Get(sendHeader)) })
 	defer b.enter(r.Worker)()
-	h.d.at(stepWait)
+	h.daemon.reachStep(stepWait)
 	select {
 	case <-time.After(serviceTime):
 	case <-ctx.Done():
 		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendTimeout, "timeout")
 	}
-	h.d.at(stepRead)
+	h.daemon.reachStep(stepRead)
 	b.mu.Lock()
-	hang, broken := b.hang, b.cut || b.down
+	hang, broken := b.hang, b.truncate || b.down
 	b.mu.Unlock()
 	switch {
 	case hang:
@@ -486,27 +486,27 @@
 	return b.down
 }
 
-func (b *backend) runs(key string) []string {
+func (b *backend) sendsOf(key string) []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return append([]string(nil), b.ran[key]...)
+	return append([]string(nil), b.sendsByKey[key]...)
 }
 
-// headerSend names one send of a request.
-const headerSend = "X-Send"
+// sendHeader names one send of a request.
+const sendHeader = "X-Send"
 
 // reply is what a caller saw of one send.
 type reply struct {
-	send    string
-	lost    bool // the daemon ended before it answered
-	verdict verdict.Verdict
-	body    string
-	took    time.Duration
+	name     string
+	noAnswer bool // the daemon ended before it answered
+	verdict  verdict.Verdict
+	body     string
+	latency  time.Duration
 }
 
-// mark is the reply's letter in the table.
-func (r reply) mark() string {
-	if r.lost {
+// letter is the reply's letter in the table.
+func (r reply) letter() string {
+	if r.noAnswer {
 		return "L"
 	}
 	return map[verdict.Verdict]string{verdict.Done: "D", verdict.NotRun: "N", verdict.MayHaveRun: "M"}[r.verdict]
@@ -515,22 +515,22 @@
 // request sends a keyed request through daemon d and waits for the reply.
 func (d *daemon) request(ctx context.Context, send, key string) reply {
 	started := time.Now()
-	d.accepted.Add(1)
-	defer d.accepted.Add(-1)
+	d.openRequests.Add(1)
+	defer d.openRequests.Add(-1)
 	if d.isDead() {
-		return reply{send: send, lost: true}
+		return reply{name: send, noAnswer: true}
 	}
 	req := httptest.NewRequestWithContext(ctx, http.MethodPost, "http://orders.example/order", strings.NewReader("order "+key))
 	req.Header.Set(entry.HeaderKey, key)
-	req.Header.Set(headerSend, send)
+	req.Header.Set(sendHeader, send)
 	rec := httptest.NewRecorder()
-	if d.at(stepAccept) {
+	if d.reachStep(stepAccept) {
 		d.handler.ServeHTTP(rec, req)
 	}
 	if d.isDead() {
-		return reply{send: send, lost: true}
+		return reply{name: send, noAnswer: true}
 	}
-	return reply{send: send, verdict: verdict.Parse(rec.Header().Get(verdict.Header)), body: rec.Body.String(), took: time.Since(started)}
+	return reply{name: send, verdict: verdict.Parse(rec.Header().Get(verdict.Header)), body: rec.Body.String(), latency: time.Since(started)}
 }
 
 // newKey returns the n-th key made now whose owner under the view in force is
--- a/internal/matrix/replace_test.go
+++ b/internal/matrix/replace_test.go
@@ -15,10 +15,10 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// replaceOne starts a daemon and lets another leave.
-func (in *installation) replaceOne(t *testing.T, old *daemon) *daemon {
+// replaceDaemon starts a daemon and lets another leave.
+func (in *installation) replaceDaemon(t *testing.T, old *daemon) *daemon {
 	fresh := in.start()
-	in.settle()
+	in.awaitView()
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	require.NoError(t, old.node.Leave(ctx))
@@ -35,20 +35,20 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(6)
 		defer in.close()
-		in.settle()
+		in.awaitView()
 		key := in.newKey(in.daemons[3], 0)
 		first := in.daemons[0].request(context.Background(), "first", key)
 		require.Equal(t, verdict.Done, first.verdict)
 		time.Sleep(50 * time.Millisecond)
 		var last *daemon
 		for i := range 6 {
-			last = in.replaceOne(t, in.daemons[i])
+			last = in.replaceDaemon(t, in.daemons[i])
 		}
 		time.Sleep(2 * time.Second)
 		again := last.request(context.Background(), "again", key)
 		assert.Equal(t, verdict.Done, again.verdict)
 		assert.Equal(t, first.body, again.body)
-		assert.Len(t, in.backend.runs(key), 1)
+		assert.Len(t, in.backend.sendsOf(key), 1)
 	})
 }
 
@@ -59,7 +59,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(6)
 		defer in.close()
-		in.settle()
+		in.awaitView()
 		key := in.newKey(in.daemons[3], 0)
 		require.Equal(t, verdict.Done, in.daemons[0].request(context.Background(), "first", key).verdict)
 		for _, d := range append([]*daemon(nil), in.daemons...) {
@@ -72,7 +72,7 @@
 		time.Sleep(15 * time.Second)
 		again := fresh.request(context.Background(), "again", key)
 		assert.Equal(t, verdict.MayHaveRun, again.verdict)
-		assert.Len(t, in.backend.runs(key), 1)
+		assert.Len(t, in.backend.sendsOf(key), 1)
 		next := in.newKey(fresh, 0)
 		assert.Equal(t, verdict.Done, fresh.request(context.Background(), "next", next).verdict)
 	})
@@ -84,14 +84,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
 		defer in.close()
-		in.settle()
+		in.awaitView()
 		cutOff := in.daemons[0]
-		in.setCut(cutOff, true)
+		in.setIsolated(cutOff, true)
 		time.Sleep(time.Hour)
 		refused := cutOff.request(context.Background(), "refused", in.newKey(in.daemons[1], 0))
 		assert.Equal(t, verdict.NotRun, refused.verdict)
-		assert.Less(t, refused.took, time.Second, "a refusal is not held back")
-		in.setCut(cutOff, false)
+		assert.Less(t, refused.latency, time.Second, "a refusal is not held back")
+		in.setIsolated(cutOff, false)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, verdict.Done, cutOff.request(context.Background(), "served", in.newKey(in.daemons[1], 0)).verdict)
 	})
@@ -103,7 +103,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(4)
 		defer in.close()
-		in.settle()
+		in.awaitView()
 		var wg sync.WaitGroup
 		stop := make(chan struct{})
 		flood := func(d *daemon) {
@@ -135,8 +135,8 @@
 		time.Sleep(15 * time.Second)
 		close(stop)
 		wg.Wait()
-		assert.LessOrEqual(t, in.backend.most, 8)
-		assert.Equal(t, 8, in.backend.most, "the flood uses the workers up")
+		assert.LessOrEqual(t, in.backend.maxInFlight, 8)
+		assert.Equal(t, 8, in.backend.maxInFlight, "the flood uses the workers up")
 	})
 }
 
@@ -147,9 +147,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
 		defer in.close()
-		in.settle()
+		in.awaitView()
 		known := in.daemons[0].mirror.State().Revision
-		in.seeds, in.down = []string{in.daemons[1].self.PeerAddr}, true
+		in.seedPeers, in.storeDown = []string{in.daemons[1].self.PeerAddr}, true
 		for _, d := range in.daemons {
 			d.store.SetFaults(store.Faults{Down: true})
 		}
--- a/internal/matrix/request_test.go
+++ b/internal/matrix/request_test.go
@@ -20,157 +20,157 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// cell is one fault at one step.
-type cell struct {
-	in       *installation
-	receiver *daemon
-	owner    *daemon
-	other    *daemon // through which the request is sent again
-	hangUp   context.CancelFunc
+// scenario is one fault at one step.
+type scenario struct {
+	in           *installation
+	receiver     *daemon
+	owner        *daemon
+	resender     *daemon // through which the request is sent again
+	cancelCaller context.CancelFunc
 }
 
 // fault is one way in which things go wrong.
 type fault struct {
-	name string
-	hit  func(c *cell)
-	// slow tells that a reply may come late, because its daemon was paused.
-	slow bool
+	name   string
+	strike func(c *scenario)
+	// delaysReply tells that a reply may come late, because its daemon was paused.
+	delaysReply bool
 }
 
-const faultLength = 5 * time.Second
+const faultDuration = 5 * time.Second
 
 func faults() []fault {
-	heal := func(c *cell, fn func()) { c.in.later(faultLength, fn) }
+	heal := func(c *scenario, fn func()) { c.in.after(faultDuration, fn) }
 	return []fault{
-		{name: "none", hit: func(*cell) {}},
-		{name: "receiver killed", hit: func(c *cell) { c.receiver.kill() }},
-		{name: "owner killed", hit: func(c *cell) { c.owner.kill() }},
-		{name: "receiver paused", slow: true, hit: func(c *cell) { c.receiver.freeze(faultLength) }},
-		{name: "owner paused", slow: true, hit: func(c *cell) { c.owner.freeze(faultLength) }},
-		{name: "receiver cut off", hit: func(c *cell) {
-			c.in.setCut(c.receiver, true)
-			heal(c, func() { c.in.setCut(c.receiver, false) })
+		{name: "none", strike: func(*scenario) {}},
+		{name: "receiver killed", strike: func(c *scenario) { c.receiver.kill() }},
+		{name: "owner killed", strike: func(c *scenario) { c.owner.kill() }},
+		{name: "receiver paused", delaysReply: true, strike: func(c *scenario) { c.receiver.freeze(faultDuration) }},
+		{name: "owner paused", delaysReply: true, strike: func(c *scenario) { c.owner.freeze(faultDuration) }},
+		{name: "receiver cut off", strike: func(c *scenario) {
+			c.in.setIsolated(c.receiver, true)
+			heal(c, func() { c.in.setIsolated(c.receiver, false) })
 		}},
-		{name: "owner cut off", hit: func(c *cell) {
-			c.in.setCut(c.owner, true)
-			heal(c, func() { c.in.setCut(c.owner, false) })
+		{name: "owner cut off", strike: func(c *scenario) {
+			c.in.setIsolated(c.owner, true)
+			heal(c, func() { c.in.setIsolated(c.owner, false) })
 		}},
 		ownerLeaves(),
-		{name: "a daemon joins", hit: func(c *cell) { c.in.start() }},
-		{name: "store down", hit: func(c *cell) {
+		{name: "a daemon joins", strike: func(c *scenario) { c.in.start() }},
+		{name: "store down", strike: func(c *scenario) {
 			c.setStores(store.Faults{Down: true})
 			heal(c, func() { c.setStores(store.Faults{}) })
 		}},
-		{name: "store slow", hit: func(c *cell) {
+		{name: "store slow", strike: func(c *scenario) {
 			c.setStores(store.Faults{DelayMillis: 900})
 			heal(c, func() { c.setStores(store.Faults{}) })
 		}},
-		{name: "store loses answers", hit: func(c *cell) { c.setStores(store.Faults{LoseAnswers: 3}) }},
-		{name: "leases lapse", hit: func(c *cell) { c.in.engine.LapseLeases() }},
-		{name: "worker down", hit: func(c *cell) { c.in.backend.set(func(b *backend) { b.down = true }) }},
-		{name: "worker hangs", hit: func(c *cell) { c.in.backend.set(func(b *backend) { b.hang = true }) }},
-		{name: "answer cut", hit: func(c *cell) { c.in.backend.set(func(b *backend) { b.cut = true }) }},
-		{name: "caller gone", hit: func(c *cell) { c.hangUp() }},
+		{name: "store loses answers", strike: func(c *scenario) { c.setStores(store.Faults{LoseAnswers: 3}) }},
+		{name: "leases lapse", strike: func(c *scenario) { c.in.engine.LapseLeases() }},
+		{name: "worker down", strike: func(c *scenario) { c.in.backend.update(func(b *backend) { b.down = true }) }},
+		{name: "worker hangs", strike: func(c *scenario) { c.in.backend.update(func(b *backend) { b.hang = true }) }},
+		{name: "answer cut", strike: func(c *scenario) { c.in.backend.update(func(b *backend) { b.truncate = true }) }},
+		{name: "caller gone", strike: func(c *scenario) { c.cancelCaller() }},
 	}
 }
 
 // ownerLeaves is a planned stop of the key's owner.
 func ownerLeaves() fault {
-	return fault{name: "owner leaves", hit: func(c *cell) {
-		c.in.later(0, func() {
-			ctx, cancel := context.WithTimeout(context.Background(), faultLength)
+	return fault{name: "owner leaves", strike: func(c *scenario) {
+		c.in.after(0, func() {
+			ctx, cancel := context.WithTimeout(context.Background(), faultDuration)
 			defer cancel()
 			c.owner.stop(ctx)
 		})
 	}}
 }
 
-func pause(ctx context.Context) bool {
+func waitTick(ctx context.Context) bool {
 	time.Sleep(10 * time.Millisecond)
 	return ctx.Err() == nil
 }
 
-func (c *cell) setStores(f store.Faults) {
+func (c *scenario) setStores(f store.Faults) {
 	for _, d := range c.in.daemons {
 		d.store.SetFaults(f)
 	}
 }
 
-// run carries a request through the cell: once, again through another daemon
+// runRequest carries a request through the cell: once, again through another daemon
 // while it may still run, and once more when everything is well again. second,
 // if not nil, strikes a random time after the first fault.
-func run(t *testing.T, key int, self bool, first strike, second *strike) (r result) {
+func runRequest(t *testing.T, key int, self bool, first injection, second *injection) (r result) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
 		defer in.close()
-		in.settle()
-		if !in.agreed() {
-			r.broken = append(r.broken, "the daemons did not agree on a view")
+		in.awaitView()
+		if !in.viewAgreed() {
+			r.violations = append(r.violations, "the daemons did not agree on a view")
 			return
 		}
-		c := &cell{in: in, receiver: in.daemons[0], owner: in.daemons[1], other: in.daemons[2]}
+		c := &scenario{in: in, receiver: in.daemons[0], owner: in.daemons[1], resender: in.daemons[2]}
 		if self {
 			c.owner = c.receiver
 		}
 		key := in.newKey(c.owner, key)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
-		c.hangUp = cancel
-		in.hook = c.hook(first, second, &r.hit)
+		c.cancelCaller = cancel
+		in.onStep = c.hook(first, second, &r.reached)
 		var again reply
 		var wg sync.WaitGroup
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			time.Sleep(resendAfter)
-			again = c.other.request(context.Background(), "again", key)
+			again = c.resender.request(context.Background(), "again", key)
 		}()
 		r.replies = append(r.replies, c.receiver.request(ctx, "first", key))
 		wg.Wait()
 		r.replies = append(r.replies, again)
-		time.Sleep(healed)
-		in.backend.set(func(b *backend) { b.down, b.hang, b.cut = false, false, false })
+		time.Sleep(healTime)
+		in.backend.update(func(b *backend) { b.down, b.hang, b.truncate = false, false, false })
 		in.mu.Lock()
-		in.hook = nil
+		in.onStep = nil
 		in.mu.Unlock()
-		r.replies = append(r.replies, c.other.request(context.Background(), "late", key))
-		r.check(in.backend.runs(key), first.slow || (second != nil && second.slow))
+		r.replies = append(r.replies, c.resender.request(context.Background(), "late", key))
+		r.checkGuarantees(in.backend.sendsOf(key), first.delaysReply || (second != nil && second.delaysReply))
 	})
 	return r
 }
 
 // result is what came of one run.
 type result struct {
-	replies []reply
-	hit     bool     // the fault's step was reached
-	broken  []string // promises seen broken
+	replies    []reply
+	reached    bool     // the fault's step was reached
+	violations []string // promises seen broken
 }
 
-func (r *result) marks() string {
-	if !r.hit {
+func (r *result) letters() string {
+	if !r.reached {
 		return "-"
 	}
 	marks := ""
 	for _, x := range r.replies {
-		marks += x.mark()
+		marks += x.letter()
 	}
 	return marks
 }
 
 const (
 	resendAfter = 50 * time.Millisecond
-	healed      = 20 * time.Second
+	healTime    = 20 * time.Second
 )
 
-// strike is a fault and when it hits.
-type strike struct {
+// injection is a fault and when it hits.
+type injection struct {
 	fault
 	at    step
 	delay time.Duration
 }
 
 // hook hits with the first fault when the first send reaches its step.
-func (c *cell) hook(first strike, second *strike, hit *bool) func(step, *daemon) {
+func (c *scenario) hook(first injection, second *injection, hit *bool) func(step, *daemon) {
 	var once sync.Once
 	return func(s step, d *daemon) {
 		if s != first.at || d != c.receiver {
@@ -178,59 +178,59 @@
 		}
 		once.Do(func() {
 			*hit = true
-			first.hit(c)
+			first.strike(c)
 			if second != nil {
-				c.in.later(second.delay, func() { second.hit(c) })
+				c.in.after(second.delay, func() { second.strike(c) })
 			}
 		})
 	}
 }
 
-// latest is how late a reply may come: the request's deadline and a little.
-const latest = 2100 * time.Millisecond
+// maxLatency is how late a reply may come: the request's deadline and a little.
+const maxLatency = 2100 * time.Millisecond
 
-// check tests what must always hold, given the sends that ran.
-func (r *result) check(ran []string, slow bool) {
-	say := func(format string, args ...any) { r.broken = append(r.broken, fmt.Sprintf(format, args...)) }
+// checkGuarantees tests what must always hold, given the sends that ran.
+func (r *result) checkGuarantees(ran []string, slow bool) {
+	say := func(format string, args ...any) { r.violations = append(r.violations, fmt.Sprintf(format, args...)) }
 	if len(ran) > 1 {
 		say("ran more than once: %v", ran)
 	}
 	for _, x := range r.replies {
 		switch {
-		case x.lost:
+		case x.noAnswer:
 		case x.verdict == verdict.Done && len(ran) != 1:
-			say("%s was answered, ran %v", x.send, ran)
+			say("%s was answered, ran %v", x.name, ran)
 		case x.verdict == verdict.Done && !strings.Contains(x.body, "answer to "):
-			say("%s got no whole answer: %q", x.send, x.body)
-		case x.verdict == verdict.NotRun && slices.Contains(ran, x.send):
-			say("%s ran and was told that it did not", x.send)
+			say("%s got no whole answer: %q", x.name, x.body)
+		case x.verdict == verdict.NotRun && slices.Contains(ran, x.name):
+			say("%s ran and was told that it did not", x.name)
 		}
-		if !slow && x.took > latest {
-			say("%s was answered after %s", x.send, x.took)
+		if !slow && x.latency > maxLatency {
+			say("%s was answered after %s", x.name, x.latency)
 		}
 	}
 }
 
-// updating reports whether golden files and the tables of docs/FAULTS.md are to
+// updateGolden reports whether golden files and the tables of docs/FAULTS.md are to
 // be written anew; package goldie defines the flag.
-func updating() bool { return flag.Lookup("update").Value.String() == "true" }
+func updateGolden() bool { return flag.Lookup("update").Value.String() == "true" }
 
-// table is the outcome of every fault at every step, as Markdown, and the
+// matrixResult is the outcome of every fault at every step, as Markdown, and the
 // promises that were seen broken.
-type table struct {
-	text   string
-	broken []string
+type matrixResult struct {
+	text       string
+	violations []string
 }
 
-var requestTable *table
+var requestMatrixResult *matrixResult
 
 // requestMatrix runs the matrix once for all tests that look at it.
-func requestMatrix(t *testing.T) *table {
-	if requestTable != nil {
-		return requestTable
+func requestMatrix(t *testing.T) *matrixResult {
+	if requestMatrixResult != nil {
+		return requestMatrixResult
 	}
 	var b strings.Builder
-	out := &table{}
+	out := &matrixResult{}
 	for _, self := range []bool{false, true} {
 		owner := "another daemon"
 		if self {
@@ -244,23 +244,23 @@
 		for _, f := range faults() {
 			fmt.Fprintf(&b, "| %s |", f.name)
 			for _, s := range steps {
-				r := run(t, 0, self, strike{fault: f, at: s}, nil)
-				for _, x := range r.broken {
-					out.broken = append(out.broken, fmt.Sprintf("%s at %s: %s", f.name, s, x))
+				r := runRequest(t, 0, self, injection{fault: f, at: s}, nil)
+				for _, x := range r.violations {
+					out.violations = append(out.violations, fmt.Sprintf("%s at %s: %s", f.name, s, x))
 				}
-				fmt.Fprintf(&b, " %s |", r.marks())
+				fmt.Fprintf(&b, " %s |", r.letters())
 			}
 			b.WriteString("\n")
 		}
 	}
 	out.text = b.String()
-	requestTable = out
+	requestMatrixResult = out
 	return out
 }
 
 // TestEveryFaultAtEveryStep checks the promises in each cell.
 func TestEveryFaultAtEveryStep(t *testing.T) {
-	assert.Empty(t, requestMatrix(t).broken)
+	assert.Empty(t, requestMatrix(t).violations)
 }
 
 // TestOutcomesAreThoseOfThePage compares the outcomes with docs/FAULTS.md, so
@@ -283,21 +283,21 @@
 func TestAPlannedStopWaitsForEveryAcceptedRequest(t *testing.T) {
 	for _, self := range []bool{false, true} {
 		for _, s := range steps {
-			for _, held := range []time.Duration{oneWay, resendAfter / 2, 2 * resendAfter} {
-				r := run(t, 0, self, strike{fault: heldUp(ownerLeaves(), held), at: s}, nil)
-				assert.Empty(t, r.broken, "held for %s at %s, self %v", held, s, self)
-				if r.hit {
-					assert.Equal(t, "DDD", r.marks(), "held for %s at %s, self %v", held, s, self)
+			for _, held := range []time.Duration{networkDelay, resendAfter / 2, 2 * resendAfter} {
+				r := runRequest(t, 0, self, injection{fault: withDelay(ownerLeaves(), held), at: s}, nil)
+				assert.Empty(t, r.violations, "held for %s at %s, self %v", held, s, self)
+				if r.reached {
+					assert.Equal(t, "DDD", r.letters(), "held for %s at %s, self %v", held, s, self)
 				}
 			}
 		}
 	}
 }
 
-// heldUp is f, with the request held up at its step after f has struck.
-func heldUp(f fault, held time.Duration) fault {
-	return fault{name: f.name, hit: func(c *cell) {
-		f.hit(c)
+// withDelay is f, with the request held up at its step after f has struck.
+func withDelay(f fault, held time.Duration) fault {
+	return fault{name: f.name, strike: func(c *scenario) {
+		f.strike(c)
 		time.Sleep(held)
 	}}
 }
@@ -314,15 +314,15 @@
 func TestPairsOfFaults(t *testing.T) {
 	all := faults()
 	rapid.Check(t, func(rt *rapid.T) {
-		first := strike{fault: all[rapid.IntRange(0, len(all)-1).Draw(rt, "first")], at: rapid.SampledFrom(steps).Draw(rt, "step")}
-		second := strike{
+		first := injection{fault: all[rapid.IntRange(0, len(all)-1).Draw(rt, "first")], at: rapid.SampledFrom(steps).Draw(rt, "step")}
+		second := injection{
 			fault: all[rapid.IntRange(0, len(all)-1).Draw(rt, "second")],
 			delay: time.Duration(rapid.IntRange(0, 6000).Draw(rt, "ms later")) * time.Millisecond,
 		}
 		key := rapid.IntRange(0, 30).Draw(rt, "key")
-		r := run(t, key, rapid.Bool().Draw(rt, "receiver owns the key"), first, &second)
-		if len(r.broken) > 0 {
-			rt.Fatalf("%s at %s, then %s after %s: %v", first.name, first.at, second.name, second.delay, r.broken)
+		r := runRequest(t, key, rapid.Bool().Draw(rt, "receiver owns the key"), first, &second)
+		if len(r.violations) > 0 {
+			rt.Fatalf("%s at %s, then %s after %s: %v", first.name, first.at, second.name, second.delay, r.violations)
 		}
 	})
 }
@@ -338,7 +338,7 @@
 	require.True(t, ok, "the page has no mark %q", begin)
 	old, tail, ok := strings.Cut(rest, end)
 	require.True(t, ok)
-	if updating() {
+	if updateGolden() {
 		require.NoError(t, os.WriteFile(faultsPage, []byte(head+begin+table+end+tail), 0o644))
 		return
 	}
--- a/internal/matrix/session_test.go
+++ b/internal/matrix/session_test.go
@@ -33,8 +33,8 @@
 	fmt.Fprintf(&s.out, "%6d ms  %s\n", time.Since(s.start).Milliseconds(), fmt.Sprintf(format, args...))
 }
 
-// logged are the steps that a session shows, and how.
-var logged = map[step]string{
+// stepTexts are the steps that a session shows, and how.
+var stepTexts = map[step]string{
 	stepClaimed: "has the owner's word on the key",
 	stepConnect: "connects to a worker",
 	stepWait:    "has sent the request; the worker runs it",
@@ -45,7 +45,7 @@
 	s.log("caller   -> %s   %s", d.self.ID, name)
 	r := d.request(context.Background(), name, s.key)
 	switch {
-	case r.lost:
+	case r.noAnswer:
 		s.log("caller   <- %s   %s: no answer", d.self.ID, name)
 	case r.verdict.String() == "done":
 		s.log("caller   <- %s   %s: done, %q", d.self.ID, name, strings.ReplaceAll(r.body, s.key, "KEY"))
@@ -57,8 +57,8 @@
 	return r
 }
 
-// meanwhile runs fn while the session goes on.
-func (s *session) meanwhile(wg *sync.WaitGroup, after time.Duration, fn func()) {
+// runAfter runs fn while the session goes on.
+func (s *session) runAfter(wg *sync.WaitGroup, after time.Duration, fn func()) {
 	wg.Add(1)
 	go func() {
 		defer wg.Done()
@@ -71,13 +71,13 @@
 func TestSessions(t *testing.T) {
 	plays := map[string]func(*session, []*daemon, *sync.WaitGroup){
 		"resend-through-another-entry": func(s *session, d []*daemon, wg *sync.WaitGroup) {
-			s.meanwhile(wg, 30*time.Millisecond, func() { s.send(d[2], "resend while it runs") })
+			s.runAfter(wg, 30*time.Millisecond, func() { s.send(d[2], "resend while it runs") })
 			s.send(d[0], "order")
 			wg.Wait()
 			s.send(d[2], "resend after it ended")
 		},
 		"entry-killed-while-it-waits": func(s *session, d []*daemon, wg *sync.WaitGroup) {
-			s.meanwhile(wg, 50*time.Millisecond, func() { s.log("e1 is killed"); d[0].kill() })
+			s.runAfter(wg, 50*time.Millisecond, func() { s.log("e1 is killed"); d[0].kill() })
 			s.send(d[0], "order")
 			time.Sleep(10 * time.Second)
 			s.send(d[2], "resend")
@@ -90,7 +90,7 @@
 			s.send(d[2], "resend")
 		},
 		"planned-stop-cuts-nothing": func(s *session, d []*daemon, wg *sync.WaitGroup) {
-			s.meanwhile(wg, 30*time.Millisecond, func() {
+			s.runAfter(wg, 30*time.Millisecond, func() {
 				s.log("e1 stops: it takes nothing new and finishes what it has")
 				d[0].handler.Stop()
 				s.send(d[0], "order that comes too late")
@@ -115,19 +115,19 @@
 			s.send(d[2], "resend")
 		},
 		"refused-did-not-run": func(s *session, d []*daemon, wg *sync.WaitGroup) {
-			s.in.backend.set(func(b *backend) { b.down = true })
+			s.in.backend.update(func(b *backend) { b.down = true })
 			s.log("no worker can be reached")
 			s.send(d[0], "order")
-			s.in.backend.set(func(b *backend) { b.down = false })
+			s.in.backend.update(func(b *backend) { b.down = false })
 			s.log("workers are back; that they did not run the order is certain, so it may run now")
 			time.Sleep(50 * time.Millisecond)
 			s.send(d[2], "resend")
 		},
 		"cut-answer-is-not-passed-on": func(s *session, d []*daemon, wg *sync.WaitGroup) {
-			s.in.backend.set(func(b *backend) { b.cut = true })
+			s.in.backend.update(func(b *backend) { b.truncate = true })
 			s.log("workers break their answers off")
 			s.send(d[0], "order")
-			s.in.backend.set(func(b *backend) { b.cut = false })
+			s.in.backend.update(func(b *backend) { b.truncate = false })
 			s.send(d[2], "resend")
 		},
 		"leaving-worker-gets-no-new-work": func(s *session, d []*daemon, wg *sync.WaitGroup) {
@@ -145,12 +145,12 @@
 			synctest.Test(t, func(t *testing.T) {
 				in := newInstallation(3)
 				defer in.close()
-				in.settle()
-				require.True(t, in.agreed())
+				in.awaitView()
+				require.True(t, in.viewAgreed())
 				s := &session{in: in, key: in.newKey(in.daemons[1], 0), start: time.Now()}
 				in.mu.Lock()
-				in.hook = func(at step, d *daemon) {
-					if text := logged[at]; text != "" && !d.isDead() {
+				in.onStep = func(at step, d *daemon) {
+					if text := stepTexts[at]; text != "" && !d.isDead() {
 						s.log("%s %s", d.self.ID, text)
 					}
 				}
@@ -158,7 +158,7 @@
 				var wg sync.WaitGroup
 				play(s, in.daemons, &wg)
 				wg.Wait()
-				s.log("the workers ran it %d time(s)", len(in.backend.runs(s.key)))
+				s.log("the workers ran it %d time(s)", len(in.backend.sendsOf(s.key)))
 				goldie.New(t).Assert(t, name, []byte(s.out.String()))
 			})
 		})
