--- a/cmd/postmount/wait.go
+++ b/cmd/postmount/wait.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// pollInterval is the pause between polls. After maxFailedPolls unreachable polls
-// in a row the outcome is reported as unknown.
+// pollInterval is the pause between polls. After maxFailedPolls polls in a row that
+// reached no server, the outcome is reported as unknown.
 const (
 	pollInterval   = time.Second
 	maxFailedPolls = 60
