--- a/internal/matrix/control_test.go
+++ b/internal/matrix/control_test.go
@@ -14,13 +14,13 @@
 	"github.com/postmount/postmount/requests/wave"
 )
 
-// poolRecord is one record of the model store.
+// poolRecord is a pool in the model store, with its revision.
 type poolRecord struct {
 	pool *fleet.Pool
 	rev  int
 }
 
-// daemonState is one daemon's knowledge, which lags.
+// daemonState is what one daemon has last read from the store and the platform; it may be stale.
 type daemonState struct {
 	pools     map[fleet.PoolName]poolRecord
 	members   map[fleet.InstanceID]fleet.Membership
@@ -29,14 +29,14 @@
 	waves     map[fleet.WaveName]fleet.Wave
 }
 
-// pendingCommand is a command on its way to the platform. It may arrive late and often.
+// pendingCommand is a command in flight to the platform. It may arrive late and more than once.
 type pendingCommand struct {
 	instance fleet.InstanceID
 	command  fleet.Command
 }
 
-// model is a store, a platform and six daemons that plan with the real
-// decisions and act on what they planned in any order.
+// model consists of a store, a platform and six daemons, which plan with the real
+// wave.Reconcile and apply their plans in any order.
 type model struct {
 	now       time.Time
 	pools     map[fleet.PoolName]poolRecord
@@ -44,9 +44,9 @@
 	memberRev map[fleet.InstanceID]int
 	waves     map[fleet.WaveName]fleet.Wave
 	actual    map[fleet.InstanceID]fleet.Instance
-	// listed is the platform's list, which lags behind the truth.
+	// listed is the platform's list of instances, which lags behind actual.
 	listed   map[fleet.InstanceID]fleet.Instance
-	executed map[fleet.CommandID]bool // carried out
+	executed map[fleet.CommandID]bool // command IDs that were carried out
 	network  []pendingCommand
 	states   []*daemonState
 	lastID   int
@@ -80,8 +80,8 @@
 	return m
 }
 
-// refreshRecords brings a daemon's records up to date. Records are values that nobody
-// changes, as in the mirror.
+// refreshRecords copies the store's current records to a daemon. Records are immutable, as in
+// the mirror.
 func (m *model) refreshRecords(c *daemonState) {
 	c.pools, c.members, c.memberRev, c.waves = maps.Clone(m.pools), maps.Clone(m.members), maps.Clone(m.memberRev), maps.Clone(m.waves)
 }
@@ -109,10 +109,10 @@
 	return out
 }
 
-// reconcile plans for one pool from what the daemon knows and applies the parts: the
-// commands of the record it knows go out, and its changes win only if the
-// records are still those that it planned from. The answer of a write may be
-// lost, which changes nothing: the daemon reads again before it acts again.
+// reconcile plans for one pool from what the daemon knows and applies the plan: commands are
+// sent unconditionally, changes are written only if the records still have the revisions that
+// the plan was made from. Lost answers to writes need no model of their own: the daemon
+// reads again before it acts again.
 func (m *model) reconcile(t *rapid.T) {
 	c, name := m.daemon(t), m.pool(t)
 	base := c.pools[name]
@@ -147,8 +147,8 @@
 	return in
 }
 
-// checkBudget fails if a write claims an instance beyond the budget as the
-// writer could know it.
+// checkBudget fails if a write grants a disruption beyond the budget, as computed from what
+// the writer knew.
 func (m *model) checkBudget(t *rapid.T, c *daemonState, old, next *fleet.Pool) {
 	granted := 0
 	for _, d := range next.Disruptions {
@@ -170,18 +170,18 @@
 	m.refreshInstances(m.daemon(t))
 }
 
-// publishInstance lets one change become visible in the platform's list.
+// publishInstance copies one instance's actual state to the platform's list.
 func (m *model) publishInstance(t *rapid.T) {
 	id := m.instance(t)
 	m.listed[id] = m.actual[id]
 }
 
-// resultingState is the state that an action puts an instance into.
+// resultingState maps an action to the state that it puts an instance into.
 var resultingState = map[fleet.Action]fleet.InstanceState{
 	fleet.ActionDrain: fleet.InstanceDraining, fleet.ActionReboot: fleet.InstanceRebooting, fleet.ActionReturn: fleet.InstanceReady,
 }
 
-// deliver carries out a command that is on its way, and may leave a duplicate.
+// deliver carries out a command in flight, and may leave a duplicate in flight.
 func (m *model) deliver(t *rapid.T) {
 	if len(m.network) == 0 {
 		return
@@ -202,7 +202,7 @@
 	m.actual[s.instance] = inst
 }
 
-// finish lets a drain or reboot end.
+// finish completes a drain or reboot.
 func (m *model) finish(t *rapid.T) {
 	id := m.instance(t)
 	inst := m.actual[id]
@@ -212,7 +212,7 @@
 	}
 }
 
-// failOrRestart takes an instance down by itself, or brings it back.
+// failOrRestart lets an instance fail or restart without any command.
 func (m *model) failOrRestart(t *rapid.T) {
 	id := m.instance(t)
 	inst := m.actual[id]
@@ -228,7 +228,8 @@
 	m.now = m.now.Add(time.Duration(rapid.IntRange(1, 40).Draw(t, "seconds")) * time.Second)
 }
 
-// requestDisruption is an operator's command, which is planned from the newest records.
+// requestDisruption applies a random operator command to the newest records: a drain, a move,
+// the end of a drain, or a change of the budget.
 func (m *model) requestDisruption(t *rapid.T) {
 	id := m.instance(t)
 	name := m.members[id].Pool
@@ -262,8 +263,8 @@
 	}
 }
 
-// check tests after every step that each instance that a command took out is
-// claimed by some pool, and by one only.
+// check verifies after every step that each instance which a command took out of service is
+// claimed by exactly one pool.
 func (m *model) check(t *rapid.T) {
 	for id, inst := range m.actual {
 		claims := 0
@@ -282,8 +283,8 @@
 	}
 }
 
-// TestSixDaemonsNeverBreakABudget interleaves six daemons with stale records
-// and lists, late and repeated commands, failures and operators.
+// TestSixDaemonsNeverBreakABudget interleaves six daemons with stale records and lists, late
+// and repeated commands, instance failures and operators' commands.
 func TestSixDaemonsNeverBreakABudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -295,9 +296,8 @@
 	})
 }
 
-// TestEverythingSettles lets a random history end, heals the platform and lets
-// one daemon after another act: waves end, moves arrive and nothing stays out
-// but what operators hold or what failed.
+// TestEverythingSettles runs a random history, then healthy rounds of one daemon after another:
+// moves complete and no instance stays out of service except those drained by operators.
 func TestEverythingSettles(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel()
@@ -317,15 +317,15 @@
 		for name, v := range m.pools {
 			for _, d := range v.pool.Disruptions {
 				if d.Kind != fleet.DisruptByDrain {
-					t.Fatalf("pool %s still has %s out: %+v, instance %+v", name, d.Instance, d, m.actual[d.Instance])
+					t.Fatalf("pool %s still has a disruption of %s: %+v, instance %+v", name, d.Instance, d, m.actual[d.Instance])
 				}
 			}
 		}
 	})
 }
 
-// runHealthyRound lets one round go well: the platform repairs what failed, finishes what
-// it was told and lists it, and the daemon acts on all of it.
+// runHealthyRound runs one round without faults: the platform restarts failed instances,
+// completes drains and reboots and lists all of it, and the daemon acts on the current state.
 func (m *model) runHealthyRound(c *daemonState, t *rapid.T) {
 	for id, inst := range m.actual {
 		switch inst.State {
--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -1,5 +1,5 @@
-// Package matrix drives whole entry daemons, without a network and in virtual
-// time, through every fault at every step of a request.
+// Package matrix tests whole entry daemons, without a network and in virtual time, with every
+// fault at every step of a request.
 package matrix
 
 import (
@@ -32,7 +32,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// step is a point on a request's way.
+// step is a stage in the processing of a request.
 type step string
 
 const (
@@ -50,7 +50,7 @@
 
 var steps = []step{stepAccept, stepAdmit, stepClaim, stepClaimed, stepConnect, stepWrite, stepWait, stepRead, stepAnswer, stepRecord}
 
-// daemon is one entry daemon with its fake surroundings.
+// daemon is one entry daemon with its fake environment.
 type daemon struct {
 	in         *installation
 	index      int
@@ -63,29 +63,28 @@
 	handler    *entry.Handler
 	cancel     context.CancelFunc
 
-	// openRequests counts the requests that Daemon.stop's http.Server.Shutdown would
-	// wait for: from the accepted connection on, which is before the handler's count.
+	// openRequests counts the requests that http.Server.Shutdown in Daemon.stop would wait
+	// for: from the accepted connection on, earlier than the handler's own count.
 	openRequests atomic.Int64
 
 	mu     sync.Mutex
 	dead   bool
-	frozen chan struct{} // not nil while frozen; closed to go on
+	frozen chan struct{} // not nil while frozen; closed by thaw
 }
 
-// installation is a fleet of daemons that share an engine, workers and a
-// network.
+// installation is a set of daemons that share a store engine, workers and a network.
 type installation struct {
 	engine  *store.Engine
 	daemons []*daemon
 	backend *backend
 	wg      sync.WaitGroup
 
-	seedPeers []string // peers that a new daemon knows from its settings
-	storeDown bool     // the store is down for a new daemon
+	seedPeers []string // addresses of peers in the settings of new daemons
+	storeDown bool     // the store is down for new daemons
 
 	mu         sync.Mutex
 	partitions map[[2]int]bool
-	// onStep is called when the first request reaches a step at a daemon.
+	// onStep, if not nil, is called when a request reaches a step at a daemon.
 	onStep func(s step, d *daemon)
 }
 
@@ -100,7 +99,7 @@
 	return in
 }
 
-// start adds a daemon.
+// start starts another daemon.
 func (in *installation) start() *daemon {
 	n := len(in.daemons)
 	name := fmt.Sprintf("e%d", n+1)
@@ -155,7 +154,7 @@
 	return d
 }
 
-// awaitView waits until every live daemon serves the same view.
+// awaitView waits up to 20 s until every live daemon serves the same view.
 func (in *installation) awaitView() {
 	for range 400 {
 		time.Sleep(50 * time.Millisecond)
@@ -197,7 +196,7 @@
 	return d.dead
 }
 
-// kill ends the daemon at once; the platform notices two seconds later.
+// kill ends the daemon at once; the others learn of it two seconds later.
 func (d *daemon) kill() {
 	d.mu.Lock()
 	d.dead = true
@@ -212,8 +211,8 @@
 	})
 }
 
-// stop is the daemon's planned stop, in the order of Daemon.stop: it finishes what
-// it has accepted, refuses what is new and leaves.
+// stop stops the daemon as planned, in the order of Daemon.stop: it finishes accepted requests,
+// refuses new ones and leaves the view.
 func (d *daemon) stop(ctx context.Context) {
 	for d.openRequests.Load() > 0 && waitTick(ctx) {
 	}
@@ -230,8 +229,8 @@
 	}()
 }
 
-// freeze stops the daemon's messages, in and out, and its requests at the next
-// step, as if its process were paused.
+// freeze blocks the daemon's messages in both directions, and its requests at the next step,
+// as if its process were stopped.
 func (d *daemon) freeze(length time.Duration) {
 	d.mu.Lock()
 	if d.frozen == nil {
@@ -261,8 +260,8 @@
 	return !d.isDead()
 }
 
-// reachStep announces that a request has reached a step, and reports whether the
-// daemon is alive afterwards.
+// reachStep calls onStep for a request that reaches a step, waits while the daemon is frozen,
+// and reports whether it is alive afterwards.
 func (d *daemon) reachStep(s step) bool {
 	d.in.mu.Lock()
 	hook := d.in.onStep
@@ -273,7 +272,7 @@
 	return d.awaitThaw()
 }
 
-// setIsolated parts a daemon from all others, or joins it again.
+// setIsolated cuts a daemon off from all others, or reconnects it.
 func (in *installation) setIsolated(d *daemon, cut bool) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -300,7 +299,7 @@
 	return in.partitions[[2]int{a.index, b.index}]
 }
 
-// peerClient is one daemon's way to the others.
+// peerClient is one daemon's client for the others.
 type peerClient struct {
 	in   *installation
 	from *daemon
@@ -308,13 +307,13 @@
 
 const networkDelay = time.Millisecond
 
-// callTimeout is that of a call between daemons.
+// callTimeout is the timeout of a call between daemons.
 const callTimeout = time.Second
 
 var errUnreachable = verdict.New(verdict.NotRun, "peer-unreachable", "unreachable")
 
-// callPeer carries a message to addr and its answer back. A message may be lost on
-// either way; the caller then waits for its timeout.
+// callPeer delivers a message to addr and the answer back. Either may be lost; the caller then
+// waits for its timeout.
 func callPeer[R any](p *peerClient, ctx context.Context, addr string, serve func(port.PeerServer) R) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -361,7 +360,7 @@
 }
 
 func (p *peerClient) Note(ctx context.Context, addr string, n once.Claim) (bool, error) {
-	time.Sleep(networkDelay) // so that the answer is certainly out before a fault strikes
+	time.Sleep(networkDelay) // the answer has certainly been sent before a fault strikes
 	p.from.reachStep(stepRecord)
 	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnNote(n) })
 }
@@ -383,7 +382,7 @@
 	return callPeer(p, ctx, addr, func(s port.PeerServer) port.BurnCounts { return s.OnBurn() })
 }
 
-// stepClaims announces the steps around a claim.
+// stepClaims reports the steps around a claim.
 type stepClaims struct {
 	entry.Claims
 	d *daemon
@@ -401,7 +400,7 @@
 	return attempt, reply, err
 }
 
-// stepObserver announces that an answer is about to be written.
+// stepObserver reports the step at which an answer is about to be written.
 type stepObserver struct{ d *daemon }
 
 func (h *stepObserver) Answered(fleet.ServiceName, fleet.ClassName, verdict.Verdict, verdict.Code, int, time.Duration) {
@@ -410,17 +409,17 @@
 func (h *stepObserver) AttemptEnded(fleet.ServiceName, fleet.InstanceID, int, error) {}
 func (h *stepObserver) HealthChanged(fleet.ServiceName, fleet.InstanceID, bool)      {}
 
-// backend is the workers of all daemons.
+// backend simulates the workers of all daemons.
 type backend struct {
 	in *installation
 
 	mu       sync.Mutex
 	down     bool // refuses connections
 	hang     bool // never answers
-	truncate bool // breaks its answers off
-	// sendsByKey lists, per key, the sends that ran it.
+	truncate bool // breaks the connection during answers
+	// sendsByKey lists, by key, the sends of a request that ran.
 	sendsByKey map[string][]string
-	// inFlight counts the requests on each worker, most the highest count seen.
+	// inFlight counts the requests on each worker; maxInFlight is the highest count seen.
 	inFlight    map[fleet.InstanceID]int
 	maxInFlight int
 }
@@ -440,15 +439,14 @@
 	fn(b)
 }
 
-// stepBackend is one daemon's way to the workers.
+// stepBackend is one daemon's client for the workers; it reports the steps of a request.
 type stepBackend struct{ daemon *daemon }
 
 func (h *stepBackend) RetainConnections(map[fleet.InstanceID]string) {}
 
 const serviceTime = 100 * time.Millisecond
 
-// Send runs a request the way a worker does, with a step at each point where
-// something may go wrong.
+// Send runs a request as a worker does, with a step at each point where a fault may occur.
 func (h *stepBackend) Send(ctx context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
 	b := h.daemon.in.backend
 	if !h.daemon.reachStep(stepConnect) || ctx.Err() != nil || b.isDown() {
@@ -492,10 +490,10 @@
 	return append([]string(nil), b.sendsByKey[key]...)
 }
 
-// sendHeader names one send of a request.
+// sendHeader carries the name of one send of a request.
 const sendHeader = "X-Send"
 
-// reply is what a caller saw of one send.
+// reply is what a caller got for one send.
 type reply struct {
 	name     string
 	noAnswer bool // the daemon ended before it answered
@@ -504,7 +502,7 @@
 	latency  time.Duration
 }
 
-// letter is the reply's letter in the table.
+// letter returns the reply's letter in the table: L for no answer, D, N or M for the verdict.
 func (r reply) letter() string {
 	if r.noAnswer {
 		return "L"
@@ -533,8 +531,8 @@
 	return reply{name: send, verdict: verdict.Parse(rec.Header().Get(verdict.Header)), body: rec.Body.String(), latency: time.Since(started)}
 }
 
-// newKey returns the n-th key made now whose owner under the view in force is
-// d. The same n gives the same key in every run.
+// newKey returns the n-th key with the current time whose owner in the current view is d.
+// The same n gives the same key in every run.
 func (in *installation) newKey(d *daemon, n int) string {
 	const version, variant = 0x70, 0x80
 	for i := 0; ; i++ {
--- a/internal/matrix/replace_test.go
+++ b/internal/matrix/replace_test.go
@@ -15,7 +15,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// replaceDaemon starts a daemon and lets another leave.
+// replaceDaemon starts a new daemon and lets old leave the view.
 func (in *installation) replaceDaemon(t *testing.T, old *daemon) *daemon {
 	fresh := in.start()
 	in.awaitView()
@@ -29,8 +29,8 @@
 	return fresh
 }
 
-// TestAllSixReplacedOneAfterAnother: a request that ran before gets its answer
-// from daemons none of which was there.
+// TestAllSixReplacedOneAfterAnother: after all daemons were replaced one by one, a resent
+// request gets its first answer and does not run again.
 func TestAllSixReplacedOneAfterAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(6)
@@ -52,9 +52,9 @@
 	})
 }
 
-// TestAllSixReplacedInQuickSuccession kills all six and starts six new ones at
-// once: what may have run is not run again, and new keys are served once the
-// platform shows the old daemons gone.
+// TestAllSixReplacedInQuickSuccession kills all six daemons and starts six new ones at once:
+// requests that may have run are not run again, and new keys are served once the old daemons
+// are known to have ended.
 func TestAllSixReplacedInQuickSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(6)
@@ -78,8 +78,8 @@
 	})
 }
 
-// TestRejoinAfterALongCut: a daemon that was cut off for an hour refuses
-// meanwhile, and serves again afterwards.
+// TestRejoinAfterALongCut: a daemon that is cut off for an hour refuses requests meanwhile and
+// serves again afterwards.
 func TestRejoinAfterALongCut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
@@ -90,15 +90,15 @@
 		time.Sleep(time.Hour)
 		refused := cutOff.request(context.Background(), "refused", in.newKey(in.daemons[1], 0))
 		assert.Equal(t, verdict.NotRun, refused.verdict)
-		assert.Less(t, refused.latency, time.Second, "a refusal is not held back")
+		assert.Less(t, refused.latency, time.Second, "refusals are not delayed")
 		in.setIsolated(cutOff, false)
 		time.Sleep(5 * time.Second)
 		assert.Equal(t, verdict.Done, cutOff.request(context.Background(), "served", in.newKey(in.daemons[1], 0)).verdict)
 	})
 }
 
-// TestSlotsHoldOverAllDaemons floods three workers of eight slots through all
-// daemons while daemons are replaced and killed.
+// TestSlotsHoldOverAllDaemons: with load above capacity from all daemons, while some start and one is
+// killed, none of the three workers gets more concurrent requests than its eight slots.
 func TestSlotsHoldOverAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(4)
@@ -136,13 +136,12 @@
 		close(stop)
 		wg.Wait()
 		assert.LessOrEqual(t, in.backend.maxInFlight, 8)
-		assert.Equal(t, 8, in.backend.maxInFlight, "the flood uses the workers up")
+		assert.Equal(t, 8, in.backend.maxInFlight, "the load uses all slots of a worker")
 	})
 }
 
-// TestStartInAStoreOutage: a daemon that starts while the store is down gets
-// the records from a peer of its settings, refuses requests, since no view can
-// take it in, and serves once the store is back.
+// TestStartInAStoreOutage: a daemon that starts while the store is down gets the records from a
+// seed peer, refuses requests, since no view can include it, and serves once the store is back.
 func TestStartInAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
--- a/internal/matrix/request_test.go
+++ b/internal/matrix/request_test.go
@@ -20,20 +20,20 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// scenario is one fault at one step.
+// scenario is the installation and the daemons' roles in one run of a request under faults.
 type scenario struct {
 	in           *installation
 	receiver     *daemon
 	owner        *daemon
-	resender     *daemon // through which the request is sent again
+	resender     *daemon // the daemon that the request is sent to again
 	cancelCaller context.CancelFunc
 }
 
-// fault is one way in which things go wrong.
+// fault is one kind of fault.
 type fault struct {
 	name   string
 	strike func(c *scenario)
-	// delaysReply tells that a reply may come late, because its daemon was paused.
+	// delaysReply says that replies may be late, because the daemon is paused.
 	delaysReply bool
 }
 
@@ -74,7 +74,7 @@
 	}
 }
 
-// ownerLeaves is a planned stop of the key's owner.
+// ownerLeaves returns the fault of a planned stop of the key's owner.
 func ownerLeaves() fault {
 	return fault{name: "owner leaves", strike: func(c *scenario) {
 		c.in.after(0, func() {
@@ -96,9 +96,10 @@
 	}
 }
 
-// runRequest carries a request through the cell: once, again through another daemon
-// while it may still run, and once more when everything is well again. second,
-// if not nil, strikes a random time after the first fault.
+// runRequest sends a request three times: first, again through another daemon while it may
+// still run, and once more after all faults have ended. self says that the receiver also owns
+// the key, the key-th of that owner. second, if not nil, strikes second.delay after the first
+// fault.
 func runRequest(t *testing.T, key int, self bool, first injection, second *injection) (r result) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
@@ -139,11 +140,11 @@
 	return r
 }
 
-// result is what came of one run.
+// result is the outcome of one run.
 type result struct {
 	replies    []reply
 	reached    bool     // the fault's step was reached
-	violations []string // promises seen broken
+	violations []string // violated guarantees
 }
 
 func (r *result) letters() string {
@@ -162,14 +163,15 @@
 	healTime    = 20 * time.Second
 )
 
-// injection is a fault and when it hits.
+// injection is a fault and when it strikes: at a step, or delay after another fault.
 type injection struct {
 	fault
 	at    step
 	delay time.Duration
 }
 
-// hook hits with the first fault when the first send reaches its step.
+// hook returns the onStep function that injects the first fault when the receiver reaches its
+// step, and the second one after its delay.
 func (c *scenario) hook(first injection, second *injection, hit *bool) func(step, *daemon) {
 	var once sync.Once
 	return func(s step, d *daemon) {
@@ -186,37 +188,37 @@
 	}
 }
 
-// maxLatency is how late a reply may come: the request's deadline and a little.
+// maxLatency is the request's timeout of 2 s and a margin.
 const maxLatency = 2100 * time.Millisecond
 
-// checkGuarantees tests what must always hold, given the sends that ran.
+// checkGuarantees records violations of what must always hold, given the sends that ran.
 func (r *result) checkGuarantees(ran []string, slow bool) {
-	say := func(format string, args ...any) { r.violations = append(r.violations, fmt.Sprintf(format, args...)) }
+	addViolation := func(format string, args ...any) { r.violations = append(r.violations, fmt.Sprintf(format, args...)) }
 	if len(ran) > 1 {
-		say("ran more than once: %v", ran)
+		addViolation("ran more than once: %v", ran)
 	}
 	for _, x := range r.replies {
 		switch {
 		case x.noAnswer:
 		case x.verdict == verdict.Done && len(ran) != 1:
-			say("%s was answered, ran %v", x.name, ran)
+			addViolation("%s was answered, but the sends that ran are %v", x.name, ran)
 		case x.verdict == verdict.Done && !strings.Contains(x.body, "answer to "):
-			say("%s got no whole answer: %q", x.name, x.body)
+			addViolation("%s got an incomplete answer: %q", x.name, x.body)
 		case x.verdict == verdict.NotRun && slices.Contains(ran, x.name):
-			say("%s ran and was told that it did not", x.name)
+			addViolation("%s ran although its verdict is not-run", x.name)
 		}
 		if !slow && x.latency > maxLatency {
-			say("%s was answered after %s", x.name, x.latency)
+			addViolation("%s was answered after %s", x.name, x.latency)
 		}
 	}
 }
 
-// updateGolden reports whether golden files and the tables of docs/FAULTS.md are to
-// be written anew; package goldie defines the flag.
+// updateGolden reports whether golden files and the tables of docs/FAULTS.md are to be
+// rewritten; package goldie defines the flag.
 func updateGolden() bool { return flag.Lookup("update").Value.String() == "true" }
 
-// matrixResult is the outcome of every fault at every step, as Markdown, and the
-// promises that were seen broken.
+// matrixResult is the outcome of every fault at every step, as Markdown, and the violated
+// guarantees.
 type matrixResult struct {
 	text       string
 	violations []string
@@ -224,7 +226,7 @@
 
 var requestMatrixResult *matrixResult
 
-// requestMatrix runs the matrix once for all tests that look at it.
+// requestMatrix runs the matrix once for all tests that use it.
 func requestMatrix(t *testing.T) *matrixResult {
 	if requestMatrixResult != nil {
 		return requestMatrixResult
@@ -258,28 +260,22 @@
 	return out
 }
 
-// TestEveryFaultAtEveryStep checks the promises in each cell.
+// TestEveryFaultAtEveryStep checks the guarantees for each fault at each step.
 func TestEveryFaultAtEveryStep(t *testing.T) {
 	assert.Empty(t, requestMatrix(t).violations)
 }
 
-// TestOutcomesAreThoseOfThePage compares the outcomes with docs/FAULTS.md, so
-// that a change of what callers get to see is noticed.
+// TestOutcomesAreThoseOfThePage compares the outcomes with docs/FAULTS.md, so that changes
+// visible to callers are noticed.
 func TestOutcomesAreThoseOfThePage(t *testing.T) {
 	compareTable(t, "request", requestMatrix(t).text)
 }
 
-// TestAPlannedStopWaitsForEveryAcceptedRequest holds a request for a while
-// between the step at which the stop begins and its next one. A daemon that stops
-// finishes what it has accepted before it leaves, however slowly that goes on.
-//
-// Seen: one cell of the table, the receiver owns the key and leaves at accept, was
-// DMD or NDD instead of DDD: on GOMAXPROCS 1, 2 and 8 in 0, 1 and 6 of 10,000 plays,
-// with random yields in the code in 3 and 7 of 20; of the other 339 cells none
-// differed. How: the request was accepted, the stop found nothing in flight and left
-// the view under it. Cause: the stop of this package waits for Handler.InFlight, which
-// counts from the handler on; the real daemon's http.Server.Shutdown waits for its
-// connections. Proof: a request held up there meets it every time.
+// TestAPlannedStopWaitsForEveryAcceptedRequest delays a request after the step at which the stop
+// begins. It guards against a stop that waits for Handler.InFlight only, while the real one waits for
+// connections: a request accepted but not yet in the handler lost its view. One of 340 table cells
+// (receiver owns the key, leaves at accept) was DMD or NDD, not DDD: on GOMAXPROCS 1, 2 and 8 in 0, 1
+// and 6 of 10,000 runs, with random yields in 3 and 7 of 20; with a delay at that step always.
 func TestAPlannedStopWaitsForEveryAcceptedRequest(t *testing.T) {
 	for _, self := range []bool{false, true} {
 		for _, s := range steps {
@@ -294,7 +290,7 @@
 	}
 }
 
-// withDelay is f, with the request held up at its step after f has struck.
+// withDelay returns f with the request delayed at its step after the fault has struck.
 func withDelay(f fault, held time.Duration) fault {
 	return fault{name: f.name, strike: func(c *scenario) {
 		f.strike(c)
@@ -302,15 +298,14 @@
 	}}
 }
 
-// The random search gives the same verdict on every run.
+// A fixed seed makes the random search reproducible.
 func init() {
 	_ = flag.Set("rapid.seed", "1")
 	_ = flag.Set("rapid.checks", "300")
 	_ = flag.Set("rapid.nofailfile", "true")
 }
 
-// TestPairsOfFaults lets two faults meet at random; what fails is shrunk to the
-// smallest pair.
+// TestPairsOfFaults injects random pairs of faults; rapid shrinks a failing pair.
 func TestPairsOfFaults(t *testing.T) {
 	all := faults()
 	rapid.Check(t, func(rt *rapid.T) {
@@ -329,18 +324,18 @@
 
 const faultsPage = "../../docs/FAULTS.md"
 
-// compareTable compares a table with the one between its marks on the page.
+// compareTable compares a table with the one between its markers in faultsPage.
 func compareTable(t *testing.T, name, table string) {
 	begin, end := "<!-- "+name+" matrix -->\n", "<!-- end of "+name+" matrix -->"
 	page, err := os.ReadFile(faultsPage)
 	require.NoError(t, err)
 	head, rest, ok := strings.Cut(string(page), begin)
-	require.True(t, ok, "the page has no mark %q", begin)
+	require.True(t, ok, "%s has no marker %q", faultsPage, begin)
 	old, tail, ok := strings.Cut(rest, end)
 	require.True(t, ok)
 	if updateGolden() {
 		require.NoError(t, os.WriteFile(faultsPage, []byte(head+begin+table+end+tail), 0o644))
 		return
 	}
-	assert.Equal(t, old, table, "run go test ./internal/matrix -update and read the difference")
+	assert.Equal(t, old, table, "run go test ./internal/matrix -update and review the difference")
 }
--- a/internal/matrix/session_test.go
+++ b/internal/matrix/session_test.go
@@ -17,8 +17,8 @@
 	"github.com/postmount/postmount/standin/store"
 )
 
-// session is one promise of the brief played through from caller to backend
-// server; what happens is written down in order, with the virtual time.
+// session is one end-to-end sequence of requests, from caller to backend server. It records
+// the events in order, with the virtual time.
 type session struct {
 	in    *installation
 	key   string
@@ -33,9 +33,9 @@
 	fmt.Fprintf(&s.out, "%6d ms  %s\n", time.Since(s.start).Milliseconds(), fmt.Sprintf(format, args...))
 }
 
-// stepTexts are the steps that a session shows, and how.
+// stepTexts are the texts of the steps that a session records.
 var stepTexts = map[step]string{
-	stepClaimed: "has the owner's word on the key",
+	stepClaimed: "has the key owner's decision",
 	stepConnect: "connects to a worker",
 	stepWait:    "has sent the request; the worker runs it",
 }
@@ -52,12 +52,12 @@
 	default:
 		s.log("caller   <- %s   %s: %s", d.self.ID, name, r.verdict)
 	}
-	// The owner hears of the end a moment after the caller.
+	// The owner learns of the end shortly after the caller.
 	time.Sleep(10 * time.Millisecond)
 	return r
 }
 
-// runAfter runs fn while the session goes on.
+// runAfter runs fn concurrently after a delay.
 func (s *session) runAfter(wg *sync.WaitGroup, after time.Duration, fn func()) {
 	wg.Add(1)
 	go func() {
@@ -67,7 +67,7 @@
 	}()
 }
 
-// TestSessions keeps whole sessions as golden files; -update writes them anew.
+// TestSessions compares whole sessions with golden files; -update rewrites them.
 func TestSessions(t *testing.T) {
 	plays := map[string]func(*session, []*daemon, *sync.WaitGroup){
 		"resend-through-another-entry": func(s *session, d []*daemon, wg *sync.WaitGroup) {
@@ -91,7 +91,7 @@
 		},
 		"planned-stop-cuts-nothing": func(s *session, d []*daemon, wg *sync.WaitGroup) {
 			s.runAfter(wg, 30*time.Millisecond, func() {
-				s.log("e1 stops: it takes nothing new and finishes what it has")
+				s.log("e1 stops: it refuses new requests and finishes accepted ones")
 				d[0].handler.Stop()
 				s.send(d[0], "order that comes too late")
 				for d[0].handler.InFlight() > 0 {
@@ -119,13 +119,13 @@
 			s.log("no worker can be reached")
 			s.send(d[0], "order")
 			s.in.backend.update(func(b *backend) { b.down = false })
-			s.log("workers are back; that they did not run the order is certain, so it may run now")
+			s.log("workers are back; the order certainly did not run, so it may run now")
 			time.Sleep(50 * time.Millisecond)
 			s.send(d[2], "resend")
 		},
 		"cut-answer-is-not-passed-on": func(s *session, d []*daemon, wg *sync.WaitGroup) {
 			s.in.backend.update(func(b *backend) { b.truncate = true })
-			s.log("workers break their answers off")
+			s.log("workers break the connection during their answers")
 			s.send(d[0], "order")
 			s.in.backend.update(func(b *backend) { b.truncate = false })
 			s.send(d[2], "resend")
@@ -136,7 +136,7 @@
 			d[0].dispatcher.SetDirectory(dir)
 			s.log("e1 learns that every worker is leaving")
 			s.send(d[0], "order")
-			s.log("e3 has not heard of it yet")
+			s.log("e3 does not know this yet")
 			s.send(d[2], "resend")
 		},
 	}
@@ -165,8 +165,8 @@
 	}
 }
 
-// TestDirectoryTakesOutWhatEitherSourceNames checks the invariant behind the
-// promise that a leaving worker gets no new work.
+// TestDirectoryTakesOutWhatEitherSourceNames: the directory lists only workers that are ready
+// according to the platform and not claimed by their pool, so a leaving worker gets no new work.
 func TestDirectoryTakesOutWhatEitherSourceNames(t *testing.T) {
 	state := fleet.NewState()
 	state.Config.Value.Services = []fleet.Service{{Name: "orders"}}
