--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -153,8 +153,8 @@
 	return call[once.Reply](ctx, c, addr, "Claim", r)
 }
 
-// Note implements port.Peers.
-func (c *Client) Note(ctx context.Context, addr string, n once.Claim) (bool, error) {
+// ReportAttempt implements port.Peers.
+func (c *Client) ReportAttempt(ctx context.Context, addr string, n once.Claim) (bool, error) {
 	return call[bool](ctx, c, addr, "Note", n)
 }
 
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -189,7 +189,7 @@
 func (s *service) Claim(r once.Request, out *once.Reply) error { *out = s.h.OnClaim(r); return nil }
 
 // Note is an RPC method.
-func (s *service) Note(n once.Claim, out *bool) error { *out = s.h.OnNote(n); return nil }
+func (s *service) Note(n once.Claim, out *bool) error { *out = s.h.OnAttemptReport(n); return nil }
 
 // Transfer is an RPC method.
 func (s *service) Transfer(t once.Transfer, out *bool) error { *out = s.h.OnTransfer(t); return nil }
--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -359,10 +359,10 @@
 	return callPeer(p, ctx, addr, func(s port.PeerServer) once.Reply { return s.OnClaim(r) })
 }
 
-func (p *peerClient) Note(ctx context.Context, addr string, n once.Claim) (bool, error) {
+func (p *peerClient) ReportAttempt(ctx context.Context, addr string, n once.Claim) (bool, error) {
 	time.Sleep(networkDelay) // the answer has certainly been sent before a fault strikes
 	p.from.reachStep(stepRecord)
-	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnNote(n) })
+	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnAttemptReport(n) })
 }
 
 func (p *peerClient) Transfer(ctx context.Context, addr string, t once.Transfer) (bool, error) {
--- a/requests/cluster/beat.go
+++ b/requests/cluster/beat.go
@@ -17,9 +17,9 @@
 // LoanID identifies one loan of a slot between peers.
 type LoanID = slots.LoanID
 
-// beatAll sends a heartbeat to each known peer. While no view is known, the
-// addresses of the settings stand in for it.
-func (n *Node) beatAll(ctx context.Context, now time.Time) {
+// sendHeartbeats sends a heartbeat to each known peer, and to the seed addresses
+// while no view is known.
+func (n *Node) sendHeartbeats(ctx context.Context, now time.Time) {
 	targets := map[string]fleet.Incarnation{}
 	for _, e := range n.deps.Mirror.State().Entries {
 		targets[e.Value.PeerAddr] = e.Value.Incarnation
@@ -36,7 +36,7 @@
 	}
 	delete(targets, n.opts.Self.PeerAddr)
 	for addr, inc := range targets {
-		n.beat(ctx, now, addr, inc)
+		n.sendHeartbeat(ctx, now, addr, inc)
 	}
 }
 
@@ -49,25 +49,25 @@
 	return p
 }
 
-func (n *Node) beat(ctx context.Context, now time.Time, addr string, inc fleet.Incarnation) {
+func (n *Node) sendHeartbeat(ctx context.Context, now time.Time, addr string, inc fleet.Incarnation) {
 	p := n.peer(inc)
-	if p.busy && inc != "" {
+	if p.heartbeatPending && inc != "" {
 		return
 	}
-	p.busy = true
-	b := n.ownBeat()
+	p.heartbeatPending = true
+	b := n.newHeartbeat()
 	n.background(func() {
 		reply, err := n.deps.Peers.Heartbeat(ctx, addr, b)
-		n.post(func(answered time.Time) {
-			p.busy = false
+		n.postToLoop(func(answered time.Time) {
+			p.heartbeatPending = false
 			if err == nil {
-				n.beatAnswered(ctx, answered, now, addr, b, reply)
+				n.handleHeartbeatReply(ctx, answered, now, addr, b, reply)
 			}
 		})
 	})
 }
 
-func (n *Node) ownBeat() port.Heartbeat {
+func (n *Node) newHeartbeat() port.Heartbeat {
 	return port.Heartbeat{
 		From:     n.opts.Self.Incarnation,
 		ID:       n.opts.Self.ID,
@@ -79,16 +79,16 @@
 	}
 }
 
-func (n *Node) beatAnswered(ctx context.Context, now, sentAt time.Time, addr string, asked port.Heartbeat, r port.HeartbeatReply) {
+func (n *Node) handleHeartbeatReply(ctx context.Context, now, sentAt time.Time, addr string, asked port.Heartbeat, r port.HeartbeatReply) {
 	n.core.RecordConfirmation(now, sentAt, r.From, asked.Epoch, r.Highest)
-	n.heard(now, r.From, r.Epoch, r.Revision, r.Settled, r.Stopping)
-	if r.Revision > n.deps.Mirror.State().Revision && n.wantsRecords() {
-		n.pull(ctx, addr)
+	n.recordPeerState(now, r.From, r.Epoch, r.Revision, r.Settled, r.Stopping)
+	if r.Revision > n.deps.Mirror.State().Revision && n.needsRecords() {
+		n.fetchRecords(ctx, addr)
 	}
 }
 
-// heard takes in what a peer says of itself, in a question or an answer.
-func (n *Node) heard(now time.Time, from fleet.Incarnation, epoch fleet.Epoch, rev fleet.Revision, settled, stopping bool) {
+// recordPeerState records what a peer's heartbeat or reply says about the peer.
+func (n *Node) recordPeerState(now time.Time, from fleet.Incarnation, epoch fleet.Epoch, rev fleet.Revision, settled, stopping bool) {
 	p := n.peer(from)
 	p.heardAt = now
 	p.revision = max(p.revision, rev)
@@ -98,19 +98,18 @@
 	}
 }
 
-// wantsRecords reports whether records should be fetched from a peer that is
-// ahead: when the store's watch is not there to bring them, or a newer epoch
-// is known to exist.
-func (n *Node) wantsRecords() bool {
+// needsRecords reports whether to fetch records from a peer that has newer ones:
+// if the store's watch is down or a newer epoch is known.
+func (n *Node) needsRecords() bool {
 	return !n.deps.Connected() || n.core.HighestEpoch() > n.core.View().Epoch
 }
 
-// pull fetches the records that the peer at addr has and this daemon lacks.
-func (n *Node) pull(ctx context.Context, addr string) {
-	if n.pulling {
+// fetchRecords fetches the peer's records that are newer than this daemon's.
+func (n *Node) fetchRecords(ctx context.Context, addr string) {
+	if n.fetching {
 		return
 	}
-	n.pulling = true
+	n.fetching = true
 	since := n.deps.Mirror.State().Revision
 	n.background(func() {
 		changes, err := n.deps.Peers.Changes(ctx, addr, since)
@@ -118,17 +117,17 @@
 			n.deps.Mirror.Apply(changes.Events, changes.CompleteTo)
 			n.deps.SeedInstances(changes.Instances)
 		}
-		n.post(func(time.Time) { n.pulling = false })
+		n.postToLoop(func(time.Time) { n.fetching = false })
 	})
 }
 
 // OnHeartbeat implements port.PeerServer. It runs on the control goroutine, so that
-// after the answer names a newer epoch this daemon serves no older one.
+// once the reply reports a newer epoch, this daemon serves no older one.
 func (n *Node) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
 	var r port.HeartbeatReply
-	n.do(func(now time.Time) {
+	n.runOnLoop(func(now time.Time) {
 		n.core.RecordEpoch(now, b.From, b.Highest)
-		n.heard(now, b.From, b.Epoch, b.Revision, b.Settled, b.Stopping)
+		n.recordPeerState(now, b.From, b.Epoch, b.Revision, b.Settled, b.Stopping)
 		n.publish(now)
 		r = port.HeartbeatReply{
 			From:     n.opts.Self.Incarnation,
@@ -161,21 +160,21 @@
 // OnBurn implements port.PeerServer.
 func (n *Node) OnBurn() port.BurnCounts { return n.deps.Burn() }
 
-// proposeEvery bounds how often one daemon tries to change the view, so that
-// several changes go into one.
-const proposeEvery = 500 * time.Millisecond
+// proposalInterval is the mean pause between one daemon's changes of the view, so
+// that one proposal includes several changes.
+const proposalInterval = 500 * time.Millisecond
 
-// propose changes the view if it no longer fits what is known. Any member may
-// try; the store's compare-and-swap lets one of them through.
+// propose writes a new view if the current one does not match the observations. Any
+// member may try; the store's compare-and-swap accepts one of them.
 func (n *Node) propose(ctx context.Context, now time.Time) {
-	if n.proposing || now.Before(n.notBefore) || !n.deps.Connected() {
+	if n.proposing || now.Before(n.nextProposalAt) || !n.deps.Connected() {
 		return
 	}
 	state := n.deps.Mirror.State()
 	if state.View.Value.Epoch != n.core.View().Epoch {
 		return
 	}
-	ev := n.evidence(now, state)
+	ev := n.observations(now, state)
 	serving := n.core.ServingStatus(now).Serving(now)
 	next, ok := member.Propose(now, state.View.Value, ev, n.opts.Grace, serving)
 	if !ok {
@@ -184,18 +183,18 @@
 	n.proposing = true
 	n.background(func() {
 		n.writeView(ctx, state.View, next)
-		n.post(func(now time.Time) {
+		n.postToLoop(func(now time.Time) {
 			n.proposing = false
-			n.notBefore = now.Add(proposeEvery/2 + time.Duration(n.rand.Int64N(int64(proposeEvery))))
+			n.nextProposalAt = now.Add(proposalInterval/2 + time.Duration(n.rand.Int64N(int64(proposalInterval))))
 		})
 	})
 }
 
-func (n *Node) evidence(now time.Time, state *fleet.State) member.Observations {
+func (n *Node) observations(now time.Time, state *fleet.State) member.Observations {
 	ev := member.Observations{
 		MissingSince: n.missingSince,
 		HeardAt:      map[fleet.Incarnation]time.Time{n.opts.Self.Incarnation: now},
-		Ended:        n.gone,
+		Ended:        n.ended,
 		Stopping:     map[fleet.Incarnation]bool{n.opts.Self.Incarnation: n.stopping},
 	}
 	registered := map[fleet.Incarnation]bool{}
@@ -217,7 +216,7 @@
 	return ev
 }
 
-// writeTimeout bounds one write of the node.
+// writeTimeout bounds one write to the store.
 const writeTimeout = 3 * time.Second
 
 func (n *Node) writeView(ctx context.Context, base fleet.Versioned[fleet.View], next *fleet.View) {
@@ -226,7 +225,7 @@
 	w, err := record.Write(ctx, n.writer, record.ViewKey, base, next, 0)
 	if err != nil {
 		if verdict.CodeOf(err) != record.CodeConflict {
-			n.deps.Log.Info("view not changed", zap.Error(err))
+			n.deps.Log.Info("view change not written", zap.Error(err))
 		}
 		return
 	}
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -15,55 +15,56 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Claims is the shell around the claims table: it answers peers as an owner,
-// asks owners for claims, and tells them what became of each attempt.
+// Claims connects the claims table to the peers: it answers their requests as an
+// owner of keys, requests claims from other owners, and reports the outcome of
+// this daemon's attempts to them.
 type Claims struct {
 	node *Node
 
 	mu    sync.Mutex
 	table *once.Table
-	// open holds this daemon's own attempts until their owner has noted how
-	// they ended.
-	open map[once.Attempt]*openClaim
-
-	// work counts the goroutines that tell others something. None is started
-	// once closed is set, so that waiting for them ends.
-	work    sync.WaitGroup
-	closed  bool
-	pending int // transfers under way
+	// attempts holds this daemon's own attempts until the owner of the key has
+	// recorded how they ended.
+	attempts map[once.Attempt]*localAttempt
+
+	// background counts the goroutines that send to other daemons. None is started
+	// once closed is set, so that wait returns.
+	background       sync.WaitGroup
+	closed           bool
+	pendingTransfers int // transfers in progress
 }
 
-// openClaim is one attempt of this daemon.
-type openClaim struct {
+// localAttempt is one attempt of this daemon.
+type localAttempt struct {
 	claim once.Claim
-	// granted tells that the owner granted the attempt. Only then may another
-	// owner be told of it: a claim that was merely asked for must not get past
-	// the new owner's checks.
+	// granted is true if the owner granted the attempt. Only then may the attempt
+	// be reported to a new owner, because a report is recorded without the checks
+	// that a request for a claim has to pass.
 	granted bool
 }
 
 func newClaims(n *Node) *Claims {
 	return &Claims{
-		node:  n,
-		table: once.NewTable(n.opts.Self.Incarnation, n.opts.Once),
-		open:  map[once.Attempt]*openClaim{},
+		node:     n,
+		table:    once.NewTable(n.opts.Self.Incarnation, n.opts.Once),
+		attempts: map[once.Attempt]*localAttempt{},
 	}
 }
 
-// setView hands over what this daemon no longer owns, and tells new owners of
-// the attempts that are still open here, in case the old owner's table is lost.
-// One try is enough: the note at an attempt's end follows anyhow.
+// setView transfers the partitions that this daemon no longer owns, and reports its
+// running attempts to the new owners in case the old owner's table is lost. It
+// reports once only, because the end of each attempt is reported later.
 func (c *Claims) setView(ctx context.Context, v *fleet.View) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, tr := range c.table.SetView(time.Now(), v) {
-		c.pending++
+		c.pendingTransfers++
 		c.startLocked(func() { c.sendTransfer(ctx, tr) })
 	}
-	for _, o := range c.open {
+	for _, o := range c.attempts {
 		if o.granted && o.claim.Status == once.Running {
 			cl := o.claim
-			c.startLocked(func() { _ = c.note(ctx, cl) })
+			c.startLocked(func() { _ = c.reportAttempt(ctx, cl) })
 		}
 	}
 }
@@ -73,39 +74,39 @@
 	if c.closed {
 		return
 	}
-	c.work.Add(1)
+	c.background.Add(1)
 	go func() {
-		defer c.work.Done()
+		defer c.background.Done()
 		fn()
 	}()
 }
 
-// Pause between tries to reach an owner, and how long a note is tried for.
+// Retries of requests to an owner.
 const (
-	ownerPause   = 25 * time.Millisecond
-	noteDeadline = 30 * time.Second
-	// mostOwnerPause bounds the pause of what nobody waits for: ends of attempts and
-	// partitions that are handed over. A view without a lost owner takes seconds.
-	mostOwnerPause = 400 * time.Millisecond
+	minRetryPause = 25 * time.Millisecond
+	reportTimeout = 30 * time.Second
+	// maxRetryPause bounds the pause for what no caller waits for: reports of ended
+	// attempts and transfers of partitions. A view without a lost owner takes seconds.
+	maxRetryPause = 400 * time.Millisecond
 )
 
-// backoff is the pauses between tries: each twice as long as the one before, less up to
-// half by chance. Hundreds of ends wait for the same owner; in step and each 25 ms they
-// take a fifth of a core.
+// backoff computes exponentially growing pauses with jitter: each is twice the one
+// before, less a random part of up to half. Hundreds of reports may wait for one
+// owner; retried in step every 25 ms they took a fifth of a core.
 type backoff struct{ last time.Duration }
 
 func (b *backoff) next() time.Duration {
-	b.last = min(mostOwnerPause, max(ownerPause, 2*b.last))
+	b.last = min(maxRetryPause, max(minRetryPause, 2*b.last))
 	return b.last - rand.N(b.last/2)
 }
 
 func (c *Claims) sendTransfer(ctx context.Context, tr once.Transfer) {
 	defer func() {
 		c.mu.Lock()
-		c.pending--
+		c.pendingTransfers--
 		c.mu.Unlock()
 	}()
-	deadline := time.Now().Add(noteDeadline)
+	deadline := time.Now().Add(reportTimeout)
 	var pause backoff
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		if c.tryTransfer(ctx, tr) {
@@ -113,7 +114,7 @@
 		}
 		sleep.For(ctx, pause.next())
 	}
-	c.node.deps.Log.Warn("claims not handed over", zap.Int("partition", int(tr.Partition)), zap.Int("claims", len(tr.Claims)))
+	c.node.deps.Log.Warn("claims not transferred to their new owner", zap.Int("partition", int(tr.Partition)), zap.Int("claims", len(tr.Claims)))
 }
 
 // tryTransfer sends a partition to its owner under the newest view.
@@ -134,20 +135,20 @@
 	return err == nil && taken
 }
 
-// handedOver reports whether no partition is waiting to be handed over and
-// every attempt's end was noted.
-func (c *Claims) handedOver() bool {
+// idle reports whether no transfer is in progress and the owners have recorded the
+// ends of all attempts.
+func (c *Claims) idle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.pending == 0 && len(c.open) == 0
+	return c.pendingTransfers == 0 && len(c.attempts) == 0
 }
 
-// wait ends the work in the background and waits for it.
+// wait starts no more background goroutines and waits for the running ones.
 func (c *Claims) wait() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	c.work.Wait()
+	c.background.Wait()
 }
 
 func (c *Claims) tick(now time.Time) {
@@ -175,14 +176,14 @@
 	return c.table.Claim(now, once.ViewStatus{Confirmed: s.HasQuorum(now) && s.Epoch == r.Epoch, Retired: s.EarlierViewsRetired}, r)
 }
 
-// OnNote takes in what became of an attempt.
-func (c *Claims) OnNote(n once.Claim) bool {
+// RecordAttempt records the state of a peer's attempt.
+func (c *Claims) RecordAttempt(n once.Claim) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.RecordAttempt(n)
 }
 
-// OnTransfer takes in a partition from its old owner.
+// OnTransfer receives a partition from its old owner.
 func (c *Claims) OnTransfer(t once.Transfer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -192,8 +193,8 @@
 // OnClaim implements port.PeerServer.
 func (n *Node) OnClaim(r once.Request) once.Reply { return n.Claims.OnClaim(r) }
 
-// OnNote implements port.PeerServer.
-func (n *Node) OnNote(cl once.Claim) bool { return n.Claims.OnNote(cl) }
+// OnAttemptReport implements port.PeerServer.
+func (n *Node) OnAttemptReport(cl once.Claim) bool { return n.Claims.RecordAttempt(cl) }
 
 // OnTransfer implements port.PeerServer.
 func (n *Node) OnTransfer(t once.Transfer) bool { return n.Claims.OnTransfer(t) }
@@ -201,15 +202,16 @@
 // CodeNoOwner is the code of a request whose key's owner cannot be reached.
 const CodeNoOwner verdict.Code = "key-owner-unavailable"
 
-// askPatience bounds how long an owner is asked: a view that changes settles
-// well within it, and a caller is not kept waiting for an owner that is gone.
-const askPatience = 400 * time.Millisecond
+// askTimeout bounds a request for a claim. A planned view change takes much less;
+// a caller must not wait for an owner that is down.
+const askTimeout = 400 * time.Millisecond
 
-// ownerSilent is how long a peer must have been silent to be taken for gone.
-const ownerSilent = 4
+// unreachableHeartbeats is the number of heartbeat intervals of silence after which
+// an owner counts as unreachable.
+const unreachableHeartbeats = 4
 
-// Reachable reports whether the owner of a key has been heard of lately. A
-// request whose key's owner has not is refused before it takes up a slot.
+// Reachable reports whether the owner of a key answered recently. Otherwise the
+// request is refused before it takes up a slot.
 func (c *Claims) Reachable(key once.Key) bool {
 	p := c.node.Progress()
 	owner := once.Owner(p.View, key.Partition())
@@ -217,19 +219,19 @@
 		return owner != ""
 	}
 	heard, known := p.HeardAt[owner]
-	return !known || time.Since(heard) < ownerSilent*c.node.opts.Heartbeat
+	return !known || time.Since(heard) < unreachableHeartbeats*c.node.opts.Heartbeat
 }
 
-// Ask asks the owner of a key for a claim until it decides, for askPatience at
-// most. With Granted, the caller must end the returned attempt with End. An error has
-// verdict NotRun: the attempt will not be run.
+// Ask requests a claim from the owner of a key, and retries for up to askTimeout
+// until the owner decides. If the result is Granted, the caller must end the
+// returned attempt with End. An error has verdict NotRun: the attempt must not run.
 func (c *Claims) Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askPatience)
+	ctx, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	attempt := once.Attempt(uuid.NewString())
 	cl := once.Claim{Key: key, Fingerprint: fp, Attempt: attempt, Claimer: c.node.opts.Self.Incarnation}
 	c.mu.Lock()
-	c.open[attempt] = &openClaim{claim: cl}
+	c.attempts[attempt] = &localAttempt{claim: cl}
 	c.mu.Unlock()
 	uncertain := false
 	for {
@@ -237,49 +239,49 @@
 		reply, maybe := c.askOnce(ctx, asked, cl)
 		uncertain = uncertain || maybe
 		if reply.Result == once.Granted && c.node.View().Epoch != asked.Epoch {
-			// A grant under a view that has ended meanwhile is asked for again:
-			// the owner may have been paused before it answered.
+			// The view changed during the request, so the claim is requested again:
+			// the owner may have been paused before it answered and own it no more.
 			uncertain = true
 			continue
 		}
 		switch reply.Result {
 		case once.Granted:
-			c.granted(attempt)
+			c.markGranted(attempt)
 			return attempt, reply, nil
 		case once.NotOwner, once.NotReady:
 		default:
-			c.drop(attempt, uncertain)
+			c.abandon(attempt, uncertain)
 			return "", reply, nil
 		}
-		if !sleep.For(ctx, ownerPause) {
-			c.drop(attempt, uncertain)
+		if !sleep.For(ctx, minRetryPause) {
+			c.abandon(attempt, uncertain)
 			return "", once.Reply{}, verdict.New(verdict.NotRun, CodeNoOwner, "the owner of the key cannot grant it now")
 		}
 	}
 }
 
-func (c *Claims) granted(attempt once.Attempt) {
+func (c *Claims) markGranted(attempt once.Attempt) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o := c.open[attempt]; o != nil {
+	if o := c.attempts[attempt]; o != nil {
 		o.granted = true
 	}
 }
 
-// drop gives up an attempt that was not granted. If the owner may have granted
-// it unheard, it is told that the attempt never ran.
-func (c *Claims) drop(attempt once.Attempt, uncertain bool) {
+// abandon gives up an attempt that was not granted. If the owner may have granted
+// it in an answer that was lost, it is told that the attempt never ran.
+func (c *Claims) abandon(attempt once.Attempt, uncertain bool) {
 	if uncertain {
 		c.End(attempt, once.Abandoned, nil)
 		return
 	}
 	c.mu.Lock()
-	delete(c.open, attempt)
+	delete(c.attempts, attempt)
 	c.mu.Unlock()
 }
 
-// askOnce asks the owner under view v. maybe tells that the owner
-// may have granted the claim without this daemon knowing.
+// askOnce sends one request to the owner under view v. maybe is true if the owner
+// may have granted the claim although its answer did not arrive.
 func (c *Claims) askOnce(ctx context.Context, v *fleet.View, cl once.Claim) (reply once.Reply, maybe bool) {
 	r := once.Request{Epoch: v.Epoch, Key: cl.Key, Fingerprint: cl.Fingerprint, Attempt: cl.Attempt, Claimer: cl.Claimer}
 	owner := v.Member(once.Owner(v, cl.Key.Partition()))
@@ -296,32 +298,32 @@
 	return reply, false
 }
 
-// End notes how an attempt ended and tells the key's owner, in the background
-// and until it is known there.
+// End records how an attempt ended and reports it to the key's owner in the
+// background. It retries until the owner has recorded it, for up to reportTimeout.
 func (c *Claims) End(attempt once.Attempt, status once.Status, answer *once.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := c.open[attempt]
+	o := c.attempts[attempt]
 	if o == nil {
 		return
 	}
 	o.claim.Status = status
 	o.claim.Answer = answer
 	cl := o.claim
-	c.startLocked(func() { c.tellEnd(cl) })
+	c.startLocked(func() { c.reportEnd(cl) })
 }
 
-func (c *Claims) tellEnd(cl once.Claim) {
-	ctx, cancel := context.WithTimeout(context.Background(), noteDeadline)
+func (c *Claims) reportEnd(cl once.Claim) {
+	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 	defer cancel()
 	var pause backoff
-	for !c.note(ctx, cl) {
+	for !c.reportAttempt(ctx, cl) {
 		if c.node.stopped() || !sleep.For(ctx, pause.next()) {
 			break
 		}
 	}
 	c.mu.Lock()
-	delete(c.open, cl.Attempt)
+	delete(c.attempts, cl.Attempt)
 	c.mu.Unlock()
 }
 
@@ -334,16 +336,16 @@
 	}
 }
 
-// note tells the owner of a key about an attempt once.
-func (c *Claims) note(ctx context.Context, cl once.Claim) bool {
+// reportAttempt sends the state of an attempt to the owner of its key once.
+func (c *Claims) reportAttempt(ctx context.Context, cl once.Claim) bool {
 	v := c.node.View()
 	owner := v.Member(once.Owner(v, cl.Key.Partition()))
 	if owner == nil {
 		return false
 	}
 	if owner.Incarnation == c.node.opts.Self.Incarnation {
-		return c.OnNote(cl)
+		return c.RecordAttempt(cl)
 	}
-	noted, err := c.node.deps.Peers.Note(ctx, owner.PeerAddr, cl)
+	noted, err := c.node.deps.Peers.ReportAttempt(ctx, owner.PeerAddr, cl)
 	return err == nil && noted
 }
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -1,8 +1,9 @@
-// Package cluster joins an entry daemon to its peers: it registers the daemon,
-// exchanges heartbeats, agrees on the view through the store, spreads records
-// between peers and owns claims on idempotency keys.
+// Package cluster connects an entry daemon to its peers: it registers the daemon,
+// exchanges heartbeats, changes the view through the store, copies records between
+// peers and owns claims on idempotency keys.
 //
-// One goroutine owns the membership; it publishes its standing for others.
+// One goroutine owns the membership state and publishes the serving status for the
+// others.
 package cluster
 
 import (
@@ -22,19 +23,19 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-// Options of a node.
+// Options configure a Node.
 type Options struct {
 	Self      fleet.Entry
-	Seeds     []string      // peer addresses tried while no view is known
+	Seeds     []string      // peer addresses to contact while no view is known
 	Heartbeat time.Duration // between heartbeats to each peer
 	LeaseTTL  time.Duration // of the registration
-	Grace     time.Duration // a member must be silent for this long to be left out
+	Grace     time.Duration // silence after which an unregistered member is removed
 	Member    member.Options
 	Once      once.Options
 }
 
-// SlotShares is what the traffic side offers to the node: the daemon's shares of
-// the workers' slots follow the view.
+// SlotShares manages the daemon's shares of the workers' slots, which depend on the
+// view. entry.Dispatcher implements it.
 type SlotShares interface {
 	SetView(v *fleet.View)
 	Advance(now time.Time, retired bool)
@@ -44,7 +45,7 @@
 	OnReturn(ids []LoanID)
 }
 
-// Deps are what a node works with.
+// Deps are the dependencies of a Node.
 type Deps struct {
 	Store  port.Store
 	Peers  port.Peers
@@ -52,51 +53,52 @@
 	Shares SlotShares
 	Log    *zap.Logger
 	Seed   uint64 // of the jitter
-	// Connected tells whether the store's watch is alive.
+	// Connected reports whether the store's watch is alive.
 	Connected func() bool
 	Burn      func() port.BurnCounts
-	// Instances returns the newest instance list; SeedInstances takes in a
-	// peer's, for a daemon that starts while the platform is away.
+	// Instances returns the newest instance list. SeedInstances uses a peer's list,
+	// for a daemon that starts while the platform is unavailable.
 	Instances     func() []fleet.Instance
 	SeedInstances func([]fleet.Instance)
 }
 
-// Node is one member. Create it with New and start it with Run.
+// Node is one member of the cluster. Create it with New and start it with Run.
 type Node struct {
 	opts   Options
 	deps   Deps
 	writer *record.Writer
 	Claims *Claims
 
-	events   chan func(now time.Time)
-	standing atomic.Pointer[member.ServingStatus]
-	progress atomic.Pointer[MemberProgress]
-	urgent   chan struct{} // asks for a round of heartbeats now
-	done     chan struct{}
-	wg       sync.WaitGroup
+	events       chan func(now time.Time)
+	standing     atomic.Pointer[member.ServingStatus]
+	progress     atomic.Pointer[MemberProgress]
+	heartbeatNow chan struct{} // requests heartbeats to all peers now
+	done         chan struct{}
+	wg           sync.WaitGroup
 
 	// The fields below belong to the control goroutine.
-	rand         *rand.Rand
-	core         *member.Tracker
-	peers        map[fleet.Incarnation]*peerState
-	missingSince map[fleet.Incarnation]time.Time
-	gone         map[fleet.Incarnation]bool
-	stopping     bool
-	proposing    bool
-	pulling      bool
-	notBefore    time.Time // of the next proposal
-	lastReason   string
+	rand           *rand.Rand
+	core           *member.Tracker
+	peers          map[fleet.Incarnation]*peerState
+	missingSince   map[fleet.Incarnation]time.Time
+	ended          map[fleet.Incarnation]bool
+	stopping       bool
+	proposing      bool
+	fetching       bool
+	nextProposalAt time.Time // of the next proposal
+	lastReason     string
 }
 
-// peerState is what the control goroutine knows of one peer.
+// peerState is what the control goroutine knows about one peer.
 type peerState struct {
-	heardAt  time.Time
-	revision fleet.Revision
-	stopping bool
-	busy     bool // a heartbeat is under way
+	heardAt          time.Time
+	revision         fleet.Revision
+	stopping         bool
+	heartbeatPending bool // a heartbeat is in progress
 }
 
-// MemberProgress tells how far the members of the view have taken in the records.
+// MemberProgress says up to which revision the members of the view have applied the
+// records, and when they last answered.
 type MemberProgress struct {
 	View     *fleet.View
 	Revision map[fleet.Incarnation]fleet.Revision
@@ -112,13 +114,13 @@
 		deps:         deps,
 		writer:       record.NewWriter(deps.Store),
 		events:       make(chan func(time.Time)),
-		urgent:       make(chan struct{}, 1),
+		heartbeatNow: make(chan struct{}, 1),
 		done:         make(chan struct{}),
 		rand:         rand.New(rand.NewPCG(deps.Seed, 1)),
 		core:         member.New(opts.Self.Incarnation, opts.Member),
 		peers:        map[fleet.Incarnation]*peerState{},
 		missingSince: map[fleet.Incarnation]time.Time{},
-		gone:         map[fleet.Incarnation]bool{},
+		ended:        map[fleet.Incarnation]bool{},
 	}
 	n.standing.Store(&member.ServingStatus{Reason: member.ReasonNoView})
 	n.progress.Store(&MemberProgress{View: &fleet.View{}})
@@ -129,16 +131,16 @@
 // Self returns the daemon's own entry.
 func (n *Node) Self() fleet.Entry { return n.opts.Self }
 
-// ServingStatus returns the newest standing. Readers compare it with the time.
+// ServingStatus returns the newest status. Its methods compare it with the time.
 func (n *Node) ServingStatus() member.ServingStatus { return *n.standing.Load() }
 
 // View returns the view in force at this daemon.
 func (n *Node) View() *fleet.View { return n.progress.Load().View }
 
-// Progress returns how far the members are.
+// Progress returns the newest progress of the members.
 func (n *Node) Progress() *MemberProgress { return n.progress.Load() }
 
-// Run takes part in the fleet until ctx ends.
+// Run takes part in the cluster until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	n.wg.Add(1)
 	go func() {
@@ -163,10 +165,10 @@
 		case fn := <-n.events:
 			fn(time.Now())
 		case <-changed:
-		case <-n.urgent:
-			n.beatAll(ctx, time.Now())
+		case <-n.heartbeatNow:
+			n.sendHeartbeats(ctx, time.Now())
 		case <-tick.C:
-			n.beatAll(ctx, time.Now())
+			n.sendHeartbeats(ctx, time.Now())
 			n.propose(ctx, time.Now())
 			n.Claims.tick(time.Now())
 		}
@@ -174,9 +176,9 @@
 	}
 }
 
-// do runs fn on the control goroutine and waits for it. It reports false if
+// runOnLoop runs fn on the control goroutine and waits for it. It reports false if
 // the node has stopped.
-func (n *Node) do(fn func(now time.Time)) bool {
+func (n *Node) runOnLoop(fn func(now time.Time)) bool {
 	finished := make(chan struct{})
 	wrapped := func(now time.Time) {
 		fn(now)
@@ -191,8 +193,9 @@
 	}
 }
 
-// post hands fn to the control goroutine from a goroutine of the node's own.
-func (n *Node) post(fn func(now time.Time)) {
+// postToLoop runs fn on the control goroutine without waiting for it to finish. It
+// is called from the node's own goroutines.
+func (n *Node) postToLoop(fn func(now time.Time)) {
 	select {
 	case n.events <- fn:
 	case <-n.done:
@@ -208,36 +211,38 @@
 	}()
 }
 
-// RequestHeartbeats asks for a round of heartbeats now, so that peers learn of a change.
+// RequestHeartbeats triggers heartbeats to all peers now, so that they learn of a
+// change.
 func (n *Node) RequestHeartbeats() {
 	select {
-	case n.urgent <- struct{}{}:
+	case n.heartbeatNow <- struct{}{}:
 	default:
 	}
 }
 
-// adopt puts the newest view of the mirror in force.
+// adopt makes the mirror's newest view the current one.
 func (n *Node) adopt(ctx context.Context, now time.Time) {
 	v := n.deps.Mirror.State().View.Value
 	if !n.core.Adopt(now, v) {
 		return
 	}
-	// The standing under the old view ends before anything acts on the new one.
+	// The status under the old view is replaced before anything acts on the new one.
 	n.publish(now)
 	n.deps.Log.Info("view adopted", zap.Int64("epoch", int64(v.Epoch)), zap.Int("members", len(v.Members)))
 	n.deps.Shares.SetView(v)
 	n.Claims.setView(ctx, v)
-	n.beatAll(ctx, now)
+	n.sendHeartbeats(ctx, now)
 }
 
-// publish makes the standing and progress visible to other goroutines.
+// publish makes the serving status and the members' progress visible to other
+// goroutines.
 func (n *Node) publish(now time.Time) {
 	s := n.core.ServingStatus(now)
 	n.standing.Store(&s)
 	n.deps.Shares.Advance(now, s.EarlierViewsRetired)
 	if s.Reason != n.lastReason {
 		n.lastReason = s.Reason
-		n.deps.Log.Info("standing changed", zap.Int64("epoch", int64(s.Epoch)), zap.String("reason", s.Reason))
+		n.deps.Log.Info("serving status changed", zap.Int64("epoch", int64(s.Epoch)), zap.String("reason", s.Reason))
 	}
 	p := &MemberProgress{
 		View:     n.core.View().Clone(),
@@ -253,39 +258,41 @@
 	n.progress.Store(p)
 }
 
-// liveFor is for how many heartbeats a silent member still counts as live.
-const liveFor = 5
+// liveHeartbeats is the number of heartbeat intervals for which a silent member
+// still counts as live.
+const liveHeartbeats = 5
 
-// LiveMembers lists the members of the view that were heard of lately.
+// LiveMembers lists the members of the view that answered recently, and this daemon
+// if it is a member.
 func (n *Node) LiveMembers() []fleet.Incarnation {
 	p := n.Progress()
 	now := time.Now()
 	var out []fleet.Incarnation
 	for _, m := range p.View.Members {
 		self := m.Incarnation == n.opts.Self.Incarnation
-		if self || now.Sub(p.HeardAt[m.Incarnation]) < liveFor*n.opts.Heartbeat {
+		if self || now.Sub(p.HeardAt[m.Incarnation]) < liveHeartbeats*n.opts.Heartbeat {
 			out = append(out, m.Incarnation)
 		}
 	}
 	return out
 }
 
-// MarkEnded takes in the incarnations that the platform knows to have ended.
+// MarkEnded records the daemons that have ended according to the platform.
 func (n *Node) MarkEnded(gone []fleet.Incarnation) {
 	if len(gone) == 0 {
 		return
 	}
-	n.do(func(now time.Time) {
+	n.runOnLoop(func(now time.Time) {
 		for _, i := range gone {
-			n.gone[i] = true
+			n.ended[i] = true
 			n.core.MarkEnded(now, i)
 		}
 	})
 }
 
-// WaitApplied waits until every live member of the view has taken in revision rev.
-// It returns the members that have not when ctx ends.
-func (n *Node) WaitApplied(ctx context.Context, rev fleet.Revision) []fleet.EntryID {
+// WaitInForce waits until every member of the view has applied revision rev. If ctx
+// ends before, it returns the members that have not.
+func (n *Node) WaitInForce(ctx context.Context, rev fleet.Revision) []fleet.EntryID {
 	const poll = 20 * time.Millisecond
 	t := time.NewTicker(poll)
 	defer t.Stop()
@@ -303,9 +310,9 @@
 	}
 }
 
-// behind lists the members of the view that have not taken in revision rev. A
-// member that has been silent for the grace time is about to leave the view,
-// but is still named.
+// behind lists the members of the view that have not applied revision rev. It
+// includes members that have been silent for the grace time and are about to be
+// removed.
 func (n *Node) behind(rev fleet.Revision) []fleet.EntryID {
 	p := n.Progress()
 	var out []fleet.EntryID
--- a/requests/cluster/register.go
+++ b/requests/cluster/register.go
@@ -12,8 +12,8 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-// registerLoop keeps the daemon's registration in the store under a lease. A
-// lapsed lease is noticed at the next renewal and replaced.
+// registerLoop keeps the daemon registered in the store under a lease. An expired
+// lease is detected at the next renewal and replaced.
 func (n *Node) registerLoop(ctx context.Context) {
 	var lease port.LeaseID
 	rnd := rand.New(rand.NewPCG(n.deps.Seed, 2))
@@ -32,8 +32,8 @@
 	}
 }
 
-// renew renews the lease, or registers anew if there is none. It returns 0 if
-// neither worked.
+// renew renews the lease, or registers again if there is none or it has expired. It
+// returns 0 if that failed.
 func (n *Node) renew(ctx context.Context, lease port.LeaseID) port.LeaseID {
 	if n.leaving(ctx, lease) {
 		return lease
@@ -43,7 +43,7 @@
 		if err != nil || alive {
 			return lease
 		}
-		n.deps.Log.Info("registration lapsed")
+		n.deps.Log.Info("registration expired")
 	}
 	lease, err := n.deps.Store.GrantLease(ctx, n.opts.LeaseTTL)
 	if err != nil {
@@ -55,10 +55,10 @@
 	return lease
 }
 
-// leaving gives the registration up if the daemon is about to leave.
+// leaving reports whether the daemon is about to leave, and if so revokes its lease.
 func (n *Node) leaving(ctx context.Context, lease port.LeaseID) bool {
 	stopping := false
-	if !n.do(func(time.Time) { stopping = n.stopping }) || !stopping {
+	if !n.runOnLoop(func(time.Time) { stopping = n.stopping }) || !stopping {
 		return stopping
 	}
 	if lease != 0 {
@@ -77,7 +77,7 @@
 		return false
 	}
 	if found {
-		// A record that cannot be read is replaced all the same.
+		// A record that cannot be decoded is replaced too.
 		if base, err = record.Decode[fleet.Entry](kv); err != nil {
 			base = fleet.Versioned[fleet.Entry]{Revision: kv.Revision}
 		}
@@ -85,27 +85,27 @@
 	self := n.opts.Self
 	w, err := record.Write(ctx, n.writer, key, base, &self, lease)
 	if err != nil {
-		n.deps.Log.Info("not registered", zap.Error(err))
+		n.deps.Log.Info("registration not written", zap.Error(err))
 		return false
 	}
 	n.deps.Mirror.Apply([]port.Event{{KV: w.KV}}, 0)
 	return true
 }
 
-// Leave takes the daemon out of the view. It must have nothing in flight. It
-// returns when a view without it is in force here and its claims are handed
-// over, or when ctx ends.
+// Leave removes the daemon from the view. The daemon must have no requests in
+// flight. Leave returns once the current view here is one without the daemon and
+// its claims are transferred, or when ctx ends.
 func (n *Node) Leave(ctx context.Context) error {
-	if !n.do(func(time.Time) { n.stopping = true }) {
+	if !n.runOnLoop(func(time.Time) { n.stopping = true }) {
 		return context.Canceled
 	}
 	t := time.NewTicker(n.opts.Heartbeat / 4)
 	defer t.Stop()
 	for {
-		if n.left() && n.Claims.handedOver() {
+		if n.left() && n.Claims.idle() {
 			return nil
 		}
-		n.do(func(now time.Time) { n.propose(ctx, now) })
+		n.runOnLoop(func(now time.Time) { n.propose(ctx, now) })
 		n.RequestHeartbeats()
 		select {
 		case <-t.C:
@@ -115,8 +115,8 @@
 	}
 }
 
-// left reports whether this daemon is out of the view, or everybody in it is
-// leaving, so that there is nobody to hand over to.
+// left reports whether this daemon is not in the view, or every member is leaving,
+// so that no daemon is left to transfer claims to.
 func (n *Node) left() bool {
 	p := n.Progress()
 	if p.View.Member(n.opts.Self.Incarnation) == nil {
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -213,7 +213,7 @@
 	operators := &api.Server{
 		Exec: &api.Executor{
 			Store: d.store, Writer: record.NewWriter(d.store), Mirror: d.mirror,
-			Snapshot: d.controller.Snapshot, WaitInForce: d.node.WaitApplied,
+			Snapshot: d.controller.Snapshot, WaitInForce: d.node.WaitInForce,
 		},
 		Status: d.status, Burn: d.burnReport, Wave: d.waveReport, Ready: d.Ready, Metrics: d.metrics.Handler,
 	}
--- a/requests/member/member.go
+++ b/requests/member/member.go
@@ -1,9 +1,9 @@
-// Package member decides which view of the entry daemons is in force and
-// whether this daemon may act on it.
+// Package member tracks the view of the entry daemons that is in force at this
+// daemon and whether the daemon may act on it.
 //
-// The store's compare-and-swap chooses every view; members never vote on one.
-// What they confirm to each other is only that they know of nothing newer.
-// Everything here is pure: time comes in as an argument.
+// The store's compare-and-swap decides each view; members don't vote on it. They
+// only confirm to each other that they know of no newer one. The package has no
+// side effects and takes the time as an argument.
 package member
 
 import (
@@ -13,113 +13,114 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Options are the times that the safety argument depends on.
+// Options are the times on which the safety of a view change depends (see
+// ServingStatus.Serving).
 type Options struct {
-	// ConfirmWindow is how long a member's confirmation counts, measured from
-	// the moment the question was sent.
+	// ConfirmWindow is how long a member's confirmation is valid, measured from
+	// when the heartbeat was sent.
 	ConfirmWindow time.Duration
-	// DriftMargin bounds how much faster another member's clock may run over
-	// one ConfirmWindow.
+	// DriftMargin bounds how much faster another member's clock may run during one
+	// ConfirmWindow.
 	DriftMargin time.Duration
 }
 
 // DefaultOptions are the times used in production.
 var DefaultOptions = Options{ConfirmWindow: 1500 * time.Millisecond, DriftMargin: 100 * time.Millisecond}
 
-// Tracker is one daemon's part in the membership. It is not safe for concurrent
-// use.
+// Tracker holds one daemon's state of the membership protocol. It is not safe for
+// concurrent use.
 type Tracker struct {
 	opts Options
 	self fleet.Incarnation
 	view fleet.View
-	// highest is the newest epoch heard of, from the store or from a peer.
-	highest fleet.Epoch
-	// confirmed holds, for each peer, when the newest question was sent that
-	// it answered with "nothing newer than view.Epoch".
-	confirmed map[fleet.Incarnation]time.Time
-	// known is the newest epoch that each peer said it knows.
-	known map[fleet.Incarnation]fleet.Epoch
-	gone  map[fleet.Incarnation]bool
-	// retiredAt is when every earlier view was first known to be unable to
-	// gather confirmations; zero before. allStopped tells that every member of
-	// every earlier view is known to have stopped serving it.
+	// highestEpoch is the newest epoch known from the store or a peer.
+	highestEpoch fleet.Epoch
+	// confirmedAt is, for each peer, when the newest heartbeat was sent in whose
+	// reply the peer knew of nothing newer than view.Epoch.
+	confirmedAt map[fleet.Incarnation]time.Time
+	// knownEpoch is the newest epoch that each peer reported.
+	knownEpoch map[fleet.Incarnation]fleet.Epoch
+	ended      map[fleet.Incarnation]bool
+	// retiredAt is when it was first known that no earlier view can reach a quorum
+	// again; zero before. allStopped is true once every member of every earlier
+	// view is known to have stopped serving it.
 	retiredAt  time.Time
 	allStopped bool
-	// carried is until when the confirmations of the last view count for the
-	// use of slots under the view in force.
-	carried time.Time
+	// previousViewUntil is until when the confirmations of the previous view still
+	// permit the use of slots under the current one.
+	previousViewUntil time.Time
 }
 
-// New returns the core of the daemon with incarnation self.
+// New returns the tracker of the daemon with incarnation self.
 func New(self fleet.Incarnation, opts Options) *Tracker {
 	return &Tracker{
-		opts:      opts,
-		self:      self,
-		confirmed: map[fleet.Incarnation]time.Time{},
-		known:     map[fleet.Incarnation]fleet.Epoch{},
-		gone:      map[fleet.Incarnation]bool{},
+		opts:        opts,
+		self:        self,
+		confirmedAt: map[fleet.Incarnation]time.Time{},
+		knownEpoch:  map[fleet.Incarnation]fleet.Epoch{},
+		ended:       map[fleet.Incarnation]bool{},
 	}
 }
 
 // View returns the view in force at this daemon. Callers must not change it.
 func (c *Tracker) View() *fleet.View { return &c.view }
 
-// HighestEpoch returns the newest epoch heard of. It is what this daemon answers to
-// a peer's question: once it is larger than an epoch, the daemon no longer
-// confirms that epoch.
-func (c *Tracker) HighestEpoch() fleet.Epoch { return c.highest }
+// HighestEpoch returns the newest epoch known, which this daemon reports in its
+// heartbeats. The daemon confirms no epoch lower than that.
+func (c *Tracker) HighestEpoch() fleet.Epoch { return c.highestEpoch }
 
-// Adopt puts v in force if it is newer than the current view.
+// Adopt makes v the current view if it is newer. It reports whether it did.
 func (c *Tracker) Adopt(now time.Time, v *fleet.View) bool {
 	if v.Epoch <= c.view.Epoch {
 		return false
 	}
-	c.carried = c.ServingStatus(now).SlotsUntil
+	c.previousViewUntil = c.ServingStatus(now).SlotsUntil
 	c.view = *v.Clone()
-	c.highest = max(c.highest, v.Epoch)
-	clear(c.confirmed)
+	c.highestEpoch = max(c.highestEpoch, v.Epoch)
+	clear(c.confirmedAt)
 	c.retiredAt = time.Time{}
 	c.allStopped = false
 	c.checkRetired(now)
 	return true
 }
 
-// RecordEpoch notes that a peer mentioned epoch e, in a question or an answer.
+// RecordEpoch records that a peer reported epoch e as the newest it knows.
 func (c *Tracker) RecordEpoch(now time.Time, peer fleet.Incarnation, e fleet.Epoch) {
-	c.highest = max(c.highest, e)
-	c.known[peer] = max(c.known[peer], e)
+	c.highestEpoch = max(c.highestEpoch, e)
+	c.knownEpoch[peer] = max(c.knownEpoch[peer], e)
 	c.checkRetired(now)
 }
 
-// RecordConfirmation takes in a peer's answer to a question that was sent at sentAt
-// under epoch asked: the newest epoch the peer knows is e.
+// RecordConfirmation records a peer's reply to a heartbeat that was sent at sentAt
+// under epoch asked. e is the newest epoch that the peer knows; the reply confirms
+// the view if e equals asked.
 func (c *Tracker) RecordConfirmation(now, sentAt time.Time, peer fleet.Incarnation, asked, e fleet.Epoch) {
 	c.RecordEpoch(now, peer, e)
 	if asked != c.view.Epoch || e != asked {
 		return
 	}
-	if sentAt.After(c.confirmed[peer]) {
-		c.confirmed[peer] = sentAt
+	if sentAt.After(c.confirmedAt[peer]) {
+		c.confirmedAt[peer] = sentAt
 	}
 }
 
-// MarkEnded notes that the platform's instance list shows a member's process to
-// have ended. It can confirm nothing any more.
+// MarkEnded records that a member's process has ended according to the platform's
+// instance list, so that it can't confirm any view.
 func (c *Tracker) MarkEnded(now time.Time, member fleet.Incarnation) {
-	c.gone[member] = true
+	c.ended[member] = true
 	c.checkRetired(now)
 }
 
-// checkRetired sets retiredAt when, for each earlier view, a quorum of its
-// members can no longer confirm it, and allStopped when none of them can.
+// checkRetired sets retiredAt once, for each earlier view, a quorum of its members
+// can no longer confirm it, and allStopped once none of them can.
 func (c *Tracker) checkRetired(now time.Time) {
 	if c.view.Epoch == 0 || c.allStopped {
 		return
 	}
 	retired, all := true, true
 	for _, old := range c.view.Unretired {
-		stopped, first := c.stopped(old)
-		retired = retired && quorum(stopped, first, len(old.Members))
+		stopped, first := c.countStopped(old)
+		retired = retired && isQuorum(stopped, first, len(old.Members))
 		all = all && stopped == len(old.Members)
 	}
 	c.allStopped = all
@@ -128,12 +129,12 @@
 	}
 }
 
-// stopped counts the members that no longer serve or confirm an earlier view:
-// they know a newer one or have ended. first tells that the view's first member
-// is among them.
-func (c *Tracker) stopped(old fleet.RetiringView) (n int, first bool) {
+// countStopped counts the members that no longer serve or confirm an earlier view,
+// because they know a newer one or have ended. first reports whether the view's
+// first member is among them.
+func (c *Tracker) countStopped(old fleet.RetiringView) (n int, first bool) {
 	for i, m := range old.Members {
-		if m == c.self || c.gone[m] || c.known[m] > old.Epoch {
+		if m == c.self || c.ended[m] || c.knownEpoch[m] > old.Epoch {
 			n++
 			first = first || i == 0
 		}
@@ -141,52 +142,50 @@
 	return n, first
 }
 
-// quorum reports whether n of total members outweigh the rest. Exactly half of
-// them do if the view's first member is one of them, so that a fleet cut into
-// equal halves keeps one that serves. Two disjoint sets are never both a
-// quorum.
-func quorum(n int, first bool, total int) bool {
+// isQuorum reports whether n of total members are a quorum: a majority, or exactly
+// half of them including the view's first member, so that one side goes on serving
+// after a network partition into equal halves. Any two quorums of a view have a
+// member in common.
+func isQuorum(n int, first bool, total int) bool {
 	return 2*n > total || (2*n == total && first)
 }
 
 // ServingStatus says what a daemon may do under its view. It is computed on the
-// control goroutine and read by others, so it carries the time it ends by
-// itself.
+// control goroutine and read by others, and therefore includes its expiry times.
 type ServingStatus struct {
 	Epoch fleet.Epoch
-	// SlotsUntil is when the daemon must stop using its share of the workers unless
-	// a quorum confirms the view again.
+	// SlotsUntil is when the daemon must stop using its share of the workers' slots
+	// unless a quorum confirms the view again.
 	SlotsUntil time.Time
-	// ServeUntil is the same for its part as an owner of claims; it is zero as
-	// soon as a newer epoch has been heard of.
+	// ServeUntil is when it must stop acting as an owner of claims. It is zero once
+	// a newer epoch is known.
 	ServeUntil time.Time
-	// EarlierViewsRetired tells that every earlier view has certainly stopped.
+	// EarlierViewsRetired is true if certainly no earlier view is served any more.
 	EarlierViewsRetired bool
-	Reason              string // why the standing is not a serving one; "" if it is
+	Reason              string // why the daemon does not serve; "" if it does
 }
 
-// MayUseSlots reports whether the daemon may use its share of the workers at time
-// now. Another daemon takes that share over only after it has waited for
-// longer than any confirmation counts (see package slots).
+// MayUseSlots reports whether the daemon may use its share of the workers' slots at
+// time now. Another daemon takes that share over only after it has waited longer
+// than a confirmation is valid (see package slots).
 func (s ServingStatus) MayUseSlots(now time.Time) bool {
 	return s.Epoch > 0 && now.Before(s.SlotsUntil)
 }
 
-// HasQuorum reports whether a quorum recently knew of nothing newer than the
-// view.
+// HasQuorum reports whether, at time now, a quorum's confirmations of the view are
+// valid and no newer epoch is known.
 func (s ServingStatus) HasQuorum(now time.Time) bool { return s.Epoch > 0 && now.Before(s.ServeUntil) }
 
-// Serving reports whether the daemon may act as an owner of any claims at time
-// now.
+// Serving reports whether the daemon may act as an owner of claims at time now.
 //
-// Invariant: no two epochs are served at the same time. Reason: serving N
-// needs confirmations of a quorum of N's members, each at most ConfirmWindow
-// old; a member that knows N+1 neither serves nor confirms N; and N+1 is served
-// once every member of N knew N+1 or had ended, or ConfirmWindow (and the clock
-// margin) after a quorum of them did. Two quorums of one view share a member.
+// Invariant: no two epochs are served at the same time. Serving N requires
+// confirmations from a quorum of N's members, each at most ConfirmWindow old; a
+// member that knows N+1 neither serves nor confirms N; and N+1 is served only once
+// every member of N knows N+1 or has ended, or ConfirmWindow plus DriftMargin after
+// a quorum of them did. Two quorums of one view have a member in common.
 func (s ServingStatus) Serving(now time.Time) bool { return s.EarlierViewsRetired && s.HasQuorum(now) }
 
-// Reasons of a standing that does not serve.
+// Values of ServingStatus.Reason.
 const (
 	ReasonNoView      = "no view yet"
 	ReasonNotMember   = "not a member of the view"
@@ -195,9 +194,9 @@
 	ReasonEarlierView = "an earlier view may still be served"
 )
 
-// ServingStatus works out this daemon's standing at time now.
+// ServingStatus returns this daemon's status at time now.
 func (c *Tracker) ServingStatus(now time.Time) ServingStatus {
-	s := ServingStatus{Epoch: c.view.Epoch, EarlierViewsRetired: c.retired(now)}
+	s := ServingStatus{Epoch: c.view.Epoch, EarlierViewsRetired: c.earlierViewsRetired(now)}
 	switch {
 	case c.view.Epoch == 0:
 		s.Reason = ReasonNoView
@@ -208,14 +207,14 @@
 	}
 	confirmed := c.confirmedUntil(now)
 	s.SlotsUntil = confirmed
-	if c.carried.After(confirmed) {
-		s.SlotsUntil = c.carried
+	if c.previousViewUntil.After(confirmed) {
+		s.SlotsUntil = c.previousViewUntil
 	}
-	if c.highest == c.view.Epoch {
+	if c.highestEpoch == c.view.Epoch {
 		s.ServeUntil = confirmed
 	}
 	switch {
-	case c.highest > c.view.Epoch:
+	case c.highestEpoch > c.view.Epoch:
 		s.Reason = ReasonNewerEpoch
 	case !s.HasQuorum(now):
 		s.Reason = ReasonNoQuorum
@@ -225,12 +224,12 @@
 	return s
 }
 
-// confirmedUntil returns until when a quorum's confirmations count. A view of
-// one needs nobody else; its standing is renewed at every computation.
+// confirmedUntil returns until when a quorum's confirmations are valid. The daemon
+// itself confirms at every call, so the only member of a view always has a quorum.
 func (c *Tracker) confirmedUntil(now time.Time) time.Time {
 	times := make([]confirmation, 0, len(c.view.Members))
 	for i, m := range c.view.Members {
-		at := c.confirmed[m.Incarnation]
+		at := c.confirmedAt[m.Incarnation]
 		if m.Incarnation == c.self {
 			at = now
 		}
@@ -240,7 +239,7 @@
 	first := false
 	for i, t := range times {
 		first = first || t.first
-		if quorum(i+1, first, len(times)) {
+		if isQuorum(i+1, first, len(times)) {
 			if t.at.IsZero() {
 				return time.Time{}
 			}
@@ -255,8 +254,8 @@
 	first bool // of the view's first member
 }
 
-// retired reports whether every earlier view has certainly stopped.
-func (c *Tracker) retired(now time.Time) bool {
+// earlierViewsRetired reports whether certainly no earlier view is served any more.
+func (c *Tracker) earlierViewsRetired(now time.Time) bool {
 	if c.allStopped || c.retiredAt.IsZero() {
 		return c.allStopped
 	}
--- a/requests/member/member_test.go
+++ b/requests/member/member_test.go
@@ -37,11 +37,11 @@
 	c.RecordConfirmation(t0, t0, "c", 1, 1)
 	assert.True(t, c.ServingStatus(t0).Serving(t0))
 	later := t0.Add(DefaultOptions.ConfirmWindow)
-	assert.False(t, c.ServingStatus(t0).Serving(later), "a standing that nobody renews ends by itself")
+	assert.False(t, c.ServingStatus(t0).Serving(later), "a status that is not renewed expires")
 	assert.False(t, c.ServingStatus(later).Serving(later))
 }
 
-func TestConfirmationCountsFromWhenItWasAskedFor(t *testing.T) {
+func TestConfirmationCountsFromTheTimeOfTheQuestion(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(1, nil, "a", "b", "c"))
 	answered := t0.Add(DefaultOptions.ConfirmWindow)
@@ -56,10 +56,10 @@
 	c.RecordEpoch(t0, "c", 2)
 	s := c.ServingStatus(t0)
 	assert.False(t, s.Serving(t0))
-	assert.True(t, s.MayUseSlots(t0), "slots may be used until the confirmations lapse")
+	assert.True(t, s.MayUseSlots(t0), "slots may be used until the confirmations expire")
 }
 
-func TestHalfServesOnlyWithTheFirstMember(t *testing.T) {
+func TestEqualHalfServesOnlyWithTheFirstMember(t *testing.T) {
 	for _, tc := range []struct {
 		self string
 		with fleet.Incarnation
@@ -82,7 +82,7 @@
 	assert.True(t, c.ServingStatus(wait).Serving(wait))
 }
 
-func TestServesAtOnceWhenAllOfTheEarlierViewKnow(t *testing.T) {
+func TestServesAtOnceWhenWholeEarlierViewKnowsTheNewOne(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
 	c.RecordConfirmation(t0, t0, "b", 2, 2)
@@ -90,7 +90,7 @@
 	assert.True(t, c.ServingStatus(t0).Serving(t0))
 }
 
-func TestAllMembersReplacedServesOnceTheOldOnesAreGone(t *testing.T) {
+func TestServesOnceAllEarlierMembersHaveEnded(t *testing.T) {
 	c := New("x", DefaultOptions)
 	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "x", "y"))
 	c.RecordConfirmation(t0, t0, "y", 2, 2)
@@ -101,7 +101,7 @@
 	assert.True(t, c.ServingStatus(t0).Serving(t0))
 }
 
-func TestProposeKeepsMembersWhoseLeaseLapsedWhileTheyAnswer(t *testing.T) {
+func TestProposeKeepsAnsweringMembersWithExpiredLease(t *testing.T) {
 	cur := view(3, nil, "a", "b", "c")
 	ev := Observations{
 		Registered:   entries("a"),
@@ -114,13 +114,13 @@
 	assert.Equal(t, []fleet.RetiringView{retiring(3, "a", "b", "c")}, next.Unretired)
 }
 
-func TestProposeNamesThoseThatLeft(t *testing.T) {
+func TestProposeListsDepartedMembers(t *testing.T) {
 	cur := view(3, []fleet.RetiringView{retiring(2, "a")}, "a", "b")
 	ev := Observations{Registered: entries("a", "b"), Stopping: map[fleet.Incarnation]bool{"b": true}}
 	next, ok := Propose(t0, cur, ev, time.Second, false)
 	require.True(t, ok)
 	assert.Equal(t, []fleet.Incarnation{"b"}, next.Departed)
-	assert.Equal(t, []fleet.RetiringView{retiring(2, "a"), retiring(3, "a", "b")}, next.Unretired, "views not known to have stopped are carried on")
+	assert.Equal(t, []fleet.RetiringView{retiring(2, "a"), retiring(3, "a", "b")}, next.Unretired, "earlier views that may still be served are kept")
 }
 
 func TestProposeReplacesARestartedDaemon(t *testing.T) {
@@ -131,7 +131,7 @@
 	assert.Equal(t, []fleet.Incarnation{"a", "b2"}, next.Incarnations())
 }
 
-func TestProposeKeepsWithinTheLargestView(t *testing.T) {
+func TestProposeLimitsTheNumberOfMembers(t *testing.T) {
 	ids := []string{"a", "b", "c", "d", "e", "f", "g", "h", "i"}
 	next, ok := Propose(t0, &fleet.View{}, Observations{Registered: entries(ids...)}, time.Second, true)
 	require.True(t, ok)
--- a/requests/member/propose.go
+++ b/requests/member/propose.go
@@ -8,19 +8,19 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// MaxMembers bounds a view. The connection share of each entry daemon is
-// worked out for this number, so that it holds whatever the view is.
+// MaxMembers bounds the members of a view. Each entry daemon's share of a worker's
+// connections is computed for this number, so that it suffices for every view.
 const MaxMembers = 8
 
-// Observations is what a daemon knows about the registered entry daemons.
+// Observations are what a daemon knows about the entry daemons.
 type Observations struct {
-	// Registered holds the registrations in the store, from which a daemon's
-	// entry vanishes when its lease lapses.
+	// Registered holds the registrations in the store. A daemon's registration is
+	// deleted when its lease expires.
 	Registered []fleet.Entry
 	// MissingSince is when each member of the view was first seen without a
 	// registration, while the store was reachable.
 	MissingSince map[fleet.Incarnation]time.Time
-	// HeardAt is when each peer last answered this daemon.
+	// HeardAt is when this daemon last received a heartbeat or reply of each peer.
 	HeardAt map[fleet.Incarnation]time.Time
 	// Ended holds the members that the platform knows to have ended.
 	Ended map[fleet.Incarnation]bool
@@ -28,23 +28,23 @@
 	Stopping map[fleet.Incarnation]bool
 }
 
-// missingLeast is how long a registration must have been missing; a daemon that
-// registers anew in between is not left out.
-const missingLeast = 500 * time.Millisecond
+// minMissing is how long a registration must have been missing for a member to be
+// removed, so that a daemon that registers again meanwhile stays.
+const minMissing = 500 * time.Millisecond
 
-// Propose returns the view that should follow cur, or false if cur is right.
-// serving tells that the proposer knows every earlier view to have stopped.
+// Propose returns the view that should follow cur, or false if cur need not change.
+// serving is true if the proposer serves cur, and thus no earlier view is served.
 //
-// A member is left out when it was replaced under the same EntryID, when the
-// platform shows it gone, when it says that it is leaving, or when it has no
-// registration and has been silent for grace. A lapsed lease alone removes
-// nobody: after a store outage every lease may have lapsed.
+// A member is removed if it was replaced under the same EntryID, if the platform
+// reports that it ended, if it is leaving, or if it has no registration and has
+// been silent for grace. An expired lease alone removes no member, because after a
+// store outage every lease may have expired.
 func Propose(now time.Time, cur *fleet.View, ev Observations, grace time.Duration, serving bool) (*fleet.View, bool) {
 	var members []fleet.Entry
 	var departed []fleet.Incarnation
 	for _, m := range cur.Members {
 		switch {
-		case !leftOut(now, m, ev, grace):
+		case !mustLeave(now, m, ev, grace):
 			members = append(members, m)
 		case ev.Stopping[m.Incarnation]:
 			departed = append(departed, m.Incarnation)
@@ -64,7 +64,7 @@
 	return next, true
 }
 
-func leftOut(now time.Time, m fleet.Entry, ev Observations, grace time.Duration) bool {
+func mustLeave(now time.Time, m fleet.Entry, ev Observations, grace time.Duration) bool {
 	if ev.Ended[m.Incarnation] || ev.Stopping[m.Incarnation] {
 		return true
 	}
@@ -74,7 +74,7 @@
 		}
 	}
 	missing, ok := ev.MissingSince[m.Incarnation]
-	return ok && now.Sub(missing) >= missingLeast && now.Sub(ev.HeardAt[m.Incarnation]) >= grace
+	return ok && now.Sub(missing) >= minMissing && now.Sub(ev.HeardAt[m.Incarnation]) >= grace
 }
 
 func unretired(cur *fleet.View, serving bool) []fleet.RetiringView {
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -58,9 +58,9 @@
 	Heartbeat(ctx context.Context, addr string, b Heartbeat) (HeartbeatReply, error)
 	Changes(ctx context.Context, addr string, since fleet.Revision) (Changes, error)
 	Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error)
-	// Note reports the outcome of an attempt to the owner of its key. noted is
+	// ReportAttempt reports the state of an attempt to the owner of its key. noted is
 	// false if the peer does not own the key's partition.
-	Note(ctx context.Context, addr string, n once.Claim) (noted bool, err error)
+	ReportAttempt(ctx context.Context, addr string, n once.Claim) (noted bool, err error)
 	Transfer(ctx context.Context, addr string, t once.Transfer) (taken bool, err error)
 	Borrow(ctx context.Context, addr string, r BorrowRequest) (BorrowReply, error)
 	Return(ctx context.Context, addr string, loans []slots.LoanID) error
@@ -72,7 +72,7 @@
 	OnHeartbeat(b Heartbeat) HeartbeatReply
 	OnChanges(since fleet.Revision) Changes
 	OnClaim(r once.Request) once.Reply
-	OnNote(n once.Claim) bool
+	OnAttemptReport(n once.Claim) bool
 	OnTransfer(t once.Transfer) bool
 	OnBorrow(r BorrowRequest) BorrowReply
 	OnReturn(loans []slots.LoanID)
