--- a/internal/jobmatrix/deployment_test.go
+++ b/internal/jobmatrix/deployment_test.go
@@ -293,15 +293,15 @@
 		time.Sleep(700 * time.Millisecond)
 		started := d.in.Checker.Starts()
 		stopped := time.Now()
-		const partly = 950 * time.Millisecond // every hold returns within it; the store still counts as available
+		const outageDelay = 950 * time.Millisecond // every hold returns within it; only then does the store count as away
 		d.in.SetHook(func(_, op string) jobfleet.Failure {
-			if op == "commit" || storeOps[op] && time.Since(stopped) > partly {
+			if op == "commit" || storeOps[op] && time.Since(stopped) > outageDelay {
 				return jobfleet.Refused
 			}
 			return jobfleet.NoFailure
 		})
 		go func() { // successful reads show the owner that the store is available
-			for time.Since(stopped) < partly {
+			for time.Since(stopped) < outageDelay {
 				_, _, _, _ = first.Node.State(context.Background(), "ffffffffffffffff")
 				time.Sleep(20 * time.Millisecond)
 			}
--- a/internal/jobmatrix/refusal_test.go
+++ b/internal/jobmatrix/refusal_test.go
@@ -27,9 +27,9 @@
 			j.Steps = j.Steps[:1]
 			j.Steps[0].Count = width
 			asked := time.Now()
-			yes, no := caller.Submit(ordersPrefix, j)
-			require.True(t, yes || no)
-			if yes {
+			wasAccepted, wasRefused := caller.Submit(ordersPrefix, j)
+			require.True(t, wasAccepted || wasRefused)
+			if wasAccepted {
 				accepted++
 			} else {
 				refused++
--- a/internal/jobmatrix/slowowner_test.go
+++ b/internal/jobmatrix/slowowner_test.go
@@ -43,7 +43,7 @@
 		{"five times", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, lasts) }, 1},
 		{"three times", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(3, lasts) }, 1},
 		{"twice", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(2, lasts) }, 0},
-		{"for a moment", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, 250*time.Millisecond) }, 0},
+		{"for 250 ms", func(_ *deployment, o *jobfleet.Daemon) { o.Gate.ReportSlow(5, 250*time.Millisecond) }, 0},
 		{"others", func(d *deployment, o *jobfleet.Daemon) { d.reportAllSlow(5, lasts); o.Gate.ReportSlow(1, lasts) }, 0},
 		{"while the store is away", func(d *deployment, o *jobfleet.Daemon) {
 			failStoreFor(d, jobfleet.Refused, 1300*time.Millisecond) // less than is left of its lease
--- a/internal/matrix/request_test.go
+++ b/internal/matrix/request_test.go
@@ -330,7 +330,7 @@
 	page, err := os.ReadFile(faultsPage)
 	require.NoError(t, err)
 	head, rest, ok := strings.Cut(string(page), begin)
-	require.True(t, ok, "%s has no marker %q", faultsPage, begin)
+	require.True(t, ok, "docs/FAULTS.md has no marker %q", begin)
 	old, tail, ok := strings.Cut(rest, end)
 	require.True(t, ok)
 	if updateGolden() {
--- a/internal/matrix/session_test.go
+++ b/internal/matrix/session_test.go
@@ -69,7 +69,7 @@
 
 // TestSessions compares whole sessions with golden files; -update rewrites them.
 func TestSessions(t *testing.T) {
-	plays := map[string]func(*session, []*daemon, *sync.WaitGroup){
+	scripts := map[string]func(*session, []*daemon, *sync.WaitGroup){
 		"resend-through-another-entry": func(s *session, d []*daemon, wg *sync.WaitGroup) {
 			s.runAfter(wg, 30*time.Millisecond, func() { s.send(d[2], "resend while it runs") })
 			s.send(d[0], "order")
@@ -140,7 +140,7 @@
 			s.send(d[2], "resend")
 		},
 	}
-	for name, play := range plays {
+	for name, script := range scripts {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				in := newInstallation(3)
@@ -156,7 +156,7 @@
 				}
 				in.mu.Unlock()
 				var wg sync.WaitGroup
-				play(s, in.daemons, &wg)
+				script(s, in.daemons, &wg)
 				wg.Wait()
 				s.log("the workers ran it %d time(s)", len(in.backend.sendsOf(s.key)))
 				goldie.New(t).Assert(t, name, []byte(s.out.String()))
