--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -1,5 +1,5 @@
-// Package daemon puts an entry daemon together from its parts and runs it. The
-// command postmountd and the demo both use it.
+// Package daemon assembles an entry daemon from its components and runs it. The
+// command postmountd and the demo use it.
 package daemon
 
 import (
@@ -41,19 +41,18 @@
 	"github.com/postmount/postmount/telemetry"
 )
 
-// Version is set at build time by the linker, or "dev".
+// Version is set by the linker at build time.
 var Version = "dev"
 
-// connectionsPerWorker is the number of connections that a worker takes from
-// all entry daemons together; each daemon has an equal part for the largest
-// view there can be.
+// connectionsPerWorker is the number of connections that a worker accepts from all
+// entry daemons together. Each daemon may use 1/member.MaxMembers of them.
 const connectionsPerWorker = 64
 
 // Daemon is one entry daemon.
 type Daemon struct {
-	set  settings.Settings
-	log  *zap.Logger
-	self fleet.Entry
+	settings settings.Settings
+	log      *zap.Logger
+	self     fleet.Entry
 
 	store   *etcdkv.Client
 	peers   *peerrpc.Client
@@ -62,7 +61,7 @@
 	tasks   *workerhttp.Client
 
 	mirror     *mirror.Mirror
-	feed       *mirror.Syncer
+	syncer     *mirror.Syncer
 	node       *cluster.Node
 	controller *control.Controller
 	dispatcher *entry.Dispatcher
@@ -74,23 +73,23 @@
 	peerServer         *peerrpc.Server
 	listeners          listeners
 	stopping           atomic.Bool
-	base               context.Context // ends with everything the daemon runs
-	kill               context.CancelFunc
+	ctx                context.Context // ends with everything the daemon runs
+	cancel             context.CancelFunc
 }
 
 type listeners struct{ traffic, api, peer net.Listener }
 
-// New puts a daemon together and binds its listeners. Logs go to logOut.
+// New creates a daemon and binds its listeners. Logs go to logOut.
 func New(set settings.Settings, logOut io.Writer) (*Daemon, error) {
 	log, err := telemetry.NewLogger(set.Log.Level, set.Log.Format, logOut)
 	if err != nil {
 		return nil, err
 	}
-	d := &Daemon{set: set, log: log.With(zap.String("entry", set.Entry.ID)), mirror: mirror.New(), burn: slo.NewRecorder(), metrics: telemetry.NewMetrics()}
+	d := &Daemon{settings: set, log: log.With(zap.String("entry", set.Entry.ID)), mirror: mirror.New(), burn: slo.NewRecorder(), metrics: telemetry.NewMetrics()}
 	if err := d.listen(); err != nil {
 		return nil, err
 	}
-	d.base, d.kill = context.WithCancel(context.Background())
+	d.ctx, d.cancel = context.WithCancel(context.Background())
 	d.self = fleet.Entry{
 		ID:          fleet.EntryID(set.Entry.ID),
 		Incarnation: fleet.Incarnation(uuid.NewString()),
@@ -98,9 +97,9 @@
 		PeerAddr:    orDefault(set.Listen.AdvertisePeer, d.listeners.peer.Addr().String()),
 		APIAddr:     orDefault(set.Listen.AdvertiseAPI, d.listeners.api.Addr().String()),
 	}
-	d.adapters()
-	d.cores()
-	d.servers()
+	d.newClients()
+	d.newComponents()
+	d.newServers()
 	return d, nil
 }
 
@@ -116,9 +115,9 @@
 		addr string
 		into *net.Listener
 	}{
-		{d.set.Listen.Traffic, &d.listeners.traffic},
-		{d.set.Listen.API, &d.listeners.api},
-		{d.set.Listen.Peer, &d.listeners.peer},
+		{d.settings.Listen.Traffic, &d.listeners.traffic},
+		{d.settings.Listen.API, &d.listeners.api},
+		{d.settings.Listen.Peer, &d.listeners.peer},
 	} {
 		ln, err := net.Listen("tcp", l.addr)
 		if err != nil {
@@ -138,12 +137,12 @@
 	}
 }
 
-// watchIdle is how long the store's watch may be silent. The service has to
-// send progress notices more often than that.
+// watchIdle is how long the store's watch may be silent before it counts as broken.
+// The store has to send progress notifications more often than that.
 const watchIdle = 15 * time.Second
 
-func (d *Daemon) adapters() {
-	s := d.set
+func (d *Daemon) newClients() {
+	s := d.settings
 	d.store = etcdkv.New(etcdkv.Options{Addr: s.Store.Addr, Timeout: s.Store.Timeout.D(), WatchIdleTimeout: watchIdle})
 	d.peers = peerrpc.NewClient(s.Peers.Token, s.Peers.Timeout.D(), s.Peers.Timeout.D())
 	d.list = platformhttp.New(s.Platform.Addr, s.Platform.Timeout.D())
@@ -158,9 +157,9 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func (d *Daemon) cores() {
-	s := d.set
-	d.feed = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: newRand(), OnConnectionChange: d.storeChanged}
+func (d *Daemon) newComponents() {
+	s := d.settings
+	d.syncer = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: newRand(), OnConnectionChange: d.storeConnectionChanged}
 	policies := entry.DefaultPolicies
 	policies.Admit.Policy = admit.Policy(s.Policies.Admit)
 	policies.Admit.MaxQueue = s.Limits.MaxQueue
@@ -173,7 +172,7 @@
 		Member: member.DefaultOptions, Once: once.DefaultOptions,
 	}, cluster.Deps{
 		Store: d.store, Peers: d.peers, Mirror: d.mirror, Shares: d.dispatcher, Log: d.log, Seed: rand.Uint64(),
-		Connected: d.feed.Connected.Load, Burn: d.burnCounts, Instances: d.instances, SeedInstances: d.seedInstances,
+		Connected: d.syncer.Connected.Load, Burn: d.burnCounts, Instances: d.instances, SeedInstances: d.seedInstances,
 	})
 	opts := control.DefaultOptions
 	opts.Self = d.self.Incarnation
@@ -186,7 +185,7 @@
 	opts.Place = place.Policy(s.Policies.Place)
 	d.controller = control.New(opts, control.Deps{
 		Store: d.store, Mirror: d.mirror, List: d.list, Actions: d.list, Tasks: d.tasks, LiveMembers: d.node.LiveMembers,
-		StoreConnected: d.feed.Connected.Load, OnEntriesEnded: d.node.MarkEnded, OnSnapshot: d.newSnapshot, Log: d.log,
+		StoreConnected: d.syncer.Connected.Load, OnEntriesEnded: d.node.MarkEnded, OnSnapshot: d.applySnapshot, Log: d.log,
 	})
 	d.handler = &entry.Handler{
 		Dispatcher: d.dispatcher, Claims: d.node.Claims, Backend: d.backend, Standing: d.node.ServingStatus,
@@ -198,17 +197,18 @@
 	}
 }
 
-// Bounds of the HTTP servers.
+// Limits of the HTTP servers.
 const (
 	headerTimeout  = 5 * time.Second
 	requestTimeout = 30 * time.Second
-	// answerTimeout is for writing an answer, beyond the longest request.
+	// answerTimeout bounds the writing of an answer, in addition to the longest
+	// request.
 	answerTimeout  = 30 * time.Second
 	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
 )
 
-func (d *Daemon) servers() {
+func (d *Daemon) newServers() {
 	errorLog, _ := zap.NewStdLogAt(d.log, zap.DebugLevel)
 	operators := &api.Server{
 		Exec: &api.Executor{
@@ -220,13 +220,13 @@
 	newServer := func(h http.Handler) *http.Server {
 		return &http.Server{
 			Handler: h, ReadHeaderTimeout: headerTimeout, ReadTimeout: requestTimeout, IdleTimeout: idleTimeout,
-			WriteTimeout:   requestTimeout + d.set.Limits.MaxTimeout.D() + answerTimeout,
+			WriteTimeout:   requestTimeout + d.settings.Limits.MaxTimeout.D() + answerTimeout,
 			MaxHeaderBytes: maxHeaderBytes, ErrorLog: errorLog,
 		}
 	}
 	d.traffic = newServer(d.handler)
 	d.apiServer = newServer(operators.Handler())
-	d.peerServer = peerrpc.NewServer(d.set.Peers.Token, d.node, &d.peers.Bytes)
+	d.peerServer = peerrpc.NewServer(d.settings.Peers.Token, d.node, &d.peers.Bytes)
 }
 
 // TrafficAddr returns the address that callers use.
@@ -235,10 +235,10 @@
 // APIAddr returns the address that operators use.
 func (d *Daemon) APIAddr() string { return d.listeners.api.Addr().String() }
 
-// Members returns the view in force at the daemon.
+// Members returns the members of the daemon's current view.
 func (d *Daemon) Members() []fleet.Entry { return d.node.View().Members }
 
-// Snapshot returns what the daemon knows of the records and instances.
+// Snapshot returns the daemon's newest copy of the records and the instance list.
 func (d *Daemon) Snapshot() *control.Snapshot { return d.controller.Snapshot() }
 
 // Self returns the daemon's own entry.
@@ -246,8 +246,8 @@
 
 // Run runs the daemon until ctx ends, then stops it gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
-	base := d.base
-	defer d.kill()
+	base := d.ctx
+	defer d.cancel()
 	var wg sync.WaitGroup
 	start := func(fn func()) {
 		wg.Add(1)
@@ -256,21 +256,21 @@
 			fn()
 		}()
 	}
-	start(func() { d.feed.Run(base) })
+	start(func() { d.syncer.Run(base) })
 	start(func() { d.node.Run(base) })
 	start(func() { d.controller.Run(base) })
 	start(func() { d.dispatcher.RunLoans(base, d.self.Incarnation, d.peers) })
 	start(func() { d.peerServer.Serve(d.listeners.peer) })
 	start(func() { serve(d.apiServer, d.listeners.api) })
 	start(func() { serve(d.traffic, d.listeners.traffic) })
-	start(func() { d.gauges(base) })
+	start(func() { d.updateGauges(base) })
 	d.log.Info("started", zap.String("traffic", d.TrafficAddr()), zap.String("api", d.APIAddr()), zap.String("version", Version))
 	select {
 	case <-ctx.Done():
 		d.stop()
 	case <-base.Done():
 	}
-	d.kill()
+	d.cancel()
 	d.close()
 	wg.Wait()
 	return nil
@@ -282,38 +282,38 @@
 	}
 }
 
-// stop is a planned stop: no request in flight is cut off, and the claims go
-// to their new owners.
+// stop stops the daemon gracefully: it lets requests in flight finish and transfers
+// the claims to their new owners, within Stop.Timeout.
 func (d *Daemon) stop() {
-	ctx, cancel := context.WithTimeout(context.Background(), d.set.Stop.Timeout.D())
+	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Stop.Timeout.D())
 	defer cancel()
 	d.log.Info("stopping")
 	d.stopping.Store(true)
 	d.handler.CloseConnections()
 	select {
-	case <-time.After(d.set.Stop.BalancerWait.D()):
+	case <-time.After(d.settings.Stop.BalancerWait.D()):
 	case <-ctx.Done():
 	}
-	// The listener is closed before anything is refused: a caller that comes
-	// now finds another instance.
+	// The listener is closed before any request is refused, so that new callers
+	// connect to another daemon.
 	err := d.traffic.Shutdown(ctx)
 	d.handler.Stop()
 	if err != nil {
-		d.log.Warn("requests cut off", zap.Int64("in_flight", d.handler.InFlight()))
+		d.log.Warn("stop timeout: requests in flight are cut off", zap.Int64("in_flight", d.handler.InFlight()))
 	}
 	if err := d.node.Leave(ctx); err != nil {
-		d.log.Warn("left without handing over", zap.Error(err))
+		d.log.Warn("stop timeout: claims not transferred", zap.Error(err))
 	}
 	d.log.Info("stopped")
 }
 
-// Kill ends the daemon at once, as if its process had been killed: nothing is
-// finished, handed over or said to anybody.
+// Kill ends the daemon at once, as if its process had been killed: no request is
+// finished and no claim transferred.
 func (d *Daemon) Kill() {
 	d.closeListeners()
 	d.traffic.Close()
 	d.apiServer.Close()
-	d.kill()
+	d.cancel()
 }
 
 func (d *Daemon) close() {
@@ -330,22 +330,22 @@
 	_ = d.log.Sync()
 }
 
-// BlockPeers makes the daemon drop its messages to the peers at the addresses that
-// cut returns true for. The demo and tests part peers with it; call it before
+// BlockPeers makes the daemon drop its messages to the peers for whose address
+// blocked returns true, to simulate a network partition. It must be called before
 // Run.
-func (d *Daemon) BlockPeers(cut func(addr string) bool) { d.peers.Blocked = cut }
+func (d *Daemon) BlockPeers(blocked func(addr string) bool) { d.peers.Blocked = blocked }
 
-func (d *Daemon) storeChanged(up bool, err error) {
+func (d *Daemon) storeConnectionChanged(up bool, err error) {
 	if up {
-		d.log.Info("store reached")
+		d.log.Info("connected to the store")
 		return
 	}
-	if d.base.Err() == nil {
-		d.log.Warn("store lost", zap.Error(err))
+	if d.ctx.Err() == nil {
+		d.log.Warn("connection to the store lost", zap.Error(err))
 	}
 }
 
-func (d *Daemon) newSnapshot(s *control.Snapshot) {
+func (d *Daemon) applySnapshot(s *control.Snapshot) {
 	dir := directory.Build(s.State, s.Instances)
 	d.dispatcher.SetDirectory(dir)
 	d.backend.RetainConnections(dir.Addrs)
@@ -366,20 +366,21 @@
 	}
 }
 
-// Readiness errors.
+// Reasons why the daemon is not ready.
 var (
-	errStopping = errors.New("stopping")
-	errNoView   = errors.New("not a current member of the view")
-	errNoConfig = errors.New("no configuration yet")
+	errStopping         = errors.New("stopping")
+	errNotCurrentMember = errors.New("not a current member of the view")
+	errNoConfig         = errors.New("no configuration yet")
 )
 
-// Ready reports why the balancer should not send requests here.
+// Ready returns why the load balancer should not send requests to this daemon, or
+// nil if it should.
 func (d *Daemon) Ready() error {
 	switch {
 	case d.stopping.Load():
 		return errStopping
 	case !d.node.ServingStatus().MayUseSlots(time.Now()):
-		return errNoView
+		return errNotCurrentMember
 	case d.mirror.State().Revision == 0:
 		return errNoConfig
 	}
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -13,10 +13,10 @@
 	"github.com/postmount/postmount/requests/slo"
 )
 
-// Status returns the daemon's own account of itself.
+// Status returns the daemon's status for the operators' API.
 func (d *Daemon) Status() api.Status { return d.status() }
 
-// status returns the daemon's own account of itself.
+// status returns the daemon's status for the operators' API.
 func (d *Daemon) status() api.Status {
 	now := time.Now()
 	standing := d.node.ServingStatus()
@@ -30,7 +30,7 @@
 		Epoch:         int64(standing.Epoch),
 		Serving:       standing.Serving(now),
 		Reason:        standing.Reason,
-		StoreUp:       d.feed.Connected.Load(),
+		StoreUp:       d.syncer.Connected.Load(),
 		Revision:      int64(snap.State.Revision),
 		ListedAt:      snap.ListedAt,
 		Instances:     len(snap.Instances),
@@ -61,10 +61,11 @@
 	return out
 }
 
-// burnTimeout bounds the gathering of the members' counts.
+// burnTimeout bounds the collection of the members' counts.
 const burnTimeout = 2 * time.Second
 
-// burnReport gathers the counts of every member and works out the burn.
+// burnReport collects the request counts of every member and computes the burn
+// rates. Members that don't answer are listed as missing.
 func (d *Daemon) burnReport(r *http.Request) api.BurnReport {
 	ctx, cancel := context.WithTimeout(r.Context(), burnTimeout)
 	defer cancel()
@@ -116,7 +117,8 @@
 	return row
 }
 
-// waveReport returns how the availability of a wave's pools went.
+// waveReport returns the availability of a wave's pools over time. It returns false
+// if there is no such wave.
 func (d *Daemon) waveReport(name string) (api.WaveReport, bool) {
 	snap := d.controller.Snapshot()
 	v, ok := snap.State.Waves[fleet.WaveName(name)]
@@ -134,12 +136,12 @@
 		to = time.Now()
 	}
 	for _, pool := range w.Pools {
-		r.Pools = append(r.Pools, wavePool(pool, d.controller.History.SamplesBetween(pool, w.StartedAt, to)))
+		r.Pools = append(r.Pools, wavePoolReport(pool, d.controller.History.SamplesBetween(pool, w.StartedAt, to)))
 	}
 	return r, true
 }
 
-func wavePool(pool fleet.PoolName, samples []control.Sample) api.WavePool {
+func wavePoolReport(pool fleet.PoolName, samples []control.Sample) api.WavePool {
 	out := api.WavePool{Pool: string(pool)}
 	for _, s := range samples {
 		if s.Size == 0 {
@@ -154,11 +156,12 @@
 	return out
 }
 
-// gaugeInterval is how often gauges are brought up to date.
+// gaugeInterval is the pause between updates of the gauges.
 const gaugeInterval = time.Second
 
-// gauges keeps the metrics that mirror counters and state kept elsewhere.
-func (d *Daemon) gauges(ctx context.Context) {
+// updateGauges exports counters and state of the components as gauges until ctx
+// ends.
+func (d *Daemon) updateGauges(ctx context.Context) {
 	t := time.NewTicker(gaugeInterval)
 	defer t.Stop()
 	for {
@@ -179,7 +182,7 @@
 		} {
 			scope.Gauge(name).Update(float64(v))
 		}
-		d.burnGauges()
+		d.updateBurnGauges()
 		for _, b := range []struct {
 			name string
 			on   bool
@@ -189,8 +192,9 @@
 	}
 }
 
-// burnGauges exports how fast this daemon's part of each error budget burns.
-func (d *Daemon) burnGauges() {
+// updateBurnGauges exports the burn rates of the error budgets, computed from this
+// daemon's requests alone.
+func (d *Daemon) updateBurnGauges() {
 	services := d.mirror.State().Config.Value
 	for _, c := range d.burn.Counts(time.Now()) {
 		svc := services.Service(c.Service)
--- a/requests/mirror/feed.go
+++ b/requests/mirror/feed.go
@@ -12,34 +12,34 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Syncer keeps a mirror up to date from the store with one listing and one
-// waiting watch, whatever the number of pools.
+// Syncer keeps a mirror up to date from the store with one listing and one watch,
+// whatever the number of pools.
 type Syncer struct {
 	Mirror *Mirror
 	Store  port.Store
 	Rand   *rand.Rand
 	// Connected is true while the watch is known to be alive.
 	Connected atomic.Bool
-	// OnConnectionChange is told of each change of Connected; may be nil.
+	// OnConnectionChange is called at each change of Connected; may be nil.
 	OnConnectionChange func(connected bool, err error)
-	// Listings counts listings.
+	// Listings counts the listings of all records.
 	Listings atomic.Int64
 }
 
-// Pauses between attempts to reach the store: doubled from the first to the
-// last, each drawn at random between half of it and the whole, so that a fleet
-// that was cut off does not come back all at once.
+// Pauses between attempts to reach the store. They double from minRetryPause to
+// maxRetryPause, with jitter of up to half, so that the daemons of a fleet that
+// was cut off do not all reconnect at the same time.
 const (
-	firstPause = 200 * time.Millisecond
-	lastPause  = 5 * time.Second
+	minRetryPause = 200 * time.Millisecond
+	maxRetryPause = 5 * time.Second
 )
 
-// Run feeds the mirror until ctx ends.
+// Run updates the mirror until ctx ends.
 func (f *Syncer) Run(ctx context.Context) {
-	pause := firstPause
+	pause := minRetryPause
 	relist := true
 	for ctx.Err() == nil {
-		err := f.follow(ctx, &relist, &pause)
+		err := f.listAndWatch(ctx, &relist, &pause)
 		f.setConnected(false, err)
 		if verdict.CodeOf(err) == port.CodeStoreCompacted {
 			relist = true
@@ -47,12 +47,13 @@
 		if !sleep.For(ctx, jitter(f.Rand, pause)) {
 			return
 		}
-		pause = min(2*pause, lastPause)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
-// follow lists if needed, then watches until the stream breaks.
-func (f *Syncer) follow(ctx context.Context, relist *bool, pause *time.Duration) error {
+// listAndWatch lists all records if relist is set, then watches until the stream
+// breaks.
+func (f *Syncer) listAndWatch(ctx context.Context, relist *bool, pause *time.Duration) error {
 	if *relist {
 		l, err := f.Store.List(ctx, record.Root)
 		if err != nil {
@@ -63,7 +64,7 @@
 		*relist = false
 	}
 	return f.Store.Watch(ctx, record.Root, f.Mirror.State().Revision, func(events []port.Event) {
-		*pause = firstPause
+		*pause = minRetryPause
 		f.setConnected(true, nil)
 		if len(events) > 0 {
 			f.Mirror.Apply(events, events[len(events)-1].Revision)
--- a/requests/mirror/mirror.go
+++ b/requests/mirror/mirror.go
@@ -1,8 +1,8 @@
 // Package mirror keeps one daemon's copy of every record in the platform's
-// store. It is fed by the store's watch and by peers, and publishes immutable
+// store. It is updated by the store's watch and by peers, and publishes immutable
 // snapshots.
 //
-// Invariant: the revision of a record never goes back, whatever the source and
+// Invariant: the revision of a record never decreases, whatever the source and
 // order of the changes.
 package mirror
 
@@ -18,11 +18,11 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-// Mirror is safe for concurrent use: writers take turns, readers load the
-// newest snapshot without waiting.
+// Mirror is a copy of the records. It is safe for concurrent use; readers load the
+// newest snapshot without locking.
 type Mirror struct {
 	mu      sync.Mutex
-	raw     map[string]port.Event // newest known change of each key, deletions too
+	events  map[string]port.Event // newest known change of each key, including deletions
 	state   atomic.Pointer[fleet.State]
 	changed chan struct{}
 
@@ -30,9 +30,9 @@
 	BadRecords atomic.Int64
 }
 
-// New returns a mirror that knows nothing yet.
+// New returns an empty mirror.
 func New() *Mirror {
-	m := &Mirror{raw: map[string]port.Event{}, changed: make(chan struct{})}
+	m := &Mirror{events: map[string]port.Event{}, changed: make(chan struct{})}
 	m.state.Store(fleet.NewState())
 	return m
 }
@@ -40,24 +40,24 @@
 // State returns the newest snapshot.
 func (m *Mirror) State() *fleet.State { return m.state.Load() }
 
-// Changed returns a channel that is closed at the next new snapshot.
+// Changed returns a channel that is closed when the next snapshot is published.
 func (m *Mirror) Changed() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Apply takes in changes. completeTo is the revision up to which the mirror is
-// complete with them; 0 leaves it as it was, for single records read back
-// after a write.
+// Apply applies changes. With them, the mirror includes every change up to revision
+// completeTo. 0 leaves that revision as it was; it is for single records that this
+// daemon has written.
 func (m *Mirror) Apply(events []port.Event, completeTo fleet.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.applyLocked(events, completeTo)
 }
 
-// Replace takes in a listing of everything. Keys that it lacks are deleted if
-// they are not newer than the listing.
+// Replace applies a listing of all records. Keys that are not listed are deleted
+// unless they are newer than the listing.
 func (m *Mirror) Replace(l port.Listing) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -67,7 +67,7 @@
 		listed[kv.Key] = true
 		events = append(events, port.Event{KV: kv})
 	}
-	for key, known := range m.raw {
+	for key, known := range m.events {
 		if !listed[key] && !known.Deleted && known.Revision <= l.Revision {
 			events = append(events, port.Event{KV: port.KV{Key: key, Revision: l.Revision}, Deleted: true})
 		}
@@ -80,13 +80,13 @@
 	next := old.Clone()
 	fresh := false
 	for _, e := range events {
-		if known, ok := m.raw[e.Key]; ok && known.Revision >= e.Revision {
+		if known, ok := m.events[e.Key]; ok && known.Revision >= e.Revision {
 			continue
 		}
 		if !strings.HasPrefix(e.Key, record.Root) || !m.decode(next, e) {
 			continue
 		}
-		m.raw[e.Key] = e
+		m.events[e.Key] = e
 		fresh = true
 	}
 	next.Revision = max(old.Revision, completeTo)
@@ -98,27 +98,27 @@
 	m.changed = make(chan struct{})
 }
 
-// decode puts one change into s. It reports false for a record that cannot be
-// read; the last good one stays in force.
+// decode applies one change to s. It returns false for a record that can't be
+// decoded, so that the last good one is kept.
 func (m *Mirror) decode(s *fleet.State, e port.Event) bool {
 	var err error
 	switch {
 	case e.Key == record.ConfigKey:
-		err = put(&s.Config, e)
+		err = putRecord(&s.Config, e)
 	case e.Key == record.ViewKey:
-		err = put(&s.View, e)
+		err = putRecord(&s.View, e)
 	case strings.HasPrefix(e.Key, record.PoolPrefix):
-		err = putIn(s.Pools, fleet.PoolName(strings.TrimPrefix(e.Key, record.PoolPrefix)), e)
+		err = putNamedRecord(s.Pools, fleet.PoolName(strings.TrimPrefix(e.Key, record.PoolPrefix)), e)
 	case strings.HasPrefix(e.Key, record.WavePrefix):
-		err = putIn(s.Waves, fleet.WaveName(strings.TrimPrefix(e.Key, record.WavePrefix)), e)
+		err = putNamedRecord(s.Waves, fleet.WaveName(strings.TrimPrefix(e.Key, record.WavePrefix)), e)
 	case strings.HasPrefix(e.Key, record.JobsPrefix):
-		err = putIn(s.Jobs, fleet.PoolName(strings.TrimPrefix(e.Key, record.JobsPrefix)), e)
+		err = putNamedRecord(s.Jobs, fleet.PoolName(strings.TrimPrefix(e.Key, record.JobsPrefix)), e)
 	case strings.HasPrefix(e.Key, record.EntryPrefix):
-		err = putIn(s.Entries, fleet.EntryID(strings.TrimPrefix(e.Key, record.EntryPrefix)), e)
+		err = putNamedRecord(s.Entries, fleet.EntryID(strings.TrimPrefix(e.Key, record.EntryPrefix)), e)
 	case strings.HasPrefix(e.Key, record.MemberPrefix):
 		var shard int
 		if shard, err = record.ParseShardKey(e.Key); err == nil {
-			err = putIn(s.Shards, shard, e)
+			err = putNamedRecord(s.Shards, shard, e)
 		}
 	}
 	if err != nil {
@@ -127,7 +127,7 @@
 	return err == nil
 }
 
-func put[T any](into *fleet.Versioned[T], e port.Event) error {
+func putRecord[T any](into *fleet.Versioned[T], e port.Event) error {
 	if e.Deleted {
 		*into = fleet.Versioned[T]{Value: new(T), Revision: 0}
 		return nil
@@ -139,7 +139,7 @@
 	return err
 }
 
-func putIn[K comparable, T any](into map[K]fleet.Versioned[T], name K, e port.Event) error {
+func putNamedRecord[K comparable, T any](into map[K]fleet.Versioned[T], name K, e port.Event) error {
 	if e.Deleted {
 		delete(into, name)
 		return nil
@@ -152,14 +152,14 @@
 }
 
 // ChangesSince returns every known change after revision from, oldest first, and the
-// revision up to which they are complete. Peers use it to catch up.
+// revision up to which they are complete. It serves peers that lack records.
 func (m *Mirror) ChangesSince(from fleet.Revision) ([]port.Event, fleet.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	upTo := m.state.Load().Revision
 	var out []port.Event
-	for _, key := range slices.Sorted(maps.Keys(m.raw)) {
-		if e := m.raw[key]; e.Revision > from {
+	for _, key := range slices.Sorted(maps.Keys(m.events)) {
+		if e := m.events[key]; e.Revision > from {
 			out = append(out, e)
 		}
 	}
--- a/requests/mirror/mirror_test.go
+++ b/requests/mirror/mirror_test.go
@@ -12,41 +12,41 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-func pool(name string, rev fleet.Revision, max int) port.Event {
+func poolEvent(name string, rev fleet.Revision, max int) port.Event {
 	data, _ := json.Marshal(fleet.Pool{Name: fleet.PoolName(name), Budget: fleet.AvailabilityBudget{MaxUnavailable: max}})
 	body, _ := json.Marshal(map[string]any{"tokens": []string{"t"}, "data": json.RawMessage(data)})
 	return port.Event{KV: port.KV{Key: record.PoolKey(fleet.PoolName(name)), Value: body, Revision: rev}}
 }
 
-func deleted(name string, rev fleet.Revision) port.Event {
+func deletionEvent(name string, rev fleet.Revision) port.Event {
 	return port.Event{KV: port.KV{Key: record.PoolKey(fleet.PoolName(name)), Revision: rev}, Deleted: true}
 }
 
-func budgetOf(m *Mirror) int { return m.State().Pools["p"].Value.Budget.MaxUnavailable }
+func maxUnavailable(m *Mirror) int { return m.State().Pools["p"].Value.Budget.MaxUnavailable }
 
 func TestRevisionsNeverGoBack(t *testing.T) {
 	m := New()
-	m.Apply([]port.Event{pool("p", 5, 2)}, 5)
-	m.Apply([]port.Event{pool("p", 4, 1)}, 4)
-	assert.Equal(t, 2, budgetOf(m), "an older record from a peer")
-	m.Replace(port.Listing{KVs: []port.KV{pool("p", 3, 1).KV}, Revision: 3})
-	assert.Equal(t, 2, budgetOf(m), "a stale listing")
+	m.Apply([]port.Event{poolEvent("p", 5, 2)}, 5)
+	m.Apply([]port.Event{poolEvent("p", 4, 1)}, 4)
+	assert.Equal(t, 2, maxUnavailable(m), "an older record from a peer")
+	m.Replace(port.Listing{KVs: []port.KV{poolEvent("p", 3, 1).KV}, Revision: 3})
+	assert.Equal(t, 2, maxUnavailable(m), "a stale listing")
 	assert.EqualValues(t, 5, m.State().Revision)
-	m.Apply([]port.Event{deleted("p", 4)}, 4)
-	assert.Equal(t, 2, budgetOf(m), "a deletion from before")
+	m.Apply([]port.Event{deletionEvent("p", 4)}, 4)
+	assert.Equal(t, 2, maxUnavailable(m), "an older deletion")
 }
 
-func TestDeletionIsNotUndoneByOlderNews(t *testing.T) {
+func TestOlderEventDoesNotUndoADeletion(t *testing.T) {
 	m := New()
-	m.Apply([]port.Event{pool("p", 5, 2)}, 5)
-	m.Apply([]port.Event{deleted("p", 6)}, 6)
-	m.Apply([]port.Event{pool("p", 5, 2)}, 5)
+	m.Apply([]port.Event{poolEvent("p", 5, 2)}, 5)
+	m.Apply([]port.Event{deletionEvent("p", 6)}, 6)
+	m.Apply([]port.Event{poolEvent("p", 5, 2)}, 5)
 	assert.Empty(t, m.State().Pools)
 }
 
-func TestListingDeletesWhatItLacks(t *testing.T) {
+func TestListingDeletesMissingKeys(t *testing.T) {
 	m := New()
-	m.Apply([]port.Event{pool("p", 5, 2), pool("q", 9, 1)}, 9)
+	m.Apply([]port.Event{poolEvent("p", 5, 2), poolEvent("q", 9, 1)}, 9)
 	m.Replace(port.Listing{Revision: 7})
 	assert.NotContains(t, m.State().Pools, fleet.PoolName("p"))
 	assert.Contains(t, m.State().Pools, fleet.PoolName("q"), "newer than the listing")
@@ -54,24 +54,24 @@
 
 func TestOwnWriteDoesNotMakeTheMirrorComplete(t *testing.T) {
 	m := New()
-	m.Apply([]port.Event{pool("p", 5, 2)}, 5)
-	m.Apply([]port.Event{pool("p", 8, 3)}, 0)
-	assert.Equal(t, 3, budgetOf(m))
+	m.Apply([]port.Event{poolEvent("p", 5, 2)}, 5)
+	m.Apply([]port.Event{poolEvent("p", 8, 3)}, 0)
+	assert.Equal(t, 3, maxUnavailable(m))
 	assert.EqualValues(t, 5, m.State().Revision)
 }
 
 func TestSnapshotsDoNotChange(t *testing.T) {
 	m := New()
-	m.Apply([]port.Event{pool("p", 5, 2)}, 5)
+	m.Apply([]port.Event{poolEvent("p", 5, 2)}, 5)
 	before := m.State()
-	m.Apply([]port.Event{pool("p", 6, 3)}, 6)
+	m.Apply([]port.Event{poolEvent("p", 6, 3)}, 6)
 	assert.Equal(t, 2, before.Pools["p"].Value.Budget.MaxUnavailable)
 }
 
-func TestPeersCatchUp(t *testing.T) {
+func TestChangesSinceBringsAPeerUpToDate(t *testing.T) {
 	a, b := New(), New()
-	a.Apply([]port.Event{pool("p", 5, 2), pool("q", 6, 1)}, 6)
-	a.Apply([]port.Event{deleted("q", 7)}, 7)
+	a.Apply([]port.Event{poolEvent("p", 5, 2), poolEvent("q", 6, 1)}, 6)
+	a.Apply([]port.Event{deletionEvent("q", 7)}, 7)
 	events, upTo := a.ChangesSince(0)
 	b.Apply(events, upTo)
 	assert.Equal(t, a.State().Pools, b.State().Pools)
@@ -80,13 +80,13 @@
 	assert.True(t, events[0].Deleted)
 }
 
-func TestUnreadableRecordLeavesTheLastGoodOne(t *testing.T) {
+func TestUndecodableRecordKeepsTheLastGoodOne(t *testing.T) {
 	m := New()
-	m.Apply([]port.Event{pool("p", 5, 2)}, 5)
-	bad := pool("p", 6, 3)
+	m.Apply([]port.Event{poolEvent("p", 5, 2)}, 5)
+	bad := poolEvent("p", 6, 3)
 	bad.Value = []byte("{")
 	m.Apply([]port.Event{bad}, 6)
-	assert.Equal(t, 2, budgetOf(m))
+	assert.Equal(t, 2, maxUnavailable(m))
 	assert.EqualValues(t, 1, m.BadRecords.Load())
 }
 
--- a/requests/settings/settings.go
+++ b/requests/settings/settings.go
@@ -1,5 +1,6 @@
-// Package settings reads a daemon's static settings from TOML, strictly: every
-// mistake is reported at once, with its line or key and what is allowed.
+// Package settings reads a daemon's static settings from a TOML file. Parsing is
+// strict, and all errors are reported together, each with its line or key and the
+// allowed values.
 package settings
 
 import (
@@ -8,14 +9,14 @@
 	"github.com/postmount/postmount/internal/strictoml"
 )
 
-// The types of strictly read settings.
+// Types of package strictoml that callers of this package need.
 type (
 	Duration         = strictoml.Duration
 	Problem          = strictoml.Problem
 	InvalidFileError = strictoml.InvalidFileError
 )
 
-// Settings are everything that a daemon reads at its start.
+// Settings are all settings that a daemon reads at its start.
 type Settings struct {
 	Entry    Entry    `toml:"entry"`
 	Listen   Listen   `toml:"listen"`
@@ -29,7 +30,7 @@
 	Policies Policies `toml:"policies"`
 }
 
-// Entry names the entry instance.
+// Entry identifies the entry daemon.
 type Entry struct {
 	ID   string `toml:"id" validate:"required,name"`
 	Zone string `toml:"zone" validate:"required,name"`
@@ -40,19 +41,19 @@
 	Traffic string `toml:"traffic" validate:"required,ipport"` // callers
 	API     string `toml:"api" validate:"required,ipport"`     // operators, metrics and health
 	Peer    string `toml:"peer" validate:"required,ipport"`    // other entry daemons
-	// AdvertisePeer and AdvertiseAPI are the addresses that peers use, where
-	// they differ from those above.
+	// AdvertisePeer and AdvertiseAPI are the addresses that peers use, if they
+	// differ from Peer and API.
 	AdvertisePeer string `toml:"advertise_peer" validate:"omitempty,ipport"`
 	AdvertiseAPI  string `toml:"advertise_api" validate:"omitempty,ipport"`
 }
 
-// Endpoint is an outside service.
+// Endpoint is an external service.
 type Endpoint struct {
 	Addr    string   `toml:"addr" validate:"required,ipport"`
 	Timeout Duration `toml:"timeout" validate:"mindur=10ms,maxdur=60s"`
 }
 
-// Peers is how daemons find and know each other.
+// Peers says how daemons find, authenticate and monitor each other.
 type Peers struct {
 	Token     string   `toml:"token" validate:"required,min=16,max=128,printascii"`
 	Seeds     []string `toml:"seeds" validate:"dive,ipport"`
@@ -62,7 +63,7 @@
 	Timeout   Duration `toml:"timeout" validate:"mindur=50ms,maxdur=10s"`
 }
 
-// Limits bound what callers may ask for.
+// Limits bound the requests of callers.
 type Limits struct {
 	MaxBodyBytes     int64    `toml:"max_body_bytes" validate:"min=1,max=67108864"`
 	MaxAnswerBytes   int64    `toml:"max_answer_bytes" validate:"min=1,max=67108864"`
@@ -83,23 +84,23 @@
 	WaveWidth     int      `toml:"wave_width" validate:"min=0,max=10000"`
 }
 
-// Stop holds the times of a planned stop.
+// Stop holds the times of a graceful stop.
 type Stop struct {
-	// BalancerWait is how long the balancer takes to see that the instance is
-	// no longer ready.
+	// BalancerWait is how long the load balancer takes to notice that the daemon
+	// is no longer ready.
 	BalancerWait Duration `toml:"balancer_wait" validate:"mindur=0s,maxdur=10m"`
 	// Timeout bounds the whole stop.
 	Timeout Duration `toml:"timeout" validate:"mindur=1s,maxdur=1h"`
 }
 
-// Log says what is logged and how.
+// Log sets the level and format of logs.
 type Log struct {
 	Level  string `toml:"level" validate:"oneof=debug info warn error"`
 	Format string `toml:"format" validate:"oneof=json console"`
 }
 
-// Policies select decisions; the second value of each is the baseline that
-// measurements compare with.
+// Policies select algorithms. The second value of each is the baseline for
+// measurements.
 type Policies struct {
 	Admit string `toml:"admit" validate:"oneof=weighted fifo"`
 	Pick  string `toml:"pick" validate:"oneof=least-loaded random"`
@@ -108,7 +109,7 @@
 	Loans string `toml:"loans" validate:"oneof=on off"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the values of settings that a file omits.
 func Default() Settings {
 	const mb = 1 << 20
 	return Settings{
@@ -132,14 +133,16 @@
 	}
 }
 
-// Load reads and checks a file. The error lists every mistake.
-func Load(path string) (Settings, error) { return strictoml.Load(path, Default(), rules) }
+// Load reads and validates a file. The error lists all problems.
+func Load(path string) (Settings, error) { return strictoml.Load(path, Default(), checkCombinations) }
 
-// Parse reads settings over the defaults and returns every mistake.
-func Parse(data []byte) (Settings, []Problem) { return strictoml.Parse(data, Default(), rules) }
+// Parse reads settings over the defaults and returns all problems.
+func Parse(data []byte) (Settings, []Problem) {
+	return strictoml.Parse(data, Default(), checkCombinations)
+}
 
-// rules checks what concerns two settings.
-func rules(s Settings) []Problem {
+// checkCombinations validates settings against each other.
+func checkCombinations(s Settings) []Problem {
 	if s.Limits.DefaultTimeout > s.Limits.MaxTimeout {
 		return []Problem{{Key: "limits.default_timeout", Text: "is longer than limits.max_timeout"}}
 	}
--- a/requests/settings/settings_test.go
+++ b/requests/settings/settings_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// valid is the least that a file must say.
-const valid = `
+// minimalFile holds only the required settings.
+const minimalFile = `
 [entry]
 id = "entry-1"
 zone = "zone-a"
@@ -27,8 +27,8 @@
 token = "0123456789abcdef"
 `
 
-func TestParseAcceptsTheLeastAndFillsInDefaults(t *testing.T) {
-	s, problems := Parse([]byte(valid))
+func TestParseAcceptsMinimalFileAndFillsInDefaults(t *testing.T) {
+	s, problems := Parse([]byte(minimalFile))
 	require.Empty(t, problems)
 	assert.Equal(t, Default().Limits, s.Limits)
 	assert.Equal(t, "entry-1", s.Entry.ID)
@@ -44,20 +44,20 @@
 	}
 }
 
-func TestParseReportsEveryMistakeWithItsPlace(t *testing.T) {
+func TestParseReportsEveryErrorWithItsPosition(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
 		want       []Problem
 	}{
-		{"unknown key", valid + "[log]\nlevle = \"info\"\n", []Problem{{Line: 16, Key: "log.levle", Text: "unknown key"}}},
-		{"wrong type", valid + "[limits]\nmax_queue = \"many\"\n", []Problem{{Line: 16, Key: "limits.max_queue", Text: "is of type string: want int"}}},
-		{"out of range", valid + "[limits]\nmax_queue = 0\ndefault_timeout = \"1h\"\n", []Problem{
+		{"unknown key", minimalFile + "[log]\nlevle = \"info\"\n", []Problem{{Line: 16, Key: "log.levle", Text: "unknown key"}}},
+		{"wrong type", minimalFile + "[limits]\nmax_queue = \"many\"\n", []Problem{{Line: 16, Key: "limits.max_queue", Text: "is of type string: want int"}}},
+		{"out of range", minimalFile + "[limits]\nmax_queue = 0\ndefault_timeout = \"1h\"\n", []Problem{
 			{Line: 0, Key: "limits.default_timeout", Text: "is 1h0m0s: want at most 10m"},
 			{Line: 0, Key: "limits.max_queue", Text: "is 0: want at least 1"},
 			{Line: 0, Key: "limits.default_timeout", Text: "is longer than limits.max_timeout"},
 		}},
-		{"host name", valid + "[peers2]\n[limits]\n", []Problem{{Line: 15, Key: "peers2", Text: "unknown key"}}},
-		{"bad duration", valid + "[stop]\ntimeout = \"soon\"\n[log]\nlevel = 3\n", []Problem{
+		{"host name", minimalFile + "[peers2]\n[limits]\n", []Problem{{Line: 15, Key: "peers2", Text: "unknown key"}}},
+		{"bad duration", minimalFile + "[stop]\ntimeout = \"soon\"\n[log]\nlevel = 3\n", []Problem{
 			{Line: 16, Key: "stop.timeout", Text: "\"soon\" is not a duration: want for example \"500ms\" or \"10s\""},
 			{Line: 18, Key: "log.level", Text: "is of type integer: want string"},
 		}},
@@ -70,7 +70,7 @@
 }
 
 func TestParseRefusesHostNames(t *testing.T) {
-	_, problems := Parse([]byte(valid + "seeds = [\"entry-2:7002\"]\n"))
+	_, problems := Parse([]byte(minimalFile + "seeds = [\"entry-2:7002\"]\n"))
 	require.Len(t, problems, 1)
 	assert.Equal(t, "peers.seeds[0]", problems[0].Key)
 	assert.Contains(t, problems[0].Text, "want an IP number and port")
@@ -84,13 +84,13 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(valid))
+	f.Add([]byte(minimalFile))
 	f.Add([]byte("[limits]\nmax_queue = \"x\"\n[entry]\nid = 3\n"))
 	f.Fuzz(func(_ *testing.T, data []byte) { _, _ = Parse(data) })
 }
 
-// TestPageNamesEveryKey keeps the operators' page complete.
-func TestPageNamesEveryKey(t *testing.T) {
+// TestSettingsPageListsEveryKey checks that the operators' page documents every key.
+func TestSettingsPageListsEveryKey(t *testing.T) {
 	page, err := os.ReadFile("../../docs/operating/settings.md")
 	require.NoError(t, err)
 	sections := reflect.TypeFor[Settings]()
