--- a/requests/fleet/instance.go
+++ b/requests/fleet/instance.go
@@ -1,15 +1,15 @@
 package fleet
 
-// InstanceID names one instance (machine) of the fleet.
+// InstanceID identifies one instance (machine) of the fleet.
 type InstanceID string
 
-// AvailabilityZone names a failure domain made of racks.
+// AvailabilityZone names a failure domain that consists of racks.
 type AvailabilityZone string
 
 // Rack names a failure domain inside an availability zone.
 type Rack string
 
-// Resources are what a worker has, or what a job asks for.
+// Resources are the capacity of a worker or the needs of a job.
 type Resources struct {
 	Slots        int // concurrent requests
 	Connections  int // TCP connections over all entry instances together
@@ -18,8 +18,8 @@
 	Accelerators int
 }
 
-// Fits reports whether need is covered by r. Connections are not compared:
-// they bound request traffic, not tasks.
+// Fits reports whether need fits into r. Connections are not compared: they bound
+// request traffic, not tasks.
 func (r Resources) Fits(need Resources) bool {
 	return need.Slots <= r.Slots &&
 		need.CPUMilli <= r.CPUMilli &&
@@ -27,7 +27,7 @@
 		need.Accelerators <= r.Accelerators
 }
 
-// Sub returns r less used.
+// Sub returns r minus used.
 func (r Resources) Sub(used Resources) Resources {
 	return Resources{
 		Slots:        r.Slots - used.Slots,
@@ -49,22 +49,23 @@
 // States of an instance, as the platform's instance list reports them.
 const (
 	InstanceReady     InstanceState = "ready"     // serves requests and tasks
-	InstanceDraining  InstanceState = "draining"  // finishes what it has, takes nothing new
+	InstanceDraining  InstanceState = "draining"  // finishes its work, accepts no more
 	InstanceDrained   InstanceState = "drained"   // up, empty and out of service
 	InstanceRebooting InstanceState = "rebooting" // down, expected back
 	InstanceFailed    InstanceState = "failed"    // down, not expected back
 )
 
-// Instance is one machine as the platform last reported it. The report lags.
+// Instance is one machine as the platform last reported it. The report lags behind
+// the actual state.
 type Instance struct {
 	ID    InstanceID
 	Zone  AvailabilityZone
 	Rack  Rack
 	Addr  string // IP:port of the worker's HTTP listener
 	State InstanceState
-	// Generation counts the commands the platform has carried out on the
-	// instance and its restarts. A command names the generation it expects,
-	// so that a late duplicate is refused.
+	// Generation counts the instance's restarts and the commands that the platform
+	// has carried out on it. A command names the generation it expects, so that a
+	// late duplicate is refused.
 	Generation int64
 	// LastCommand is the id of the command that led to Generation.
 	LastCommand CommandID
@@ -87,8 +88,8 @@
 	ActionReturn Action = "return"
 )
 
-// Command is one recorded order to the platform. It is sent at least once;
-// ID and Generation make its effect happen at most once.
+// Command is one recorded command to the platform. It is sent at least once; ID and
+// Generation ensure that it takes effect at most once.
 type Command struct {
 	ID         CommandID
 	Action     Action
--- a/requests/fleet/job.go
+++ b/requests/fleet/job.go
@@ -8,25 +8,25 @@
 // JobName names a job within its pool.
 type JobName string
 
-// JobState is how far a job has come.
+// JobState is the state of a job.
 type JobState string
 
 // States of a job.
 const (
-	JobPending     JobState = "pending"     // waits for room
-	JobPlaced      JobState = "placed"      // a worker was chosen; the start is due or done
-	JobDone        JobState = "done"        // finished well
+	JobPending     JobState = "pending"     // waits for capacity
+	JobPlaced      JobState = "placed"      // a worker was chosen and is told to run it
+	JobDone        JobState = "done"        // succeeded
 	JobCancelled   JobState = "cancelled"   // by an operator
-	JobUnplaceable JobState = "unplaceable" // no worker of the pool can ever hold it
-	JobFailed      JobState = "failed"      // ran out of attempts
+	JobUnplaceable JobState = "unplaceable" // too large for every worker of the pool
+	JobFailed      JobState = "failed"      // used up its attempts
 )
 
-// Ended reports whether the job takes no more scheduling.
+// Ended reports whether the state is final.
 func (s JobState) Ended() bool {
 	return s == JobDone || s == JobCancelled || s == JobUnplaceable || s == JobFailed
 }
 
-// Job is work for one worker of a pool.
+// Job is a unit of work that runs on one worker of a pool.
 type Job struct {
 	Name     JobName
 	Team     string
@@ -40,12 +40,12 @@
 	// Attempt counts placements. A worker refuses a start whose attempt is
 	// not newer than the last one it knows of the job.
 	Attempt int
-	// Failures counts attempts that ended badly.
+	// Failures counts failed attempts.
 	Failures int
 	PlacedAt time.Time
 	// LostAt is when the worker of a placed job was first found unreachable or
-	// without the task; zero otherwise. The job is placed anew only after the
-	// task's lease has certainly lapsed.
+	// without the task; zero otherwise. The job is placed again only after the
+	// task's lease has certainly expired.
 	LostAt    time.Time
 	Submitted time.Time
 }
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// TaskState is what a worker reports of one task.
+// TaskState is the state of a task as its worker reports it.
 type TaskState string
 
 // States of a task on a worker.
@@ -91,5 +91,5 @@
 	Job     JobName
 	Attempt int
 	State   TaskState
-	Used    Resources // observed use, reported with a lag
+	Used    Resources // observed usage; the report lags
 }
--- a/requests/fleet/pool.go
+++ b/requests/fleet/pool.go
@@ -13,15 +13,15 @@
 
 // AvailabilityBudget bounds how many instances of a pool may be out at once.
 type AvailabilityBudget struct {
-	// MaxUnavailable is a number of instances, or a percentage of the pool
-	// when Percent is true. A percentage is rounded down: rounding never
-	// favours a disruption.
+	// MaxUnavailable is a number of instances, or a percentage of the pool if
+	// Percent is true. A percentage is rounded down, so that rounding never allows
+	// an additional disruption.
 	MaxUnavailable int
 	Percent        bool
 	// MinAvailable is a floor of instances in service; 0 means none. It also
 	// bounds how far moves may shrink the pool.
 	MinAvailable int
-	// SurviveZone asks that the budget would still hold if the largest
+	// SurviveZone requires that the budget would still hold if the largest
 	// availability zone of the pool failed.
 	SurviveZone bool
 }
@@ -56,20 +56,20 @@
 	return AvailabilityBudget{MaxUnavailable: n, Percent: percent}, nil
 }
 
-// Phase is how far a disruption has come.
+// Phase is the step that a disruption is in.
 type Phase string
 
-// Phases of a disruption. Each of drain, reboot and return has one recorded
-// command; the phase moves on only when the platform's report shows its effect.
+// Phases of a disruption. Drain, reboot and return each have one recorded command
+// and end only when the platform reports its effect.
 const (
-	PhaseDrain  Phase = "drain"  // being emptied
-	PhaseHeld   Phase = "held"   // empty, kept out by an operator's drain
-	PhaseMove   Phase = "move"   // empty, its pool record is about to change
+	PhaseDrain  Phase = "drain"  // being drained
+	PhaseHeld   Phase = "held"   // drained, kept out of service by an operator
+	PhaseMove   Phase = "move"   // drained, its membership record is about to change
 	PhaseReboot Phase = "reboot" // rebooting
-	PhaseReturn Phase = "return" // coming back into service
+	PhaseReturn Phase = "return" // returning to service
 )
 
-// DisruptionKind says who asked for a disruption.
+// DisruptionKind is the cause of a disruption.
 type DisruptionKind string
 
 // Kinds of disruption.
@@ -79,9 +79,9 @@
 	DisruptByMove  DisruptionKind = "move"
 )
 
-// Disruption is one instance claimed from the availability budget, and the
-// outbox entry of the command that goes with the claim. Both change in one
-// compare-and-swap of the pool's record.
+// Disruption is a claim of one instance on the availability budget, together with
+// the outbox entry of its current command. Both change in one compare-and-swap of
+// the pool's record.
 type Disruption struct {
 	Instance InstanceID
 	Kind     DisruptionKind
@@ -91,7 +91,7 @@
 	Command  Command
 	Since    time.Time // when the budget was claimed
 	PhaseAt  time.Time // when Phase began
-	// LeaveWanted asks a held instance to return.
+	// LeaveWanted is set when an operator wants a held instance to return.
 	LeaveWanted bool `json:",omitempty"`
 }
 
@@ -99,13 +99,13 @@
 type MaintenanceResult struct {
 	Wave     WaveName
 	Instance InstanceID
-	// Skipped is the reason why the wave gave the instance up, "" if it was
-	// rebooted and came back.
+	// Skipped is why the wave gave up on the instance, "" if the instance was
+	// rebooted and is back in service.
 	Skipped string `json:",omitempty"`
 }
 
-// Request is an operator's drain or move that waits for room in the budget. It
-// goes before any wave.
+// Request is an operator's drain or move that waits for the budget. It takes
+// precedence over waves.
 type Request struct {
 	Instance InstanceID
 	Kind     DisruptionKind // DisruptByDrain or DisruptByMove
@@ -113,9 +113,9 @@
 	At       time.Time
 }
 
-// Pool is the record of one pool: what operators want of it (Service, Budget,
-// Requests), the claims on its budget, and the commands not yet confirmed.
-// Any daemon may write it, by compare-and-swap on its revision.
+// Pool is the record of one pool: its configuration (Service, Budget), operators'
+// requests, the claims on its budget, and the commands not yet confirmed. Any daemon
+// may write it, by compare-and-swap on its revision.
 type Pool struct {
 	Name        PoolName
 	Service     ServiceName
@@ -123,8 +123,8 @@
 	Requests    []Request           `json:",omitempty"`
 	Disruptions []Disruption        `json:",omitempty"`
 	Maintained  []MaintenanceResult `json:",omitempty"`
-	// MeanOut is the moving average of how long an instance is out for
-	// maintenance; forecasts are made with it. Zero before the first.
+	// MeanOut is the moving average of how long an instance is out of service for
+	// maintenance, used for estimates. Zero before the first.
 	MeanOut time.Duration `json:",omitempty"`
 	Applied CommandLog    `json:",omitempty"`
 }
@@ -139,7 +139,7 @@
 	return &c
 }
 
-// Disruption returns the claim on instance id, or nil.
+// Disruption returns the disruption of instance id, or nil.
 func (p *Pool) Disruption(id InstanceID) *Disruption {
 	for i := range p.Disruptions {
 		if p.Disruptions[i].Instance == id {
@@ -159,12 +159,12 @@
 	return nil
 }
 
-// RemoveRequest drops the operator's request for instance id.
+// RemoveRequest removes the operator's request for instance id.
 func (p *Pool) RemoveRequest(id InstanceID) {
 	p.Requests = slices.DeleteFunc(p.Requests, func(r Request) bool { return r.Instance == id })
 }
 
-// RemoveDisruption drops the claim on instance id.
+// RemoveDisruption removes the disruption of instance id.
 func (p *Pool) RemoveDisruption(id InstanceID) {
 	p.Disruptions = slices.DeleteFunc(p.Disruptions, func(d Disruption) bool { return d.Instance == id })
 }
@@ -176,17 +176,18 @@
 	})
 }
 
-// commandLogSize bounds how many operator commands a record remembers.
+// commandLogSize is the number of operator commands that a record keeps.
 const commandLogSize = 64
 
-// CommandLog lists the operator commands that a record already includes, so
-// that a repeated command is answered and not carried out again.
+// CommandLog lists the operator commands that have been applied to a record, so that
+// a repeated command is not applied again.
 type CommandLog []CommandID
 
 // Contains reports whether id is in the log.
 func (l CommandLog) Contains(id CommandID) bool { return slices.Contains(l, id) }
 
-// Append returns the log with id appended, the oldest dropped over the bound.
+// Append returns the log with id appended, without the oldest ids beyond
+// commandLogSize.
 func (l CommandLog) Append(id CommandID) CommandLog {
 	out := append(slices.Clone(l), id)
 	if len(out) > commandLogSize {
--- a/requests/fleet/service.go
+++ b/requests/fleet/service.go
@@ -14,24 +14,24 @@
 // Class is one priority class of a service's traffic.
 type Class struct {
 	Name ClassName
-	// Weight is the class's share of slots relative to the other classes of
-	// the service while several of them wait. At least 1.
+	// Weight is the class's share of slots relative to the other classes of the
+	// service while requests of several classes wait. At least 1.
 	Weight int
-	// Objective is the class's service level.
+	// Objective is the class's service level objective.
 	Objective Objective
 }
 
-// Objective is a service level that the burn report is measured against.
+// Objective is a service level objective, for which burn rates are computed.
 type Objective struct {
-	// Availability is the share of requests that must be answered well and in
-	// time, for example 0.999. Zero means no objective.
+	// Availability is the share of requests that must succeed within Latency, for
+	// example 0.999. Zero means no objective.
 	Availability float64
-	// Latency is the bound under which an answer counts as in time; zero means
-	// that every whole answer counts.
+	// Latency is the time within which an answer counts as good; zero means that
+	// every complete answer does.
 	Latency time.Duration
 }
 
-// Service is a set of pools whose backend servers answer the same requests.
+// Service is a set of pools whose backend servers serve the same requests.
 type Service struct {
 	Name    ServiceName
 	Classes []Class
@@ -56,17 +56,17 @@
 	// Idempotent marks the route's requests as safe to repeat whatever their
 	// method is.
 	Idempotent bool
-	// Timeout bounds one request when the caller names no deadline.
+	// Timeout bounds a request if the caller sets no deadline.
 	Timeout time.Duration
 }
 
-// Team owns jobs and has a quota over the whole fleet.
+// Team owns jobs and has a fleet-wide quota.
 type Team struct {
 	Name  string
 	Quota Resources
 }
 
-// Config is the operators' configuration that is not tied to one pool.
+// Config is the configuration that does not belong to one pool.
 type Config struct {
 	Services []Service
 	Routes   []Route
@@ -75,11 +75,12 @@
 	Applied  CommandLog `json:",omitempty"`
 }
 
-// Weights rank the three measures: a plan minimises their weighted sum.
+// Weights weigh three costs against each other. Planning minimises their weighted
+// sum.
 type Weights struct {
-	RollOut float64 // per unit of roll-out time over its ideal
-	Buffer  float64 // per unit of spare capacity over its ideal
-	Moves   float64 // per unit of relocations over their ideal
+	RollOut float64 // roll-out time relative to its ideal
+	Buffer  float64 // spare capacity relative to its ideal
+	Moves   float64 // relocations relative to their ideal
 }
 
 // Clone returns a deep copy of c.
--- a/requests/fleet/state.go
+++ b/requests/fleet/state.go
@@ -1,6 +1,6 @@
-// Package fleet holds the domain types shared by every other package: the
-// records kept in the platform's key-value service and what the platform
-// reports of instances. It imports nothing of postmount.
+// Package fleet defines the domain types that the other packages share: the records
+// in the platform's key-value service and the instances as the platform reports
+// them. It imports no other package of postmount.
 package fleet
 
 import (
@@ -8,15 +8,15 @@
 	"slices"
 )
 
-// Revision is the store's modification revision of a record. It only grows.
+// Revision is the store's modification revision of a record. It never decreases.
 type Revision int64
 
-// Membership is the record that says which pool an instance belongs to. There
-// is one per instance, packed into a fixed number of shard records.
+// Membership assigns an instance to a pool. There is one per instance; they are
+// stored in a fixed number of shard records.
 type Membership struct {
 	Instance InstanceID
 	Pool     PoolName
-	// Joining is true from a move until the instance first serves in its new
+	// Joining is true after a move until the instance is in service in its new
 	// pool. A joining instance does not count towards the pool's size.
 	Joining bool `json:",omitempty"`
 }
@@ -42,17 +42,17 @@
 	return nil
 }
 
-// Versioned is a record together with the store revision it was read at.
+// Versioned is a record with the store revision at which it was read.
 type Versioned[T any] struct {
 	Value    *T
 	Revision Revision
-	// Tokens are the writer tokens of the record's last writes, oldest first.
-	// They tell whether a write whose answer was lost took effect.
+	// Tokens are the writer tokens of the record's last writes, oldest first. They
+	// show whether a write whose answer was lost took effect.
 	Tokens []string
 }
 
-// State is an immutable snapshot of every record, as one daemon knows them.
-// Readers must not change anything reachable from it.
+// State is an immutable snapshot of one daemon's copy of every record. Readers must
+// not change anything reachable from it.
 type State struct {
 	Revision Revision // of the newest change included
 	Config   Versioned[Config]
@@ -77,7 +77,7 @@
 	}
 }
 
-// Clone returns a copy whose maps may be changed; the records are shared.
+// Clone returns a copy with its own maps; the records are shared.
 func (s *State) Clone() *State {
 	c := *s
 	c.Pools = maps.Clone(s.Pools)
--- a/requests/fleet/view.go
+++ b/requests/fleet/view.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// EntryID names an entry instance; it survives restarts.
+// EntryID identifies an entry daemon across restarts.
 type EntryID string
 
-// Incarnation identifies one run of an entry daemon. A restarted daemon has
-// lost its memory, so it is a new member under the same EntryID.
+// Incarnation identifies one run of an entry daemon. A restarted daemon has lost
+// its in-memory state, so it is a new member with the same EntryID.
 type Incarnation string
 
-// Epoch numbers the views of the entry instances. It only grows.
+// Epoch numbers the views of the entry daemons. It never decreases.
 type Epoch int64
 
-// Entry is one entry daemon as it registers itself.
+// Entry is the registration of one entry daemon.
 type Entry struct {
 	ID          EntryID
 	Incarnation Incarnation
@@ -25,16 +25,15 @@
 type View struct {
 	Epoch   Epoch
 	Members []Entry // sorted by Incarnation
-	// Unretired lists earlier views that may still be served by their
-	// members. The view starts to serve only after each of them is known to
-	// have stopped.
+	// Unretired lists earlier views that their members may still serve. The members
+	// of this view serve it only once none of the earlier views is served.
 	Unretired []RetiringView `json:",omitempty"`
-	// Departed lists the members that this view leaves out because they said
-	// that they leave and have nothing in flight.
+	// Departed lists the members that were removed because they were leaving and
+	// had nothing in flight.
 	Departed []Incarnation `json:",omitempty"`
 }
 
-// RetiringView is an earlier view that a newer one has to wait for.
+// RetiringView is an earlier view that may still be served.
 type RetiringView struct {
 	Epoch   Epoch
 	Members []Incarnation
--- a/requests/fleet/wave.go
+++ b/requests/fleet/wave.go
@@ -8,14 +8,14 @@
 // WaveName names a maintenance wave.
 type WaveName string
 
-// WaveState is what operators want of a wave, or that it has ended.
+// WaveState is the state of a wave.
 type WaveState string
 
 // States of a wave.
 const (
 	WaveRunning   WaveState = "running"
 	WavePaused    WaveState = "paused" // by an operator
-	WaveHalted    WaveState = "halted" // by the failure rule
+	WaveHalted    WaveState = "halted" // by wave.ShouldHalt
 	WaveCancelled WaveState = "cancelled"
 	WaveDone      WaveState = "done"
 )
@@ -27,14 +27,14 @@
 	State     WaveState
 	Reason    string `json:",omitempty"` // why it is halted
 	StartedAt time.Time
-	EndedAt   time.Time // zero while it goes on
+	EndedAt   time.Time // zero until it has ended
 	// Deadline is when the wave must have ended; zero means none.
 	Deadline time.Time
-	// Forgiven is how many failed instances the operators knew of when they
-	// resumed the wave; the halt rule counts only those beyond.
+	// Forgiven is the number of failed instances when operators last resumed the
+	// wave; wave.ShouldHalt does not count them.
 	Forgiven int `json:",omitempty"`
-	// Finished and Failed are set when the wave ends: how many instances it
-	// rebooted and how many it gave up.
+	// Finished and Failed are set when the wave ends: the numbers of instances that
+	// it rebooted and that it skipped.
 	Finished int        `json:",omitempty"`
 	Failed   int        `json:",omitempty"`
 	Applied  CommandLog `json:",omitempty"`
@@ -51,5 +51,5 @@
 // Covers reports whether the wave covers pool p.
 func (w *Wave) Covers(p PoolName) bool { return slices.Contains(w.Pools, p) }
 
-// Ended reports whether no new disruption will come from the wave.
+// Ended reports whether the wave starts no more disruptions.
 func (w *Wave) Ended() bool { return w.State == WaveCancelled || w.State == WaveDone }
