--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -84,9 +84,9 @@
 		MaxHoldsPerSec: lossyHoldsPerCoreSecond * n.settings.Cores,
 		MaxMovesPerSec: n.settings.MovesPerSec,
 		DutyHandover:   n.settings.DutyHandover, PriorOrders: n.ordersByOthers(term.PriorOrders), ElectedAt: began, PriorOrdersUnknown: term.PriorOrdersUnknown, SucceedsSelf: term.SucceedsSelf,
-		StatusRetention:  n.settings.StatusRetention,
-		MaxPendingStarts: startsPerSlot * cap(t.startCalls.slots),
-		Weights:          n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, SchedulingPolicy: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
+		StatusRetention:      n.settings.StatusRetention,
+		MaxOutstandingStarts: startsPerSlot * cap(t.startCalls.slots),
+		Weights:              n.settings.Policy.Pools.Weights(), PoolPolicy: n.settings.Policy.Pools.Size, SchedulingPolicy: n.settings.Policy.Jobs.Order, CallPolicy: n.settings.Policy.Workers.Calls,
 	}, n.catalog.Load(), snap.Jobs, n.clock.Now())
 	for _, e := range snap.Refused {
 		n.refusedEntries.add(e.Key, e.Revision, e.Err)
@@ -248,7 +248,7 @@
 	}
 	t.lastStats = now
 	stats := t.core.Stats(now)
-	t.idle.Store(stats.OpenJobs == 0 && stats.UnrecordedJobs == 0)
+	t.idle.Store(stats.OpenJobs == 0 && stats.DirtyJobs == 0)
 	t.backlogged.Store(t.core.IsBacklogged(now))
 	t.cpuStarved.Store(t.core.StarvedFor(now) > cpuStarvedAfter)
 	t.n.metrics.ownerStats(stats)
@@ -341,8 +341,8 @@
 	if d.Reason != "" {
 		out = append(out, zap.String("why", d.Reason))
 	}
-	if d.Account != nil {
-		out = append(out, breakdownFields(d.Account)...)
+	if d.TimeBreakdown != nil {
+		out = append(out, breakdownFields(d.TimeBreakdown)...)
 	}
 	return out
 }
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -31,7 +31,7 @@
 func (c *Core) loseRun(r *run, proof string, now time.Time) {
 	c.counts.Lost++
 	id := r.task.id()
-	c.note(Decision{Event: "run-lost", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number,
+	c.logDecision(Decision{Event: "run-lost", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number,
 		Reason: proof + "; " + r.describeContact()})
 	c.releaseRun(r, CauseRunLost, now)
 }
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -66,7 +66,7 @@
 		if t.copyNeed(p.now) != need {
 			continue
 		}
-		if p.deferStarts() || !p.core.quotaAllows(s.job.spec, s.spec, 1, p.now) {
+		if p.deferStarts() || !p.core.tenantLimitAllows(s.job.spec, s.spec, 1, p.now) {
 			return
 		}
 		if sel == nil {
@@ -75,14 +75,14 @@
 		first := t.runs[0].worker
 		excluded := func(o *worker) bool { return o == first }
 		if t.crashRisk() != job.CrashRiskNone {
-			p.placeSuspect(t, sel, excluded)
+			p.placeIsolated(t, sel, excluded)
 			continue
 		}
 		w := sel.pick(excluded)
 		if w == nil {
 			return
 		}
-		p.core.note(Decision{Event: "copy-started", Job: s.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Reason: "its run on " + string(first.Worker) + " is slow, silent or stopping"})
+		p.core.logDecision(Decision{Event: "copy-started", Job: s.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Reason: "its run on " + string(first.Worker) + " is slow, silent or stopping"})
 		sel.start(t, w)
 	}
 }
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -230,7 +230,7 @@
 	assert.Greater(t, r.out.Starts[0].Run, first.Run)
 }
 
-func TestEndsAreAcknowledgedOnceRecorded(t *testing.T) {
+func TestEndsAreAcknowledgedOnceStored(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
 	r.answerHold(a, nil)
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -54,24 +54,24 @@
 	}
 	for _, r := range runsByNumber(w) {
 		if r.lostAtStart() {
-			c.recordPossibleCrash(r, now)
+			c.recordUnconfirmedCrash(r, now)
 		}
 	}
 }
 
-// recordPossibleCrash records or updates an unconfirmed crash for the run. The worker may
+// recordUnconfirmedCrash records or updates an unconfirmed crash for the run. The worker may
 // have crashed for another reason, or not at all.
-func (c *Core) recordPossibleCrash(r *run, now time.Time) {
+func (c *Core) recordUnconfirmedCrash(r *run, now time.Time) {
 	t := r.task
 	if r.neverStarted || t.done || t.step.job.state.Final() || r.worker.endsAsPlanned() {
 		return
 	}
-	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.lostAtStart(), TimeKnown: r.worker.contactLoss.connFailed, SoleSuspect: r.isOnlyCause()}
+	k := job.Crash{Run: r.number, Worker: r.worker.incarnation().String(), AtStart: r.lostAtStart(), TimeKnown: r.worker.contactLoss.connFailed, SoleSuspect: r.isSoleSuspect()}
 	if known := t.crashes.Find(r.number); known != nil {
 		*known = k
 	} else {
 		c.addUnconfirmedCrash(t, k)
-		c.note(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.describeContact()})
+		c.logDecision(Decision{Event: "crash-possible", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: r.describeContact()})
 	}
 	c.markCrashDirty(t.step.job)
 }
@@ -83,8 +83,8 @@
 	c.unconfirmedCrashes[inc] = append(c.unconfirmedCrashes[inc], t)
 }
 
-// isOnlyCause reports whether no run of another job explains the loss of the worker as well.
-func (r *run) isOnlyCause() bool {
+// isSoleSuspect reports whether no run of another job explains the loss of the worker as well.
+func (r *run) isSoleSuspect() bool {
 	atStart := r.lostAtStart()
 	for _, o := range r.worker.runs {
 		if o.task.step.job != r.task.step.job && (!atStart || o.lostAtStart()) {
@@ -106,18 +106,18 @@
 		w.contactLoss = contactLoss{lostAt: now, lastAnswerAt: w.lastAnswerAt}
 	}
 	for _, r := range runsByNumber(w) {
-		c.recordPossibleCrash(r, now)
+		c.recordUnconfirmedCrash(r, now)
 	}
 	w.crashSuspects = slices.Clone(c.unconfirmedCrashes[w.incarnation()])
 	c.recentlyEnded = append(c.recentlyEnded, w)
 	if len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
-		c.crashDecisionsDue.add(now.Add(lossDecisionDelay), w)
+		c.lossDecisionsDue.add(now.Add(lossDecisionDelay), w)
 	}
 }
 
 // decideLosses makes the decisions that are due.
 func (c *Core) decideLosses(now time.Time) {
-	for _, w := range c.crashDecisionsDue.popAllDue(now) {
+	for _, w := range c.lossDecisionsDue.popAllDue(now) {
 		c.decideLoss(w, now)
 	}
 	c.decideUnseenWorkers(now)
@@ -135,7 +135,7 @@
 	correlation := c.lossCorrelationOf(w)
 	switch {
 	case correlation == possiblyCorrelated && now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime:
-		c.crashDecisionsDue.add(now.Add(lossDecisionDelay), w)
+		c.lossDecisionsDue.add(now.Add(lossDecisionDelay), w)
 	case correlation == uncorrelated:
 		c.confirmCrashes(w.incarnation(), now)
 	default:
@@ -163,18 +163,18 @@
 	if w != nil && w.relationTo(inc.startedMs) != sameIncarnation {
 		return true // a later incarnation is known
 	}
-	return (w == nil || !w.heldByUs && !w.ended) && !c.isOnInstanceList(inc.worker)
+	return (w == nil || !w.heldByThisOwner && !w.ended) && !c.instanceListShows(inc.worker)
 }
 
-// isOnInstanceList reports whether the instance list shows the worker.
-func (c *Core) isOnInstanceList(id WorkerID) bool {
+// instanceListShows reports whether the instance list shows the worker.
+func (c *Core) instanceListShows(id WorkerID) bool {
 	i := c.instances[c.instanceOfWorker[id]]
 	return i != nil && i.Worker == id
 }
 
 // isUnderInvestigation reports whether a decision on the incarnation is scheduled.
 func (c *Core) isUnderInvestigation(inc incarnation) bool {
-	for _, e := range c.crashDecisionsDue.entries {
+	for _, e := range c.lossDecisionsDue.entries {
 		if e.value.incarnation() == inc {
 			return true
 		}
@@ -205,7 +205,7 @@
 	for n := range t.crashes {
 		if k := &t.crashes[n]; k.Worker == inc.String() {
 			k.Worker = ""
-			c.note(Decision{Event: "task-crashed-with-worker", Job: j.spec.ID, Task: t.id().String(), Worker: inc.worker, Run: k.Run, Reason: crashReason(t.crashes, k)})
+			c.logDecision(Decision{Event: "task-crashed-with-worker", Job: j.spec.ID, Task: t.id().String(), Worker: inc.worker, Run: k.Run, Reason: crashReason(t.crashes, k)})
 		}
 	}
 	c.markDirty(j)
@@ -231,7 +231,7 @@
 		outcome = "the others of its job go on"
 	}
 	c.counts.GivenUp++
-	c.note(Decision{Event: "task-given-up", Job: j.spec.ID, Task: t.id().String(),
+	c.logDecision(Decision{Event: "task-given-up", Job: j.spec.ID, Task: t.id().String(),
 		Reason: fmt.Sprintf("%d workers have crashed under it; %s", t.crashes.Confirmed(), outcome)})
 	if !serves {
 		c.finishJob(j, job.Failed, now)
@@ -287,7 +287,7 @@
 		}
 	}
 	delete(c.unconfirmedCrashes, inc)
-	c.note(Decision{Event: "crash-ruled-out", Worker: inc.worker, Reason: why})
+	c.logDecision(Decision{Event: "crash-ruled-out", Worker: inc.worker, Reason: why})
 }
 
 // clearCrashesOfAnswering removes the unconfirmed crashes on a worker that answers, except
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -96,10 +96,10 @@
 	return out
 }
 
-// TestSuspectsAreIsolated checks that two tasks on a worker that crashed at their start are
+// TestRiskyTasksAreIsolated checks that two tasks on a worker that crashed at their start are
 // started on separate workers, and that nothing else is placed there. After a second crash one
 // task is given up and its job fails; the other goes on.
-func TestSuspectsAreIsolated(t *testing.T) {
+func TestRiskyTasksAreIsolated(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
 	bad, good := r.submit(1, 1), r.submit(2, 1)
@@ -222,9 +222,9 @@
 	}
 }
 
-// TestNewOwnerCountsRecordedCrashes: a possible crash that was stored when contact was lost
+// TestNewOwnerCountsStoredCrashes: a possible crash that was stored when contact was lost
 // counts for the next owner, even if that owner never hears of the worker.
-func TestNewOwnerCountsRecordedCrashes(t *testing.T) {
+func TestNewOwnerCountsStoredCrashes(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2")
 	j := r.submit(1, 1)
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -46,10 +46,10 @@
 	return true
 }
 
-// canThinOut reports whether a worker that cannot be taken down may have its long-running tasks
+// canDrainOneByOne reports whether a worker that cannot be taken down may have its long-running tasks
 // moved away one at a time: each step either has more tasks there than may be unavailable at
 // once, or fits its budget now.
-func canThinOut(w *worker, now time.Time) bool {
+func canDrainOneByOne(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
 			return false
@@ -58,9 +58,9 @@
 	return true
 }
 
-// thinOut stops one task of each step of which a reserved worker has more than may be
+// drainOneByOne stops one task of each step of which a reserved worker has more than may be
 // unavailable at once. The task is started again on another worker.
-func (c *Core) thinOut(w *worker, now time.Time) {
+func (c *Core) drainOneByOne(w *worker, now time.Time) {
 	for s, n := range longRunningOn(w) {
 		if n <= s.spec.MayMiss || unavailableElsewhere(s, w, now) > 0 || hasRunNotServing(s, w) {
 			continue
--- a/jobs/owner/dropsteps_test.go
+++ b/jobs/owner/dropsteps_test.go
@@ -21,8 +21,8 @@
 	return j, starts[0]
 }
 
-// TestRecordedJobDropsItsSteps: only the state of a job is kept once its end is stored.
-func TestRecordedJobDropsItsSteps(t *testing.T) {
+// TestStoredJobDropsItsSteps: only the state of a job is kept once its end is stored.
+func TestStoredJobDropsItsSteps(t *testing.T) {
 	r := newRig(t, 1)
 	j, _ := doneJob(t, r, r.worker("a"))
 	state, known := r.core.State(j.ID)
@@ -34,9 +34,9 @@
 	assert.Empty(t, r.out.Starts, "a caller's repeated submission does not run it again")
 }
 
-// TestLateRunOfARecordedJobIsStopped: a run that started late is stopped even when the job's
+// TestLateRunOfAStoredJobIsStopped: a run that started late is stopped even when the job's
 // steps have been dropped, and its end is acknowledged.
-func TestLateRunOfARecordedJobIsStopped(t *testing.T) {
+func TestLateRunOfAStoredJobIsStopped(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
 	_, s := doneJob(t, r, a)
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -54,7 +54,7 @@
 	c.createOccurrences(j, e.Task.Occurrence)
 	s := j.step(e.Task.Occurrence, e.Task.Step)
 	if s == nil || e.Task.Index >= len(s.tasks) {
-		c.note(Decision{Event: "end-of-unknown-task", Task: e.Task.String(), Worker: w.Worker})
+		c.logDecision(Decision{Event: "end-of-unknown-task", Task: e.Task.String(), Worker: w.Worker})
 		return
 	}
 	t := s.tasks[e.Task.Index]
@@ -88,7 +88,7 @@
 			c.counts.LongRunningLapsed++
 		}
 		c.saveCheckpoint(t, e.Checkpoint)
-		c.note(Decision{Event: "task-" + e.Kind.String(), Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
+		c.logDecision(Decision{Event: "task-" + e.Kind.String(), Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
 	}
 	c.changedServices[j.service] = true
 }
@@ -124,7 +124,7 @@
 	s := t.step
 	j := s.job
 	c.saveCheckpoint(t, e.Checkpoint)
-	c.note(Decision{Event: "task-failed", Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
+	c.logDecision(Decision{Event: "task-failed", Job: j.spec.ID, Task: e.Task.String(), Worker: w.Worker, Run: e.Run})
 	c.avoidIfFailing(w, now)
 	if t.done {
 		return // another copy completed it
--- a/jobs/owner/evacuation.go
+++ b/jobs/owner/evacuation.go
@@ -20,12 +20,12 @@
 	}
 	for _, z := range slices.Sorted(maps.Keys(named)) {
 		if !c.evacuatedZones[z] {
-			c.note(Decision{Event: "zone-evacuated", Reason: z})
+			c.logDecision(Decision{Event: "zone-evacuated", Reason: z})
 		}
 	}
 	for _, z := range slices.Sorted(maps.Keys(c.evacuatedZones)) {
 		if !named[z] {
-			c.note(Decision{Event: "zone-restored", Reason: z})
+			c.logDecision(Decision{Event: "zone-restored", Reason: z})
 		}
 	}
 	c.evacuatedZones = named
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -108,7 +108,7 @@
 	}
 	w.avoidPenalty = min(maxAvoidTime, max(minAvoidTime, 2*w.avoidPenalty))
 	c.avoidWorkerUntil(w, now.Add(w.avoidPenalty))
-	c.note(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
+	c.logDecision(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
 }
 
 // scheduleStallCheck schedules a check of the run at its stall timeout, if it can stall.
@@ -117,7 +117,7 @@
 		return
 	}
 	r.stallWatched = true
-	c.stallsDue.add(r.progressAt.Add(r.stallLimit()), r)
+	c.stallsDue.add(r.progressAt.Add(r.stallTimeout()), r)
 }
 
 // stopStalledRuns stops runs that make no progress, so that their tasks start elsewhere.
@@ -146,11 +146,11 @@
 		return // scheduled again if its percentage falls back
 	}
 	r.stallWatched = true
-	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallLimit()), now.Add(stallRecheckInterval)), r)
+	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallTimeout()), now.Add(stallRecheckInterval)), r)
 }
 
-// stallLimit returns how long the run may make no progress.
-func (r *run) stallLimit() time.Duration {
+// stallTimeout returns how long the run may make no progress.
+func (r *run) stallTimeout() time.Duration {
 	limit := stallTimeout
 	if spec := r.task.step.spec; spec.LongRunning || spec.Filler {
 		limit = startupStallTimeout
@@ -164,7 +164,7 @@
 	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttlePercent < 100 {
 		return false
 	}
-	limit := r.stallLimit()
+	limit := r.stallTimeout()
 	// The list with the newest percentage may be old: only a hold that was sent since then,
 	// and answered, proves the stall.
 	return now.Sub(r.progressAt) > limit && r.worker.answeredHoldSentAt.Sub(r.progressAt) > limit/2
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -158,10 +158,10 @@
 	return !now.Before(c.orderHoldoff[id])
 }
 
-// isListed reports whether the instance list names the worker. The store keeps registrations
+// isOnInstanceList reports whether the instance list names the worker. The store keeps registrations
 // for some seconds after a worker's end.
-func (c *Core) isListed(w *worker) bool {
-	return c.isOnInstanceList(w.Worker)
+func (c *Core) isOnInstanceList(w *worker) bool {
+	return c.instanceListShows(w.Worker)
 }
 
 // workerOfInstance returns the known worker on the instance, nil if there is none.
--- a/jobs/owner/isolation.go
+++ b/jobs/owner/isolation.go
@@ -55,7 +55,7 @@
 
 // needsIsolation reports whether nothing of another job may be started beside the run.
 func (r *run) needsIsolation(now time.Time) bool {
-	switch r.trialRisk {
+	switch r.isolatedRisk {
 	case job.CrashRiskAtStart:
 		return !r.isStable(now)
 	case job.CrashRiskAnytime:
@@ -68,16 +68,16 @@
 // before the start is answered: if this owner is lost together with the worker, the next
 // one counts the crash.
 func (c *Core) beginIsolation(r *run, now time.Time) {
-	r.trialRisk = r.task.crashRisk()
-	if r.trialRisk == job.CrashRiskNone {
+	r.isolatedRisk = r.task.crashRisk()
+	if r.isolatedRisk == job.CrashRiskNone {
 		return
 	}
-	c.counts.Trials++
+	c.counts.IsolatedStarts++
 	w, t := r.worker, r.task
 	t.isolationWaitSince = time.Time{}
 	w.isolatedFor = nil
-	w.trialRuns = append(w.trialRuns, r)
-	c.note(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
+	w.isolatedRuns = append(w.isolatedRuns, r)
+	c.logDecision(Decision{Event: "task-isolated", Job: t.step.job.spec.ID, Task: t.id().String(), Worker: w.Worker, Run: r.number})
 	c.addUnconfirmedCrash(t, job.Crash{Run: r.number, Worker: w.incarnation().String(), AtStart: true, TimeKnown: true, SoleSuspect: true})
 	c.markCrashDirty(t.step.job)
 }
@@ -88,16 +88,16 @@
 	if w.isolatedFor != nil && w.isolatedFor != j && now.Before(w.isolatedUntil) && !w.isolatedFor.state.Final() {
 		return true
 	}
-	remaining := w.trialRuns[:0]
+	remaining := w.isolatedRuns[:0]
 	isolating := false
-	for _, r := range w.trialRuns {
+	for _, r := range w.isolatedRuns {
 		if w.runs[r.task.id()] != r || !r.needsIsolation(now) {
 			continue
 		}
 		remaining = append(remaining, r)
 		isolating = isolating || r.task.step.job != j
 	}
-	w.trialRuns = remaining
+	w.isolatedRuns = remaining
 	return isolating
 }
 
@@ -164,9 +164,9 @@
 	return t.hasFailedOn
 }
 
-// placeSuspect starts a suspect on the best worker that meets an isolation condition. If
+// placeIsolated starts a suspect on the best worker that meets an isolation condition. If
 // there is none, it waits, and after isolationWait it may preempt.
-func (p *schedulingPass) placeSuspect(t *task, sel *workerSelector, excluded func(*worker) bool) {
+func (p *schedulingPass) placeIsolated(t *task, sel *workerSelector, excluded func(*worker) bool) {
 	for _, fits := range p.isolationConditions(t) {
 		w := sel.pick(func(w *worker) bool { return excluded(w) || !fits(w) })
 		if w == nil {
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -70,7 +70,7 @@
 	if len(j.spec.Steps) == 0 || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning || at.After(now) {
 		return
 	}
-	if !c.quotaAllows(j.spec, &j.spec.Steps[0], 1, now) {
+	if !c.tenantLimitAllows(j.spec, &j.spec.Steps[0], 1, now) {
 		return // the tenant may not run it, so it is no demand
 	}
 	c.pool(j.service).arrivalRate.Add(j.work, at)
@@ -89,7 +89,7 @@
 	j := c.addJob(spec, now)
 	// The previous owner may not know yet that it was replaced, and may have started it.
 	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < submitHandoverWindow
-	c.note(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
+	c.logDecision(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
 	c.chargeShare(j)
 	c.recordArrival(j, now, now)
 	c.resolveUnknownJob(j, now)
@@ -188,7 +188,7 @@
 		for i := range j.spec.Steps {
 			s := &stepState{job: j, spec: &j.spec.Steps[i], occurrence: j.nextOccurrence, index: i}
 			s.remaining, s.withoutRun = s.spec.Count, s.spec.Count
-			s.openPredecessors = len(s.spec.After)
+			s.openDependencies = len(s.spec.After)
 			for n := range s.spec.Count {
 				s.tasks = append(s.tasks, &task{step: s, index: n})
 			}
@@ -221,7 +221,7 @@
 	for i := range j.spec.Steps {
 		for _, a := range j.spec.Steps[i].After {
 			if a == s.index {
-				j.step(s.occurrence, i).openPredecessors--
+				j.step(s.occurrence, i).openDependencies--
 			}
 		}
 	}
@@ -248,8 +248,8 @@
 	c.updatePendingCount(j)
 	c.markDirty(j)
 	c.toWrite.add(j) // moves it to the jobs that ended, which are written first
-	c.note(Decision{Event: "job-" + string(state), Job: j.spec.ID})
-	c.noteIfLate(j, now)
+	c.logDecision(Decision{Event: "job-" + string(state), Job: j.spec.ID})
+	c.logIfLate(j, now)
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			for _, r := range t.runs {
--- a/jobs/owner/jobstart.go
+++ b/jobs/owner/jobstart.go
@@ -6,9 +6,9 @@
 // a run or its end. Sending a start is not enough: it may be refused or lost, and while the
 // workers are slow to answer a new owner, the starts of many jobs are in flight for seconds.
 
-// noteStarted marks the job as started when a worker first confirms a run of it. A gang has
+// markJobStarted marks the job as started when a worker first confirms a run of it. A gang has
 // started once all its members are confirmed.
-func (c *Core) noteStarted(r *run, now time.Time) {
+func (c *Core) markJobStarted(r *run, now time.Time) {
 	s := r.task.step
 	j := s.job
 	if j.started || s.spec.Gang && !s.gangRunsTogether(r.number) {
@@ -16,7 +16,7 @@
 	}
 	j.started = true
 	c.updatePendingCount(j)
-	c.note(Decision{Event: "job-started", Job: j.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number,
+	c.logDecision(Decision{Event: "job-started", Job: j.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number,
 		Reason: "accepted " + now.Sub(j.spec.AcceptedAt).Round(time.Millisecond).String() + " ago"})
 }
 
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -27,7 +27,7 @@
 func (c *Core) lossCorrelationOf(w *worker) lossCorrelation {
 	rack, zone := lossCount{min: minRackLosses}, lossCount{min: minZoneLosses}
 	count := func(o *worker) {
-		if o.endsAsPlanned() || !o.heldByUs || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareCrashSuspect(o, w) {
+		if o.endsAsPlanned() || !o.heldByThisOwner || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareCrashSuspect(o, w) {
 			return
 		}
 		lost := o.contactLoss.overlaps(&w.contactLoss)
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -68,7 +68,7 @@
 		c.reserve(w, reservedMove, now)
 	}
 	c.returnBudget-- // every order counts against the platform's rate limit
-	c.note(Decision{Event: "move-ordered", Worker: ms.incarnation.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
+	c.logDecision(Decision{Event: "move-ordered", Worker: ms.incarnation.worker, Reason: m.Instance + " from " + m.From + " to " + m.To + ": " + m.Reason})
 	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: id, Pool: m.To})
 }
 
@@ -84,7 +84,7 @@
 	if m == nil {
 		return
 	}
-	c.note(Decision{Event: "move-answer", Reason: string(o.Instance) + " " + outcome.String()})
+	c.logDecision(Decision{Event: "move-answer", Reason: string(o.Instance) + " " + outcome.String()})
 	switch outcome {
 	case DutyDone:
 		m.accepted = true
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -23,7 +23,7 @@
 		LeaseUntilMs: c.leaseEndFor(r.worker, now),
 		Checkpoint:   r.task.checkpoint,
 		Ticket:       r.task.step.ticketFor(r.worker),
-		Timeout:      c.lossDetector.Timeout(OrderTimeout),
+		Timeout:      c.callLossDetector.Timeout(OrderTimeout),
 	})
 }
 
@@ -35,7 +35,7 @@
 		return
 	}
 	c.onOrderAnswer(w, a, now)
-	if a.Outcome == Unanswered && !c.lossDetector.Lossy() {
+	if a.Outcome == Unanswered && !c.callLossDetector.Lossy() {
 		c.trackAnswerLatency(OrderTimeout, now) // the least that it takes, if it still comes
 	}
 	r := w.runs[o.Task]
@@ -52,7 +52,7 @@
 			r.progressAt = now
 			c.scheduleStallCheck(r)
 		}
-		c.noteStarted(r, now)
+		c.markJobStarted(r, now)
 		return
 	case Fenced:
 		c.markFenced(w)
@@ -68,7 +68,7 @@
 		return
 	}
 	c.counts.Refused++
-	c.note(Decision{Event: "start-refused", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run, Reason: describeAnswer(a)})
+	c.logDecision(Decision{Event: "start-refused", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run, Reason: describeAnswer(a)})
 	if r.phase != starting {
 		return
 	}
@@ -104,7 +104,7 @@
 func (c *Core) logLateStartAnswer(w *worker, o Start, a Answer, now time.Time) {
 	if a.Outcome == Taken {
 		// The next hold lists the run, and decides on it.
-		c.note(Decision{Event: "late-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
+		c.logDecision(Decision{Event: "late-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
 	}
 }
 
@@ -125,13 +125,13 @@
 		return
 	}
 	r.mayStartLate = true
-	c.noteOrderUnanswered(r.worker, r.sentAt)
+	c.markOrderUnanswered(r.worker, r.sentAt)
 	id := r.task.id()
-	c.note(Decision{Event: "start-unanswered", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number, Reason: describeAnswer(a)})
+	c.logDecision(Decision{Event: "start-unanswered", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number, Reason: describeAnswer(a)})
 	switch {
 	case r.task.done:
 		c.stop(r, "the task is done", now)
-	case r.sends < c.lossDetector.Attempts(maxStartSends):
+	case r.sends < c.callLossDetector.Attempts(maxStartSends):
 		c.sendStart(r, now)
 	default:
 		// The worker may have started it, and a stop would end a working task. The worker's
@@ -154,14 +154,14 @@
 	r.phase = stopping
 	r.stopReason = reason
 	r.confirmedAt = time.Time{}
-	c.note(Decision{Event: "run-stopped", Job: r.task.step.job.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: reason})
+	c.logDecision(Decision{Event: "run-stopped", Job: r.task.step.job.spec.ID, Task: r.task.id().String(), Worker: r.worker.Worker, Run: r.number, Reason: reason})
 	c.sendStop(r, now)
 }
 
 func (c *Core) sendStop(r *run, now time.Time) {
 	r.sentAt = now
 	c.stopsDue.add(now.Add(c.stopRetryInterval()), r)
-	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.lossDetector.Timeout(OrderTimeout)})
+	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.callLossDetector.Timeout(OrderTimeout)})
 }
 
 // OnStopped handles the answer to a stop, or that there was none.
@@ -184,7 +184,7 @@
 		return
 	}
 	if a.Outcome == Unanswered {
-		c.noteOrderUnanswered(w, r.sentAt)
+		c.markOrderUnanswered(w, r.sentAt)
 	}
 	if a.Outcome == Taken || a.Outcome == RunTooOld {
 		r.confirmedAt = now
@@ -213,7 +213,7 @@
 // stopRetryInterval returns the time between two stops of a run. It exceeds the timeout of
 // an answer, so that at most one stop of a run is in flight.
 func (c *Core) stopRetryInterval() time.Duration {
-	return c.lossDetector.Timeout(OrderTimeout) + stopRetryPause
+	return c.callLossDetector.Timeout(OrderTimeout) + stopRetryPause
 }
 
 // OrderTimeout is the timeout for the answer to a start or stop: about a hundred round
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -64,7 +64,7 @@
 	}
 	total, silent := 0, 0
 	for _, w := range c.workers {
-		if w.ended || !w.registered || w.endOrdered || w.reserved == reservedMove || !c.isListed(w) {
+		if w.ended || !w.registered || w.endOrdered || w.reserved == reservedMove || !c.isOnInstanceList(w) {
 			continue // the incarnation has ended, or ends by an order
 		}
 		total++
@@ -111,7 +111,7 @@
 func (c *Core) markStarved(event, reason string, now time.Time) {
 	if !c.isStarved(now) {
 		c.starvedSince = now
-		c.note(Decision{Event: event, Reason: reason})
+		c.logDecision(Decision{Event: event, Reason: reason})
 	}
 	c.starvedUntil = now.Add(starvedPeriod)
 }
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -11,7 +11,7 @@
 	waitingCores          float64   // cores that tasks wait for, as of the last placement
 	lateWaitingCores      float64   // of these, for jobs that are late or over their tenant's share
 	waitingSince          time.Time // since when tasks have waited without a break; zero: none waits
-	placedAt              time.Time // time of the last placement
+	lastPassAt            time.Time // time of the last placement
 	waitingJobs           int       // jobs that waited after it
 	lowestStartedPriority int       // highest priority number, so the least urgent, of a started task
 	arrivalRate           capacity.Rate
@@ -19,10 +19,10 @@
 	reservedForWave       int // workers reserved for maintenance, as of the last sizing
 	estimateRatio         estimateRatio
 
-	queue   []*jobState  // jobs that may have tasks to place
-	entries []queueEntry // buffer reused by each placement
-	free    freeIndex    // index of usable workers by free capacity
-	supply  poolSupply   // totals over its instances
+	placementQueue []*jobState  // jobs that may have tasks to place
+	entries        []queueEntry // buffer reused by each placement
+	free           freeIndex    // index of usable workers by free capacity
+	supply         poolSupply   // totals over its instances
 }
 
 // sizingInterval is the interval between two sizings, short compared to a move.
@@ -120,7 +120,7 @@
 		return true
 	}
 	w := c.workers[i.Worker]
-	return w != nil && w.heldByUs
+	return w != nil && w.heldByThisOwner
 }
 
 // poolSnapshots returns the pools as input for capacity.Plan, the spare pool separately.
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// noteStarted records the priority of a job with a run in the pool.
-func (p *poolState) noteStarted(j *jobState) {
+// recordStartedPriority records the priority of a job with a run in the pool.
+func (p *poolState) recordStartedPriority(j *jobState) {
 	p.lowestStartedPriority = max(p.lowestStartedPriority, j.queue.Priority)
 }
 
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -78,12 +78,12 @@
 		j.crashUnstored = false
 		if j.state.Final() {
 			delete(c.openJobs, r.Job.ID)
-			c.note(Decision{Event: "job-recorded", Job: r.Job.ID, Reason: string(j.state)})
+			c.logDecision(Decision{Event: "job-recorded", Job: r.Job.ID, Reason: string(j.state)})
 		}
 	}
 	for _, r := range records {
 		if j := c.jobs[r.Job.ID]; j != nil {
-			c.ackRecordedEnds(j, now)
+			c.ackStoredEnds(j, now)
 			c.dropSteps(j)
 		}
 	}
@@ -101,8 +101,8 @@
 	j.spec = &job.Job{ID: j.spec.ID, Queue: j.spec.Queue, Service: j.spec.Service}
 }
 
-// ackRecordedEnds acknowledges the ends that waited for the job to be stored.
-func (c *Core) ackRecordedEnds(j *jobState, now time.Time) {
+// ackStoredEnds acknowledges the ends that waited for the job to be stored.
+func (c *Core) ackStoredEnds(j *jobState, now time.Time) {
 	waiters := j.ackWaiters
 	j.ackWaiters = nil
 	for _, w := range waiters {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -31,7 +31,7 @@
 func (c *Core) UpdateRegistrations(changed []Registration, missing []WorkerID, upToDate bool, now time.Time) {
 	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > storeOutageGap {
 		c.unregisterFrom = now.Add(reregistrationGrace)
-		c.note(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
+		c.logDecision(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
 	}
 	c.registrationsAt = now
 	c.trackRegistrationLag(upToDate, now)
@@ -46,11 +46,11 @@
 	for _, id := range missing {
 		delete(c.unknownServiceWorkers, id)
 		if w := c.workers[id]; w != nil {
-			c.markUnlisted(w, now)
+			c.markRegistrationMissing(w, now)
 		}
 	}
 	if !now.Before(c.unregisterFrom) {
-		c.unregisterUnlisted()
+		c.unregisterMissing()
 	}
 	for service := range c.pools {
 		c.changedServices[service] = true
@@ -66,7 +66,7 @@
 func (c *Core) trackRegistrationLag(upToDate bool, now time.Time) {
 	switch {
 	case upToDate && c.areRegistrationsStale(now):
-		c.note(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.registrationsLagSince).String()})
+		c.logDecision(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.registrationsLagSince).String()})
 		c.registrationsLagSince = time.Time{}
 		for service := range c.pools {
 			c.changedServices[service] = true
@@ -93,11 +93,11 @@
 // The worker is not used until it is.
 func (c *Core) keepUnknownService(r Registration, now time.Time) {
 	if _, known := c.unknownServiceWorkers[r.Worker]; !known {
-		c.note(Decision{Event: "worker-of-unknown-service", Worker: r.Worker, Reason: r.Service})
+		c.logDecision(Decision{Event: "worker-of-unknown-service", Worker: r.Worker, Reason: r.Service})
 	}
 	c.unknownServiceWorkers[r.Worker] = r
 	if w := c.workers[r.Worker]; w != nil {
-		c.markUnlisted(w, now)
+		c.markRegistrationMissing(w, now)
 	}
 }
 
@@ -111,22 +111,22 @@
 	}
 }
 
-// markUnlisted records that the worker is missing from the registrations.
-func (c *Core) markUnlisted(w *worker, now time.Time) {
-	if w.unlistedSince.IsZero() {
-		w.unlistedSince = now
+// markRegistrationMissing records that the worker is missing from the registrations.
+func (c *Core) markRegistrationMissing(w *worker, now time.Time) {
+	if w.registrationMissingSince.IsZero() {
+		w.registrationMissingSince = now
 	}
-	c.unlistedWorkers.put(w, w.registered)
+	c.missingRegistrations.put(w, w.registered)
 }
 
-// unregisterUnlisted marks missing workers as not registered. It is called once their
+// unregisterMissing marks missing workers as not registered. It is called once their
 // registrations can no longer come back after a store outage.
-func (c *Core) unregisterUnlisted() {
-	for _, w := range c.unlistedWorkers.sorted() {
+func (c *Core) unregisterMissing() {
+	for _, w := range c.missingRegistrations.sorted() {
 		w.registered = false
-		c.unlistedWorkers.put(w, false)
+		c.missingRegistrations.put(w, false)
 		c.markWorkerChanged(w)
-		c.note(Decision{Event: "worker-unregistered", Worker: w.Worker})
+		c.logDecision(Decision{Event: "worker-unregistered", Worker: w.Worker})
 	}
 }
 
@@ -134,7 +134,7 @@
 	w := c.workers[r.Worker]
 	if w == nil {
 		w = c.newWorker(r.Worker, r.StartedMs, now)
-		c.note(Decision{Event: "worker-new", Worker: r.Worker, Reason: r.Service})
+		c.logDecision(Decision{Event: "worker-new", Worker: r.Worker, Reason: r.Service})
 	}
 	switch w.relationTo(r.StartedMs) {
 	case pastIncarnation:
@@ -149,11 +149,11 @@
 		c.clearCrashes(w.incarnation(), "the worker's start time was unknown until now")
 	}
 	if r.Draining && !w.Draining {
-		c.note(Decision{Event: "worker-draining", Worker: r.Worker})
+		c.logDecision(Decision{Event: "worker-draining", Worker: r.Worker})
 	}
 	unchanged := w.registered && w.equal(&r)
-	w.unlistedSince = time.Time{}
-	c.unlistedWorkers.put(w, false)
+	w.registrationMissingSince = time.Time{}
+	c.missingRegistrations.put(w, false)
 	if unchanged {
 		return
 	}
@@ -161,7 +161,7 @@
 		c.workersByService.remove(w)
 		c.changedServices[w.Service] = true
 		if w.Capacity != r.Capacity {
-			c.note(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Capacity, r.Capacity, w.allocated)})
+			c.logDecision(Decision{Event: "worker-resized", Worker: r.Worker, Reason: fmt.Sprintf("from %v to %v, %v in use", w.Capacity, r.Capacity, w.allocated)})
 		}
 	}
 	w.Registration = r
@@ -188,7 +188,7 @@
 	delete(c.endedWorkers, id)
 	delete(c.workersWithUnknownJobs, id)
 	delete(c.colocatedWorkers, id)
-	delete(c.unlistedWorkers, id)
+	delete(c.missingRegistrations, id)
 	delete(c.maintenanceWorkers, id)
 	c.workersByService.remove(w)
 	w.removeFromIndex()
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -115,14 +115,14 @@
 // recentlyScheduled reports whether the last pass left tasks waiting and the minimum
 // interval since then has not passed.
 func (p *poolState) recentlyScheduled(now time.Time) bool {
-	return p.waitingCores > 0 && now.Sub(p.placedAt) < minScheduleInterval+time.Duration(p.waitingJobs)*scheduleIntervalPerJob
+	return p.waitingCores > 0 && now.Sub(p.lastPassAt) < minScheduleInterval+time.Duration(p.waitingJobs)*scheduleIntervalPerJob
 }
 
 // newSchedulingPass returns a pass over the service's waiting jobs, sorted by the policy.
 func (c *Core) newSchedulingPass(service string, pool *poolState, now time.Time) *schedulingPass {
 	entries := c.queueEntries(service, pool, now)
 	pool.waitingCores, pool.lateWaitingCores = 0, 0
-	pool.placedAt = now
+	pool.lastPassAt = now
 	pool.waitingJobs = len(entries)
 	slices.SortFunc(entries, func(a, b queueEntry) int { return a.compare(b, c.opt.SchedulingPolicy) })
 	return &schedulingPass{core: c, service: service, pool: pool, now: now, entries: entries}
@@ -135,7 +135,7 @@
 	if !j.queuedForPlacement {
 		j.queuedForPlacement = true
 		p := c.pool(j.service)
-		p.queue = append(p.queue, j)
+		p.placementQueue = append(p.placementQueue, j)
 	}
 }
 
@@ -147,9 +147,9 @@
 func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
 	takenOver := c.earlierRunsKnown(service, now)
 	leasesExpired := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
-	kept := pool.queue[:0]
+	kept := pool.placementQueue[:0]
 	entries := pool.entries[:0]
-	for _, j := range pool.queue {
+	for _, j := range pool.placementQueue {
 		if !j.inherited || takenOver || leasesExpired && j.isLongRunning() {
 			if j.state.Final() || j.service != service || !mayNeedPlacement(j) {
 				j.clearQueued(service)
@@ -162,8 +162,8 @@
 		}
 		kept = append(kept, j)
 	}
-	clear(pool.queue[len(kept):])
-	pool.queue, pool.entries = kept, entries
+	clear(pool.placementQueue[len(kept):])
+	pool.placementQueue, pool.entries = kept, entries
 	return entries
 }
 
@@ -218,7 +218,7 @@
 	c.addRun(r)
 	c.beginIsolation(r, now)
 	c.markWorkerChanged(w)
-	c.pool(t.step.job.service).noteStarted(t.step.job)
+	c.pool(t.step.job.service).recordStartedPriority(t.step.job)
 	c.counts.Starts++
 	c.sendStart(r, now)
 }
@@ -246,7 +246,7 @@
 // other waits may have passed.
 func (c *Core) markWaitingServices() {
 	for service, p := range c.pools {
-		if len(p.queue) > 0 {
+		if len(p.placementQueue) > 0 {
 			c.changedServices[service] = true
 		}
 	}
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -137,7 +137,7 @@
 			sel = p.newWorkerSelector(s)
 		}
 		if t.crashRisk() != job.CrashRiskNone {
-			p.placeSuspect(t, sel, t.excludedAfterFailure(p.now))
+			p.placeIsolated(t, sel, t.excludedAfterFailure(p.now))
 			if p.startsDeferred() {
 				return
 			}
@@ -201,7 +201,7 @@
 		why = "no worker could ever fit it"
 	}
 	need := s.spec.ReservedResources()
-	p.core.note(Decision{Event: "job-waits", Job: j.spec.ID, Reason: fmt.Sprintf("%s: step %d needs %d millicores and %d MB, %d workers are usable",
+	p.core.logDecision(Decision{Event: "job-waits", Job: j.spec.ID, Reason: fmt.Sprintf("%s: step %d needs %d millicores and %d MB, %d workers are usable",
 		why, s.index, need.CPUMilli, need.MemMB, p.pool.free.size())})
 }
 
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -22,16 +22,16 @@
 	DutyHandover time.Duration
 	// PriorOrders are the recent orders of other holders. Their ages are lower bounds as of
 	// ElectedAt.
-	PriorOrders        []RecentOrder
-	ElectedAt          time.Time     // when this owner was elected; zero: now
-	PriorOrdersUnknown bool          // the orders of other holders could not be determined
-	SucceedsSelf       bool          // the previous owner was this daemon before a restart
-	StatusRetention    time.Duration // how long ended jobs are kept
-	MaxPendingStarts   int           // limit of unanswered starts; 0: no limit
-	Weights            capacity.Weights
-	MaxMovesPerSec     float64 // moves that the platform accepts; 0: no limit
-	PoolPolicy         capacity.Policy
-	SchedulingPolicy   SchedulingPolicy
+	PriorOrders          []RecentOrder
+	ElectedAt            time.Time     // when this owner was elected; zero: now
+	PriorOrdersUnknown   bool          // the orders of other holders could not be determined
+	SucceedsSelf         bool          // the previous owner was this daemon before a restart
+	StatusRetention      time.Duration // how long ended jobs are kept
+	MaxOutstandingStarts int           // limit of unanswered starts; 0: no limit
+	Weights              capacity.Weights
+	MaxMovesPerSec       float64 // moves that the platform accepts; 0: no limit
+	PoolPolicy           capacity.Policy
+	SchedulingPolicy     SchedulingPolicy
 }
 
 // runsPerTerm is the size of the run number range of one term.
@@ -51,7 +51,7 @@
 	progressAt          time.Time     // when percent last changed
 	stallWatched        bool          // queued in stallsDue
 	usage               int           // as in ActiveRun
-	trialRisk           job.CrashRisk // risk for which the run was isolated, to see whether it crashes its worker
+	isolatedRisk        job.CrashRisk // risk for which the run was isolated, to see whether it crashes its worker
 	throttlePercent     int           // ordered percentage of full speed; initially 100
 	mayStartLate        bool          // a start went unanswered and may still arrive
 	fromPastIncarnation bool          // ordered on an earlier incarnation of the worker, not yet seen on this one
@@ -129,7 +129,7 @@
 	tasks            []*task
 	remaining        int          // tasks not done
 	withoutRun       int          // tasks neither done nor with a run
-	openPredecessors int          // steps it depends on that are not done
+	openDependencies int          // steps it depends on that are not done
 	failures         job.Failures // of the gang as a whole
 	permits          *permits     // nil: the advisor was not asked
 	doneAt           time.Time    // when its last task was done; zero: not in this term
@@ -140,7 +140,7 @@
 	preemptCheckedAt time.Time // when preemption was last considered
 }
 
-func (s *stepState) ready() bool { return s.openPredecessors == 0 && s.remaining > 0 }
+func (s *stepState) ready() bool { return s.openDependencies == 0 && s.remaining > 0 }
 
 // jobState is a job and its progress.
 type jobState struct {
@@ -191,51 +191,51 @@
 // worker is one incarnation of a worker and the runs that it may have.
 type worker struct {
 	Registration
-	lease               workerLease
-	heldByUs            bool      // answered a hold with this owner's fencing token
-	registered          bool      // counts as registered
-	firstSeenAt         time.Time // when this owner first heard of the incarnation
-	pastStartsMs        []int64   // StartedMs of earlier incarnations, oldest first
-	unlistedSince       time.Time // when it was first missing from the registrations; zero: listed
-	ended               bool      // the incarnation has ended for certain
-	holdInFlight        bool
-	holdSentAt          time.Time
-	answeredHoldSentAt  time.Time // when the latest answered hold was sent
-	nextHoldAt          time.Time
-	silentSince         time.Time   // when holds began to go unanswered; zero: the last one was answered
-	lastAnswerAt        time.Time   // latest answer to any order
-	orderUnanswered     bool        // an order sent after lastAnswerAt went unanswered
-	crashSuspects       []*task     // tasks that may have crashed it, set when it ends
-	lossReported        bool        // a lost call was counted in lossDetector, and none was answered since
-	contactLoss         contactLoss // zero: in contact
-	runs                map[job.TaskID]*run
-	allocated           job.Resources             // by runs
-	fillerRuns          int                       // filler runs
-	servingRuns         int                       // runs with a latency target
-	longRunningRuns     int                       // long-running runs
-	longRunningCPUMilli int                       // thousandths of a core used by them
-	unknownRuns         map[job.TaskID]unknownRun // runs of jobs not known yet
-	lastSeenEnd         uint64                    // highest end handled
-	lastAckedEnd        uint64                    // highest end that may be acknowledged
-	unacked             []unackedEnd              // in the order of their numbers
-	unknownEnds         map[uint64]unknownEnd     // ends of jobs not known yet, by number
-	avoidUntil          time.Time                 // gets no new tasks until then
-	recentEnds          endHistory                // for finding bad workers
-	nextThrottleAt      time.Time                 // next adjustment of its fillers' speed
-	workerView          *workerView               // latest view that includes it
-	workerViewIndex     int                       // index in workerView
-	capacityClass       *capacityClass            // class in the index of usable workers; nil: not indexed
-	indexedService      string                    // service of the index that it is in
-	indexedFreeCPUMilli int                       // free thousandths of a core as indexed
-	indexStale          bool                      // to be indexed again
-	avoidPenalty        time.Duration             // last time for which it was avoided
-	consecutiveNoRoom   int                       // consecutive starts refused for lack of capacity
-	reservedAt          time.Time
-	endOrdered          bool      // an order that ends the incarnation was sent
-	idleSince           time.Time // since when it has no runs; zero: it has some
-	reserved            reservation
-
-	trialRuns     []*run    // runs started in isolation; may include ended ones
+	lease                    workerLease
+	heldByThisOwner          bool      // answered a hold with this owner's fencing token
+	registered               bool      // counts as registered
+	firstSeenAt              time.Time // when this owner first heard of the incarnation
+	pastStartsMs             []int64   // StartedMs of earlier incarnations, oldest first
+	registrationMissingSince time.Time // when it was first missing from the registrations; zero: listed
+	ended                    bool      // the incarnation has ended for certain
+	holdInFlight             bool
+	holdSentAt               time.Time
+	answeredHoldSentAt       time.Time // when the latest answered hold was sent
+	nextHoldAt               time.Time
+	silentSince              time.Time   // when holds began to go unanswered; zero: the last one was answered
+	lastAnswerAt             time.Time   // latest answer to any order
+	orderUnanswered          bool        // an order sent after lastAnswerAt went unanswered
+	crashSuspects            []*task     // tasks that may have crashed it, set when it ends
+	lostCallCounted          bool        // a lost call was counted in callLossDetector, and none was answered since
+	contactLoss              contactLoss // zero: in contact
+	runs                     map[job.TaskID]*run
+	allocated                job.Resources             // by runs
+	fillerRuns               int                       // filler runs
+	servingRuns              int                       // runs with a latency target
+	longRunningRuns          int                       // long-running runs
+	longRunningCPUMilli      int                       // thousandths of a core used by them
+	unknownRuns              map[job.TaskID]unknownRun // runs of jobs not known yet
+	lastSeenEnd              uint64                    // highest end handled
+	lastAckedEnd             uint64                    // highest end that may be acknowledged
+	unacked                  []unackedEnd              // in the order of their numbers
+	unknownEnds              map[uint64]unknownEnd     // ends of jobs not known yet, by number
+	avoidUntil               time.Time                 // gets no new tasks until then
+	recentEnds               endHistory                // for finding bad workers
+	nextThrottleAt           time.Time                 // next adjustment of its fillers' speed
+	workerView               *workerView               // latest view that includes it
+	workerViewIndex          int                       // index in workerView
+	capacityClass            *capacityClass            // class in the index of usable workers; nil: not indexed
+	indexedService           string                    // service of the index that it is in
+	indexedFreeCPUMilli      int                       // free thousandths of a core as indexed
+	indexStale               bool                      // to be indexed again
+	avoidPenalty             time.Duration             // last time for which it was avoided
+	consecutiveNoRoom        int                       // consecutive starts refused for lack of capacity
+	reservedAt               time.Time
+	endOrdered               bool      // an order that ends the incarnation was sent
+	idleSince                time.Time // since when it has no runs; zero: it has some
+	reserved                 reservation
+
+	isolatedRuns  []*run    // runs started in isolation; may include ended ones
 	isolatedFor   *jobState // job whose suspected task gets the worker once it is empty; nil: none
 	isolatedUntil time.Time
 
@@ -264,7 +264,7 @@
 
 // isReady reports whether the worker's own state allows new tasks.
 func (w *worker) isReady(now time.Time) bool {
-	return w.heldByUs && w.registered && !w.ended && !w.Draining && w.lease.known &&
+	return w.heldByThisOwner && w.registered && !w.ended && !w.Draining && w.lease.known &&
 		w.reserved == "" && !w.isSilent() && !now.Before(w.avoidUntil)
 }
 
@@ -284,7 +284,7 @@
 	unconfirmedCrashes     map[incarnation][]*task // tasks with a possible crash of the incarnation, not decided yet
 	workersWithUnknownJobs workerSet               // with runs or ends of jobs not known yet
 	colocatedWorkers       workerSet               // with fillers beside serving tasks
-	unlistedWorkers        workerSet               // missing from the registrations, still counted as registered
+	missingRegistrations   workerSet               // missing from the registrations, still counted as registered
 	maintenanceWorkers     workerSet               // reserved for a wave
 	instances              map[InstanceID]*instanceState
 	instanceOfWorker       map[WorkerID]InstanceID
@@ -306,11 +306,11 @@
 	changedServices        map[string]bool      // services with tasks that may be placeable now
 	effects                Effects
 	shares                 *quota.Shares
-	quotas                 *quota.Ledger           // usage by tenant
+	tenantUsage            *quota.Ledger           // usage by tenant
 	presumedUsage          presumedUsage           // usage by tenant of runs that may exist but are not known
 	takeoverDone           map[string]bool         // services for which all runs of earlier owners are known
 	loggedTakeoverWaits    map[string]takeoverWait // last logged wait, by service
-	lastUnconfirmed        map[string]InstanceID   // instance found unconfirmed by the last scan, by service
+	lastAwaited            map[string]InstanceID   // instance found unconfirmed by the last scan, by service
 	startedAt              time.Time
 	electedAt              time.Time
 	orderHoldoff           map[InstanceID]time.Time // until when no order is sent, because of one of an earlier owner
@@ -320,17 +320,17 @@
 	instanceListAt         time.Time                // last instance list
 	fenced                 bool
 
-	holdsDue          timerQueue[*worker]
-	stopsDue          timerQueue[*run]      // stops to resend unless confirmed
-	stallsDue         timerQueue[*run]      // runs to check for lack of progress
-	occurrencesDue    timerQueue[*jobState] // jobs with later occurrences
-	recentlyEnded     []*worker             // incarnations kept for crash decisions
-	crashDecisionsDue timerQueue[*worker]   // ended incarnations, to decide whether a task crashed them
-	avoidedDue        timerQueue[*worker]   // workers to index again when avoidUntil has passed
+	holdsDue         timerQueue[*worker]
+	stopsDue         timerQueue[*run]      // stops to resend unless confirmed
+	stallsDue        timerQueue[*run]      // runs to check for lack of progress
+	occurrencesDue   timerQueue[*jobState] // jobs with later occurrences
+	recentlyEnded    []*worker             // incarnations kept for crash decisions
+	lossDecisionsDue timerQueue[*worker]   // ended incarnations, to decide whether a task crashed them
+	avoidedDue       timerQueue[*worker]   // workers to index again when avoidUntil has passed
 
 	staleIndexWorkers []*worker // workers with indexStale set
 
-	lossDetector      calls.LossDetector
+	callLossDetector  calls.LossDetector
 	starvedSince      time.Time     // start of the current or last period in which timeouts prove nothing
 	starvedUntil      time.Time     // end of that period
 	meanAnswerLatency time.Duration // moving average
@@ -351,7 +351,7 @@
 	Starts, Refused, Failed, Lapsed, Lost, Stopped, Done, Commits int64
 	LongRunningLapsed                                             int64 // long-running tasks among Lapsed
 	Crashes                                                       int64 // worker crashes that a task may have caused
-	Trials                                                        int64 // isolated runs of suspected tasks
+	IsolatedStarts                                                int64 // isolated runs of suspected tasks
 	GivenUp                                                       int64 // tasks given up because they crash their workers
 	JobsConsidered                                                int64 // jobs considered for placement
 }
@@ -359,16 +359,16 @@
 // Decision is a log line: what was decided about a job, a worker or an instance, and
 // why.
 type Decision struct {
-	Event   string // kind of decision, in kebab case
-	Job     job.ID
-	Task    string
-	Worker  WorkerID
-	Run     uint64
-	Reason  string
-	Account *TimeBreakdown // set for a late job
+	Event         string // kind of decision, in kebab case
+	Job           job.ID
+	Task          string
+	Worker        WorkerID
+	Run           uint64
+	Reason        string
+	TimeBreakdown *TimeBreakdown // set for a late job
 }
 
-func (c *Core) note(d Decision) { c.decisions = append(c.decisions, d) }
+func (c *Core) logDecision(d Decision) { c.decisions = append(c.decisions, d) }
 
 // TakeDecisions returns the decisions since the last call.
 func (c *Core) TakeDecisions() []Decision {
@@ -413,7 +413,7 @@
 		unconfirmedCrashes:     map[incarnation][]*task{},
 		workersWithUnknownJobs: workerSet{},
 		colocatedWorkers:       workerSet{},
-		unlistedWorkers:        workerSet{},
+		missingRegistrations:   workerSet{},
 		maintenanceWorkers:     workerSet{},
 		pendingPerQueue:        map[string]int{},
 		instances:              map[InstanceID]*instanceState{},
@@ -427,17 +427,17 @@
 		changedServices:        map[string]bool{},
 		earlyCancels:           map[job.ID]time.Time{},
 		shares:                 quota.NewShares(),
-		quotas:                 quota.New(),
+		tenantUsage:            quota.New(),
 		takeoverDone:           map[string]bool{},
 		loggedTakeoverWaits:    map[string]takeoverWait{},
-		lastUnconfirmed:        map[string]InstanceID{},
-		startWindow:            newStartWindow(opt.MaxPendingStarts),
+		lastAwaited:            map[string]InstanceID{},
+		startWindow:            newStartWindow(opt.MaxOutstandingStarts),
 		orderHoldoff:           map[InstanceID]time.Time{},
 		startedAt:              now,
 		electedAt:              now,
 		unregisterFrom:         now,
 	}
-	c.lossDetector.Policy = opt.CallPolicy
+	c.callLossDetector.Policy = opt.CallPolicy
 	if !opt.ElectedAt.IsZero() {
 		c.electedAt = opt.ElectedAt
 	}
--- a/jobs/owner/stats.go
+++ b/jobs/owner/stats.go
@@ -6,7 +6,7 @@
 type Stats struct {
 	Counts                  // since the term began
 	OpenJobs        int     // not yet stored in a final state
-	UnrecordedJobs  int     // jobs with progress to be stored
+	DirtyJobs       int     // jobs with progress to be stored
 	Workers         int     // answered a hold with this owner's token
 	UsableWorkers   int     // may get new tasks
 	SilentWorkers   int     // don't answer holds
@@ -28,13 +28,13 @@
 
 // Stats returns the owner's state at now.
 func (c *Core) Stats(now time.Time) Stats {
-	s := Stats{Counts: c.counts, OpenJobs: len(c.openJobs), UnrecordedJobs: len(c.dirtyJobs), MovingInstances: len(c.moves)}
+	s := Stats{Counts: c.counts, OpenJobs: len(c.openJobs), DirtyJobs: len(c.dirtyJobs), MovingInstances: len(c.moves)}
 	for _, w := range c.workers {
 		if w.ended {
 			continue
 		}
 		s.RunningTasks += len(w.runs)
-		if w.heldByUs {
+		if w.heldByThisOwner {
 			s.Workers++
 		}
 		if c.isUsable(w, now) {
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -188,6 +188,6 @@
 		w.idleSince = now
 	}
 	out.IdleFor = now.Sub(w.idleSince)
-	out.Movable = w.heldByUs && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrderInstance(i.ID, now)
+	out.Movable = w.heldByThisOwner && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrderInstance(i.ID, now)
 	return out
 }
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -21,21 +21,21 @@
 	c.addRun(r)
 	c.markWorkerChanged(w)
 	c.scheduleStallCheck(r)
-	c.pool(j.service).noteStarted(j)
-	c.noteStarted(r, now)
+	c.pool(j.service).recordStartedPriority(j)
+	c.markJobStarted(r, now)
 	switch {
 	case j.state.Final() || t.done:
 		c.stop(r, "the task or its job is over", now)
 	case other != nil:
 		c.stop(r, "the task has another run", now)
 	default:
-		c.note(Decision{Event: "run-adopted", Job: j.spec.ID, Task: a.Task.String(), Worker: w.Worker, Run: a.Run})
+		c.logDecision(Decision{Event: "run-adopted", Job: j.spec.ID, Task: a.Task.String(), Worker: w.Worker, Run: a.Run})
 	}
 }
 
 // stopUnexpectedRun stops a listed run that must not go on and has no entry in this core.
 func (c *Core) stopUnexpectedRun(w *worker, a ActiveRun, reason string) {
-	c.note(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: reason})
+	c.logDecision(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: reason})
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
 }
 
@@ -66,14 +66,14 @@
 		for seq, ue := range w.unknownEnds {
 			if now.Sub(ue.since) > unknownJobGrace {
 				delete(w.unknownEnds, seq)
-				c.note(Decision{Event: "end-of-unknown-job", Task: ue.end.Task.String(), Worker: w.Worker})
+				c.logDecision(Decision{Event: "end-of-unknown-job", Task: ue.end.Task.String(), Worker: w.Worker})
 				c.advanceAck(w, now)
 			}
 		}
 		for id, ur := range w.unknownRuns {
 			if now.Sub(ur.since) > unknownJobGrace {
 				w.unknownRuns[id] = unknownRun{ur.run, now}
-				c.note(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: ur.run})
+				c.logDecision(Decision{Event: "run-of-unknown-job", Task: id.String(), Worker: w.Worker, Run: ur.run})
 				c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: id, Run: ur.run, Timeout: OrderTimeout})
 			}
 		}
@@ -94,24 +94,24 @@
 	if c.opt.Term == 1 || c.takeoverDone[service] {
 		return true
 	}
-	awaited := c.unconfirmedInstance(service)
+	awaited := c.awaitedInstance(service)
 	if awaited != "" && (now.Sub(c.startedAt) <= c.maxLeaseDuration() || c.isStarved(now)) {
 		c.logTakeoverWait(service, awaited, now)
 		return false
 	}
 	c.takeoverDone[service] = true
-	c.accountTakeoverWait(service, now)
+	c.addTakeoverWait(service, now)
 	reason := "every worker has answered"
 	if awaited != "" {
 		reason = "all earlier leases have expired"
 	}
-	c.note(Decision{Event: "inherited-tasks-go", Reason: service + ": " + reason + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
+	c.logDecision(Decision{Event: "inherited-tasks-go", Reason: service + ": " + reason + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
 	return true
 }
 
-// accountTakeoverWait counts the time that inherited jobs of the service waited as
+// addTakeoverWait counts the time that inherited jobs of the service waited as
 // CauseTakeover.
-func (c *Core) accountTakeoverWait(service string, now time.Time) {
+func (c *Core) addTakeoverWait(service string, now time.Time) {
 	for _, j := range c.openJobs {
 		if j.inherited && j.service == service && !j.state.Final() {
 			j.addWaitTime(CauseTakeover, now)
@@ -135,39 +135,39 @@
 		return
 	}
 	c.loggedTakeoverWaits[service] = takeoverWait{awaited, now}
-	c.note(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + awaited})
+	c.logDecision(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + awaited})
 }
 
-// unconfirmedInstance names an instance of the service that may run tasks and has not
+// awaitedInstance names an instance of the service that may run tasks and has not
 // answered a hold of this owner yet; "" if there is none. Registered workers that the
 // instance list does not show are ignored: they have ended, and their registrations are
 // left over.
-func (c *Core) unconfirmedInstance(service string) string {
+func (c *Core) awaitedInstance(service string) string {
 	if c.instanceListAt.IsZero() {
 		return "the instance list"
 	}
-	if last := c.lastUnconfirmed[service]; last != "" && c.isUnconfirmed(service, c.instances[last]) {
+	if last := c.lastAwaited[service]; last != "" && c.isAwaited(service, c.instances[last]) {
 		return "instance " + string(last)
 	}
 	first := InstanceID("")
 	for _, i := range c.instances {
-		if c.isUnconfirmed(service, i) && (first == "" || i.ID < first) {
+		if c.isAwaited(service, i) && (first == "" || i.ID < first) {
 			first = i.ID
 		}
 	}
-	c.lastUnconfirmed[service] = first
+	c.lastAwaited[service] = first
 	if first == "" {
 		return ""
 	}
 	return "instance " + string(first)
 }
 
-// isUnconfirmed reports whether the instance may run tasks of the service and has not
+// isAwaited reports whether the instance may run tasks of the service and has not
 // answered a hold of this owner yet.
-func (c *Core) isUnconfirmed(service string, i *instanceState) bool {
+func (c *Core) isAwaited(service string, i *instanceState) bool {
 	if i == nil || i.Pool != service || i.State != InstanceUp || i.Worker == "" {
 		return false
 	}
 	w := c.workers[i.Worker]
-	return w == nil || !w.heldByUs && !w.ended
+	return w == nil || !w.heldByThisOwner && !w.ended
 }
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -13,7 +13,7 @@
 
 // setTenants applies the limits and weights of a new configuration.
 func (c *Core) setTenants(tenants []job.Tenant) {
-	c.quotas.SetLimits(tenants)
+	c.tenantUsage.SetLimits(tenants)
 	c.shares.SetWeights(tenants)
 }
 
@@ -38,7 +38,7 @@
 // addRun adds a run that was ordered, or that a worker lists, to its task, worker and tenant.
 func (c *Core) addRun(r *run) {
 	r.task.addRun(r)
-	c.quotas.AddRun(r.task.step.job.spec.Tenant, r.task.step.spec.Need)
+	c.tenantUsage.AddRun(r.task.step.job.spec.Tenant, r.task.step.spec.Need)
 }
 
 // removeRun undoes addRun. Services that waited for the tenant's limit are scheduled again.
@@ -46,17 +46,17 @@
 	if !r.task.removeRun(r) {
 		return
 	}
-	for _, service := range c.quotas.RemoveRun(r.task.step.job.spec.Tenant, r.task.step.spec.Need) {
+	for _, service := range c.tenantUsage.RemoveRun(r.task.step.job.spec.Tenant, r.task.step.spec.Need) {
 		c.changedServices[service] = true
 	}
 }
 
-// quotaAllows reports whether the job's tenant may start n more tasks of the step.
-func (c *Core) quotaAllows(spec *job.Job, s *job.Step, n int, now time.Time) bool {
-	if !c.quotas.HasLimit(spec.Tenant) {
+// tenantLimitAllows reports whether the job's tenant may start n more tasks of the step.
+func (c *Core) tenantLimitAllows(spec *job.Job, s *job.Step, n int, now time.Time) bool {
+	if !c.tenantUsage.HasLimit(spec.Tenant) {
 		return true
 	}
-	return c.quotas.Allows(spec.Tenant, s.Need, n, c.presumedRunning(spec.Tenant, now))
+	return c.tenantUsage.Allows(spec.Tenant, s.Need, n, c.presumedRunning(spec.Tenant, now))
 }
 
 // presumedRunning returns what an earlier owner may have started for the tenant: all tasks of
@@ -85,7 +85,7 @@
 func (c *Core) sumInheritedUsage() map[string]job.Resources {
 	out := map[string]job.Resources{}
 	for _, j := range c.openJobs {
-		if !j.inherited || !c.quotas.HasLimit(j.spec.Tenant) {
+		if !j.inherited || !c.tenantUsage.HasLimit(j.spec.Tenant) {
 			continue
 		}
 		for _, s := range j.steps {
@@ -99,10 +99,10 @@
 // recorded, but they cause neither a larger pool nor preemption.
 func (p *schedulingPass) withinTenantLimit(s *stepState, n int) bool {
 	spec := s.job.spec
-	if p.core.quotaAllows(spec, s.spec, n, p.now) {
+	if p.core.tenantLimitAllows(spec, s.spec, n, p.now) {
 		return true
 	}
-	p.core.quotas.AddWaiter(spec.Tenant, p.service)
+	p.core.tenantUsage.AddWaiter(spec.Tenant, p.service)
 	s.addWaitTime(CauseTenantLimit, p.now)
 	p.core.logTenantLimit(s)
 	return false
@@ -115,7 +115,7 @@
 		return
 	}
 	j.waitLogged = true
-	used, limit := c.quotas.Usage(j.spec.Tenant)
-	c.note(Decision{Event: "job-waits", Job: j.spec.ID,
+	used, limit := c.tenantUsage.Usage(j.spec.Tenant)
+	c.logDecision(Decision{Event: "job-waits", Job: j.spec.ID,
 		Reason: "tenant " + j.spec.Tenant + " has " + used.String() + " running, its limit is " + limit.String()})
 }
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -100,7 +100,7 @@
 		r.answerHold("w0", []ActiveRun{{Task: job.TaskID{Job: old.ID}, Run: 7}, {Task: job.TaskID{Job: old.ID, Index: 1}, Run: 8}})
 		r.answerHolds(300*time.Millisecond, running, "w0")
 		assert.Empty(t, r.confirmStarts(), "both run, limit %d", cores)
-		used, _ := r.core.quotas.Usage("t")
+		used, _ := r.core.tenantUsage.Usage("t")
 		assert.Equal(t, 1000*(2+starts), used.CPUMilli)
 	}
 }
--- a/jobs/owner/timebreakdown.go
+++ b/jobs/owner/timebreakdown.go
@@ -180,12 +180,12 @@
 	return last
 }
 
-// noteIfLate logs a completed job that took longer than its objective allows.
-func (c *Core) noteIfLate(j *jobState, now time.Time) {
+// logIfLate logs a completed job that took longer than its objective allows.
+func (c *Core) logIfLate(j *jobState, now time.Time) {
 	if j.state != job.Completed || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning {
 		return
 	}
 	if b := j.timeBreakdown(now); b.Total > b.Allowed {
-		c.note(Decision{Event: "job-late", Job: j.spec.ID, Reason: j.service, Account: &b})
+		c.logDecision(Decision{Event: "job-late", Job: j.spec.ID, Reason: j.service, TimeBreakdown: &b})
 	}
 }
--- a/jobs/owner/timebreakdown_test.go
+++ b/jobs/owner/timebreakdown_test.go
@@ -14,8 +14,8 @@
 func (r *rig) lateBreakdowns() []TimeBreakdown {
 	var out []TimeBreakdown
 	for _, d := range r.core.TakeDecisions() {
-		if d.Account != nil {
-			out = append(out, *d.Account)
+		if d.TimeBreakdown != nil {
+			out = append(out, *d.TimeBreakdown)
 		}
 	}
 	return out
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -87,7 +87,7 @@
 		ws.members[id] = true
 	}
 	c.waves[req.Wave] = ws
-	c.note(Decision{Event: "wave-known", Reason: fmt.Sprintf("wave %d: %d instances within %s, %d down at once", req.Wave, len(req.Instances), req.Within, req.MaxDown)})
+	c.logDecision(Decision{Event: "wave-known", Reason: fmt.Sprintf("wave %d: %d instances within %s, %d down at once", req.Wave, len(req.Instances), req.Within, req.MaxDown)})
 }
 
 // MaintenanceStarted returns the instances of a wave whose maintenance the platform has
@@ -125,7 +125,7 @@
 		}
 		if c.waveDone(ws) {
 			ws.completed = true
-			c.note(Decision{Event: "wave-completed", Reason: fmt.Sprintf("wave %d after %s", ws.Wave, now.Sub(ws.receivedAt))})
+			c.logDecision(Decision{Event: "wave-completed", Reason: fmt.Sprintf("wave %d after %s", ws.Wave, now.Sub(ws.receivedAt))})
 			c.effects.WaveStatuses = append(c.effects.WaveStatuses, WaveStatus{Wave: ws.Wave, Done: true})
 			continue
 		}
@@ -159,7 +159,7 @@
 	if late {
 		event = "wave-late"
 	}
-	c.note(Decision{Event: event, Reason: fmt.Sprintf("wave %d: %d instances left, %d down at once, takes up to %s more; %s of %s elapsed",
+	c.logDecision(Decision{Event: event, Reason: fmt.Sprintf("wave %d: %d instances left, %d down at once, takes up to %s more; %s of %s elapsed",
 		ws.Wave, left, ws.MaxDown, need, now.Sub(ws.receivedAt).Round(100*time.Millisecond), ws.Within)})
 }
 
@@ -218,7 +218,7 @@
 		if w != nil {
 			c.unreserve(w)
 		}
-		c.note(Decision{Event: "maintained-before", Worker: d.incarnation.worker, Reason: string(id) + " is still up: its maintenance was already over"})
+		c.logDecision(Decision{Event: "maintained-before", Worker: d.incarnation.worker, Reason: string(id) + " is still up: its maintenance was already over"})
 	}
 }
 
@@ -237,7 +237,7 @@
 			c.orderMaintenance(ws, cand, now)
 			continue
 		}
-		c.thinOut(cand.worker, now)
+		c.drainOneByOne(cand.worker, now)
 	}
 	free := ws.MaxDown - len(ws.down) - len(c.reservedForWave(ws))
 	if free <= 0 {
@@ -254,12 +254,12 @@
 			}
 			continue
 		}
-		if !canTakeDown(cand.worker, now) && !canThinOut(cand.worker, now) {
+		if !canTakeDown(cand.worker, now) && !canDrainOneByOne(cand.worker, now) {
 			continue // a worker reserved in this loop has tasks of the same step
 		}
 		c.reserve(cand.worker, reservedMaintenance, now)
 		free--
-		c.note(Decision{Event: "worker-reserved", Worker: cand.worker.Worker, Reason: string(reservedMaintenance)})
+		c.logDecision(Decision{Event: "worker-reserved", Worker: cand.worker.Worker, Reason: string(reservedMaintenance)})
 	}
 }
 
@@ -295,7 +295,7 @@
 		}
 		cand := waveCandidate{id: id, worker: w}
 		if w != nil {
-			if !canTakeDown(w, now) && !canThinOut(w, now) {
+			if !canTakeDown(w, now) && !canDrainOneByOne(w, now) {
 				continue
 			}
 			cand.remainingWork = w.remainingWork()
@@ -309,7 +309,7 @@
 // runsKnown reports whether all runs on the worker are known: it has answered this owner, or
 // every lease from an earlier owner has expired.
 func (c *Core) runsKnown(w *worker, now time.Time) bool {
-	return w.heldByUs || now.Sub(c.startedAt) > c.maxLeaseDuration()
+	return w.heldByThisOwner || now.Sub(c.startedAt) > c.maxLeaseDuration()
 }
 
 // remainingWork returns the estimated core-seconds left of the runs on the worker. A
@@ -350,7 +350,7 @@
 	if cand.worker != nil {
 		cand.worker.endOrdered = true
 	}
-	c.note(Decision{Event: "maintenance-ordered", Worker: d.incarnation.worker, Reason: string(cand.id)})
+	c.logDecision(Decision{Event: "maintenance-ordered", Worker: d.incarnation.worker, Reason: string(cand.id)})
 	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: cand.id, Wave: ws.Wave})
 }
 
@@ -389,7 +389,7 @@
 			c.avoidWorkerUntil(w, now.Add(orderRetryDelay))
 		}
 	}
-	c.note(Decision{Event: "maintenance-answer", Reason: string(o.Instance) + " " + outcome.String()})
+	c.logDecision(Decision{Event: "maintenance-answer", Reason: string(o.Instance) + " " + outcome.String()})
 }
 
 // reserve keeps new tasks off the worker.
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -18,10 +18,10 @@
 	reregistrationGrace = 2200 * time.Millisecond
 	// holdRetryPause is the pause after an unanswered hold.
 	holdRetryPause = 150 * time.Millisecond
-	// unlistedHoldRetryPause is the same for a worker that the instance list does not show.
+	// noInstanceHoldRetryPause is the same for a worker that the instance list does not show.
 	// Most of these have ended, and their registrations last for some seconds. Retried as
 	// often as the others they would take most of a new owner's calls.
-	unlistedHoldRetryPause = 700 * time.Millisecond
+	noInstanceHoldRetryPause = 700 * time.Millisecond
 	// ackRetryPause is how long the next hold is delayed so that the ends of the last one can
 	// be stored and acknowledged with it.
 	ackRetryPause = 300 * time.Millisecond
@@ -58,7 +58,7 @@
 			LeaseUntilMs: c.leaseEndFor(w, now),
 			AckThrough:   w.ackThrough(),
 			Wait:         c.holdWait(w),
-			Timeout:      c.lossDetector.Timeout(holdTimeout),
+			Timeout:      c.callLossDetector.Timeout(holdTimeout),
 		})
 	}
 }
@@ -75,11 +75,11 @@
 // holdWait returns how long the worker is to wait for a new end before it answers.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
-	case !w.heldByUs || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnconfirmedStart():
+	case !w.heldByThisOwner || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnconfirmedStart():
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
-	case c.lossDetector.Lossy():
+	case c.callLossDetector.Lossy():
 		return min(c.opt.HoldWait, max(lossyHoldWait, c.minHoldWait()))
 	}
 	return c.opt.HoldWait
@@ -139,7 +139,7 @@
 // The next hold decides; otherwise tasks just started on the worker would be suspected of
 // having crashed it.
 func (c *Core) mayBeLostHold(w *worker, a Answer) bool {
-	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.lossDetector.Lossy()
+	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.callLossDetector.Lossy()
 }
 
 // recordCallOutcome counts answered and lost calls, by which the timeouts of later calls
@@ -148,14 +148,14 @@
 	switch {
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
-		c.lossDetector.Answered()
-		w.lossReported = false
+		c.callLossDetector.Answered()
+		w.lostCallCounted = false
 	case a.ConnFailed:
-	case w.lossReported:
-		c.lossDetector.LostRepeatedly()
+	case w.lostCallCounted:
+		c.callLossDetector.LostRepeatedly()
 	default:
-		c.lossDetector.Lost()
-		w.lossReported = true
+		c.callLossDetector.Lost()
+		w.lostCallCounted = true
 	}
 }
 
@@ -180,9 +180,9 @@
 	c.trackAnswerLatency(a.Latency, now)
 }
 
-// noteOrderUnanswered marks the worker as silent if it has not answered since an unanswered
+// markOrderUnanswered marks the worker as silent if it has not answered since an unanswered
 // order was sent.
-func (c *Core) noteOrderUnanswered(w *worker, sentAt time.Time) {
+func (c *Core) markOrderUnanswered(w *worker, sentAt time.Time) {
 	if w.lastAnswerAt.Before(sentAt) {
 		w.orderUnanswered = true
 		c.markWorkerChanged(w)
@@ -229,18 +229,18 @@
 		if w.silentSince.IsZero() {
 			w.silentSince = now
 			c.silentWorkers.put(w, true)
-			c.note(Decision{Event: "worker-silent", Worker: w.Worker, Reason: describeAnswer(h.Answer)})
+			c.logDecision(Decision{Event: "worker-silent", Worker: w.Worker, Reason: describeAnswer(h.Answer)})
 		}
 		c.scheduleHold(w, now.Add(c.retryPause(w, now)))
 		return
 	}
 	if !w.silentSince.IsZero() {
-		c.note(Decision{Event: "worker-answers", Worker: w.Worker, Reason: now.Sub(w.silentSince).String()})
+		c.logDecision(Decision{Event: "worker-answers", Worker: w.Worker, Reason: now.Sub(w.silentSince).String()})
 		w.silentSince = time.Time{}
 		c.silentWorkers.put(w, false)
 	}
-	first := !w.heldByUs
-	w.heldByUs = true
+	first := !w.heldByThisOwner
+	w.heldByThisOwner = true
 	w.answeredHoldSentAt = w.holdSentAt
 	for _, e := range h.Ends {
 		if e.Seq > w.lastSeenEnd {
@@ -257,18 +257,18 @@
 	}
 	c.scheduleHold(w, w.nextHoldAt)
 	if first {
-		c.note(Decision{Event: "worker-held", Worker: w.Worker, Reason: w.Service})
+		c.logDecision(Decision{Event: "worker-held", Worker: w.Worker, Reason: w.Service})
 	}
 	c.changedServices[w.Service] = true
 }
 
 // retryPause returns the pause before the next hold after an unanswered one.
 func (c *Core) retryPause(w *worker, now time.Time) time.Duration {
-	if c.lossDetector.Lossy() && w.silentSince.Equal(now) {
+	if c.callLossDetector.Lossy() && w.silentSince.Equal(now) {
 		return 0 // only this hold may have been lost
 	}
-	if !c.instanceListAt.IsZero() && !c.isListed(w) {
-		return unlistedHoldRetryPause
+	if !c.instanceListAt.IsZero() && !c.isOnInstanceList(w) {
+		return noInstanceHoldRetryPause
 	}
 	return holdRetryPause
 }
@@ -285,7 +285,7 @@
 		return
 	}
 	c.fenced = true
-	c.note(Decision{Event: "fenced", Worker: w.Worker, Reason: "the worker has seen a higher fencing token"})
+	c.logDecision(Decision{Event: "fenced", Worker: w.Worker, Reason: "the worker has seen a higher fencing token"})
 }
 
 // reconcileRuns compares the runs that a worker lists with those that it should have.
@@ -312,7 +312,7 @@
 		c.releaseRun(r, CauseRunLost, now) // its end was listed before, or it never started
 		if r.phase == running {
 			c.counts.Lost++
-			c.note(Decision{Event: "run-vanished", Job: id.Job, Task: id.String(), Worker: w.Worker, Run: r.number})
+			c.logDecision(Decision{Event: "run-vanished", Job: id.Job, Task: id.String(), Worker: w.Worker, Run: r.number})
 		}
 	}
 	for id := range w.unknownRuns {
@@ -354,7 +354,7 @@
 		r.progressAt = now
 	}
 	c.scheduleStallCheck(r)
-	c.noteStarted(r, now)
+	c.markJobStarted(r, now)
 	if a.Percent != r.percent {
 		r.percent = a.Percent
 		r.progressAt = now
@@ -376,7 +376,7 @@
 	c.maintenanceWorkers.put(w, false)
 	c.silentWorkers.put(w, false)
 	c.markWorkerChanged(w)
-	c.note(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
+	c.logDecision(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
 	c.investigateLoss(w, now)
 	for _, r := range runsByNumber(w) {
 		c.loseRun(r, proof, now)
@@ -398,9 +398,9 @@
 	for _, w := range c.silentWorkers.sorted() {
 		id := w.Worker
 		if len(w.runs) > 0 && c.leasesExpired(w, now) && !c.isStarved(now) {
-			c.note(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
+			c.logDecision(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
 			for _, r := range runsByNumber(w) {
-				c.recordPossibleCrash(r, now) // the worker's fate may become known later
+				c.recordUnconfirmedCrash(r, now) // the worker's fate may become known later
 			}
 			for _, r := range runsByNumber(w) {
 				c.loseRun(r, "its lease has expired", now)
--- a/lab/jobload/play.go
+++ b/lab/jobload/play.go
@@ -164,8 +164,8 @@
 		startsAtOnce = s.shell.startsAtOnce()
 	}
 	s.core = owner.New(owner.Options{
-		MaxPendingStarts: startsAtOnce,
-		Term:             s.term, TaskLease: taskLease, HoldWait: holdWait, StatusRetention: 2 * time.Minute,
+		MaxOutstandingStarts: startsAtOnce,
+		Term:                 s.term, TaskLease: taskLease, HoldWait: holdWait, StatusRetention: 2 * time.Minute,
 		DutyHandover: dutyHandover, PriorOrders: s.orderedOfLate(), ElectedAt: s.electedAt,
 		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.PoolPolicy, SchedulingPolicy: s.scenario.SchedulingPolicy, CallPolicy: s.scenario.CallPolicy,
 	}, s.catalog, loaded, s.engine.now)
@@ -286,10 +286,10 @@
 		if s.scenario.OnDecision != nil {
 			s.scenario.OnDecision(s.engine.now, d)
 		}
-		if d.Account == nil {
+		if d.TimeBreakdown == nil {
 			continue
 		}
-		for c, t := range d.Account.Spent {
+		for c, t := range d.TimeBreakdown.Spent {
 			cause := owner.Cause(c)
 			if cause == owner.CauseWork || t == 0 {
 				continue
--- a/lab/jobload/report_test.go
+++ b/lab/jobload/report_test.go
@@ -18,12 +18,12 @@
 	var lines []explain.Line
 	sc.OnDecision = func(at time.Time, d owner.Decision) {
 		l := explain.Line{Source: "owner", Time: at, Event: d.Event, Job: string(d.Job)}
-		if d.Account != nil {
+		if d.TimeBreakdown != nil {
 			l.Fields = append(l.Fields,
 				explain.Field{Name: "why", Value: d.Reason},
-				explain.Field{Name: "total", Value: ms(d.Account.Total)},
-				explain.Field{Name: "allowed", Value: ms(d.Account.Allowed)})
-			for c, t := range d.Account.Spent {
+				explain.Field{Name: "total", Value: ms(d.TimeBreakdown.Total)},
+				explain.Field{Name: "allowed", Value: ms(d.TimeBreakdown.Allowed)})
+			for c, t := range d.TimeBreakdown.Spent {
 				l.Fields = append(l.Fields, explain.Field{Name: owner.Cause(c).String(), Value: ms(t)})
 			}
 		}
