--- a/requests/cluster/claims_test.go
+++ b/requests/cluster/claims_test.go
@@ -17,16 +17,16 @@
 	"github.com/postmount/postmount/requests/port"
 )
 
-// unreachablePeer refuses reports of attempts until back is set.
+// unreachablePeer refuses reports of attempts until reachable is set.
 type unreachablePeer struct {
 	port.Peers
-	back         atomic.Bool
+	reachable    atomic.Bool
 	tries, noted atomic.Int64
 }
 
 func (p *unreachablePeer) ReportAttempt(context.Context, string, once.Claim) (bool, error) {
 	p.tries.Add(1)
-	if !p.back.Load() {
+	if !p.reachable.Load() {
 		return false, errors.New("connection refused")
 	}
 	p.noted.Add(1)
@@ -40,7 +40,7 @@
 // owner is back.
 func TestReportsBackOffWhileTheOwnerIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const attempts, gone = 300, 2 * time.Second
+		const attempts, outage = 300, 2 * time.Second
 		peers := &unreachablePeer{}
 		n := New(Options{Self: fleet.Entry{Incarnation: "self"}}, Deps{Peers: peers, Log: zap.NewNop()})
 		n.progress.Store(&MemberProgress{View: &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "owner", PeerAddr: "owner:1"}}}})
@@ -49,9 +49,9 @@
 			n.Claims.attempts[a] = &localAttempt{claim: once.Claim{Key: once.Key(fmt.Sprintf("k%d", i)), Attempt: a}, granted: true}
 			n.Claims.End(a, once.Abandoned, nil)
 		}
-		time.Sleep(gone)
-		assert.LessOrEqual(t, peers.tries.Load(), int64(12*attempts), "tries while the owner is gone")
-		peers.back.Store(true)
+		time.Sleep(outage)
+		assert.LessOrEqual(t, peers.tries.Load(), int64(12*attempts), "reports sent while the owner is unreachable")
+		peers.reachable.Store(true)
 		time.Sleep(500 * time.Millisecond)
 		assert.EqualValues(t, attempts, peers.noted.Load(), "reports recorded within half a second")
 		n.Claims.wait()
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -69,12 +69,12 @@
 	writer *record.Writer
 	Claims *Claims
 
-	events       chan func(now time.Time)
-	standing     atomic.Pointer[member.ServingStatus]
-	progress     atomic.Pointer[MemberProgress]
-	heartbeatNow chan struct{} // requests heartbeats to all peers now
-	done         chan struct{}
-	wg           sync.WaitGroup
+	events        chan func(now time.Time)
+	servingStatus atomic.Pointer[member.ServingStatus]
+	progress      atomic.Pointer[MemberProgress]
+	heartbeatNow  chan struct{} // requests heartbeats to all peers now
+	done          chan struct{}
+	wg            sync.WaitGroup
 
 	// The fields below belong to the control goroutine.
 	rand           *rand.Rand
@@ -122,7 +122,7 @@
 		missingSince: map[fleet.Incarnation]time.Time{},
 		ended:        map[fleet.Incarnation]bool{},
 	}
-	n.standing.Store(&member.ServingStatus{Reason: member.ReasonNoView})
+	n.servingStatus.Store(&member.ServingStatus{Reason: member.ReasonNoView})
 	n.progress.Store(&MemberProgress{View: &fleet.View{}})
 	n.Claims = newClaims(n)
 	return n
@@ -132,7 +132,7 @@
 func (n *Node) Self() fleet.Entry { return n.opts.Self }
 
 // ServingStatus returns the newest status. Its methods compare it with the time.
-func (n *Node) ServingStatus() member.ServingStatus { return *n.standing.Load() }
+func (n *Node) ServingStatus() member.ServingStatus { return *n.servingStatus.Load() }
 
 // View returns the view in force at this daemon.
 func (n *Node) View() *fleet.View { return n.progress.Load().View }
@@ -238,7 +238,7 @@
 // goroutines.
 func (n *Node) publish(now time.Time) {
 	s := n.core.ServingStatus(now)
-	n.standing.Store(&s)
+	n.servingStatus.Store(&s)
 	n.deps.Shares.Advance(now, s.EarlierViewsRetired)
 	if s.Reason != n.lastReason {
 		n.lastReason = s.Reason
@@ -278,12 +278,12 @@
 }
 
 // MarkEnded records the daemons that have ended according to the platform.
-func (n *Node) MarkEnded(gone []fleet.Incarnation) {
-	if len(gone) == 0 {
+func (n *Node) MarkEnded(incarnations []fleet.Incarnation) {
+	if len(incarnations) == 0 {
 		return
 	}
 	n.runOnLoop(func(now time.Time) {
-		for _, i := range gone {
+		for _, i := range incarnations {
 			n.ended[i] = true
 			n.core.MarkEnded(now, i)
 		}
--- a/requests/control/controller.go
+++ b/requests/control/controller.go
@@ -100,18 +100,18 @@
 	done     chan struct{}
 	wg       sync.WaitGroup
 
-	// nextListVersion is the platform's version of the instance list. It belongs to
-	// the polling goroutine.
-	nextListVersion int64
+	// lastListVersion is the platform's version of the instance list that was read
+	// last. It belongs to the polling goroutine.
+	lastListVersion int64
 
 	// The fields below belong to the control goroutine.
-	instances     map[fleet.InstanceID]fleet.Instance
-	listVersion   int // counts changes of instances
-	listedAt      time.Time
-	reconnectedAt time.Time // when the connection to the store was last restored
-	reconciledAt  time.Time // when the last full round ran
-	active        bool      // the last round found work pending
-	wasConnected  bool
+	instances      map[fleet.InstanceID]fleet.Instance
+	listVersion    int // counts changes of instances
+	listedAt       time.Time
+	reconnectedAt  time.Time // when the connection to the store was last restored
+	reconciledAt   time.Time // when the last full round ran
+	workWasPending bool      // the last round found work pending
+	wasConnected   bool
 	// members groups the memberships of groupedState by pool.
 	groupedState *fleet.State
 	groupedAt    time.Time
@@ -211,15 +211,15 @@
 }
 
 func (c *Controller) readList(ctx context.Context) {
-	asked := time.Now()
-	ch, err := c.deps.List.Changes(ctx, c.nextListVersion)
+	requestedAt := time.Now()
+	ch, err := c.deps.List.Changes(ctx, c.lastListVersion)
 	if err != nil {
 		c.Counters.ListErrors.Add(1)
 		return
 	}
-	c.nextListVersion = ch.Version
+	c.lastListVersion = ch.Version
 	c.post(func() {
-		c.listedAt = asked
+		c.listedAt = requestedAt
 		if ch.Full || len(ch.Instances) > 0 {
 			c.instances = applyListChanges(c.instances, ch)
 			c.listVersion++
@@ -261,11 +261,11 @@
 	c.wasConnected = up
 	c.pruneSent(now)
 	unchanged := s.State == before.State && s.version == before.version
-	if unchanged && !c.active && !c.historyPending && now.Sub(c.reconciledAt) < idleInterval {
+	if unchanged && !c.workWasPending && !c.historyPending && now.Sub(c.reconciledAt) < idleInterval {
 		return
 	}
 	c.reconciledAt = now
-	c.active = workPending(s.State)
+	c.workWasPending = workPending(s.State)
 	if c.groupedState != s.State {
 		c.groupedState, c.members = s.State, s.State.MembersByPool()
 		c.groupedAt = now
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -160,8 +160,8 @@
 func (r *round) jobMissing(j *fleet.Job) bool {
 	rep, reported := r.c.tasks.reports[j.Worker]
 	settled := j.PlacedAt
-	if unsure := r.c.tasks.unansweredAt[j.Worker]; unsure.After(settled) {
-		settled = unsure
+	if unanswered := r.c.tasks.unansweredAt[j.Worker]; unanswered.After(settled) {
+		settled = unanswered
 	}
 	leaving := !r.usable(j.Worker)
 	if leaving && reported && rep.sentAt.After(settled.Add(r.c.opts.TaskLease)) {
@@ -350,7 +350,7 @@
 
 func (c *Controller) syncTasks(ctx context.Context, id fleet.InstanceID, addr string, s port.TaskSyncRequest) {
 	c.Counters.TaskSyncs.Add(1)
-	asked := time.Now()
+	sentAt := time.Now()
 	tasks, err := c.deps.Tasks.Sync(ctx, addr, s)
 	if err != nil {
 		c.Counters.TaskErrors.Add(1)
@@ -360,7 +360,7 @@
 		if err != nil {
 			c.tasks.unansweredAt[id] = time.Now()
 		} else {
-			c.tasks.reports[id] = taskReport{receivedAt: time.Now(), sentAt: asked, tasks: tasks}
+			c.tasks.reports[id] = taskReport{receivedAt: time.Now(), sentAt: sentAt, tasks: tasks}
 		}
 	})
 }
--- a/requests/control/jobs_test.go
+++ b/requests/control/jobs_test.go
@@ -16,14 +16,14 @@
 func TestJobIsReplacedOnlyWhenItsLastAttemptHasStopped(t *testing.T) {
 	lease := DefaultOptions.TaskLease
 	for _, tc := range []struct {
-		name     string
-		leaving  bool
-		asked    time.Duration // from the placement to the last answered sync request; negative: none
-		unsure   time.Duration // from the placement to the last unanswered sync request; negative: none
-		lost     time.Duration // how long the job has been lost; negative: not lost
-		now      time.Duration
-		want     fleet.JobState
-		wantLost bool
+		name       string
+		leaving    bool
+		answered   time.Duration // from the placement to the last answered sync request; negative: none
+		unanswered time.Duration // from the placement to the last unanswered sync request; negative: none
+		lost       time.Duration // how long the job has been lost; negative: not lost
+		now        time.Duration
+		want       fleet.JobState
+		wantLost   bool
 	}{
 		{"just placed", false, -1, -1, -1, time.Second, fleet.JobPlaced, false},
 		{"not started within a lease", false, -1, -1, -1, lease, fleet.JobPlaced, true},
@@ -41,11 +41,11 @@
 				inst.State = fleet.InstanceDraining
 			}
 			c := &Controller{opts: DefaultOptions, tasks: newTaskTracker()}
-			if tc.asked >= 0 {
-				c.tasks.reports["w"] = taskReport{sentAt: t0.Add(tc.asked)}
+			if tc.answered >= 0 {
+				c.tasks.reports["w"] = taskReport{sentAt: t0.Add(tc.answered)}
 			}
-			if tc.unsure >= 0 {
-				c.tasks.unansweredAt["w"] = t0.Add(tc.unsure)
+			if tc.unanswered >= 0 {
+				c.tasks.unansweredAt["w"] = t0.Add(tc.unanswered)
 			}
 			j := &fleet.Job{Name: "j", State: fleet.JobPlaced, Worker: "w", Attempt: 1, PlacedAt: t0}
 			if tc.lost >= 0 {
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -19,7 +19,7 @@
 // status returns the daemon's status for the operators' API.
 func (d *Daemon) status() api.Status {
 	now := time.Now()
-	standing := d.node.ServingStatus()
+	status := d.node.ServingStatus()
 	snap := d.controller.Snapshot()
 	claims, bytes := d.node.Claims.Size()
 	counts := &d.store.Counters
@@ -27,9 +27,9 @@
 		Entry:         string(d.self.ID),
 		Zone:          string(d.self.Zone),
 		Version:       Version,
-		Epoch:         int64(standing.Epoch),
-		Serving:       standing.Serving(now),
-		Reason:        standing.Reason,
+		Epoch:         int64(status.Epoch),
+		Serving:       status.Serving(now),
+		Reason:        status.Reason,
 		StoreUp:       d.syncer.Connected.Load(),
 		Revision:      int64(snap.State.Revision),
 		ListedAt:      snap.ListedAt,
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -27,7 +27,7 @@
 	returnTimeout = 30 * time.Second
 )
 
-// SetView implements cluster.Shares.
+// SetView implements cluster.SlotShares.
 func (d *Dispatcher) SetView(v *fleet.View) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,21 +36,21 @@
 	d.grantAllWaiting(time.Now())
 }
 
-// SelfSettled implements cluster.Shares.
+// SelfSettled implements cluster.SlotShares.
 func (d *Dispatcher) SelfSettled() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.slots.SelfSettled()
 }
 
-// PeerSettled implements cluster.Shares.
+// PeerSettled implements cluster.SlotShares.
 func (d *Dispatcher) PeerSettled(peer fleet.Incarnation, e fleet.Epoch) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.PeerSettled(peer, e)
 }
 
-// Advance implements cluster.Shares. It activates the shares of the current view
+// Advance implements cluster.SlotShares. It activates the shares of the current view
 // once no slots of earlier views can be in use.
 func (d *Dispatcher) Advance(now time.Time, retired bool) {
 	d.mu.Lock()
@@ -59,7 +59,7 @@
 	d.grantAllWaiting(now)
 }
 
-// OnBorrow implements cluster.Shares. It lends a slot that this daemon doesn't
+// OnBorrow implements cluster.SlotShares. It lends a slot that this daemon doesn't
 // need.
 func (d *Dispatcher) OnBorrow(r port.BorrowRequest) port.BorrowReply {
 	d.mu.Lock()
@@ -93,7 +93,7 @@
 	return d.slots.Free(id)
 }
 
-// OnReturn implements cluster.Shares.
+// OnReturn implements cluster.SlotShares.
 func (d *Dispatcher) OnReturn(ids []slots.LoanID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -14,7 +14,7 @@
 	From     fleet.Incarnation
 	ID       fleet.EntryID
 	Epoch    fleet.Epoch    // of the view in force at the sender
-	Highest  fleet.Epoch    // newest epoch the sender has heard of
+	Highest  fleet.Epoch    // newest epoch the sender knows
 	Revision fleet.Revision // up to which the sender's records are complete
 	Settled  bool           // the sender's slot shares are settled under Epoch
 	Stopping bool           // the sender is leaving the view and has nothing in flight
--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -49,7 +49,7 @@
 	Joining  bool
 }
 
-// Plan is what to do for one pool. Every part is computed anew from the observed
+// Plan is what to do for one pool. Every part is recomputed from the observed
 // state, so any daemon may apply any part of it any number of times.
 type Plan struct {
 	// Pool is the record to write, nil if it is unchanged.
