--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -97,7 +97,7 @@
 }
 
 // queryAdvisor queries the advisor about workers without a ticket, those with the most free
-// processors first.
+// cores first.
 func (c *Core) queryAdvisor(s *stepState, view *workerView, now time.Time) {
 	if s.permits == nil {
 		s.permits = &permits{tickets: map[WorkerID]ticket{}, denied: map[WorkerID]bool{}}
--- a/jobs/owner/backoff_test.go
+++ b/jobs/owner/backoff_test.go
@@ -14,7 +14,7 @@
 // their workers. Without backoff, a long-running task that fails at once was restarted without
 // a pause; a task that makes no progress on any worker was restarted every two seconds, and
 // each of its workers was avoided; a start that every worker refuses as invalid was sent every
-// second; and a worker without room was tried ten times a second.
+// second; and a worker without capacity was tried ten times a second.
 
 // answerStarts answers all collected starts, and returns them.
 func (r *rig) answerStarts(a Answer) []Start {
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -347,7 +347,7 @@
 	r.answerHold(a, nil)
 	r.core.OnWave(WaveRequest{Wave: 1, Instances: []InstanceID{"i-a"}, Within: time.Minute, MaxDown: 1}, nil, false, r.now)
 	for r.now.Sub(r.core.startedAt) < 3*time.Second+MaxDutyLeaseAge { // no orders for this long after a change of owner
-		require.Empty(t, r.maintenances(), "the old owner may still send an order")
+		require.Empty(t, r.maintenances(), "the previous owner may still send an order")
 		r.tick(100 * time.Millisecond)
 		r.publishLists()
 		r.answerHold(a, nil)
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -11,11 +11,11 @@
 
 // A task may crash every worker that starts it, and all other runs there are lost with the
 // worker. Such a task has to be found at the cost of few workers, and no other task may be
-// given up in its place. Each run on a worker at the time contact is lost counts as a possible
-// crash of its task; the crash is confirmed or cleared once it is known what became of the
-// worker. A task with a crash at its start, or with two confirmed ones, is a suspect: it is
-// started in isolation, with nothing of another job beside it, so that what happens next is
-// conclusive.
+// given up in its place. If contact to a worker is lost, its runs are suspects, and an
+// unconfirmed crash is recorded for their tasks. It is confirmed or cleared once it is known
+// whether the worker has crashed. A task with a crash at its start, or with two confirmed
+// ones, is risky (see job.CrashRisk): it is started in isolation, with nothing of another job
+// beside it, so that the next crash has only one suspect.
 
 // Parameters of crash attribution.
 const (
@@ -27,7 +27,7 @@
 	// whether a task caused it: if its rack failed, the other losses are known by then.
 	lossDecisionDelay = 400 * time.Millisecond
 	// maxLossDecisionTime bounds how long a task waits for that decision before it is started
-	// again: what became of a worker is known within about 3 s unless it is partitioned.
+	// again: whether a worker has ended is known within about 3 s unless it is partitioned.
 	maxLossDecisionTime = 6 * time.Second
 	// unseenWorkerWait is how long a new owner waits for a worker to which an earlier owner
 	// lost contact to appear in the registrations and the instance list.
@@ -46,8 +46,8 @@
 }
 
 // onContactLost handles an unanswered call to the worker. Runs that have just started there
-// may have crashed it. That is recorded at once, before it is known what became of the
-// worker, so that the next owner knows too.
+// may have crashed it. That is recorded at once, before it is known whether the worker has
+// crashed, so that the next owner knows too.
 func (c *Core) onContactLost(w *worker, a Answer, now time.Time) {
 	if !w.markContactLost(a, now) || c.isStarved(now) {
 		return
@@ -99,7 +99,7 @@
 	return w.endOrdered || w.Draining || w.reserved == reservedMove
 }
 
-// investigateLoss records possible crashes for an incarnation that has ended, and schedules
+// investigateLoss records unconfirmed crashes for an incarnation that has ended, and schedules
 // the decision on them.
 func (c *Core) investigateLoss(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
@@ -125,8 +125,8 @@
 }
 
 // decideLoss confirms or clears the crashes of an incarnation that has ended. While other
-// workers of its rack or zone are silent it waits: during a network cut of some seconds a
-// crash by a task would otherwise be blamed on the rack.
+// workers of its rack or zone are silent it waits: during a network partition of some seconds
+// a crash by a task would otherwise be blamed on the rack.
 func (c *Core) decideLoss(w *worker, now time.Time) {
 	if w.endsAsPlanned() {
 		c.clearCrashes(w.incarnation(), "the worker ended as planned")
@@ -330,9 +330,9 @@
 	return false
 }
 
-// awaitsLossDecision reports whether the task has to wait until it is known what became of
-// the workers it may have crashed: the crashes may turn out conclusive, and another start
-// would cost one more worker.
+// awaitsLossDecision reports whether the task has to wait for the decision on workers that it
+// may have crashed: the crashes may turn out conclusive, and another start would cost one
+// more worker.
 func (t *task) awaitsLossDecision(c *Core, now time.Time) bool {
 	if len(t.crashes) < minCrashesForProof {
 		return false
@@ -348,8 +348,8 @@
 // minCrashesForProof is the least number of crashes that can be conclusive.
 const minCrashesForProof = 2
 
-// isLossUndecided reports whether it will be known within maxLossDecisionTime what became of
-// the incarnation.
+// isLossUndecided reports whether a decision on the loss of the incarnation may still come
+// within maxLossDecisionTime.
 func (c *Core) isLossUndecided(inc incarnation, now time.Time) bool {
 	if w := c.currentWorker(inc); w != nil {
 		return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -110,12 +110,12 @@
 
 	again := r.confirmStarts()
 	require.Len(t, again, 2)
-	assert.NotEqual(t, again[0].Worker, again[1].Worker, "suspects are isolated from each other")
+	assert.NotEqual(t, again[0].Worker, again[1].Worker, "risky tasks are isolated from each other")
 	third := r.submit(3, 1)
 	other := r.confirmStarts()
 	require.Len(t, other, 1)
 	require.Equal(t, third.ID, other[0].Task.Job)
-	assert.NotContains(t, []WorkerID{again[0].Worker, again[1].Worker}, other[0].Worker, "suspects are isolated from other jobs")
+	assert.NotContains(t, []WorkerID{again[0].Worker, again[1].Worker}, other[0].Worker, "risky tasks are isolated from other jobs")
 
 	r.crashAndRestart(startsOf(again, bad)[0].Worker, "once more")
 	r.answerHolds(time.Second, append(startsOf(again, good), other...))
@@ -146,7 +146,7 @@
 }
 
 // TestTaskWaitsWhileTwoLossesAreUndecided: a task that may have crashed two workers is not
-// started a third time until it is known what became of them.
+// started a third time until it is known whether they have crashed.
 func TestTaskWaitsWhileTwoLossesAreUndecided(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
@@ -222,8 +222,8 @@
 	}
 }
 
-// TestNewOwnerCountsStoredCrashes: a possible crash that was stored when contact was lost
-// counts for the next owner, even if that owner never hears of the worker.
+// TestNewOwnerCountsStoredCrashes: an unconfirmed crash that was stored when contact was
+// lost counts for the next owner, even if the worker never appears in that owner's lists.
 func TestNewOwnerCountsStoredCrashes(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2")
@@ -243,9 +243,9 @@
 	assert.Empty(t, next.confirmStarts())
 }
 
-// TestNetworkCutIsNotRackFailure: a worker crashes while the network to all others is cut. The
-// others answer again, so their racks have not failed and the crash counts.
-func TestNetworkCutIsNotRackFailure(t *testing.T) {
+// TestPartitionIsNotRackFailure: a worker crashes while all others are partitioned. The others
+// answer again, so their racks have not failed and the crash counts.
+func TestPartitionIsNotRackFailure(t *testing.T) {
 	r := newRig(t, 1)
 	others := []WorkerID{"w1", "w2", "w3", "w4", "w5"}
 	r.addWorkers("w0", "w1", "w2", "w3", "w4", "w5")
@@ -273,8 +273,8 @@
 	assert.Equal(t, 1, crashes.Confirmed(), "%+v", crashes)
 }
 
-// TestUnansweredOrderIsNoCrash: an order that times out while the worker's hold is in flight is
-// no possible crash of its task; an order whose connection fails is.
+// TestUnansweredOrderIsNoCrash: an order that times out while the worker's hold is in flight
+// records no unconfirmed crash for its task; an order whose connection fails does.
 func TestUnansweredOrderIsNoCrash(t *testing.T) {
 	for broken, open := range map[bool]int{false: 0, true: 1} {
 		r := newRig(t, 1)
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -46,9 +46,9 @@
 	return true
 }
 
-// canDrainOneByOne reports whether a worker that cannot be taken down may have its long-running tasks
-// moved away one at a time: each step either has more tasks there than may be unavailable at
-// once, or fits its budget now.
+// canDrainOneByOne reports whether a worker that cannot be taken down may have its long-running
+// tasks moved away one at a time: each step either has more tasks there than may be unavailable
+// at once, or fits its budget now.
 func canDrainOneByOne(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -117,7 +117,7 @@
 	c.finishIfDone(s.job, now)
 }
 
-// failureBackoff keeps a failed task from using up its attempts at once on one bad worker.
+// failureBackoff keeps a failed task from using up its attempts at once on one faulty worker.
 const failureBackoff = 20 * time.Millisecond
 
 func (c *Core) onTaskFailed(w *worker, t *task, e RunEnd, now time.Time) {
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -15,7 +15,7 @@
 	byFree   []*worker // by free millicores, then by id
 }
 
-// freeIndex holds a service's usable workers ordered by free processors. The best worker for
+// freeIndex holds a service's usable workers ordered by free millicores. The best worker for
 // a task that ends by itself is found among the first few, whatever the size of the service:
 // at 3,000 workers in 0.5 µs, where a scan takes 34 µs.
 type freeIndex struct{ classes []*capacityClass }
--- a/jobs/owner/fulllink_test.go
+++ b/jobs/owner/fulllink_test.go
@@ -9,31 +9,31 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against treating a full network link as worker failures. When an owner's link of
-// 2 Mbit/s was full, sends and reads waited for over a second and holds timed out: for half a
-// minute 30 to 45% of its 132 workers seemed silent at a time. As these were fewer than half, the
-// owner took each one for lost: 476 leases lapsed, long-running tasks ended beyond their
-// disruption budgets and other tasks were started twice. The processor was not the cause: at most
-// three quarters of it were used while 1,249 starts went unanswered, and all of this ended once
-// run lists no longer used the link.
+// Guards against treating a saturated network link as worker failures. When an owner's link of
+// 2 Mbit/s was saturated, sends and reads waited for over a second and holds timed out: for
+// half a minute 30 to 45% of its 132 workers seemed silent at a time. As these were fewer than
+// half, the owner took each one for lost: 476 leases lapsed, long-running tasks ended beyond
+// their disruption budgets and other tasks were started twice. The processor was not the cause:
+// at most three quarters of it were used while 1,249 starts went unanswered, and all of this
+// ended once run lists no longer used the link.
 
-// fullLinkLatency is the latency of an order over a full link.
-const fullLinkLatency = 300 * time.Millisecond
+// saturatedLinkLatency is the latency of an order over a saturated link.
+const saturatedLinkLatency = 300 * time.Millisecond
 
-// startedSlowly confirms all starts sent so far with the latency of a full link.
+// startedSlowly confirms all starts sent so far with the latency of a saturated link.
 func (r *rig) startedSlowly() []Start {
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs(), Latency: fullLinkLatency}, r.now)
+		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs(), Latency: saturatedLinkLatency}, r.now)
 	}
 	r.collectEffects()
 	return out
 }
 
-// TestFullLinkIsNotWorkerSilence checks that while answers are slow the leases of silent workers
-// are renewed, if they are a third of all, and their tasks are not started again.
-func TestFullLinkIsNotWorkerSilence(t *testing.T) {
+// TestSaturatedLinkIsNotWorkerSilence checks that while answers are slow the leases of silent
+// workers are renewed, if they are a third of all, and their tasks are not started again.
+func TestSaturatedLinkIsNotWorkerSilence(t *testing.T) {
 	const workers, silent = 30, 10
 	r := newRig(t, 1)
 	var all []WorkerID
@@ -74,14 +74,14 @@
 	}
 }
 
-// TestUnansweredStartsIndicateFullLink checks that starts without any answer indicate a full
-// link too. For three seconds no answer arrived over an owner's link, so no slow answer showed
-// that the link was full; 92 of 132 workers seemed silent, 32 of them incarnations that had
-// ended. Once the link was free, holds did not renew the leases of silent workers, and 28 and 54
-// of them lapsed half a second later in two of three runs of the same day (AVAIL 17 and 16). The
-// owner's log showed 51 and 24 silent workers, 33 and 40 unanswered starts within two seconds, and
-// no line about a full link.
-func TestUnansweredStartsIndicateFullLink(t *testing.T) {
+// TestUnansweredStartsIndicateSaturatedLink checks that starts without any answer indicate a
+// saturated link too. For three seconds no answer arrived over an owner's link, so no slow
+// answer showed that the link was saturated; 92 of 132 workers seemed silent, 32 of them
+// incarnations that had ended. Once the link was free, holds did not renew the leases of silent
+// workers, and 28 and 54 of them lapsed half a second later in two of three runs of the same
+// day (AVAIL 17 and 16). The owner's log showed 51 and 24 silent workers, 33 and 40 unanswered
+// starts within two seconds, and no owner-link-full line.
+func TestUnansweredStartsIndicateSaturatedLink(t *testing.T) {
 	const workers, silent = 30, 12
 	r := newRig(t, 1)
 	var all []WorkerID
@@ -92,7 +92,7 @@
 	}
 	first := r.submit(1, 7*workers)
 	require.Len(t, r.confirmStarts(), 7*workers)
-	r.submit(2, 24) // in flight when the link becomes full
+	r.submit(2, 24) // in flight when the link becomes saturated
 	lost := r.out.Starts
 	r.out.Starts = nil
 	r.tick(OrderTimeout)
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -23,7 +23,7 @@
 	// until they report 100%.
 	startupStallTimeout = 3500 * time.Millisecond
 	// stallRecheckInterval is the pause between checks of a run past its timeout until its
-	// worker's list confirms the stall.
+	// worker's run list confirms the stall.
 	stallRecheckInterval = 25 * time.Millisecond
 	// maxStallsBlamedOnWorkers is how many stalls of a task are blamed on its workers. After
 	// these no worker is avoided for it, and its stall timeout doubles with each stall.
@@ -149,7 +149,7 @@
 	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallTimeout()), now.Add(stallRecheckInterval)), r)
 }
 
-// stallTimeout returns how long the run may make no progress.
+// stallTimeout returns how long the run may make no progress before it counts as stalled.
 func (r *run) stallTimeout() time.Duration {
 	limit := stallTimeout
 	if spec := r.task.step.spec; spec.LongRunning || spec.Filler {
@@ -158,20 +158,20 @@
 	return limit << min(maxStallDoublings, max(0, r.task.stalls-maxStallsBlamedOnWorkers+1))
 }
 
-// isStalled reports whether the run is certain to have made no progress for its timeout.
+// isStalled reports whether the run is certain to have made no progress for its stall timeout.
 func isStalled(r *run, now time.Time) bool {
 	spec := r.task.step.spec
 	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttlePercent < 100 {
 		return false
 	}
 	limit := r.stallTimeout()
-	// The list with the newest percentage may be old: only a hold that was sent since then,
+	// The run list with the newest percentage may be old: only a hold that was sent since then,
 	// and answered, proves the stall.
 	return now.Sub(r.progressAt) > limit && r.worker.answeredHoldSentAt.Sub(r.progressAt) > limit/2
 }
 
 // updateRemaining recomputes the remaining work and critical path, after a task was done or
-// an occurrence has begun.
+// an occurrence was created.
 func (j *jobState) updateRemaining() {
 	j.workLeft = j.remainingWork()
 	j.criticalPathLeft = j.remainingCriticalPath()
@@ -209,7 +209,7 @@
 	return longest
 }
 
-// deadline returns the latest end at which the job is still worth its full value.
+// deadline returns the latest time at which the job may end and still meet its objective.
 func (j *jobState) deadline() time.Time {
 	allowed := time.Duration(j.queue.ObjectiveFactor*float64(j.criticalPath)) + j.queue.ObjectiveOffset
 	from := j.spec.AcceptedAt
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -113,7 +113,7 @@
 
 // startIncarnation ends the known incarnation of a worker and begins a new one under the
 // same id. Runs ended with the old incarnation, unless their order reached the new one. The
-// first list of the new one shows which; until then they are kept, so that their tasks do
+// first run list of the new one shows which; until then they are kept, so that their tasks do
 // not start elsewhere.
 func (c *Core) startIncarnation(old *worker, startedMs int64, proof string, now time.Time) *worker {
 	c.logDecision(Decision{Event: "worker-reborn", Worker: old.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(old.runs))})
@@ -136,8 +136,8 @@
 	return w
 }
 
-// moveToIncarnation assigns the run to the worker's next incarnation, whose list shows
-// whether it exists.
+// moveToIncarnation assigns the run to the worker's next incarnation, whose run list
+// shows whether it exists.
 func (r *run) moveToIncarnation(w *worker, now time.Time) {
 	r.worker = w
 	r.fromPastIncarnation = true
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -21,7 +21,7 @@
 	return Target{Worker: id, StartedMs: startedMs}
 }
 
-// answerHoldAs answers a hold of target with the list of the incarnation started at startedMs.
+// answerHoldAs answers a hold of target with the run list of the incarnation started at startedMs.
 func (r *rig) answerHoldAs(target Target, startedMs int64, active []ActiveRun, ends ...RunEnd) {
 	r.core.OnHoldAnswer(target, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clockMs()}, StartedMs: startedMs, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
@@ -29,7 +29,8 @@
 }
 
 // TestNewIncarnationStartsCountersOver: end numbers and the clock of a new incarnation start
-// low again. Tasks started on the old one start elsewhere once the new one has sent its list.
+// low again. Tasks started on the old one start elsewhere once the new one has sent its run
+// list.
 func TestNewIncarnationStartsCountersOver(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
@@ -94,7 +95,7 @@
 	r.submit(1, 1)
 	require.Len(t, r.confirmStarts(), 1)
 	r.tick(100 * time.Millisecond)
-	r.answerHoldAs(first, 300, nil) // the list arrives before the registration
+	r.answerHoldAs(first, 300, nil) // the run list arrives before the registration
 	assert.Equal(t, int64(300), r.core.workers[a].StartedMs)
 	r.setIncarnation(a, 500) // registration of the old incarnation
 	assert.Equal(t, int64(300), r.core.workers[a].StartedMs)
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -75,7 +75,7 @@
 }
 
 // isDownForOtherWave reports whether this owner has ordered maintenance of the instance for a
-// wave other than ws, and it isn't back yet.
+// wave other than ws, and it isn't up again yet.
 func (c *Core) isDownForOtherWave(ws *waveState, id InstanceID) bool {
 	for _, o := range c.waves {
 		if d, down := o.down[id]; down && o != ws && !d.orderedAt.IsZero() {
@@ -158,8 +158,8 @@
 	return !now.Before(c.orderHoldoff[id])
 }
 
-// isOnInstanceList reports whether the instance list names the worker. The store keeps registrations
-// for some seconds after a worker's end.
+// isOnInstanceList reports whether the instance list names the worker. The store keeps
+// registrations for some seconds after a worker's end.
 func (c *Core) isOnInstanceList(w *worker) bool {
 	return c.instanceListShows(w.Worker)
 }
--- a/jobs/owner/isolation.go
+++ b/jobs/owner/isolation.go
@@ -8,25 +8,26 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// Parameters of isolation. A suspect is started on a worker without runs of other jobs, and
-// nothing of another job is started there until the suspect is stable.
+// Parameters of isolation. A risky task is started on a worker without runs of other jobs, and
+// nothing of another job is started there until its run is stable.
 const (
 	// stableAfter is how long a run has to be up to count as not having crashed its worker at
 	// the start.
 	stableAfter = 2 * atStartTime
-	// isolationWait is how long a suspect waits for an empty worker before one whose other runs
-	// are stable will do; isolationWaitLongRunning is the same for long-running tasks, which
-	// must be restored within 3 s. Most tasks end within this time.
+	// isolationWait is how long a risky task waits for an empty worker before one whose other
+	// runs are stable will do; isolationWaitLongRunning is the same for long-running tasks,
+	// which must be restored within 3 s. Most tasks end within this time.
 	isolationWait            = 1500 * time.Millisecond
 	isolationWaitLongRunning = 700 * time.Millisecond
 	// vacateTime is how long a worker gets no other tasks so that it becomes empty for a
-	// suspect.
+	// risky task.
 	vacateTime = 2 * time.Second
 	// maxVacatingShare is the largest share of a service's workers that are vacated for
-	// suspects; one worker always may be.
+	// risky tasks; one worker always may be.
 	maxVacatingShare = 0.25
-	// crashedInstanceAvoidTime is how long an instance that has crashed is a last resort for
-	// suspects: it may crash again by itself, and the suspect would be blamed.
+	// crashedInstanceAvoidTime is how long an instance that has crashed is used for risky
+	// tasks only if there is no other: it may crash again by itself, and the task would be
+	// blamed.
 	crashedInstanceAvoidTime = 20 * time.Second
 )
 
@@ -64,7 +65,7 @@
 	return false
 }
 
-// beginIsolation records the isolated start of a suspect. An unconfirmed crash is stored
+// beginIsolation records the isolated start of a risky task. An unconfirmed crash is stored
 // before the start is answered: if this owner is lost together with the worker, the next
 // one counts the crash.
 func (c *Core) beginIsolation(r *run, now time.Time) {
@@ -82,8 +83,8 @@
 	c.markCrashDirty(t.step.job)
 }
 
-// isIsolatedFrom reports whether the worker is being vacated for a suspect of another job, or
-// runs one that needs isolation.
+// isIsolatedFrom reports whether the worker is being vacated for a risky task of another
+// job, or has a run of another job that needs isolation.
 func (w *worker) isIsolatedFrom(j *jobState, now time.Time) bool {
 	if w.isolatedFor != nil && w.isolatedFor != j && now.Before(w.isolatedUntil) && !w.isolatedFor.state.Final() {
 		return true
@@ -129,7 +130,7 @@
 	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > crashedInstanceAvoidTime || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
 }
 
-// isolationConditions returns conditions on a suspect's worker, in order of preference.
+// isolationConditions returns conditions on a risky task's worker, in order of preference.
 func (p *schedulingPass) isolationConditions(t *task) []func(*worker) bool {
 	j := t.step.job
 	if t.isolationWaitSince.IsZero() {
@@ -147,7 +148,7 @@
 		stable)
 }
 
-// isolationWait returns how long a suspect of the step waits for an empty worker.
+// isolationWait returns how long a risky task of the step waits for an empty worker.
 func (s *stepState) isolationWait() time.Duration {
 	if s.spec.LongRunning {
 		return isolationWaitLongRunning
@@ -155,8 +156,8 @@
 	return isolationWait
 }
 
-// excludedAfterFailure returns the workers to exclude for a suspect: those where it failed, if
-// it failed recently.
+// excludedAfterFailure returns the workers to exclude for a risky task: those where it failed,
+// if it failed recently.
 func (t *task) excludedAfterFailure(now time.Time) func(*worker) bool {
 	if now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return excludeNone
@@ -164,7 +165,7 @@
 	return t.hasFailedOn
 }
 
-// placeIsolated starts a suspect on the best worker that meets an isolation condition. If
+// placeIsolated starts a risky task on the best worker that meets an isolation condition. If
 // there is none, it waits, and after isolationWait it may preempt.
 func (p *schedulingPass) placeIsolated(t *task, sel *workerSelector, excluded func(*worker) bool) {
 	for _, fits := range p.isolationConditions(t) {
@@ -184,8 +185,8 @@
 	}
 }
 
-// awaitIsolation counts a suspect as waiting, and has a worker vacated for it: the one with
-// the fewest runs.
+// awaitIsolation counts a risky task as waiting, and has a worker vacated for it: the one
+// with the fewest runs.
 func (p *schedulingPass) awaitIsolation(t *task, req *placement.Request) {
 	s := t.step
 	p.pool.addWaiting(s, 1)
@@ -216,8 +217,8 @@
 	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(vacateTime)
 }
 
-// isolationViews returns the views with the workers excluded on which a gang of suspects may
-// not start.
+// isolationViews returns the views with the workers excluded on which a gang with a crash
+// risk may not start.
 func (p *schedulingPass) isolationViews(s *stepState, view *workerView) []placement.Worker {
 	conditions := p.isolationConditions(s.tasks[0])
 	allowed := conditions[len(conditions)-1]
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -65,7 +65,7 @@
 }
 
 // recordArrival adds the work of a job to the arrival rate of its pool, unless the job is
-// scheduled for later, long-running or over its tenant's quota.
+// scheduled for later, long-running or over its tenant's limit.
 func (c *Core) recordArrival(j *jobState, at, now time.Time) {
 	if len(j.spec.Steps) == 0 || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning || at.After(now) {
 		return
--- a/jobs/owner/latestart_test.go
+++ b/jobs/owner/latestart_test.go
@@ -92,7 +92,7 @@
 func TestLateStartByPreviousOwnerIsStopped(t *testing.T) {
 	for name, loaded := range map[string]Loaded{
 		"cancelled":          {Job: simpleJob(1, 1), Cancelled: true},
-		"recorded as ended":  {Job: simpleJob(1, 1), Progress: &job.Progress{State: job.Cancelled}},
+		"stored as ended":    {Job: simpleJob(1, 1), Progress: &job.Progress{State: job.Cancelled}},
 		"of another service": {Job: &job.Job{ID: simpleJob(1, 1).ID, Queue: "removed", Service: "removed", Steps: simpleJob(1, 1).Steps}, Cancelled: true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -22,7 +22,7 @@
 )
 
 // lossCorrelationOf returns whether most workers of w's rack or zone were lost with w. Workers
-// that are silent but not known to have ended may be behind a short network cut; if they
+// that are silent but not known to have ended may be partitioned for a short time; if they
 // make the difference, the result is possiblyCorrelated.
 func (c *Core) lossCorrelationOf(w *worker) lossCorrelation {
 	rack, zone := lossCount{min: minRackLosses}, lossCount{min: minZoneLosses}
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -55,7 +55,7 @@
 	return false
 }
 
-// orderMove orders a planned move, unless the pool has rejected the instance before.
+// orderMove orders a planned move, unless the platform has answered DutyInvalid to it before.
 func (c *Core) orderMove(m capacity.Move, now time.Time) {
 	id := InstanceID(m.Instance)
 	if c.rejectedMoves[rejectedMove{id, m.To}] {
--- a/jobs/owner/notsent_test.go
+++ b/jobs/owner/notsent_test.go
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Starts that wait too long in the owner's call queue are dropped, and the core is told with
+// Starts that wait too long in the owner's call queue are dropped with outcome
 // NotSent. Otherwise they arrive late: in a trial with a fifth of a core, starts reached
 // workers 3.9 s after these had begun to drain, and of 4,800 starts at once 32 were late for
 // four workers drained 0.2 s later.
@@ -36,8 +36,8 @@
 	assert.Equal(t, 1, r.core.PendingJobs("q"))
 }
 
-// TestASecondStartThatWasNotSent: the first start may have arrived, which the worker's list
-// shows.
+// TestASecondStartThatWasNotSent: the first start may have arrived, which the worker's run
+// list shows.
 func TestASecondStartThatWasNotSent(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -4,8 +4,8 @@
 
 // Retries of orders.
 const (
-	// maxStartSends is how often a start is sent before the core waits for the worker's list
-	// instead: each unanswered order takes a whole timeout.
+	// maxStartSends is how often a start is sent before the core waits for the worker's run
+	// list instead: each unanswered order takes a whole timeout.
 	maxStartSends = 2
 	// stopRetryPause is the pause before an unanswered stop is sent again.
 	stopRetryPause = 100 * time.Millisecond
@@ -135,13 +135,13 @@
 		c.sendStart(r, now)
 	default:
 		// The worker may have started it, and a stop would end a working task. The worker's
-		// next list shows whether it runs.
+		// next run list shows whether it runs.
 		r.startAbandonedAt = now
 	}
 }
 
 // provenNotStarted reports whether no start of the run has arrived so far, given that the
-// answer to a hold sent at holdSentAt does not list it.
+// answer to a hold sent at holdSentAt does not list the run.
 func (r *run) provenNotStarted(holdSentAt time.Time) bool {
 	return r.phase == starting && !r.startAbandonedAt.IsZero() && !holdSentAt.Before(r.startAbandonedAt)
 }
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -14,8 +14,8 @@
 	// of a hold and its answer.
 	starvedPeriod = 1500 * time.Millisecond
 	// maxSilentShare is the share of workers that may plausibly fall silent at once. Network
-	// cuts and crashes hit a quarter of them at most, while an owner that cannot keep up
-	// hears from only 3 to 40 of 100. maxSilentWorkers, a small rack, always may.
+	// partitions and crashes hit a quarter of them at most, while an owner that cannot keep up
+	// reads answers of only 3 to 40 of 100. maxSilentWorkers, a small rack, always may.
 	maxSilentShare   = 0.5
 	maxSilentWorkers = 4
 	// slowAnswerLatency is the mean answer latency from which the owner's own link to the
@@ -24,7 +24,7 @@
 	// latencyDecay is the weight of the previous mean at each answer: about the last twenty
 	// answers count.
 	latencyDecay = 0.95
-	// maxOverload is how long most workers may stay silent before they count as cut off
+	// maxOverload is how long most workers may stay silent before they count as partitioned
 	// after all: four leases. An owner that can be replaced has been replaced by then.
 	maxOverload = 20 * time.Second
 )
@@ -56,7 +56,7 @@
 // detectOverload marks the owner as starved if most workers seem silent at once: then the
 // owner is the cause, even if its timer is not late. It does so only while it holds the
 // store lease, so that no other daemon can be the owner, and for at most maxOverload, as
-// tasks on workers that are really cut off have to start elsewhere.
+// tasks on workers that really are partitioned have to start elsewhere.
 func (c *Core) detectOverload(now time.Time) {
 	if len(c.silentWorkers) <= maxSilentWorkers {
 		c.mostSilentSince = time.Time{}
@@ -84,7 +84,8 @@
 	}
 }
 
-// trackAnswerLatency marks the owner as starved while the mean answer latency shows that its
+// trackAnswerLatency updates the mean answer latency and adapts the start window to it. It
+// marks the owner as starved while the mean answer latency shows that its
 // link is saturated, as workers that seem silent may have answered. It is limited in time
 // like detectOverload.
 func (c *Core) trackAnswerLatency(latency time.Duration, now time.Time) {
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -12,7 +12,7 @@
 // These tests guard against an overloaded owner that takes healthy workers for silent. With a
 // fifth of a core, answers waited for the processor longer than the owner's own timeout: 97 of
 // 100 holds went unanswered for 15 s, while its timer was late by only 0.4 s. When silence was
-// judged per worker, the owner let leases expire (54 workers in 10 s) and started tasks again
+// evaluated per worker, the owner let leases expire (54 workers in 10 s) and started tasks again
 // that the workers had reported as done in answers that it had not read.
 
 // overloadedRig returns a rig with one free worker, followed by n full ones.
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestJobIsPendingUntilATaskIsKnownToHaveStarted: a job counts as pending, and is shown as
-// queued, until a worker reports that a task of it started. When the sent start order counted
-// as the beginning, a connected daemon reported 0 pending jobs of a queue while 8 had waited
+// queued, until a worker reports that a task of it started. When sending the start order
+// counted as the start, a connected daemon reported 0 pending jobs of a queue while 8 had waited
 // for over 5 s, although nearly all capacity of the service was free.
 func TestJobIsPendingUntilATaskIsKnownToHaveStarted(t *testing.T) {
 	answer := func(o Outcome) func(r *rig, s Start) {
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -8,11 +8,11 @@
 
 // poolState is the demand and supply of the pool of one service.
 type poolState struct {
-	waitingCores          float64   // cores that tasks wait for, as of the last placement
+	waitingCores          float64   // cores that tasks wait for, as of the last scheduling pass
 	lateWaitingCores      float64   // of these, for jobs that are late or over their tenant's share
 	waitingSince          time.Time // since when tasks have waited without a break; zero: none waits
-	lastPassAt            time.Time // time of the last placement
-	waitingJobs           int       // jobs that waited after it
+	lastPassAt            time.Time // time of the last scheduling pass
+	waitingJobs           int       // jobs with tasks to place when that pass began
 	lowestStartedPriority int       // highest priority number, so the least urgent, of a started task
 	arrivalRate           capacity.Rate
 	arrivingInstances     int // instances moving to it, as of the last sizing
@@ -20,7 +20,7 @@
 	estimateRatio         estimateRatio
 
 	placementQueue []*jobState  // jobs that may have tasks to place
-	entries        []queueEntry // buffer reused by each placement
+	entries        []queueEntry // buffer reused by each scheduling pass
 	free           freeIndex    // index of usable workers by free capacity
 	supply         poolSupply   // totals over its instances
 }
@@ -47,7 +47,7 @@
 	}
 }
 
-// updateWaitingSince sets or clears waitingSince after a placement.
+// updateWaitingSince sets or clears waitingSince after a scheduling pass.
 func (p *poolState) updateWaitingSince(now time.Time) {
 	if p.waitingCores == 0 {
 		p.waitingSince = time.Time{}
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -62,7 +62,8 @@
 	}
 }
 
-// recordStartedPriority records the priority of a job with a run in the pool.
+// recordStartedPriority records the priority of a job with a run in the pool in
+// lowestStartedPriority.
 func (p *poolState) recordStartedPriority(j *jobState) {
 	p.lowestStartedPriority = max(p.lowestStartedPriority, j.queue.Priority)
 }
@@ -72,7 +73,7 @@
 	return s.spec.LongRunning || p.lowestStartedPriority > s.job.queue.Priority
 }
 
-// recentlyPreempted reports whether runs are being stopped to make room for the step.
+// recentlyPreempted reports whether runs were just stopped to free capacity for the step.
 func (s *stepState) recentlyPreempted(now time.Time) bool {
 	return now.Sub(s.preemptedAt) < preemptInterval
 }
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -11,7 +11,7 @@
 )
 
 // fullWorker returns a rig with one worker of 8 cores, filled by eight tasks of a job in the
-// given queue, and the worker's list of their runs.
+// given queue, and the worker's run list.
 func fullWorker(t *testing.T, queue string) (*rig, WorkerID, []ActiveRun) {
 	r := newRig(t, 1)
 	r.core.catalog.Queues = append(r.core.catalog.Queues,
@@ -42,7 +42,7 @@
 	}
 }
 
-// withoutTask returns the list without the runs of the task.
+// withoutTask returns the run list without the runs of the task.
 func withoutTask(active []ActiveRun, task job.TaskID) []ActiveRun {
 	var out []ActiveRun
 	for _, x := range active {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -181,7 +181,7 @@
 func (c *Core) forgetWorker(id WorkerID) {
 	w := c.workers[id]
 	if !w.ended && len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
-		c.clearCrashes(w.incarnation(), "the worker was removed before its fate was known")
+		c.clearCrashes(w.incarnation(), "the worker was removed before it was known whether it had crashed")
 	}
 	delete(c.workers, id)
 	delete(c.silentWorkers, id)
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -224,7 +224,7 @@
 }
 
 // Tick does all time-driven work that is due: it expires leases, sends holds and retries,
-// begins occurrences, sizes pools and places tasks.
+// creates occurrences, sizes pools and places tasks.
 func (c *Core) Tick(now time.Time) {
 	c.detectOverload(now)
 	c.expireLeases(now)
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -59,7 +59,7 @@
 	}
 }
 
-// startsDeferred reports whether the service's starts wait for room in the start window.
+// startsDeferred reports whether the service's starts wait for space in the start window.
 func (p *schedulingPass) startsDeferred() bool { return p.core.startWindow.deferred[p.service] }
 
 // deferStarts reports whether the start window is full; if so, the service is scheduled
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -27,7 +27,7 @@
 	assert.Len(t, r.out.Stops, 1, "the answer to a hold sent 0.9 s later shows no progress")
 }
 
-// TestMaintenanceNeedsAFreshView: an owner that was frozen must not rely on tasks that
+// TestMaintenanceNeedsAFreshView: an owner that was suspended must not rely on tasks that
 // served before.
 func TestMaintenanceNeedsAFreshView(t *testing.T) {
 	r := newRig(t, 1)
@@ -51,7 +51,7 @@
 	r.answerHold(b, runs[b])
 	r.tick(100 * time.Millisecond)
 
-	r.now = r.now.Add(4 * time.Second) // frozen
+	r.now = r.now.Add(4 * time.Second) // suspended
 	r.core.OnInstances(r.inst, r.now)
 	r.core.OnWave(WaveRequest{Wave: 1, Instances: []InstanceID{"i-a"}, Within: time.Minute, MaxDown: 1}, nil, false, r.now)
 	r.tick(100 * time.Millisecond)
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -6,7 +6,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// startWindow limits the starts in flight, those ordered and without an outcome, and measures
+// startWindow limits the outstanding starts, those ordered and without an outcome, and measures
 // how fast outcomes arrive. Orders queue behind earlier ones even if more urgent, so no more
 // are ordered than can be sent at once.
 type startWindow struct {
@@ -15,7 +15,7 @@
 	decreasedAt    time.Time       // last decrease of limit
 	deferred       map[string]bool // services with startable tasks that wait for the window
 
-	outstanding map[uint64]bool // starts in flight, by sequence number
+	outstanding map[uint64]bool // outstanding starts, by sequence number
 	sent        []sentStart     // starts in the order in which they were ordered; some have an outcome
 	lastSeq     uint64
 
@@ -30,7 +30,7 @@
 	at  time.Time
 }
 
-// maxOutstandingAge is how long a start without an outcome counts as in flight. One that
+// maxOutstandingAge is how long a start without an outcome counts as outstanding. One that
 // takes longer waits for its worker and does not delay other sends.
 const maxOutstandingAge = 100 * time.Millisecond
 
@@ -56,7 +56,7 @@
 	// between two: starts sent before the first are answered by then.
 	limitDecrease         = 0.7
 	limitDecreaseInterval = 200 * time.Millisecond
-	// minLimit keeps some starts in flight.
+	// minLimit keeps some starts outstanding.
 	minLimit = 8
 )
 
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -12,10 +12,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// The start window limits the starts that are decided but not sent or answered yet. Without
-// it, a thousand starts waited in the daemon's first-in-first-out call queue, of which a weak
-// daemon sends 80 a second. A long-running task that a wave had moved was started again only
-// after 9.6 s, though there was capacity; callers are promised 6 s.
+// The start window limits the starts that are ordered and have no outcome yet. Without it, a
+// thousand starts waited in the daemon's first-in-first-out call queue, of which a daemon with
+// little CPU sends 80 a second. A long-running task that a wave had moved was started again
+// only after 9.6 s, though there was capacity; callers are promised 6 s.
 
 // TestUrgentStartsDoNotQueueBehindOthers: only as many starts are decided as can be sent, so
 // that a long-running task is started before tasks that were ready long before it.
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -27,7 +27,7 @@
 	PriorOrdersUnknown   bool          // the orders of other holders could not be determined
 	SucceedsSelf         bool          // the previous owner was this daemon before a restart
 	StatusRetention      time.Duration // how long ended jobs are kept
-	MaxOutstandingStarts int           // limit of unanswered starts; 0: no limit
+	MaxOutstandingStarts int           // limit of starts without an outcome; 0: no limit
 	Weights              capacity.Weights
 	MaxMovesPerSec       float64 // moves that the platform accepts; 0: no limit
 	PoolPolicy           capacity.Policy
@@ -148,11 +148,11 @@
 	queue              job.Queue // latest known settings of its queue
 	service            string
 	steps              []*stepState // ordered by occurrence, then step
-	nextOccurrence     int          // first occurrence that has not begun
+	nextOccurrence     int          // first occurrence that was not created yet
 	state              job.State
 	queuedForPlacement bool         // in its pool's placement queue
 	countedPending     bool         // counted in pendingPerQueue
-	band               priorityBand // as of the last placement
+	band               priorityBand // as of the last scheduling pass
 
 	overShare        bool // its tenant had used up its share when it was accepted
 	started          bool // a worker confirmed that a task of it started
@@ -194,7 +194,7 @@
 	lease                    workerLease
 	heldByThisOwner          bool      // answered a hold with this owner's fencing token
 	registered               bool      // counts as registered
-	firstSeenAt              time.Time // when this owner first heard of the incarnation
+	firstSeenAt              time.Time // when this owner first learned of the incarnation
 	pastStartsMs             []int64   // StartedMs of earlier incarnations, oldest first
 	registrationMissingSince time.Time // when it was first missing from the registrations; zero: listed
 	ended                    bool      // the incarnation has ended for certain
@@ -213,20 +213,20 @@
 	fillerRuns               int                       // filler runs
 	servingRuns              int                       // runs with a latency target
 	longRunningRuns          int                       // long-running runs
-	longRunningCPUMilli      int                       // thousandths of a core used by them
+	longRunningCPUMilli      int                       // millicores used by them
 	unknownRuns              map[job.TaskID]unknownRun // runs of jobs not known yet
 	lastSeenEnd              uint64                    // highest end handled
 	lastAckedEnd             uint64                    // highest end that may be acknowledged
 	unacked                  []unackedEnd              // in the order of their numbers
 	unknownEnds              map[uint64]unknownEnd     // ends of jobs not known yet, by number
 	avoidUntil               time.Time                 // gets no new tasks until then
-	recentEnds               endHistory                // for finding bad workers
+	recentEnds               endHistory                // for finding faulty workers
 	nextThrottleAt           time.Time                 // next adjustment of its fillers' speed
 	workerView               *workerView               // latest view that includes it
 	workerViewIndex          int                       // index in workerView
 	capacityClass            *capacityClass            // class in the index of usable workers; nil: not indexed
 	indexedService           string                    // service of the index that it is in
-	indexedFreeCPUMilli      int                       // free thousandths of a core as indexed
+	indexedFreeCPUMilli      int                       // free millicores as indexed
 	indexStale               bool                      // to be indexed again
 	avoidPenalty             time.Duration             // last time for which it was avoided
 	consecutiveNoRoom        int                       // consecutive starts refused for lack of capacity
@@ -236,7 +236,7 @@
 	reserved                 reservation
 
 	isolatedRuns  []*run    // runs started in isolation; may include ended ones
-	isolatedFor   *jobState // job whose suspected task gets the worker once it is empty; nil: none
+	isolatedFor   *jobState // job whose risky task gets the worker once it is empty; nil: none
 	isolatedUntil time.Time
 
 	preemptedFor   *stepState // step for which runs were preempted here; nil: none
@@ -281,7 +281,7 @@
 	workersByService       serviceWorkers
 	silentWorkers          workerSet               // last hold unanswered
 	endedWorkers           workerSet               // incarnation ended
-	unconfirmedCrashes     map[incarnation][]*task // tasks with a possible crash of the incarnation, not decided yet
+	unconfirmedCrashes     map[incarnation][]*task // tasks with an unconfirmed crash, by incarnation
 	workersWithUnknownJobs workerSet               // with runs or ends of jobs not known yet
 	colocatedWorkers       workerSet               // with fillers beside serving tasks
 	missingRegistrations   workerSet               // missing from the registrations, still counted as registered
@@ -294,7 +294,7 @@
 	rejectedMoves          map[rejectedMove]bool
 	evacuatedZones         map[string]bool // zones that get no new tasks
 	nextSizingAt           time.Time
-	returnBudget           float64 // instances that may be given back now
+	returnBudget           float64 // instances that may be returned to the spare pool now
 	returnRefilledAt       time.Time
 	nextWaveCheckAt        time.Time
 	adviceInFlight         int // unanswered advisor queries
@@ -306,7 +306,7 @@
 	changedServices        map[string]bool      // services with tasks that may be placeable now
 	effects                Effects
 	shares                 *quota.Shares
-	tenantUsage            *quota.Ledger           // usage by tenant
+	tenantUsage            *quota.Ledger           // usage and limits by tenant
 	presumedUsage          presumedUsage           // usage by tenant of runs that may exist but are not known
 	takeoverDone           map[string]bool         // services for which all runs of earlier owners are known
 	loggedTakeoverWaits    map[string]takeoverWait // last logged wait, by service
@@ -324,8 +324,8 @@
 	stopsDue         timerQueue[*run]      // stops to resend unless confirmed
 	stallsDue        timerQueue[*run]      // runs to check for lack of progress
 	occurrencesDue   timerQueue[*jobState] // jobs with later occurrences
-	recentlyEnded    []*worker             // incarnations kept for crash decisions
-	lossDecisionsDue timerQueue[*worker]   // ended incarnations, to decide whether a task crashed them
+	recentlyEnded    []*worker             // incarnations kept for loss decisions
+	lossDecisionsDue timerQueue[*worker]   // ended incarnations with unconfirmed crashes
 	avoidedDue       timerQueue[*worker]   // workers to index again when avoidUntil has passed
 
 	staleIndexWorkers []*worker // workers with indexStale set
@@ -351,7 +351,7 @@
 	Starts, Refused, Failed, Lapsed, Lost, Stopped, Done, Commits int64
 	LongRunningLapsed                                             int64 // long-running tasks among Lapsed
 	Crashes                                                       int64 // worker crashes that a task may have caused
-	IsolatedStarts                                                int64 // isolated runs of suspected tasks
+	IsolatedStarts                                                int64 // starts of risky tasks in isolation
 	GivenUp                                                       int64 // tasks given up because they crash their workers
 	JobsConsidered                                                int64 // jobs considered for placement
 }
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -20,7 +20,7 @@
 }
 
 // supplyContribution is what an instance adds to the totals of its pool. Instances that are
-// away or about to leave add nothing. Sizes are in thousandths of a core.
+// not up or are moving add nothing. Sizes are in millicores.
 type supplyContribution struct {
 	pool             string // "": it is not counted
 	cpuMilli         int    // size of the instance
@@ -33,7 +33,7 @@
 
 // poolSupply holds totals over the instances of a pool. It is updated with each change of an
 // instance, so that the cost of sizing depends on the idle instances only. Sizes are in
-// thousandths of a core.
+// millicores.
 type poolSupply struct {
 	instances                   int // outside evacuated zones
 	busyMilli, longRunningMilli int
@@ -166,8 +166,8 @@
 // undersized. Instances of one type differ by a few percent.
 const undersizedBelow = 0.9
 
-// sizeWith returns the size of the instance in thousandths of a core, and how many of them
-// its worker w doesn't offer at present.
+// sizeWith returns the size of the instance in millicores, and how many of them its worker w
+// doesn't offer at present.
 func (i *instanceState) sizeWith(w *worker) (cpuMilli, missingMilli int) {
 	offered, full := w.Capacity.CPUMilli, i.Capacity.CPUMilli
 	if float64(offered) >= undersizedBelow*float64(full) {
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -32,7 +32,8 @@
 }
 
 // presumedUsageTTL is how long a computed presumedUsage is used, since computing it visits all
-// open jobs. Runs that become known meanwhile count twice, which is the safe side.
+// open jobs. Runs that become known meanwhile count twice, so that a tenant gets less than its
+// limit rather than more.
 const presumedUsageTTL = 50 * time.Millisecond
 
 // addRun adds a run that was ordered, or that a worker lists, to its task, worker and tenant.
--- a/jobs/owner/timebreakdown.go
+++ b/jobs/owner/timebreakdown.go
@@ -20,7 +20,7 @@
 	CauseInstancesArriving              // no free capacity, and instances were moving to the pool
 	CauseMaintenance                    // no free capacity, and workers of the pool were reserved for a wave
 	CauseZoneEvacuated                  // no free capacity, and instances of the pool are in an evacuated zone
-	CauseTenantLimit                    // its tenant was at its quota
+	CauseTenantLimit                    // its tenant was at its limit
 	CauseFailedThereBefore              // capacity was free only on workers where the task had failed
 	CauseRunFailed                      // a failed run, and the backoff after it
 	CauseRunStopped                     // a stopped run: preempted, stalled or for a wave
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -163,7 +163,7 @@
 	Run        uint64
 	Checkpoint string
 	Percent    int // progress; a long-running task serves at 100
-	Usage      int // tail latency in ms of a serving task, otherwise thousandths of a core in use
+	Usage      int // tail latency in ms of a serving task, otherwise millicores in use
 }
 
 // EndKind is how a run ended.
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -37,7 +37,7 @@
 	return s
 }
 
-// TestAStartWithoutAnAnswer: the worker's next list shows whether the run started.
+// TestAStartWithoutAnAnswer: the worker's next run list shows whether the run started.
 func TestAStartWithoutAnAnswer(t *testing.T) {
 	setUp := func(t *testing.T) (*rig, WorkerID, Start) {
 		r := newRig(t, 1)
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -12,7 +12,7 @@
 	members            map[InstanceID]bool // Instances as a set
 	receivedAt         time.Time
 	maintenanceStarted map[InstanceID]bool         // the platform accepted their maintenance
-	down               map[InstanceID]downInstance // maintenance ordered, not back yet
+	down               map[InstanceID]downInstance // maintenance ordered, not up again yet
 	statusWritten      bool                        // its first status was written
 	forecastLate       bool                        // by the last forecast it will exceed Within
 	completed          bool
@@ -56,9 +56,9 @@
 )
 
 // observeInstance updates the wave from the instance list's entry for one of its members.
-// onlyWave says that no other wave names the instance. If several do, the list doesn't tell
-// for which one it is under maintenance, so each orders it again once the instance is back,
-// and the platform knows which of them is done.
+// onlyWave says that no other wave names the instance. If several do, the instance list doesn't
+// tell for which one it is under maintenance, so each orders it again once the instance is
+// back, and the platform knows which of them is done.
 func (ws *waveState) observeInstance(i Instance, onlyWave bool) {
 	d, down := ws.down[i.ID]
 	switch {
@@ -73,14 +73,14 @@
 	}
 }
 
-// OnWave adds a wave that operators requested. begun lists the instances whose maintenance an
+// OnWave adds a wave that operators requested. started lists the instances whose maintenance an
 // earlier owner has recorded as started.
-func (c *Core) OnWave(req WaveRequest, begun []InstanceID, completed bool, now time.Time) {
+func (c *Core) OnWave(req WaveRequest, started []InstanceID, completed bool, now time.Time) {
 	if c.waves[req.Wave] != nil {
 		return
 	}
 	ws := &waveState{WaveRequest: req, members: map[InstanceID]bool{}, receivedAt: now, maintenanceStarted: map[InstanceID]bool{}, down: map[InstanceID]downInstance{}, completed: completed, statusWritten: completed}
-	for _, id := range begun {
+	for _, id := range started {
 		ws.maintenanceStarted[id] = true
 	}
 	for _, id := range req.Instances {
--- a/jobs/owner/wave_test.go
+++ b/jobs/owner/wave_test.go
@@ -15,7 +15,7 @@
 	}
 }
 
-// returnFromMaintenance lets the instance come returnFromMaintenance from its maintenance with a new worker.
+// returnFromMaintenance has the instance come back from its maintenance with a new worker.
 func (r *rig) returnFromMaintenance(as string) {
 	r.inst[0].State, r.inst[0].Worker = InstanceUp, WorkerID(as)
 	r.regs[0].Worker, r.regs[0].Addr = WorkerID(as), as
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -99,7 +99,7 @@
 }
 
 // hasUnconfirmedStart reports whether the worker has an unanswered start that is not sent
-// again. Its task is blocked until the worker's list shows whether the run started.
+// again. Its task is blocked until the worker's run list shows whether the run started.
 func (w *worker) hasUnconfirmedStart() bool {
 	for _, r := range w.runs {
 		if r.phase == starting && !r.startAbandonedAt.IsZero() {
@@ -125,7 +125,7 @@
 // onOrderAnswer handles the answer to an order other than a hold. A timeout does not count
 // as lost contact: the order alone may have been lost, and the hold in flight shows whether
 // the worker is there. Otherwise, on a network that loses a fifth of the calls, each lost
-// order would count as a possible crash.
+// order would be recorded as an unconfirmed crash.
 func (c *Core) onOrderAnswer(w *worker, a Answer, now time.Time) {
 	c.recordCallOutcome(w, a)
 	if a.Outcome == Unanswered && !a.ConnFailed {
@@ -382,7 +382,7 @@
 		c.loseRun(r, proof, now)
 	}
 	for service := range c.pools {
-		c.changedServices[service] = true // tasks that waited for the worker's fate may start
+		c.changedServices[service] = true // tasks that waited for a decision on the worker may start
 	}
 }
 
@@ -400,7 +400,7 @@
 		if len(w.runs) > 0 && c.leasesExpired(w, now) && !c.isStarved(now) {
 			c.logDecision(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
 			for _, r := range runsByNumber(w) {
-				c.recordUnconfirmedCrash(r, now) // the worker's fate may become known later
+				c.recordUnconfirmedCrash(r, now) // whether the worker has crashed may become known later
 			}
 			for _, r := range runsByNumber(w) {
 				c.loseRun(r, "its lease has expired", now)
--- a/jobs/owner/writequeue.go
+++ b/jobs/owner/writequeue.go
@@ -9,7 +9,7 @@
 )
 
 // writeQueue holds the jobs to be stored, by class and then by writeSeq. Jobs with a
-// possible crash come first, as the next owner has to know of it; then ended jobs, as their
+// crash to be stored come first, as the next owner has to know of it; then ended jobs, as their
 // callers are told only once the end is stored; then the others. Entries are not removed
 // when a job is stored: iteration skips entries that are no longer current.
 type writeQueue [writeClasses][]writeEntry
