--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -97,9 +97,9 @@
 		PeerAddr:    orDefault(set.Listen.AdvertisePeer, d.listeners.peer.Addr().String()),
 		APIAddr:     orDefault(set.Listen.AdvertiseAPI, d.listeners.api.Addr().String()),
 	}
-	d.newClients()
-	d.newComponents()
-	d.newServers()
+	d.initClients()
+	d.initComponents()
+	d.initServers()
 	return d, nil
 }
 
@@ -141,7 +141,7 @@
 // The store has to send progress notifications more often than that.
 const watchIdle = 15 * time.Second
 
-func (d *Daemon) newClients() {
+func (d *Daemon) initClients() {
 	s := d.settings
 	d.store = etcdkv.New(etcdkv.Options{Addr: s.Store.Addr, Timeout: s.Store.Timeout.D(), WatchIdleTimeout: watchIdle})
 	d.peers = peerrpc.NewClient(s.Peers.Token, s.Peers.Timeout.D(), s.Peers.Timeout.D())
@@ -157,7 +157,7 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
-func (d *Daemon) newComponents() {
+func (d *Daemon) initComponents() {
 	s := d.settings
 	d.syncer = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: newRand(), OnConnectionChange: d.storeConnectionChanged}
 	policies := entry.DefaultPolicies
@@ -208,7 +208,7 @@
 	maxHeaderBytes = 64 << 10
 )
 
-func (d *Daemon) newServers() {
+func (d *Daemon) initServers() {
 	errorLog, _ := zap.NewStdLogAt(d.log, zap.DebugLevel)
 	operators := &api.Server{
 		Exec: &api.Executor{
--- a/requests/mirror/syncer.go
+++ b/requests/mirror/syncer.go
@@ -35,16 +35,16 @@
 )
 
 // Run updates the mirror until ctx ends.
-func (f *Syncer) Run(ctx context.Context) {
+func (s *Syncer) Run(ctx context.Context) {
 	pause := minRetryPause
 	relist := true
 	for ctx.Err() == nil {
-		err := f.listAndWatch(ctx, &relist, &pause)
-		f.setConnected(false, err)
+		err := s.listAndWatch(ctx, &relist, &pause)
+		s.setConnected(false, err)
 		if verdict.CodeOf(err) == port.CodeStoreCompacted {
 			relist = true
 		}
-		if !sleep.For(ctx, jitter(f.Rand, pause)) {
+		if !sleep.For(ctx, jitter(s.Rand, pause)) {
 			return
 		}
 		pause = min(2*pause, maxRetryPause)
@@ -53,28 +53,28 @@
 
 // listAndWatch lists all records if relist is set, then watches until the stream
 // breaks.
-func (f *Syncer) listAndWatch(ctx context.Context, relist *bool, pause *time.Duration) error {
+func (s *Syncer) listAndWatch(ctx context.Context, relist *bool, pause *time.Duration) error {
 	if *relist {
-		l, err := f.Store.List(ctx, record.Root)
+		l, err := s.Store.List(ctx, record.Root)
 		if err != nil {
 			return err
 		}
-		f.Listings.Add(1)
-		f.Mirror.Replace(l)
+		s.Listings.Add(1)
+		s.Mirror.Replace(l)
 		*relist = false
 	}
-	return f.Store.Watch(ctx, record.Root, f.Mirror.State().Revision, func(events []port.Event) {
+	return s.Store.Watch(ctx, record.Root, s.Mirror.State().Revision, func(events []port.Event) {
 		*pause = minRetryPause
-		f.setConnected(true, nil)
+		s.setConnected(true, nil)
 		if len(events) > 0 {
-			f.Mirror.Apply(events, events[len(events)-1].Revision)
+			s.Mirror.Apply(events, events[len(events)-1].Revision)
 		}
 	})
 }
 
-func (f *Syncer) setConnected(up bool, err error) {
-	if f.Connected.Swap(up) != up && f.OnConnectionChange != nil {
-		f.OnConnectionChange(up, err)
+func (s *Syncer) setConnected(up bool, err error) {
+	if s.Connected.Swap(up) != up && s.OnConnectionChange != nil {
+		s.OnConnectionChange(up, err)
 	}
 }
 
