--- a/standin/jobfleet/away_test.go
+++ b/standin/jobfleet/away_test.go
@@ -29,7 +29,7 @@
 		{"a stop and a move", func(r *lastingRun) { r.stop(0); r.move(1) }, 1},
 		{"a stop and a crash", func(r *lastingRun) { r.stop(0); r.fleet.Crash("i1", time.Hour) }, 0},
 		{"a crash and at once a stop", func(r *lastingRun) { r.fleet.Crash("i0", time.Hour); r.stop(1) }, 0},
-		{"a crash and later a stop", func(r *lastingRun) { r.fleet.Crash("i0", time.Hour); r.wait(awayNotice); r.stop(1) }, 1},
+		{"a crash and later a stop", func(r *lastingRun) { r.fleet.Crash("i0", time.Hour); r.wait(absenceGrace); r.stop(1) }, 1},
 		{"a stop while the first is back", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.wait(time.Second); r.stop(1) }, 0},
 		{"a stop while the first starts up", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.stop(1) }, 1},
 		{"a stop on a worker that drains", func(r *lastingRun) { r.stop(0); r.fleet.Drain("i1"); r.stop(1) }, 0},
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -44,7 +44,7 @@
 func storeCall[T any](ctx context.Context, c *Client, op string, do func() (T, error)) (T, error) {
 	var none T
 	if err := c.gate.pass(ctx, toStore); err != nil {
-		return none, lost(ctx)
+		return none, noAnswerError(ctx)
 	}
 	time.Sleep(storeLatency)
 	switch c.hook(c.daemon, op) {
@@ -52,21 +52,21 @@
 		return none, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "store: refused")
 	case RequestLost:
 		<-ctx.Done()
-		return none, lost(ctx)
+		return none, noAnswerError(ctx)
 	case AnswerLost:
 		if _, err := do(); err != nil {
 			return none, err
 		}
 		<-ctx.Done()
-		return none, lost(ctx)
+		return none, noAnswerError(ctx)
 	case Delayed:
-		time.AfterFunc(lateDelay, func() { _, _ = do() }) // nobody hears of it, that is the fault
+		time.AfterFunc(delayedWrite, func() { _, _ = do() }) // nobody hears of it, that is the fault
 		<-ctx.Done()
-		return none, lost(ctx)
+		return none, noAnswerError(ctx)
 	}
 	out, err := do()
 	if gateErr := c.gate.pass(ctx, toStore); gateErr != nil {
-		return none, lost(ctx)
+		return none, noAnswerError(ctx)
 	}
 	return out, err
 }
@@ -134,9 +134,9 @@
 	cut    [toPeers + 1]bool
 	killed bool
 
-	slower   float64       // how many times slower the daemon\'s instance is; 0: not at all
-	asleep   time.Duration // in suspensions that are over
-	asleepAt time.Time     // when the present one began; zero: there is none
+	slowdown     float64       // how many times slower the daemon\'s instance is; 0: not at all
+	suspendedFor time.Duration // in suspensions that are over
+	suspendedAt  time.Time     // when the present one began; zero: there is none
 }
 
 // Freeze stops the daemon for a while.
@@ -163,13 +163,13 @@
 		g.mu.Unlock()
 		return
 	}
-	g.asleepAt = time.Now()
+	g.suspendedAt = time.Now()
 	g.mu.Unlock()
 	time.AfterFunc(d, func() { // before it thaws
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		g.asleep += time.Since(g.asleepAt)
-		g.asleepAt = time.Time{}
+		g.suspendedFor += time.Since(g.suspendedAt)
+		g.suspendedAt = time.Time{}
 	})
 	g.Freeze(d)
 }
@@ -177,33 +177,33 @@
 func (g *Gate) suspended() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.asleepAt.IsZero() {
-		return g.asleep
+	if g.suspendedAt.IsZero() {
+		return g.suspendedFor
 	}
-	return g.asleep + time.Since(g.asleepAt)
+	return g.suspendedFor + time.Since(g.suspendedAt)
 }
 
-// usualProbe is what the fixed piece of work takes on an instance at its usual speed.
-const usualProbe = 40 * time.Microsecond
+// normalProbeTime is what the fixed piece of work takes on an instance at its usual speed.
+const normalProbeTime = 40 * time.Microsecond
 
 // ReportSlow lets the daemon's instance seem so many times slower for a while. It tells it, and
 // does all as fast as before.
 func (g *Gate) ReportSlow(times float64, d time.Duration) {
-	g.setSlower(times)
-	time.AfterFunc(d, func() { g.setSlower(0) })
+	g.setSlowdown(times)
+	time.AfterFunc(d, func() { g.setSlowdown(0) })
 }
 
-func (g *Gate) setSlower(times float64) {
+func (g *Gate) setSlowdown(times float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.slower = times
+	g.slowdown = times
 }
 
 // probe takes as long as the instance's speed says.
 func (g *Gate) probe() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return time.Duration(max(1, g.slower) * float64(usualProbe))
+	return time.Duration(max(1, g.slowdown) * float64(normalProbeTime))
 }
 
 // clock is that of a daemon's instance.
@@ -251,7 +251,7 @@
 		g.mu.Unlock()
 		if gone {
 			<-ctx.Done()
-			return errLost
+			return errNoAnswer
 		}
 		if thaw == nil {
 			return nil
@@ -260,7 +260,7 @@
 	}
 }
 
-func (g *Gate) dead() bool {
+func (g *Gate) isKilled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.killed
--- a/standin/jobfleet/crash.go
+++ b/standin/jobfleet/crash.go
@@ -8,8 +8,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// lapseOfRegistration is how long the store keeps the entry of a worker that is gone.
-const lapseOfRegistration = 3 * time.Second
+// registrationTTL is how long the store keeps the entry of a worker that is gone.
+const registrationTTL = 3 * time.Second
 
 var errRefused = errors.New("connection refused")
 
@@ -20,7 +20,7 @@
 	index int
 }
 
-func crasherOf(t job.TaskID) crasher { return crasher{t.Job, t.Step, t.Index} }
+func crasherKey(t job.TaskID) crasher { return crasher{t.Job, t.Step, t.Index} }
 
 // crashTimes are how long after the start a worker goes down, and when it is back.
 type crashTimes struct{ after, back time.Duration }
@@ -30,8 +30,8 @@
 func (f *Fleet) CrashOnStart(t job.TaskID, after, back time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crashers[crasherOf(t)] = crashTimes{after, back}
-	f.judge.crashes(t)
+	f.crashers[crasherKey(t)] = crashTimes{after, back}
+	f.judge.addCrasher(t)
 }
 
 // OnCrash calls f, on a goroutine of its own, after each crash that a task has caused.
@@ -41,9 +41,9 @@
 	f.onCrash = do
 }
 
-// crashIfSo lets the worker go down after the start of a task that crashes it.
-func (f *Fleet) crashIfSo(w *worker, e *execution) {
-	times, crashes := f.crashers[crasherOf(e.task)]
+// scheduleCrash lets the worker go down after the start of a task that crashes it.
+func (f *Fleet) scheduleCrash(w *worker, e *execution) {
+	times, crashes := f.crashers[crasherKey(e.task)]
 	if !crashes {
 		return
 	}
@@ -57,17 +57,17 @@
 		for t := range w.active {
 			f.judge.crashed(t)
 		}
-		f.fall(w.at, owner.InstanceDown)
-		f.riseAfter(w.at, times.back)
-		time.AfterFunc(lapseOfRegistration, func() { f.publish(string(w.reg.Worker), nil) })
+		f.endWorker(w.instance, owner.InstanceDown)
+		f.startWorkerAfter(w.instance, times.back)
+		time.AfterFunc(registrationTTL, func() { f.publish(string(w.reg.Worker), nil) })
 		if f.onCrash != nil {
 			go f.onCrash(e.task)
 		}
 	})
 }
 
-// breakGang ends the other members of a gang of which one is lost.
-func (f *Fleet) breakGang(lost *execution) {
+// endGang ends the other members of a gang of which one is lost.
+func (f *Fleet) endGang(lost *execution) {
 	if step := f.stepOf(lost.task); step == nil || !step.Gang {
 		return
 	}
@@ -80,17 +80,17 @@
 	}
 }
 
-// crashes takes note of a task that brings down its workers.
-func (j *Checker) crashes(t job.TaskID) {
+// addCrasher takes note of a task that brings down its workers.
+func (j *Checker) addCrasher(t job.TaskID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.crashers[crasherOf(t)] = true
+	j.crashers[crasherKey(t)] = true
 }
 
 // Figures of the promise about tasks that crash their workers.
 const (
-	crashesAllowed   = 3 // workers that a task has crashed, after which its starts count
-	startsAfterwards = 2 // starts beyond them that are allowed: their news may be under way
+	crashesAllowed     = 3 // workers that a task has crashed, after which its starts count
+	startsAfterCrashes = 2 // starts beyond them that are allowed: their news may be under way
 )
 
 // crashed takes note of a crash of the worker that a task ran on, whichever caused it.
@@ -113,13 +113,13 @@
 	return most
 }
 
-// judgeCrasher checks a start of a task under which workers have crashed.
-func (j *Checker) judgeCrasher(t job.TaskID, r *taskRecord) {
-	if r.crashes < crashesAllowed || !j.crashers[crasherOf(t)] {
+// checkCrasherStart checks a start of a task under which workers have crashed.
+func (j *Checker) checkCrasherStart(t job.TaskID, r *taskRecord) {
+	if r.crashes < crashesAllowed || !j.crashers[crasherKey(t)] {
 		return
 	}
-	if r.afterCrashes++; r.afterCrashes > startsAfterwards {
-		j.fail("task %s starts, %d workers have crashed under it", t, r.crashes)
+	if r.afterCrashes++; r.afterCrashes > startsAfterCrashes {
+		j.violation("task %s starts, %d workers have crashed under it", t, r.crashes)
 	}
 }
 
@@ -127,7 +127,7 @@
 // it crashes its workers.
 func (j *Checker) mayFail(id job.ID) bool {
 	for t, r := range j.tasks {
-		if t.Job == id && (r.failures > 0 || r.crashes > 1 && j.crashers[crasherOf(t)]) {
+		if t.Job == id && (r.failures > 0 || r.crashes > 1 && j.crashers[crasherKey(t)]) {
 			return true
 		}
 	}
@@ -141,7 +141,7 @@
 	defer j.mu.Unlock()
 	most := 0
 	for t, r := range j.tasks {
-		if t.Job == id && j.crashers[crasherOf(t)] {
+		if t.Job == id && j.crashers[crasherKey(t)] {
 			most = max(most, r.crashes)
 		}
 	}
--- a/standin/jobfleet/evacuation.go
+++ b/standin/jobfleet/evacuation.go
@@ -7,8 +7,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// evacuateBound is how long after a request to evacuate a zone the last task may start there.
-const evacuateBound = 5 * time.Second
+// evacuationBound is how long after a request to evacuate a zone the last task may start there.
+const evacuationBound = 5 * time.Second
 
 // SetZone puts an instance into an availability zone.
 func (f *Fleet) SetZone(id owner.InstanceID, zone string) {
@@ -24,17 +24,17 @@
 
 // Evacuate asks for a zone to get no new tasks, as the operator does.
 func (in *Installation) Evacuate(zone string) {
-	in.Store.Put(in.lang.EvacuationPrefix+zone, []byte("{}"))
-	in.Checker.evacuate(zone, time.Now())
+	in.Store.Put(in.encoding.EvacuationPrefix+zone, []byte("{}"))
+	in.Checker.setEvacuated(zone, time.Now())
 }
 
 // EndEvacuation takes that back.
 func (in *Installation) EndEvacuation(zone string) {
-	in.Checker.evacuate(zone, time.Time{})
-	in.Store.Remove(in.lang.EvacuationPrefix + zone)
+	in.Checker.setEvacuated(zone, time.Time{})
+	in.Store.Remove(in.encoding.EvacuationPrefix + zone)
 }
 
-func (j *Checker) evacuate(zone string, since time.Time) {
+func (j *Checker) setEvacuated(zone string, since time.Time) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.evacuated[zone] = since
@@ -44,19 +44,19 @@
 func (j *Checker) ExtendEvacuationBound(by time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	j.evacuateStretch = by
+	j.extraEvacuationTime = by
 }
 
-// judgeZone checks that the zone of a start is not evacuated.
-func (j *Checker) judgeZone(t job.TaskID, zone string) {
+// checkZone checks that the zone of a start is not evacuated.
+func (j *Checker) checkZone(t job.TaskID, zone string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	since := j.evacuated[zone]
-	if !since.IsZero() && time.Since(since) > evacuateBound+j.evacuateStretch {
-		j.fail("task %s starts in zone %s, which is evacuated since %s", t, zone, time.Since(since))
+	if !since.IsZero() && time.Since(since) > evacuationBound+j.extraEvacuationTime {
+		j.violation("task %s starts in zone %s, which is evacuated since %s", t, zone, time.Since(since))
 	}
 	if !since.IsZero() {
-		j.lastInZone = time.Since(since)
+		j.lastEvacuatedStart = time.Since(since)
 	}
 }
 
@@ -65,5 +65,5 @@
 func (j *Checker) LastStartInEvacuatedZone() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return j.lastInZone
+	return j.lastEvacuatedStart
 }
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -22,7 +22,7 @@
 
 // order carries out do on a worker with the faults of the daemon and the worker.
 func (c *FleetClient) order(ctx context.Context, to owner.Target, op string, do func(w *worker) owner.Answer) owner.Answer {
-	unheard := owner.Answer{Outcome: owner.Unanswered, Err: errLost}
+	unheard := owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}
 	if c.gate.pass(ctx, toWorkers) != nil {
 		return unheard
 	}
@@ -48,7 +48,7 @@
 	case AnswerLost:
 		apply()
 	case Delayed:
-		time.AfterFunc(lateOrder, func() { apply() })
+		time.AfterFunc(delayedOrder, func() { apply() })
 	default:
 		a = apply()
 	}
@@ -96,23 +96,23 @@
 	end := time.NewTimer(o.Wait)
 	defer end.Stop()
 	for {
-		h, ping := c.look(o.Worker)
+		h, ping := c.holdAnswer(o.Worker)
 		if len(h.Ends) > 0 || h.Outcome != owner.Taken {
-			return c.heard(ctx, h)
+			return c.deliverHold(ctx, h)
 		}
 		select {
 		case <-ping:
 		case <-end.C:
-			h, _ = c.look(o.Worker)
-			return c.heard(ctx, h)
+			h, _ = c.holdAnswer(o.Worker)
+			return c.deliverHold(ctx, h)
 		case <-ctx.Done():
-			return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}
+			return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}}
 		}
 	}
 }
 
-// heard loses an answer that comes to a daemon that is cut off or killed.
-func (c *FleetClient) heard(ctx context.Context, h owner.HoldAnswer) owner.HoldAnswer {
+// deliverHold loses an answer that comes to a daemon that is cut off or killed.
+func (c *FleetClient) deliverHold(ctx context.Context, h owner.HoldAnswer) owner.HoldAnswer {
 	if h.Outcome == owner.Unanswered {
 		if !h.ConnFailed {
 			<-ctx.Done()
@@ -120,12 +120,12 @@
 		return h
 	}
 	if c.gate.pass(ctx, toWorkers) != nil {
-		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}
+		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}}
 	}
 	return h
 }
 
-func (c *FleetClient) look(id owner.WorkerID) (owner.HoldAnswer, <-chan struct{}) {
+func (c *FleetClient) holdAnswer(id owner.WorkerID) (owner.HoldAnswer, <-chan struct{}) {
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	w := c.fleet.workers[id]
@@ -133,7 +133,7 @@
 	case w != nil && w.refuses:
 		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}}, nil
 	case w == nil || w.dead || w.cut:
-		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errLost}}, nil
+		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}}, nil
 	}
 	return c.fleet.list(w), w.ping
 }
@@ -141,14 +141,14 @@
 // Instances implements owner.InstanceManager.
 func (c *FleetClient) Instances(ctx context.Context) ([]owner.Instance, error) {
 	if c.gate.pass(ctx, toWorkers) != nil {
-		return nil, errLost
+		return nil, errNoAnswer
 	}
 	c.fleet.mu.Lock()
 	defer c.fleet.mu.Unlock()
 	var out []owner.Instance
 	for _, i := range c.fleet.instances {
 		shown := i.Instance
-		shown.Capacity = i.room
+		shown.Capacity = i.capacity
 		out = append(out, shown)
 	}
 	return out, nil
@@ -167,10 +167,10 @@
 		if i.State != owner.InstanceUp {
 			return owner.DutyRefused
 		}
-		c.fleet.judge.duty(d, id, 0, 0, late)
-		c.fleet.fall(i, owner.InstanceMoving)
+		c.fleet.judge.instanceOrdered(d, id, 0, 0, late)
+		c.fleet.endWorker(i, owner.InstanceMoving)
 		i.Pool = pool
-		c.fleet.riseAfter(i, migration)
+		c.fleet.startWorkerAfter(i, migration)
 		return owner.DutyDone
 	})
 }
@@ -189,9 +189,9 @@
 			return owner.DutyRefused
 		}
 		c.fleet.down[id] = wave
-		c.fleet.judge.duty(d, id, wave, c.fleet.downOf(wave), late)
-		c.fleet.fall(i, owner.InstanceInMaintenance)
-		c.fleet.riseAfter(i, maintenance)
+		c.fleet.judge.instanceOrdered(d, id, wave, c.fleet.downOf(wave), late)
+		c.fleet.endWorker(i, owner.InstanceInMaintenance)
+		c.fleet.startWorkerAfter(i, maintenance)
 		return owner.DutyDone
 	})
 }
@@ -216,7 +216,7 @@
 		return owner.DutyUnanswered
 	case Delayed:
 		late = true
-		time.AfterFunc(lateOrder, func() { apply() })
+		time.AfterFunc(delayedOrder, func() { apply() })
 		return owner.DutyUnanswered
 	}
 	return apply()
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -30,12 +30,12 @@
 	// WrapWorkers, if set, changes the way of daemons that start from now on to workers.
 	WrapWorkers func(owner.WorkerClient) owner.WorkerClient
 
-	lang Encoding
-	log  *zap.Logger
-	mu   sync.Mutex
-	hook Hook
-	all  map[string]*Daemon
-	ctx  context.Context
+	encoding Encoding
+	log      *zap.Logger
+	mu       sync.Mutex
+	hook     Hook
+	all      map[string]*Daemon
+	ctx      context.Context
 }
 
 // Daemon is one daemon of an installation.
@@ -54,7 +54,7 @@
 
 // NewInstallationWithEncoding returns an installation whose store speaks a language.
 func NewInstallationWithEncoding(ctx context.Context, log *zap.Logger, lang Encoding) *Installation {
-	in := &Installation{Store: NewStore(), Network: NewNetwork(), Checker: NewChecker(), lang: lang, log: log, all: map[string]*Daemon{}, ctx: ctx}
+	in := &Installation{Store: NewStore(), Network: NewNetwork(), Checker: NewChecker(), encoding: lang, log: log, all: map[string]*Daemon{}, ctx: ctx}
 	in.hook = func(string, string) Failure { return NoFailure }
 	in.Fleet = NewFleet(in.Checker, func(key string, r *owner.Registration) {
 		if r == nil {
@@ -73,18 +73,18 @@
 	in.hook = h
 }
 
-func (in *Installation) ask(daemon, op string) Failure {
+func (in *Installation) failureOf(daemon, op string) Failure {
 	in.mu.Lock()
 	h := in.hook
 	in.mu.Unlock()
 	return h(daemon, op)
 }
 
-// usualCores is a daemon's share of the processor.
-const usualCores = 0.4
+// defaultCores is a daemon's share of the processor.
+const defaultCores = 0.4
 
 // Start starts a daemon.
-func (in *Installation) Start(name string) *Daemon { return in.StartWith(name, usualCores) }
+func (in *Installation) Start(name string) *Daemon { return in.StartWith(name, defaultCores) }
 
 // StartWith starts a daemon that has a share of the processor.
 func (in *Installation) StartWith(name string, cores float64) *Daemon {
@@ -93,18 +93,18 @@
 		Node: name, IP: name, PeerPort: 1, Cores: cores, MaxTaskLease: 10 * time.Second, StopGrace: 6 * time.Second,
 		DutyHandover: dutyHandover, MinStoreLease: time.Second, StatusRetention: 2 * time.Minute, Policy: policy.Default(),
 	}
-	var workers owner.WorkerClient = in.Fleet.Client(name, d.Gate, in.ask)
+	var workers owner.WorkerClient = in.Fleet.Client(name, d.Gate, in.failureOf)
 	if in.WrapWorkers != nil {
 		workers = in.WrapWorkers(workers)
 	}
 	d.Node = node.New(set, node.Platform{
 		Clock:    clock{d.Gate},
 		CPUProbe: d.Gate.probe,
-		Store:    in.Store.Client(name, d.Gate, in.ask),
+		Store:    in.Store.Client(name, d.Gate, in.failureOf),
 		Workers:  workers,
-		Manager:  in.Fleet.Client(name, d.Gate, in.ask),
+		Manager:  in.Fleet.Client(name, d.Gate, in.failureOf),
 		Peers:    in.Network.Client(d.Gate),
-		Formats:  in.lang.Formats,
+		Formats:  in.encoding.Formats,
 	}, in.log.Named(name), node.NewMetrics(tally.NoopScope, nil))
 	in.Network.Join(name+":1", d.Node.PeerHandler(), d.Gate)
 	ctx, cancel := context.WithCancel(in.ctx)
@@ -171,18 +171,18 @@
 func (in *Installation) Configure(c *job.Catalog) {
 	in.Fleet.configure(c)
 	in.Checker.configured(c)
-	in.Store.Put(in.lang.ConfigKey, in.lang.EncodeCatalog(c))
+	in.Store.Put(in.encoding.ConfigKey, in.encoding.EncodeCatalog(c))
 }
 
 // RequestWave asks for maintenance as the operator does.
 func (in *Installation) RequestWave(w owner.WaveRequest) {
 	in.Checker.SetWaveLimit(w.Wave, w.MaxDown)
-	in.Store.Put(fmt.Sprintf("%s%d", in.lang.WavePrefix, w.Wave), in.lang.EncodeWave(w))
+	in.Store.Put(fmt.Sprintf("%s%d", in.encoding.WavePrefix, w.Wave), in.encoding.EncodeWave(w))
 }
 
 // WaveDone reports whether a wave is said to be completed.
 func (in *Installation) WaveDone(wave int) bool {
-	key, done := in.lang.EncodeWaveStatus(wave, true)
+	key, done := in.encoding.EncodeWaveStatus(wave, true)
 	return string(in.Store.Value(key)) == string(done)
 }
 
@@ -222,27 +222,27 @@
 func (in *Installation) CallerWith(send Send) *Caller { return &Caller{in: in, send: send} }
 
 func (in *Installation) sendTo(d *Daemon, method, path string, body []byte) (int, string) {
-	ctx, cancel := context.WithTimeout(in.ctx, callerPatience)
+	ctx, cancel := context.WithTimeout(in.ctx, callerTimeout)
 	defer cancel()
 	r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(string(body)))
 	r.Host = "jobs.example"
 	w := httptest.NewRecorder()
 	d.Node.CallerHandler().ServeHTTP(w, r)
-	if d.Gate.dead() || ctx.Err() != nil {
+	if d.Gate.isKilled() || ctx.Err() != nil {
 		return 0, ""
 	}
 	return w.Code, w.Body.String()
 }
 
-// callerPatience is how long a caller waits for an answer.
-const callerPatience = 3 * time.Second
+// callerTimeout is how long a caller waits for an answer.
+const callerTimeout = 3 * time.Second
 
 // Submit sends a job once. accepted is true if it was; refused is true if it
 // certainly never runs.
 func (c *Caller) Submit(prefix string, j *job.Job) (accepted, refused bool) {
 	c.in.Fleet.RegisterJob(j)
 	c.in.Checker.Submitted(j)
-	status, _ := c.send(http.MethodPost, prefix+string(j.ID), c.in.lang.EncodeJob(j))
+	status, _ := c.send(http.MethodPost, prefix+string(j.ID), c.in.encoding.EncodeJob(j))
 	accepted = status == http.StatusOK
 	refused = status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	c.in.Checker.Answered(j.ID, accepted, refused)
--- a/standin/jobfleet/judge.go
+++ b/standin/jobfleet/judge.go
@@ -12,23 +12,23 @@
 // Checker checks the promises from what workers, callers and the instance
 // manager saw.
 type Checker struct {
-	mu      sync.Mutex
-	began   time.Time
-	broken  []string
-	tasks   map[job.TaskID]*taskRecord
-	jobs    map[job.ID]*jobRecord
-	drained map[owner.WorkerID]time.Time
-	waves   map[int]*waveRecord
-	starts  int
-	duties  map[owner.InstanceID]dutyRecord
-	calm    bool // see Calm
+	mu          sync.Mutex
+	began       time.Time
+	violations  []string
+	tasks       map[job.TaskID]*taskRecord
+	jobs        map[job.ID]*jobRecord
+	drained     map[owner.WorkerID]time.Time
+	waves       map[int]*waveRecord
+	starts      int
+	duties      map[owner.InstanceID]dutyRecord
+	faultsEnded bool // see Calm
 
 	crashers map[crasher]bool
-	limits   map[string][]limitSince // of tenants
+	limits   map[string][]tenantLimit // of tenants
 
-	evacuated       map[string]time.Time // zones, since when; zero: no longer
-	evacuateStretch time.Duration
-	lastInZone      time.Duration
+	evacuated           map[string]time.Time // zones, since when; zero: no longer
+	extraEvacuationTime time.Duration
+	lastEvacuatedStart  time.Duration
 }
 
 // dutyRecord is the newest order for an instance.
@@ -38,12 +38,12 @@
 }
 
 type taskRecord struct {
-	running map[owner.WorkerID]uint64
-	done    bool
-	acked   bool
-	began   time.Time // its newest start
-	left    time.Time // when it was last at work
-	ordered bool      // an order has ended it, and it has not been at work since
+	running      map[owner.WorkerID]uint64
+	done         bool
+	acked        bool
+	began        time.Time // its newest start
+	lastReady    time.Time // when it was last at work
+	endedByOrder bool      // an order has ended it, and it has not been at work since
 
 	failures     int // runs that ended failed
 	crashes      int // workers that a task has crashed under it
@@ -51,15 +51,15 @@
 }
 
 type jobRecord struct {
-	spec      *job.Job
-	refused   bool // every answer to its submission so far said that it never runs
-	unclear   bool // an answer did not come, or said that it may run
-	accepted  bool
-	confirmed time.Time // when its acceptance first was
-	queue     string    // prefix of its queue
-	open      int       // requests without an answer so far
-	started   bool      // a task was
-	cancelled time.Time
+	spec            *job.Job
+	refused         bool // every answer to its submission so far said that it never runs
+	mayRun          bool // an answer did not come, or said that it may run
+	accepted        bool
+	confirmed       time.Time // when its acceptance first was
+	queue           string    // prefix of its queue
+	pendingRequests int       // requests without an answer so far
+	started         bool      // a task was
+	cancelled       time.Time
 
 	submitted, acceptedAt time.Time // for the first time
 }
@@ -71,10 +71,10 @@
 
 // Grace of the promises with a bound in time.
 const (
-	drainBound   = 2 * time.Second
-	cancelBound  = 3 * time.Second
-	dutyHandover = 3 * time.Second
-	countBound   = 5 * time.Second // a job shows in its queue's count after it
+	drainBound        = 2 * time.Second
+	cancelBound       = 3 * time.Second
+	dutyHandover      = 3 * time.Second
+	pendingCountBound = 5 * time.Second // a job shows in its queue's count after it
 )
 
 // NewChecker returns a judge that has seen nothing.
@@ -82,7 +82,7 @@
 	return &Checker{
 		began: time.Now(), tasks: map[job.TaskID]*taskRecord{}, jobs: map[job.ID]*jobRecord{},
 		drained: map[owner.WorkerID]time.Time{}, waves: map[int]*waveRecord{},
-		duties: map[owner.InstanceID]dutyRecord{}, crashers: map[crasher]bool{}, evacuated: map[string]time.Time{}, limits: map[string][]limitSince{},
+		duties: map[owner.InstanceID]dutyRecord{}, crashers: map[crasher]bool{}, evacuated: map[string]time.Time{}, limits: map[string][]tenantLimit{},
 	}
 }
 
@@ -90,7 +90,7 @@
 func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	return append([]string(nil), j.broken...)
+	return append([]string(nil), j.violations...)
 }
 
 // Starts returns how many tasks were started.
@@ -100,9 +100,9 @@
 	return j.starts
 }
 
-func (j *Checker) fail(format string, args ...any) {
+func (j *Checker) violation(format string, args ...any) {
 	at := time.Since(j.began).Round(time.Millisecond)
-	j.broken = append(j.broken, at.String()+": "+fmt.Sprintf(format, args...))
+	j.violations = append(j.violations, at.String()+": "+fmt.Sprintf(format, args...))
 }
 
 // Submitted says that a caller's request with this job was sent.
@@ -112,7 +112,7 @@
 	if j.jobs[spec.ID] == nil {
 		j.jobs[spec.ID] = &jobRecord{spec: spec, submitted: time.Now()}
 	}
-	j.jobs[spec.ID].open++
+	j.jobs[spec.ID].pendingRequests++
 }
 
 // Answered says what the caller of a submission was told: accepted, that it
@@ -125,11 +125,11 @@
 		r.acceptedAt = time.Now()
 	}
 	r.accepted = r.accepted || accepted
-	r.unclear = r.unclear || !accepted && !refused
-	r.refused = refused && !r.accepted && !r.unclear
-	r.open--
-	if r.refused && r.started && r.open == 0 {
-		j.fail("job %s was refused, and a task of it has started", id)
+	r.mayRun = r.mayRun || !accepted && !refused
+	r.refused = refused && !r.accepted && !r.mayRun
+	r.pendingRequests--
+	if r.refused && r.started && r.pendingRequests == 0 {
+		j.violation("job %s was refused, and a task of it has started", id)
 	}
 }
 
@@ -148,15 +148,15 @@
 	switch s {
 	case job.Completed:
 		if !j.allDone(r.spec) {
-			j.fail("job %s is shown as completed while a task is not done", id)
+			j.violation("job %s is shown as completed while a task is not done", id)
 		}
 	case job.Cancelled:
 		if r.cancelled.IsZero() {
-			j.fail("job %s is shown as cancelled, nobody cancelled it", id)
+			j.violation("job %s is shown as cancelled, nobody cancelled it", id)
 		}
 	case job.Failed:
 		if !j.mayFail(id) {
-			j.fail("job %s is shown as failed without a cause", id)
+			j.violation("job %s is shown as failed without a cause", id)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.jobs[id].accepted {
-		j.fail("job %s was accepted and is said not to exist", id)
+		j.violation("job %s was accepted and is said not to exist", id)
 	}
 }
 
@@ -187,19 +187,19 @@
 	defer j.mu.Unlock()
 	waiting := 0
 	for _, r := range j.jobs {
-		if r.queue == queue && r.waitedSince(asked) {
+		if r.queue == queue && r.pendingSince(asked) {
 			waiting++
 		}
 	}
 	if 2*n < waiting {
-		j.fail("%s says that %d jobs of %s wait, %d do for more than %s", by, n, queue, waiting, countBound)
+		j.violation("%s says that %d jobs of %s wait, %d do for more than %s", by, n, queue, waiting, pendingCountBound)
 	}
 }
 
-// waitedSince reports whether no task of the job has started although it was accepted
+// pendingSince reports whether no task of the job has started although it was accepted
 // long enough before asked.
-func (r *jobRecord) waitedSince(asked time.Time) bool {
-	return r.accepted && !r.started && r.cancelled.IsZero() && r.spec.Repeat == 0 && asked.Sub(r.confirmed) > countBound
+func (r *jobRecord) pendingSince(asked time.Time) bool {
+	return r.accepted && !r.started && r.cancelled.IsZero() && r.spec.Repeat == 0 && asked.Sub(r.confirmed) > pendingCountBound
 }
 
 func (j *Checker) allDone(spec *job.Job) bool {
@@ -243,37 +243,37 @@
 	j.starts++
 	r := j.record(t)
 	for other, n := range r.running {
-		j.fail("task %s runs twice: run %d on %s, run %d on %s under token %d", t, n, other, run, w, token)
+		j.violation("task %s runs twice: run %d on %s, run %d on %s under token %d", t, n, other, run, w, token)
 	}
 	if r.acked {
-		j.fail("task %s starts on %s after its end was acknowledged", t, w)
+		j.violation("task %s starts on %s after its end was acknowledged", t, w)
 	}
-	j.judgeCrasher(t, r)
+	j.checkCrasherStart(t, r)
 	r.running[w] = run
 	r.began = time.Now()
-	j.judgeJob(t)
+	j.checkJobStart(t)
 	if at, ok := j.drained[w]; ok && time.Since(at) > drainBound {
-		j.fail("task %s starts on %s, draining for %s", t, w, time.Since(at))
+		j.violation("task %s starts on %s, draining for %s", t, w, time.Since(at))
 	}
 }
 
-func (j *Checker) judgeJob(t job.TaskID) {
+func (j *Checker) checkJobStart(t job.TaskID) {
 	r := j.jobs[t.Job]
 	if r == nil {
-		j.fail("task %s was submitted by nobody", t)
+		j.violation("task %s was submitted by nobody", t)
 		return
 	}
 	r.started = true
-	j.judgeLimit(t, r.spec)
-	if r.refused && r.open == 0 {
-		j.fail("task %s starts, its job was refused", t)
+	j.checkTenantLimit(t, r.spec)
+	if r.refused && r.pendingRequests == 0 {
+		j.violation("task %s starts, its job was refused", t)
 	}
 	if !r.cancelled.IsZero() && time.Since(r.cancelled) > cancelBound {
-		j.fail("task %s starts %s after its job was cancelled", t, time.Since(r.cancelled))
+		j.violation("task %s starts %s after its job was cancelled", t, time.Since(r.cancelled))
 	}
 	for _, a := range r.spec.Steps[t.Step].After {
 		if !j.stepDone(r.spec, t.Occurrence, a) {
-			j.fail("task %s starts before step %d is done", t, a)
+			j.violation("task %s starts before step %d is done", t, a)
 		}
 	}
 }
@@ -291,9 +291,9 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	r := j.record(t)
-	if r.atWork() {
-		r.left = time.Now()
-		r.ordered = how == takenAway || how == owner.EndStopped.String() || how == owner.EndLapsed.String() && j.calm
+	if r.ready() {
+		r.lastReady = time.Now()
+		r.endedByOrder = how == endedWithInstance || how == owner.EndStopped.String() || how == owner.EndLapsed.String() && j.faultsEnded
 	}
 	if r.running[w] == run {
 		delete(r.running, w)
@@ -323,13 +323,13 @@
 	return w != nil && w.begun[id]
 }
 
-// duty judges an order for an instance. late says that the daemon was frozen
+// instanceOrdered judges an order for an instance. late says that the daemon was frozen
 // between its last check and the call, which no daemon can help.
-func (j *Checker) duty(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
+func (j *Checker) instanceOrdered(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !late {
-		j.judgeHolder(d, id)
+		j.checkDutyHolder(d, id)
 	}
 	if wave == 0 {
 		return
@@ -337,19 +337,19 @@
 	w := j.waves[wave]
 	w.begun[id] = true
 	if down > w.limit {
-		j.fail("%d instances of wave %d are down, %d may be", down, wave, w.limit)
+		j.violation("%d instances of wave %d are down, %d may be", down, wave, w.limit)
 	}
 }
 
-// judgeHolder checks the orders for one instance: two holders must not take turns with
+// checkDutyHolder checks the orders for one instance: two holders must not take turns with
 // it, and its tokens must not fall.
-func (j *Checker) judgeHolder(d owner.Duty, id owner.InstanceID) {
+func (j *Checker) checkDutyHolder(d owner.Duty, id owner.InstanceID) {
 	last, ordered := j.duties[id]
 	if ordered && last.Holder != d.Holder && time.Since(last.at) < dutyHandover {
-		j.fail("%s orders instance %s %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
+		j.violation("%s orders instance %s %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
 	}
 	if ordered && d.Token < last.Token {
-		j.fail("%s orders instance %s with token %d after %d", d.Holder, id, d.Token, last.Token)
+		j.violation("%s orders instance %s with token %d after %d", d.Holder, id, d.Token, last.Token)
 	}
 	j.duties[id] = dutyRecord{d, time.Now()}
 }
--- a/standin/jobfleet/network.go
+++ b/standin/jobfleet/network.go
@@ -62,7 +62,7 @@
 		return nil, verdict.New(verdict.NotRun, peer.CodePeerUnreachable, "nobody listens at %s", addr)
 	}
 	if c.gate.pass(ctx, toPeers) != nil || gate.pass(ctx, toPeers) != nil {
-		return nil, verdict.Wrap(errLost, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
+		return nil, verdict.Wrap(errNoAnswer, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
 	}
 	time.Sleep(peerLatency)
 	return h, ctx.Err()
@@ -122,7 +122,7 @@
 	}
 	out := h.Relay(r)
 	if c.gate.pass(ctx, toPeers) != nil {
-		return peer.RelayReply{}, verdict.Wrap(errLost, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
+		return peer.RelayReply{}, verdict.Wrap(errNoAnswer, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
 	}
 	return out, nil
 }
@@ -139,7 +139,7 @@
 	case <-ctx.Done():
 		return nil
 	case <-left:
-		return errLost
+		return errNoAnswer
 	}
 }
 
--- a/standin/jobfleet/shrink.go
+++ b/standin/jobfleet/shrink.go
@@ -7,17 +7,17 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// limitBound is how long after a worker's room has become less starts may still go by what
+// capacityUpdateBound is how long after a worker's room has become less starts may still go by what
 // it was: they are on their way, or its entry in the store is.
-const limitBound = time.Second
+const capacityUpdateBound = time.Second
 
 // configure takes which services' workers guard their room.
 func (f *Fleet) configure(c *job.Catalog) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.unguarded)
+	clear(f.unenforced)
 	for _, s := range c.Services {
-		f.unguarded[s.Name] = !s.EnforcesCapacity
+		f.unenforced[s.Name] = !s.EnforcesCapacity
 	}
 }
 
@@ -30,7 +30,7 @@
 		return
 	}
 	part := func(n int) int { return int(share * float64(n)) }
-	full := w.at.room
+	full := w.instance.capacity
 	f.resize(w, job.Resources{CPUMilli: part(full.CPUMilli), MemMB: part(full.MemMB), GPU: part(full.GPU)})
 	w.shrank = time.Now()
 	time.AfterFunc(d, func() {
@@ -47,12 +47,12 @@
 	f.publish(string(w.reg.Worker), &w.reg)
 }
 
-// overLimit judges a start that brings a worker over its room.
-func (j *Checker) overLimit(t job.TaskID, w *worker) {
+// checkCapacity judges a start that brings a worker over its room.
+func (j *Checker) checkCapacity(t job.TaskID, w *worker) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
-	if !w.shrank.IsZero() && time.Since(w.shrank) <= limitBound {
+	if !w.shrank.IsZero() && time.Since(w.shrank) <= capacityUpdateBound {
 		return
 	}
-	j.fail("task %s starts on %s, which has no room for it", t, w.reg.Worker)
+	j.violation("task %s starts on %s, which has no room for it", t, w.reg.Worker)
 }
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -21,25 +21,25 @@
 // storeLatency is one way to the store.
 const storeLatency = 2 * time.Millisecond
 
-// lateDelay is how long the store takes to carry out a write whose answer was
+// delayedWrite is how long the store takes to carry out a write whose answer was
 // lost and that is late.
-const lateDelay = 2 * time.Second
+const delayedWrite = 2 * time.Second
 
 // pageItems is how many items a page of a range holds.
 const pageItems = 100
 
 // Store is a key-value service with revisions, leases and watches.
 type Store struct {
-	mu        sync.Mutex
-	rev       int64
-	items     map[string]ledger.Item
-	history   []ledger.Event
-	forgotten int64 // history up to this revision is gone
-	leases    map[ledger.LeaseID]*lease
-	nextLease ledger.LeaseID
-	changed   chan struct{} // closed at the next change
-	calls     map[string]int
-	most      int // changes that a watch returns at most; 0: any number
+	mu             sync.Mutex
+	rev            int64
+	items          map[string]ledger.Item
+	history        []ledger.Event
+	compacted      int64 // history up to this revision is gone
+	leases         map[ledger.LeaseID]*lease
+	nextLease      ledger.LeaseID
+	changed        chan struct{} // closed at the next change
+	calls          map[string]int
+	maxWatchEvents int // changes that a watch returns at most; 0: any number
 }
 
 type lease struct {
@@ -62,7 +62,7 @@
 func (s *Store) LimitWatches(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.most = most
+	s.maxWatchEvents = most
 }
 
 // Calls returns how many calls of a kind were made; "" counts all.
@@ -84,7 +84,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.write(ledger.Put{Key: key, Value: value})
-	s.bump()
+	s.notifyWatches()
 }
 
 // Remove removes a key for the operator or a worker.
@@ -92,16 +92,16 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remove(key)
-	s.bump()
+	s.notifyWatches()
 }
 
 // CompactHistory drops the history, so that watches have to start anew.
 func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forgotten = s.rev
+	s.compacted = s.rev
 	s.history = nil
-	s.bump()
+	s.notifyWatches()
 }
 
 // Revoke removes all keys of a daemon's leases and ends these.
@@ -127,8 +127,8 @@
 	return s.items[key].Value
 }
 
-// bump wakes the watches.
-func (s *Store) bump() {
+// notifyWatches wakes the watches.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -165,7 +165,7 @@
 			s.remove(key)
 		}
 	}
-	s.bump()
+	s.notifyWatches()
 }
 
 func (s *Store) get(key string) (ledger.Item, bool) {
@@ -194,12 +194,12 @@
 	return out
 }
 
-// look returns the changes after a revision, or a channel that is closed at
+// changesAfter returns the changes after a revision, or a channel that is closed at
 // the next one.
-func (s *Store) look(prefix string, after int64) (ledger.Changes, <-chan struct{}, error) {
+func (s *Store) changesAfter(prefix string, after int64) (ledger.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if after < s.forgotten {
+	if after < s.compacted {
 		return ledger.Changes{}, nil, verdict.New(verdict.NotRun, ledger.CodeCompacted, "history after %d is gone", after)
 	}
 	out := ledger.Changes{Revision: s.rev}
@@ -207,7 +207,7 @@
 		if e.Revision <= after || !strings.HasPrefix(e.Key, prefix) {
 			continue
 		}
-		if n := len(out.Events); s.most > 0 && n >= s.most && e.Revision > out.Events[n-1].Revision {
+		if n := len(out.Events); s.maxWatchEvents > 0 && n >= s.maxWatchEvents && e.Revision > out.Events[n-1].Revision {
 			out.Revision = out.Events[n-1].Revision
 			break
 		}
@@ -223,7 +223,7 @@
 	end := time.NewTimer(wait)
 	defer end.Stop()
 	for {
-		out, changed, err := s.look(prefix, after)
+		out, changed, err := s.changesAfter(prefix, after)
 		if err != nil || len(out.Events) > 0 {
 			return out, err
 		}
@@ -232,7 +232,7 @@
 		case <-end.C:
 			return out, nil
 		case <-ctx.Done():
-			return out, lost(ctx)
+			return out, noAnswerError(ctx)
 		}
 	}
 }
@@ -268,13 +268,13 @@
 	for _, k := range t.Deletes {
 		s.remove(k)
 	}
-	s.unify(before)
-	s.bump()
+	s.setTxnRevision(before)
+	s.notifyWatches()
 	return ledger.TxnResult{Committed: true, Revision: s.rev}, nil
 }
 
-// unify gives all changes of a transaction the same revision.
-func (s *Store) unify(before int64) {
+// setTxnRevision gives all changes of a transaction the same revision.
+func (s *Store) setTxnRevision(before int64) {
 	for i := range s.history {
 		e := &s.history[i]
 		if e.Revision <= before {
@@ -314,8 +314,8 @@
 	return true
 }
 
-var errLost = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-func lost(ctx context.Context) error {
-	return verdict.Wrap(errors.Join(errLost, ctx.Err()), verdict.MayHaveRun, ledger.CodeStoreUnavailable, "store")
+func noAnswerError(ctx context.Context) error {
+	return verdict.Wrap(errors.Join(errNoAnswer, ctx.Err()), verdict.MayHaveRun, ledger.CodeStoreUnavailable, "store")
 }
--- a/standin/jobfleet/tenants.go
+++ b/standin/jobfleet/tenants.go
@@ -8,14 +8,14 @@
 
 // Figures of the promise about tenants' limits.
 const (
-	// limitApplies is how long after a configuration the one before may still be in force.
-	limitApplies = 3 * time.Second
+	// limitUpdateBound is how long after a configuration the one before may still be in force.
+	limitUpdateBound = 3 * time.Second
 	// limitOverage is by how much a tenant may be over its limit, beside one task.
 	limitOverage = 1.1
 )
 
-// limitSince is a tenant's limit from a configuration on.
-type limitSince struct {
+// tenantLimit is a tenant's limit from a configuration on.
+type tenantLimit struct {
 	limit job.Resources
 	at    time.Time
 }
@@ -25,20 +25,20 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, t := range c.Tenants {
-		j.limits[t.Name] = append(j.limits[t.Name], limitSince{t.Limit, time.Now()})
+		j.limits[t.Name] = append(j.limits[t.Name], tenantLimit{t.Limit, time.Now()})
 	}
 }
 
-// judgeLimit checks what the tenant of a task that has just started has running. Of the limits
+// checkTenantLimit checks what the tenant of a task that has just started has running. Of the limits
 // that may be in force the highest counts.
-func (j *Checker) judgeLimit(t job.TaskID, spec *job.Job) {
+func (j *Checker) checkTenantLimit(t job.TaskID, spec *job.Job) {
 	limits := j.limits[spec.Tenant]
 	if spec.Tenant == "" || len(limits) == 0 {
 		return
 	}
 	highest := 0
 	for n, l := range limits {
-		replaced := n+1 < len(limits) && time.Since(limits[n+1].at) > limitApplies
+		replaced := n+1 < len(limits) && time.Since(limits[n+1].at) > limitUpdateBound
 		if l.limit.CPUMilli == 0 {
 			return
 		}
@@ -54,7 +54,7 @@
 	}
 	most := int(limitOverage*float64(highest)) + spec.Steps[t.Step].Need.CPUMilli
 	if used > most {
-		j.fail("task %s starts, tenant %s has %d thousandths of a core running, %d are allowed", t, spec.Tenant, used, most)
+		j.violation("task %s starts, tenant %s has %d thousandths of a core running, %d are allowed", t, spec.Tenant, used, most)
 	}
 }
 
@@ -63,6 +63,6 @@
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if status >= 200 && status < 300 {
-		j.fail("a call with a key that nobody has was answered with %d", status)
+		j.violation("a call with a key that nobody has was answered with %d", status)
 	}
 }
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -17,51 +17,51 @@
 	startupTime   = 300 * time.Millisecond // of a long-running task
 	maintenance   = 2 * time.Second
 	migration     = 1500 * time.Millisecond
-	lateOrder     = 2500 * time.Millisecond // delay of an order that is carried out late
+	delayedOrder  = 2500 * time.Millisecond // delay of an order that is carried out late
 	maxLease      = 10 * time.Second
 )
 
 // Fleet is instances and the workers that are their lives.
 type Fleet struct {
-	mu        sync.Mutex
-	instances map[owner.InstanceID]*instance
-	workers   map[owner.WorkerID]*worker
-	jobs      map[job.ID]*job.Job // what callers submitted
-	lives     int
-	beats     int
-	judge     *Checker
-	publish   func(key string, r *owner.Registration) // nil registration: removed
-	down      map[owner.InstanceID]int                // wave of the instances under maintenance
-	unguarded map[string]bool                         // pools the workers of which start whatever they are told
-	crashers  map[crasher]crashTimes
-	onCrash   func(job.TaskID)
+	mu          sync.Mutex
+	instances   map[owner.InstanceID]*instance
+	workers     map[owner.WorkerID]*worker
+	jobs        map[job.ID]*job.Job // what callers submitted
+	workerCount int
+	heartbeats  int
+	judge       *Checker
+	publish     func(key string, r *owner.Registration) // nil registration: removed
+	down        map[owner.InstanceID]int                // wave of the instances under maintenance
+	unenforced  map[string]bool                         // pools the workers of which start whatever they are told
+	crashers    map[crasher]crashTimes
+	onCrash     func(job.TaskID)
 }
 
 type instance struct {
 	owner.Instance
-	room job.Resources
-	fell int  // how often a life of it ended
-	same bool // its next worker has the id of the last one
+	capacity     job.Resources
+	endedWorkers int  // how often a life of it ended
+	keepWorkerID bool // its next worker has the id of the last one
 }
 
 type worker struct {
-	reg     owner.Registration
-	began   time.Time // its clock starts then
-	at      *instance
-	token   uint64
-	active  map[job.TaskID]*execution
-	ended   []owner.RunEnd
-	number  uint64
-	latest  map[job.TaskID]uint64 // highest run that ended or was stopped
-	lease   time.Time
-	lapse   *time.Timer
-	ping    chan struct{} // closed at the next end
-	dead    bool
-	refuses bool      // it is dead, and its address refuses connections
-	shrank  time.Time // when its room last became less; zero: it did not
-	cut     bool      // its path to all daemons is cut
-	fails   bool      // every task fails
-	hangs   bool      // tasks stand still
+	reg      owner.Registration
+	began    time.Time // its clock starts then
+	instance *instance
+	token    uint64
+	active   map[job.TaskID]*execution
+	ended    []owner.RunEnd
+	number   uint64
+	latest   map[job.TaskID]uint64 // highest run that ended or was stopped
+	lease    time.Time
+	lapse    *time.Timer
+	ping     chan struct{} // closed at the next end
+	dead     bool
+	refuses  bool      // it is dead, and its address refuses connections
+	shrank   time.Time // when its room last became less; zero: it did not
+	cut      bool      // its path to all daemons is cut
+	fails    bool      // every task fails
+	hangs    bool      // tasks stand still
 }
 
 type execution struct {
@@ -77,12 +77,12 @@
 func NewFleet(j *Checker, publish func(key string, r *owner.Registration)) *Fleet {
 	return &Fleet{
 		judge: j, publish: publish,
-		instances: map[owner.InstanceID]*instance{},
-		workers:   map[owner.WorkerID]*worker{},
-		jobs:      map[job.ID]*job.Job{},
-		down:      map[owner.InstanceID]int{},
-		unguarded: map[string]bool{},
-		crashers:  map[crasher]crashTimes{},
+		instances:  map[owner.InstanceID]*instance{},
+		workers:    map[owner.WorkerID]*worker{},
+		jobs:       map[job.ID]*job.Job{},
+		down:       map[owner.InstanceID]int{},
+		unenforced: map[string]bool{},
+		crashers:   map[crasher]crashTimes{},
 	}
 }
 
@@ -97,74 +97,74 @@
 func (f *Fleet) Add(id owner.InstanceID, pool, rack string, room job.Resources) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	i := &instance{Instance: owner.Instance{ID: id, Pool: pool, Rack: rack}, room: room}
+	i := &instance{Instance: owner.Instance{ID: id, Pool: pool, Rack: rack}, capacity: room}
 	f.instances[id] = i
-	f.rise(i)
+	f.startWorker(i)
 }
 
-// rise begins a new life of an instance.
-func (f *Fleet) rise(i *instance) {
-	f.lives++
-	id := owner.WorkerID(fmt.Sprintf("w-%03d", f.lives))
-	if i.same {
-		id, i.same = i.Worker, false
+// startWorker begins a new life of an instance.
+func (f *Fleet) startWorker(i *instance) {
+	f.workerCount++
+	id := owner.WorkerID(fmt.Sprintf("w-%03d", f.workerCount))
+	if i.keepWorkerID {
+		id, i.keepWorkerID = i.Worker, false
 	}
 	i.State = owner.InstanceUp
 	i.Worker = id
 	w := &worker{
-		reg:   owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Zone: i.Zone, Labels: []string{i.Rack}, Capacity: i.room, StartedMs: time.Now().UnixMilli()},
-		began: time.Now(),
-		at:    i, active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{}, ping: make(chan struct{}),
+		reg:      owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Zone: i.Zone, Labels: []string{i.Rack}, Capacity: i.capacity, StartedMs: time.Now().UnixMilli()},
+		began:    time.Now(),
+		instance: i, active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{}, ping: make(chan struct{}),
 	}
 	f.workers[id] = w
 	delete(f.down, i.ID)
 	f.publish(string(id), &w.reg)
 }
 
-// fall ends the life of an instance.
-func (f *Fleet) fall(i *instance, state owner.InstanceState) {
+// endWorker ends the life of an instance.
+func (f *Fleet) endWorker(i *instance, state owner.InstanceState) {
 	w := f.workers[i.Worker]
 	i.State = state
-	i.fell++
+	i.endedWorkers++
 	if w == nil || w.dead {
 		return
 	}
 	w.dead = true
 	how := "gone"
 	if state != owner.InstanceDown {
-		how = takenAway
+		how = endedWithInstance
 	}
 	for _, e := range w.active {
 		e.timer.Stop()
-		if how == takenAway {
-			f.judge.taken(e.task, w.reg.Worker, how, w.sound())
+		if how == endedWithInstance {
+			f.judge.checkDisruption(e.task, w.reg.Worker, how, w.healthy())
 		}
 		f.judge.ended(e.task, e.run, w.reg.Worker, how)
-		f.breakGang(e)
+		f.endGang(e)
 	}
 	if w.refuses {
 		close(w.ping) // holds that wait there end
 		return        // and its registration stays for a while
 	}
-	if i.same {
+	if i.keepWorkerID {
 		return
 	}
 	f.publish(string(w.reg.Worker), nil)
 }
 
-// sound reports whether nothing is wrong with the worker.
-func (w *worker) sound() bool { return !w.cut && !w.fails && !w.hangs }
+// healthy reports whether nothing is wrong with the worker.
+func (w *worker) healthy() bool { return !w.cut && !w.fails && !w.hangs }
 
-// takenAway is how the tasks of an instance end that is moved or maintained.
-const takenAway = "taken away"
+// endedWithInstance is how the tasks of an instance end that is moved or maintained.
+const endedWithInstance = "taken away"
 
 // Crash ends a worker without notice; it comes back after d.
 func (f *Fleet) Crash(id owner.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	i := f.instances[id]
-	f.fall(i, owner.InstanceDown)
-	f.riseAfter(i, d)
+	f.endWorker(i, owner.InstanceDown)
+	f.startWorkerAfter(i, d)
 }
 
 // Restart ends a worker without notice; it comes back after d, under the id that it had. Its
@@ -179,9 +179,9 @@
 	for t := range f.workers[i.Worker].active {
 		f.judge.crashed(t)
 	}
-	i.same = true
-	f.fall(i, owner.InstanceDown)
-	f.riseAfter(i, d)
+	i.keepWorkerID = true
+	f.endWorker(i, owner.InstanceDown)
+	f.startWorkerAfter(i, d)
 }
 
 // Cut cuts an instance off from all daemons for a while; it runs on.
@@ -230,10 +230,10 @@
 func (f *Fleet) HeartbeatTenth() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.beats++
+	f.heartbeats++
 	for n, id := range slices.Sorted(maps.Keys(f.instances)) {
 		w := f.workers[f.instances[id].Worker]
-		if n%10 == f.beats%10 && w != nil && !w.dead && !w.cut {
+		if n%10 == f.heartbeats%10 && w != nil && !w.dead && !w.cut {
 			f.publish(string(w.reg.Worker), &w.reg)
 		}
 	}
@@ -279,7 +279,7 @@
 	w.number++
 	w.ended = append(w.ended, owner.RunEnd{Seq: w.number, Task: e.task, Run: e.run, Kind: kind})
 	if kind == owner.EndStopped || kind == owner.EndLapsed {
-		f.judge.taken(e.task, w.reg.Worker, kind.String(), w.sound())
+		f.judge.checkDisruption(e.task, w.reg.Worker, kind.String(), w.healthy())
 	}
 	f.judge.ended(e.task, e.run, w.reg.Worker, kind.String())
 	close(w.ping)
@@ -311,11 +311,11 @@
 		return a
 	}
 	if !f.freeOf(w).Fits(spec.ReservedResources()) {
-		if !f.unguarded[w.reg.Service] {
+		if !f.unenforced[w.reg.Service] {
 			a.Outcome = owner.NoRoom
 			return a
 		}
-		f.judge.overLimit(o.Task, w)
+		f.judge.checkCapacity(o.Task, w)
 	}
 	f.execute(w, o, spec)
 	return a
@@ -341,8 +341,8 @@
 	e := &execution{task: o.Task, run: o.Run, began: time.Now(), need: spec.ReservedResources()}
 	w.active[o.Task] = e
 	f.judge.started(o.Task, o.Run, w.reg.Worker, o.Token)
-	f.judge.judgeZone(o.Task, w.reg.Zone)
-	f.crashIfSo(w, e)
+	f.judge.checkZone(o.Task, w.reg.Zone)
+	f.scheduleCrash(w, e)
 	e.takes = spec.Estimate
 	kind := owner.EndDone
 	if w.fails {
@@ -428,15 +428,15 @@
 	return n
 }
 
-// riseAfter begins a new life of an instance after d, unless something else
+// startWorkerAfter begins a new life of an instance after d, unless something else
 // has befallen it by then.
-func (f *Fleet) riseAfter(i *instance, d time.Duration) {
-	fell := i.fell
+func (f *Fleet) startWorkerAfter(i *instance, d time.Duration) {
+	fell := i.endedWorkers
 	time.AfterFunc(d, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if i.fell == fell {
-			f.rise(i)
+		if i.endedWorkers == fell {
+			f.startWorker(i)
 		}
 	})
 }
