--- a/standin/jobfleet/away.go
+++ b/standin/jobfleet/away.go
@@ -7,25 +7,25 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// absenceGrace is how long a task that lasts may be absent from its work before it counts
-// as away whatever the cause.
+// absenceGrace is how long a long-running task may be not ready before it counts as unavailable
+// whatever the cause.
 const absenceGrace = 4500 * time.Millisecond
 
-// FaultsEnded says that from now on nothing harms the workers, the store and the ways between:
-// a lease that is left to end is the daemons' doing, as a stop is.
+// FaultsEnded tells the checker that no more faults are injected: from now on an expired lease
+// counts as the daemons' decision, like a stop.
 func (j *Checker) FaultsEnded() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.faultsEnded = true
 }
 
-// ready reports whether a task that lasts has started up, and runs.
+// ready reports whether a long-running task runs and has started up.
 func (r *taskRecord) ready() bool {
 	return len(r.running) > 0 && time.Since(r.began) >= startupTime
 }
 
-// isUnavailable reports whether a task of a step counts against its budget: an order ended it, or
-// it has not been at work for long.
+// isUnavailable reports whether a task counts against the budget of its step: it is not ready,
+// and an order ended it or absenceGrace is over.
 func (j *Checker) isUnavailable(t job.TaskID) bool {
 	r := j.record(t)
 	return !r.ready() && (r.endedByOrder || time.Since(later(r.lastReady, j.jobs[t.Job].submitted)) > absenceGrace)
@@ -38,9 +38,9 @@
 	return b
 }
 
-// checkDisruption judges the end of a task by an order, or by its lease: as many others of its step
-// may be away as its budget says, less this one. It is called before ended. sound says
-// that nothing is wrong with the worker.
+// checkDisruption checks the end of a task by an order or by its lease: with this task, no more
+// tasks of its step than its budget may be unavailable. It is called before ended. healthy says
+// that the worker has no injected fault.
 func (j *Checker) checkDisruption(t job.TaskID, w owner.WorkerID, how string, sound bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -64,12 +64,12 @@
 		}
 	}
 	if others >= step.MayMiss {
-		j.violation("task %s on %s is ended (%s) while %d others of its step are away, %d may be", t, w, how, others, step.MayMiss)
+		j.addViolation("task %s on %s is ended (%s) while %d others of its step are unavailable, the budget is %d", t, w, how, others, step.MayMiss)
 	}
 }
 
-// Waiting returns how many of the jobs for which of holds were accepted before a moment
-// and have not begun.
+// Waiting returns the number of jobs that match of, were accepted before a time, and have not
+// started.
 func (j *Checker) Waiting(before time.Time, of func(job.ID) bool) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/jobfleet/away_test.go
+++ b/standin/jobfleet/away_test.go
@@ -14,9 +14,9 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestTheJudgeKeepsTheBudgetOfAStepThatLasts: of three tasks one may be away. What takes
-// the second one from its work breaks the budget, whatever took the first, unless it is no
-// order, or the first one is back.
+// TestDisruptionBudgetViolations checks a step of three long-running tasks of which one may be
+// unavailable. Ending the second one by an order violates the budget, whatever ended the first,
+// unless the first is ready again.
 func TestTheJudgeKeepsTheBudgetOfAStepThatLasts(t *testing.T) {
 	const lease = 5 * time.Second
 	for _, c := range []struct {
@@ -33,8 +33,8 @@
 		{"a stop while the first is back", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.wait(time.Second); r.stop(1) }, 0},
 		{"a stop while the first starts up", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.stop(1) }, 1},
 		{"a stop on a worker that drains", func(r *lastingRun) { r.stop(0); r.fleet.Drain("i1"); r.stop(1) }, 0},
-		{"leases that end where something is wrong", func(r *lastingRun) { r.wait(lease) }, 0},
-		{"leases that end in calm", func(r *lastingRun) { r.judge.FaultsEnded(); r.wait(lease) }, 2},
+		{"leases that end while faults are injected", func(r *lastingRun) { r.wait(lease) }, 0},
+		{"leases that end without faults", func(r *lastingRun) { r.judge.FaultsEnded(); r.wait(lease) }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	}
 }
 
-// lastingRun is a job of three tasks that last, at work on three workers.
+// lastingRun is a job of three long-running tasks, ready on three workers.
 type lastingRun struct {
 	t      *testing.T
 	judge  *Checker
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -9,24 +9,24 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Failure is what becomes of one call to a stand-in.
+// Failure is the injected failure of a call to a stand-in.
 type Failure int
 
-// The ways in which a call fails.
+// Failures of a call.
 const (
 	NoFailure   Failure = iota
-	Refused             // it was not carried out, and the caller hears so
-	RequestLost         // it was not carried out, and nothing is heard
-	AnswerLost          // it was carried out, and nothing is heard
-	Delayed             // it is carried out later, and nothing is heard
+	Refused             // not carried out; the caller is told
+	RequestLost         // not carried out; no answer
+	AnswerLost          // carried out; no answer
+	Delayed             // carried out later; no answer
 )
 
-// Hook is asked about each call before it is carried out. op is the kind of
-// call: get, range, watch, commit, grant, keep or end for the store; start, stop,
-// throttle or hold for workers; list, move or maintain for instances.
+// Hook returns the failure of a call; it is called before the call is carried out. op is the
+// kind of call: get, range, watch, commit, grant, keep or end for the store; start, stop,
+// throttle or hold for workers; move or maintain for instances.
 type Hook func(daemon, op string) Failure
 
-// Client is the store as one daemon reaches it.
+// Client is a daemon's client of the store.
 type Client struct {
 	store  *Store
 	daemon string
@@ -34,13 +34,13 @@
 	hook   Hook
 }
 
-// Client returns the store for a daemon. gate stops its calls while the daemon
-// is frozen or cut off.
+// Client returns a daemon's client of the store. gate blocks its calls while the daemon is
+// frozen and drops them while it is cut off.
 func (s *Store) Client(daemon string, gate *Gate, hook Hook) *Client {
 	return &Client{store: s, daemon: daemon, gate: gate, hook: hook}
 }
 
-// call carries out do with the daemon's faults.
+// storeCall carries out do with the latency of the store and the faults of the daemon.
 func storeCall[T any](ctx context.Context, c *Client, op string, do func() (T, error)) (T, error) {
 	var none T
 	if err := c.gate.pass(ctx, toStore); err != nil {
@@ -60,7 +60,7 @@
 		<-ctx.Done()
 		return none, noAnswerError(ctx)
 	case Delayed:
-		time.AfterFunc(delayedWrite, func() { _, _ = do() }) // nobody hears of it, that is the fault
+		time.AfterFunc(delayedWrite, func() { _, _ = do() }) // the result is dropped: this is the fault
 		<-ctx.Done()
 		return none, noAnswerError(ctx)
 	}
@@ -116,7 +116,7 @@
 	return err
 }
 
-// direction is where a daemon's calls go.
+// direction is the destination of a daemon's calls.
 type direction int
 
 const (
@@ -125,21 +125,20 @@
 	toPeers
 )
 
-// Gate stops a daemon's calls: all of them while it is frozen, those in some
-// directions while it is cut off. A frozen daemon's calls go on when it wakes;
-// those of one that is cut off are lost.
+// Gate blocks the calls of a daemon. While it is frozen all calls wait for its end; while it is
+// cut off from a direction, calls there are lost.
 type Gate struct {
 	mu     sync.Mutex
 	thaw   chan struct{} // nil: not frozen
 	cut    [toPeers + 1]bool
 	killed bool
 
-	slowdown     float64       // how many times slower the daemon\'s instance is; 0: not at all
-	suspendedFor time.Duration // in suspensions that are over
-	suspendedAt  time.Time     // when the present one began; zero: there is none
+	slowdown     float64       // factor that the instance reports to be slower by; 0: normal speed
+	suspendedFor time.Duration // total of the past suspensions
+	suspendedAt  time.Time     // start of the current suspension; zero: none
 }
 
-// Freeze stops the daemon for a while.
+// Freeze blocks all calls of the daemon for d.
 func (g *Gate) Freeze(d time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,7 +155,7 @@
 	})
 }
 
-// Suspend stops the daemon for a while that its steady clock does not count.
+// Suspend freezes the daemon for d, which its monotonic clock doesn't count.
 func (g *Gate) Suspend(d time.Duration) {
 	g.mu.Lock()
 	if g.thaw != nil {
@@ -165,7 +164,7 @@
 	}
 	g.suspendedAt = time.Now()
 	g.mu.Unlock()
-	time.AfterFunc(d, func() { // before it thaws
+	time.AfterFunc(d, func() { // runs before the end of the freeze, which is scheduled later
 		g.mu.Lock()
 		defer g.mu.Unlock()
 		g.suspendedFor += time.Since(g.suspendedAt)
@@ -183,11 +182,11 @@
 	return g.suspendedFor + time.Since(g.suspendedAt)
 }
 
-// normalProbeTime is what the fixed piece of work takes on an instance at its usual speed.
+// normalProbeTime is the duration of the CPU probe on an instance of normal speed.
 const normalProbeTime = 40 * time.Microsecond
 
-// ReportSlow lets the daemon's instance seem so many times slower for a while. It tells it, and
-// does all as fast as before.
+// ReportSlow makes the CPU probe report an instance that is times slower for d. The daemon's
+// actual speed doesn't change.
 func (g *Gate) ReportSlow(times float64, d time.Duration) {
 	g.setSlowdown(times)
 	time.AfterFunc(d, func() { g.setSlowdown(0) })
@@ -199,14 +198,14 @@
 	g.slowdown = times
 }
 
-// probe takes as long as the instance's speed says.
+// probe returns the duration of the CPU probe.
 func (g *Gate) probe() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return time.Duration(max(1, g.slowdown) * float64(normalProbeTime))
 }
 
-// clock is that of a daemon's instance.
+// clock is the clock of a daemon's instance.
 type clock struct{ gate *Gate }
 
 // Now implements node.Clock.
@@ -215,19 +214,19 @@
 // Suspended implements node.Clock.
 func (c clock) Suspended() time.Duration { return c.gate.suspended() }
 
-// CutStoreAndPeers cuts the daemon off from the store and its peers for a while.
+// CutStoreAndPeers cuts the daemon off from the store and its peers for d.
 func (g *Gate) CutStoreAndPeers(d time.Duration) {
 	g.setCut(true, toStore, toPeers)
 	time.AfterFunc(d, func() { g.setCut(false, toStore, toPeers) })
 }
 
-// CutStoreOnly cuts the daemon off from the store alone for a while.
+// CutStoreOnly cuts the daemon off from the store for d.
 func (g *Gate) CutStoreOnly(d time.Duration) {
 	g.setCut(true, toStore)
 	time.AfterFunc(d, func() { g.setCut(false, toStore) })
 }
 
-// Kill loses all calls from now on.
+// Kill drops all calls from now on.
 func (g *Gate) Kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -242,8 +241,8 @@
 	}
 }
 
-// pass waits until the daemon may send in direction d, or hear from there. It
-// fails if the call is lost, at the end of ctx.
+// pass waits until the daemon may send to direction d, or receive from there. If the call is
+// lost it returns an error at the end of ctx.
 func (g *Gate) pass(ctx context.Context, d direction) error {
 	for {
 		g.mu.Lock()
--- a/standin/jobfleet/crash.go
+++ b/standin/jobfleet/crash.go
@@ -8,12 +8,12 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// registrationTTL is how long the store keeps the entry of a worker that is gone.
+// registrationTTL is how long the store keeps the registration of a crashed worker.
 const registrationTTL = 3 * time.Second
 
 var errRefused = errors.New("connection refused")
 
-// crasher is a task that brings down each worker that starts it, in every occurrence.
+// crasher identifies a task that crashes every worker that starts it, in every occurrence.
 type crasher struct {
 	job   job.ID
 	step  int
@@ -22,26 +22,28 @@
 
 func crasherKey(t job.TaskID) crasher { return crasher{t.Job, t.Step, t.Index} }
 
-// crashTimes are how long after the start a worker goes down, and when it is back.
+// crashTimes are the times from the start of a task to its worker's crash, and from the crash
+// to the worker's return.
 type crashTimes struct{ after, back time.Duration }
 
-// CrashOnStart lets each worker that starts a task go down after a while, and come back. Its
-// address refuses connections meanwhile. The occurrence of the task does not matter.
+// CrashOnStart makes every worker that starts a task, in any occurrence, crash after a time and
+// return later. Its address refuses connections meanwhile.
 func (f *Fleet) CrashOnStart(t job.TaskID, after, back time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crashers[crasherKey(t)] = crashTimes{after, back}
-	f.judge.addCrasher(t)
+	f.checker.addCrasher(t)
 }
 
-// OnCrash calls f, on a goroutine of its own, after each crash that a task has caused.
+// OnCrash sets the function that is called, in a goroutine of its own, after each crash caused
+// by a task.
 func (f *Fleet) OnCrash(do func(t job.TaskID)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.onCrash = do
 }
 
-// scheduleCrash lets the worker go down after the start of a task that crashes it.
+// scheduleCrash schedules the crash of the worker if the task is a crasher.
 func (f *Fleet) scheduleCrash(w *worker, e *execution) {
 	times, crashes := f.crashers[crasherKey(e.task)]
 	if !crashes {
@@ -55,7 +57,7 @@
 		}
 		w.refuses = true
 		for t := range w.active {
-			f.judge.crashed(t)
+			f.checker.crashed(t)
 		}
 		f.endWorker(w.instance, owner.InstanceDown)
 		f.startWorkerAfter(w.instance, times.back)
@@ -66,7 +68,7 @@
 	})
 }
 
-// endGang ends the other members of a gang of which one is lost.
+// endGang ends the other members of a gang that has lost a member.
 func (f *Fleet) endGang(lost *execution) {
 	if step := f.stepOf(lost.task); step == nil || !step.Gang {
 		return
@@ -80,27 +82,28 @@
 	}
 }
 
-// addCrasher takes note of a task that brings down its workers.
+// addCrasher records that a task crashes its workers.
 func (j *Checker) addCrasher(t job.TaskID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.crashers[crasherKey(t)] = true
 }
 
-// Figures of the promise about tasks that crash their workers.
+// Bounds of the check on tasks that crash their workers.
 const (
-	crashesAllowed     = 3 // workers that a task has crashed, after which its starts count
-	startsAfterCrashes = 2 // starts beyond them that are allowed: their news may be under way
+	crashesAllowed     = 3 // crashed workers after which further starts are counted
+	startsAfterCrashes = 2 // further starts allowed: the daemon may not know of the last crashes yet
 )
 
-// crashed takes note of a crash of the worker that a task ran on, whichever caused it.
+// crashed records a crash of the worker that a task ran on, whichever task caused it.
 func (j *Checker) crashed(t job.TaskID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.record(t).crashes++
 }
 
-// MaxTaskCrashes returns how many workers have crashed under that task of a job under which most have.
+// MaxTaskCrashes returns the largest number of workers that crashed while running the same task
+// of a job.
 func (j *Checker) MaxTaskCrashes(id job.ID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -113,18 +116,18 @@
 	return most
 }
 
-// checkCrasherStart checks a start of a task under which workers have crashed.
+// checkCrasherStart checks that a task which has crashed its workers isn't started too often.
 func (j *Checker) checkCrasherStart(t job.TaskID, r *taskRecord) {
 	if r.crashes < crashesAllowed || !j.crashers[crasherKey(t)] {
 		return
 	}
 	if r.afterCrashes++; r.afterCrashes > startsAfterCrashes {
-		j.violation("task %s starts, %d workers have crashed under it", t, r.crashes)
+		j.addViolation("task %s starts after %d workers crashed while running it", t, r.crashes)
 	}
 }
 
-// mayFail reports whether the job may be shown as failed: a run of it failed, or a task of
-// it crashes its workers.
+// mayFail reports whether the state of a job may be failed: a run of it failed, or one of its
+// tasks has crashed more than one worker.
 func (j *Checker) mayFail(id job.ID) bool {
 	for t, r := range j.tasks {
 		if t.Job == id && (r.failures > 0 || r.crashes > 1 && j.crashers[crasherKey(t)]) {
@@ -134,8 +137,7 @@
 	return false
 }
 
-// MaxCrasherCrashes returns the most workers that have crashed under one task of a job that crashes
-// them.
+// MaxCrasherCrashes is MaxTaskCrashes over the tasks that cause crashes.
 func (j *Checker) MaxCrasherCrashes(id job.ID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/jobfleet/evacuation.go
+++ b/standin/jobfleet/evacuation.go
@@ -7,10 +7,11 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// evacuationBound is how long after a request to evacuate a zone the last task may start there.
+// evacuationBound is the time after a request to evacuate a zone in which tasks may still start
+// there.
 const evacuationBound = 5 * time.Second
 
-// SetZone puts an instance into an availability zone.
+// SetZone sets the availability zone of an instance.
 func (f *Fleet) SetZone(id owner.InstanceID, zone string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -22,13 +23,13 @@
 	}
 }
 
-// Evacuate asks for a zone to get no new tasks, as the operator does.
+// Evacuate requests the evacuation of a zone, as an operator does: it gets no new tasks.
 func (in *Installation) Evacuate(zone string) {
 	in.Store.Put(in.encoding.EvacuationPrefix+zone, []byte("{}"))
 	in.Checker.setEvacuated(zone, time.Now())
 }
 
-// EndEvacuation takes that back.
+// EndEvacuation ends the evacuation of a zone.
 func (in *Installation) EndEvacuation(zone string) {
 	in.Checker.setEvacuated(zone, time.Time{})
 	in.Store.Remove(in.encoding.EvacuationPrefix + zone)
@@ -40,28 +41,28 @@
 	j.evacuated[zone] = since
 }
 
-// ExtendEvacuationBound allows so much more time, for days on which the store does not serve.
+// ExtendEvacuationBound allows more time than evacuationBound, for tests with store outages.
 func (j *Checker) ExtendEvacuationBound(by time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.extraEvacuationTime = by
 }
 
-// checkZone checks that the zone of a start is not evacuated.
+// checkZone checks that a task doesn't start in a zone that is evacuated.
 func (j *Checker) checkZone(t job.TaskID, zone string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	since := j.evacuated[zone]
 	if !since.IsZero() && time.Since(since) > evacuationBound+j.extraEvacuationTime {
-		j.violation("task %s starts in zone %s, which is evacuated since %s", t, zone, time.Since(since))
+		j.addViolation("task %s starts in zone %s, %s after its evacuation was requested", t, zone, time.Since(since))
 	}
 	if !since.IsZero() {
 		j.lastEvacuatedStart = time.Since(since)
 	}
 }
 
-// LastStartInEvacuatedZone returns how long after the request the newest task started in a zone that
-// is evacuated; 0: none did.
+// LastStartInEvacuatedZone returns the time from the request to the newest start in an evacuated
+// zone, 0 if there was none.
 func (j *Checker) LastStartInEvacuatedZone() time.Duration {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -7,7 +7,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// FleetClient is the fleet as one daemon reaches it.
+// FleetClient is a daemon's client of the fleet.
 type FleetClient struct {
 	fleet  *Fleet
 	daemon string
@@ -15,12 +15,12 @@
 	hook   Hook
 }
 
-// Client returns the fleet for a daemon.
+// Client returns a daemon's client of the fleet.
 func (f *Fleet) Client(daemon string, gate *Gate, hook Hook) *FleetClient {
 	return &FleetClient{fleet: f, daemon: daemon, gate: gate, hook: hook}
 }
 
-// order carries out do on a worker with the faults of the daemon and the worker.
+// order carries out do on a worker, with the faults of the daemon and of the worker.
 func (c *FleetClient) order(ctx context.Context, to owner.Target, op string, do func(w *worker) owner.Answer) owner.Answer {
 	unheard := owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}
 	if c.gate.pass(ctx, toWorkers) != nil {
@@ -31,7 +31,7 @@
 	apply := func() owner.Answer {
 		c.fleet.mu.Lock()
 		defer c.fleet.mu.Unlock()
-		w := reached // an order ends with the life that it has reached
+		w := reached // a delayed order is for the worker as it was when the order arrived, not for its successor
 		switch {
 		case w != nil && w.refuses:
 			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}
@@ -111,7 +111,7 @@
 	}
 }
 
-// deliverHold loses an answer that comes to a daemon that is cut off or killed.
+// deliverHold returns the answer to a hold, or drops it if the daemon is cut off or killed.
 func (c *FleetClient) deliverHold(ctx context.Context, h owner.HoldAnswer) owner.HoldAnswer {
 	if h.Outcome == owner.Unanswered {
 		if !h.ConnFailed {
@@ -167,7 +167,7 @@
 		if i.State != owner.InstanceUp {
 			return owner.DutyRefused
 		}
-		c.fleet.judge.instanceOrdered(d, id, 0, 0, late)
+		c.fleet.checker.instanceOrdered(d, id, 0, 0, late)
 		c.fleet.endWorker(i, owner.InstanceMoving)
 		i.Pool = pool
 		c.fleet.startWorkerAfter(i, migration)
@@ -182,14 +182,14 @@
 		if i == nil {
 			return owner.DutyInvalid
 		}
-		if c.fleet.judge.maintained(wave, id) {
+		if c.fleet.checker.maintained(wave, id) {
 			return owner.DutyDone
 		}
 		if i.State != owner.InstanceUp {
 			return owner.DutyRefused
 		}
 		c.fleet.down[id] = wave
-		c.fleet.judge.instanceOrdered(d, id, wave, c.fleet.downOf(wave), late)
+		c.fleet.checker.instanceOrdered(d, id, wave, c.fleet.downOf(wave), late)
 		c.fleet.endWorker(i, owner.InstanceInMaintenance)
 		c.fleet.startWorkerAfter(i, maintenance)
 		return owner.DutyDone
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -21,13 +21,13 @@
 	"github.com/postmount/postmount/jobs/policy"
 )
 
-// Installation is daemons on stand-ins.
+// Installation is a set of daemons with stand-ins for the store, fleet and network.
 type Installation struct {
 	Store   *Store
 	Fleet   *Fleet
 	Network *Network
 	Checker *Checker
-	// WrapWorkers, if set, changes the way of daemons that start from now on to workers.
+	// WrapWorkers, if set, wraps the worker client of daemons that start later.
 	WrapWorkers func(owner.WorkerClient) owner.WorkerClient
 
 	encoding Encoding
@@ -38,7 +38,7 @@
 	ctx      context.Context
 }
 
-// Daemon is one daemon of an installation.
+// Daemon is a daemon of an installation.
 type Daemon struct {
 	Name string
 	Gate *Gate
@@ -52,7 +52,7 @@
 	return NewInstallationWithEncoding(ctx, log, JSONEncoding)
 }
 
-// NewInstallationWithEncoding returns an installation whose store speaks a language.
+// NewInstallationWithEncoding returns an installation whose store entries use an encoding.
 func NewInstallationWithEncoding(ctx context.Context, log *zap.Logger, lang Encoding) *Installation {
 	in := &Installation{Store: NewStore(), Network: NewNetwork(), Checker: NewChecker(), encoding: lang, log: log, all: map[string]*Daemon{}, ctx: ctx}
 	in.hook = func(string, string) Failure { return NoFailure }
@@ -66,7 +66,7 @@
 	return in
 }
 
-// SetHook sets what is asked about each call.
+// SetHook sets the hook that is called for each call to a stand-in.
 func (in *Installation) SetHook(h Hook) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -80,13 +80,13 @@
 	return h(daemon, op)
 }
 
-// defaultCores is a daemon's share of the processor.
+// defaultCores is a daemon's CPU share in cores.
 const defaultCores = 0.4
 
 // Start starts a daemon.
 func (in *Installation) Start(name string) *Daemon { return in.StartWith(name, defaultCores) }
 
-// StartWith starts a daemon that has a share of the processor.
+// StartWith starts a daemon with a CPU share in cores.
 func (in *Installation) StartWith(name string, cores float64) *Daemon {
 	d := &Daemon{Name: name, Gate: &Gate{}, done: make(chan struct{})}
 	set := node.Settings{
@@ -119,7 +119,7 @@
 	return d
 }
 
-// Kill ends a daemon as a loss of power does.
+// Kill ends a daemon without notice, like a loss of power.
 func (in *Installation) Kill(name string) {
 	if d := in.take(name); d != nil {
 		d.Gate.Kill()
@@ -128,7 +128,7 @@
 	}
 }
 
-// Stop ends a daemon as planned.
+// Stop ends a daemon gracefully, with a hand-over.
 func (in *Installation) Stop(name string) {
 	if d := in.take(name); d != nil {
 		d.Node.HandOver()
@@ -145,7 +145,7 @@
 	return d
 }
 
-// Daemons returns the daemons that run, by name.
+// Daemons returns the running daemons, ordered by name.
 func (in *Installation) Daemons() []*Daemon {
 	in.mu.Lock()
 	defer in.mu.Unlock()
@@ -157,7 +157,7 @@
 	return out
 }
 
-// Owner returns the daemon that is the owner, nil if none is.
+// Owner returns a daemon that is the owner, nil if there is none.
 func (in *Installation) Owner() *Daemon {
 	for _, d := range in.Daemons() {
 		if d.Node.IsOwner() {
@@ -167,36 +167,37 @@
 	return nil
 }
 
-// Configure writes a configuration as the operator does.
+// Configure writes a configuration, as an operator does.
 func (in *Installation) Configure(c *job.Catalog) {
 	in.Fleet.configure(c)
 	in.Checker.configured(c)
 	in.Store.Put(in.encoding.ConfigKey, in.encoding.EncodeCatalog(c))
 }
 
-// RequestWave asks for maintenance as the operator does.
+// RequestWave requests a maintenance wave, as an operator does.
 func (in *Installation) RequestWave(w owner.WaveRequest) {
 	in.Checker.SetWaveLimit(w.Wave, w.MaxDown)
 	in.Store.Put(fmt.Sprintf("%s%d", in.encoding.WavePrefix, w.Wave), in.encoding.EncodeWave(w))
 }
 
-// WaveDone reports whether a wave is said to be completed.
+// WaveDone reports whether the status of a wave in the store is completed.
 func (in *Installation) WaveDone(wave int) bool {
 	key, done := in.encoding.EncodeWaveStatus(wave, true)
 	return string(in.Store.Value(key)) == string(done)
 }
 
-// Caller sends requests to daemons by turns, as the balancer does.
+// Caller sends requests to the daemons, by default round robin like a load balancer, and reports
+// the answers to the checker.
 type Caller struct {
 	in   *Installation
 	send Send
-	name string // of the daemon that it asks; "" if there are several
+	name string // of the daemon if all requests go to one, else ""
 }
 
-// Send makes one request to some daemon; status 0 means no answer.
+// Send sends a request to a daemon; status 0 means no answer.
 type Send func(method, path string, body []byte) (status int, answer string)
 
-// Caller returns a new caller of the installation's daemons.
+// Caller returns a caller that sends to all daemons, round robin.
 func (in *Installation) Caller() *Caller {
 	next := 0
 	return in.CallerWith(func(method, path string, body []byte) (int, string) {
@@ -209,7 +210,7 @@
 	})
 }
 
-// CallerTo returns a caller that asks one daemon.
+// CallerTo returns a caller that sends all requests to one daemon.
 func (in *Installation) CallerTo(d *Daemon) *Caller {
 	c := in.CallerWith(func(method, path string, body []byte) (int, string) {
 		return in.sendTo(d, method, path, body)
@@ -218,7 +219,7 @@
 	return c
 }
 
-// CallerWith returns a caller that sends its own way.
+// CallerWith returns a caller that sends requests with send.
 func (in *Installation) CallerWith(send Send) *Caller { return &Caller{in: in, send: send} }
 
 func (in *Installation) sendTo(d *Daemon, method, path string, body []byte) (int, string) {
@@ -237,8 +238,8 @@
 // callerTimeout is how long a caller waits for an answer.
 const callerTimeout = 3 * time.Second
 
-// Submit sends a job once. accepted is true if it was; refused is true if it
-// certainly never runs.
+// Submit sends a job once. refused means that it certainly never runs; if both results are false
+// the outcome is unknown.
 func (c *Caller) Submit(prefix string, j *job.Job) (accepted, refused bool) {
 	c.in.Fleet.RegisterJob(j)
 	c.in.Checker.Submitted(j)
@@ -252,7 +253,7 @@
 	return accepted, refused
 }
 
-// State asks for the state of a job; "" means no answer.
+// State requests the state of a job; "" means no answer or no such job.
 func (c *Caller) State(prefix string, id job.ID) job.State {
 	status, body := c.send(http.MethodGet, prefix+string(id), nil)
 	switch status {
@@ -277,7 +278,7 @@
 	return status == http.StatusOK
 }
 
-// Pending asks how many jobs of a queue wait; -1 means no answer.
+// Pending requests the number of waiting jobs of a queue; -1 means no answer.
 func (c *Caller) Pending(prefix string) int {
 	asked := time.Now()
 	status, body := c.send(http.MethodGet, prefix, nil)
--- a/standin/jobfleet/judge.go
+++ b/standin/jobfleet/judge.go
@@ -9,8 +9,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Checker checks the promises from what workers, callers and the instance
-// manager saw.
+// Checker checks the guarantees of the job subsystem from what workers, callers and the instance
+// manager observe.
 type Checker struct {
 	mu          sync.Mutex
 	began       time.Time
@@ -21,12 +21,12 @@
 	waves       map[int]*waveRecord
 	starts      int
 	duties      map[owner.InstanceID]dutyRecord
-	faultsEnded bool // see Calm
+	faultsEnded bool // see FaultsEnded
 
 	crashers map[crasher]bool
-	limits   map[string][]tenantLimit // of tenants
+	limits   map[string][]tenantLimit // of tenants, oldest first
 
-	evacuated           map[string]time.Time // zones, since when; zero: no longer
+	evacuated           map[string]time.Time // time of the request by zone; zero: ended
 	extraEvacuationTime time.Duration
 	lastEvacuatedStart  time.Duration
 }
@@ -41,27 +41,27 @@
 	running      map[owner.WorkerID]uint64
 	done         bool
 	acked        bool
-	began        time.Time // its newest start
-	lastReady    time.Time // when it was last at work
-	endedByOrder bool      // an order has ended it, and it has not been at work since
+	began        time.Time // start of its newest run
+	lastReady    time.Time // when it was last ready
+	endedByOrder bool      // an order ended it, and it has not been ready since
 
-	failures     int // runs that ended failed
-	crashes      int // workers that a task has crashed under it
-	afterCrashes int // starts since there were too many of these
+	failures     int // failed runs
+	crashes      int // workers that crashed while running it
+	afterCrashes int // starts since crashesAllowed was reached
 }
 
 type jobRecord struct {
 	spec            *job.Job
-	refused         bool // every answer to its submission so far said that it never runs
-	mayRun          bool // an answer did not come, or said that it may run
+	refused         bool // all answers to its submissions so far say that it never runs
+	mayRun          bool // an answer is missing or says that it may run
 	accepted        bool
-	confirmed       time.Time // when its acceptance first was
+	confirmed       time.Time // when the caller first knew of its acceptance
 	queue           string    // prefix of its queue
-	pendingRequests int       // requests without an answer so far
-	started         bool      // a task was
+	pendingRequests int       // submissions without an answer yet
+	started         bool      // a task of it has started
 	cancelled       time.Time
 
-	submitted, acceptedAt time.Time // for the first time
+	submitted, acceptedAt time.Time // first time
 }
 
 type waveRecord struct {
@@ -69,15 +69,15 @@
 	begun map[owner.InstanceID]bool
 }
 
-// Grace of the promises with a bound in time.
+// Time bounds of the guarantees.
 const (
 	drainBound        = 2 * time.Second
 	cancelBound       = 3 * time.Second
 	dutyHandover      = 3 * time.Second
-	pendingCountBound = 5 * time.Second // a job shows in its queue's count after it
+	pendingCountBound = 5 * time.Second // until a waiting job is in its queue's count
 )
 
-// NewChecker returns a judge that has seen nothing.
+// NewChecker returns a checker without observations.
 func NewChecker() *Checker {
 	return &Checker{
 		began: time.Now(), tasks: map[job.TaskID]*taskRecord{}, jobs: map[job.ID]*jobRecord{},
@@ -86,26 +86,26 @@
 	}
 }
 
-// Violations returns a line for each promise that was not kept.
+// Violations returns a line for each violated guarantee.
 func (j *Checker) Violations() []string {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return append([]string(nil), j.violations...)
 }
 
-// Starts returns how many tasks were started.
+// Starts returns the number of task starts.
 func (j *Checker) Starts() int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	return j.starts
 }
 
-func (j *Checker) violation(format string, args ...any) {
+func (j *Checker) addViolation(format string, args ...any) {
 	at := time.Since(j.began).Round(time.Millisecond)
 	j.violations = append(j.violations, at.String()+": "+fmt.Sprintf(format, args...))
 }
 
-// Submitted says that a caller's request with this job was sent.
+// Submitted records that a caller sent a request with this job.
 func (j *Checker) Submitted(spec *job.Job) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -115,8 +115,7 @@
 	j.jobs[spec.ID].pendingRequests++
 }
 
-// Answered says what the caller of a submission was told: accepted, that it
-// never runs, or neither.
+// Answered records the answer to a submission: accepted, refused (it never runs), or neither.
 func (j *Checker) Answered(id job.ID, accepted, refused bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -129,18 +128,18 @@
 	r.refused = refused && !r.accepted && !r.mayRun
 	r.pendingRequests--
 	if r.refused && r.started && r.pendingRequests == 0 {
-		j.violation("job %s was refused, and a task of it has started", id)
+		j.addViolation("job %s was refused, but a task of it has started", id)
 	}
 }
 
-// Cancelled says that a caller's cancellation was confirmed.
+// Cancelled records that the cancellation of a job was confirmed.
 func (j *Checker) Cancelled(id job.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.jobs[id].cancelled = time.Now()
 }
 
-// StateReported checks a state that a caller was shown.
+// StateReported checks a job state that a caller got.
 func (j *Checker) StateReported(id job.ID, s job.State) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -148,29 +147,29 @@
 	switch s {
 	case job.Completed:
 		if !j.allDone(r.spec) {
-			j.violation("job %s is shown as completed while a task is not done", id)
+			j.addViolation("job %s is reported as completed, but not all its tasks are done", id)
 		}
 	case job.Cancelled:
 		if r.cancelled.IsZero() {
-			j.violation("job %s is shown as cancelled, nobody cancelled it", id)
+			j.addViolation("job %s is reported as cancelled, but no cancellation was confirmed", id)
 		}
 	case job.Failed:
 		if !j.mayFail(id) {
-			j.violation("job %s is shown as failed without a cause", id)
+			j.addViolation("job %s is reported as failed without a cause", id)
 		}
 	}
 }
 
-// NotFoundReported says that a caller was told that there is no such job.
+// NotFoundReported checks an answer that a job doesn't exist.
 func (j *Checker) NotFoundReported(id job.ID) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if j.jobs[id].accepted {
-		j.violation("job %s was accepted and is said not to exist", id)
+		j.addViolation("job %s was accepted, but is reported as not existing", id)
 	}
 }
 
-// Accepted says that a caller was told that its job was accepted by a queue.
+// Accepted records that a caller knows of the acceptance of its job by a queue.
 func (j *Checker) Accepted(id job.ID, queue string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -181,7 +180,8 @@
 	}
 }
 
-// PendingReported checks how many jobs of a queue were said to wait, asked for at asked.
+// PendingReported checks the count of a queue's waiting jobs, n, that daemon by gave to a request
+// sent at asked: it must be at least half of the actual count.
 func (j *Checker) PendingReported(queue string, asked time.Time, n int, by string) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -192,12 +192,12 @@
 		}
 	}
 	if 2*n < waiting {
-		j.violation("%s says that %d jobs of %s wait, %d do for more than %s", by, n, queue, waiting, pendingCountBound)
+		j.addViolation("daemon %q reports %d waiting jobs of queue %s, but %d wait for more than %s", by, n, queue, waiting, pendingCountBound)
 	}
 }
 
-// pendingSince reports whether no task of the job has started although it was accepted
-// long enough before asked.
+// pendingSince reports whether no task of the job has started although it was accepted more than
+// pendingCountBound before asked.
 func (r *jobRecord) pendingSince(asked time.Time) bool {
 	return r.accepted && !r.started && r.cancelled.IsZero() && r.spec.Repeat == 0 && asked.Sub(r.confirmed) > pendingCountBound
 }
@@ -223,14 +223,14 @@
 	return true
 }
 
-// SetWaveLimit says how many instances of a wave may be down at once.
+// SetWaveLimit sets the maximum number of instances of a wave that may be down at once.
 func (j *Checker) SetWaveLimit(wave, limit int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.waves[wave] = &waveRecord{limit: limit, begun: map[owner.InstanceID]bool{}}
 }
 
-// MaintainedCount returns how many instances of a wave have been maintained.
+// MaintainedCount returns the number of instances of a wave whose maintenance has begun.
 func (j *Checker) MaintainedCount(wave int) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -243,37 +243,37 @@
 	j.starts++
 	r := j.record(t)
 	for other, n := range r.running {
-		j.violation("task %s runs twice: run %d on %s, run %d on %s under token %d", t, n, other, run, w, token)
+		j.addViolation("task %s runs twice: run %d on %s, run %d on %s under token %d", t, n, other, run, w, token)
 	}
 	if r.acked {
-		j.violation("task %s starts on %s after its end was acknowledged", t, w)
+		j.addViolation("task %s starts on %s, but its end was acknowledged", t, w)
 	}
 	j.checkCrasherStart(t, r)
 	r.running[w] = run
 	r.began = time.Now()
 	j.checkJobStart(t)
 	if at, ok := j.drained[w]; ok && time.Since(at) > drainBound {
-		j.violation("task %s starts on %s, draining for %s", t, w, time.Since(at))
+		j.addViolation("task %s starts on %s, which has been draining for %s", t, w, time.Since(at))
 	}
 }
 
 func (j *Checker) checkJobStart(t job.TaskID) {
 	r := j.jobs[t.Job]
 	if r == nil {
-		j.violation("task %s was submitted by nobody", t)
+		j.addViolation("task %s starts, but its job was never submitted", t)
 		return
 	}
 	r.started = true
 	j.checkTenantLimit(t, r.spec)
 	if r.refused && r.pendingRequests == 0 {
-		j.violation("task %s starts, its job was refused", t)
+		j.addViolation("task %s starts, but its job was refused", t)
 	}
 	if !r.cancelled.IsZero() && time.Since(r.cancelled) > cancelBound {
-		j.violation("task %s starts %s after its job was cancelled", t, time.Since(r.cancelled))
+		j.addViolation("task %s starts %s after its job was cancelled", t, time.Since(r.cancelled))
 	}
 	for _, a := range r.spec.Steps[t.Step].After {
 		if !j.stepDone(r.spec, t.Occurrence, a) {
-			j.violation("task %s starts before step %d is done", t, a)
+			j.addViolation("task %s starts before step %d is done", t, a)
 		}
 	}
 }
@@ -323,8 +323,9 @@
 	return w != nil && w.begun[id]
 }
 
-// instanceOrdered judges an order for an instance. late says that the daemon was frozen
-// between its last check and the call, which no daemon can help.
+// instanceOrdered checks an order for an instance; wave is 0 for a move, and down is the number
+// of instances of the wave that are down. late says that the daemon was frozen between its last
+// check and the call, which it can't prevent.
 func (j *Checker) instanceOrdered(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -337,24 +338,24 @@
 	w := j.waves[wave]
 	w.begun[id] = true
 	if down > w.limit {
-		j.violation("%d instances of wave %d are down, %d may be", down, wave, w.limit)
+		j.addViolation("%d instances of wave %d are down, the limit is %d", down, wave, w.limit)
 	}
 }
 
-// checkDutyHolder checks the orders for one instance: two holders must not take turns with
-// it, and its tokens must not fall.
+// checkDutyHolder checks the orders for an instance: its holder must not change within
+// dutyHandover, and its tokens must not decrease.
 func (j *Checker) checkDutyHolder(d owner.Duty, id owner.InstanceID) {
 	last, ordered := j.duties[id]
 	if ordered && last.Holder != d.Holder && time.Since(last.at) < dutyHandover {
-		j.violation("%s orders instance %s %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
+		j.addViolation("%s gives an order for instance %s only %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
 	}
 	if ordered && d.Token < last.Token {
-		j.violation("%s orders instance %s with token %d after %d", d.Holder, id, d.Token, last.Token)
+		j.addViolation("%s gives an order for instance %s with token %d after token %d", d.Holder, id, d.Token, last.Token)
 	}
 	j.duties[id] = dutyRecord{d, time.Now()}
 }
 
-// Running returns how many tasks of a job run.
+// Running returns the number of running tasks of a job.
 func (j *Checker) Running(id job.ID) int {
 	j.mu.Lock()
 	defer j.mu.Unlock()
--- a/standin/jobfleet/language.go
+++ b/standin/jobfleet/language.go
@@ -10,7 +10,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Encoding is how the operator, the workers and callers spell what they write.
+// Encoding is the encoding of what operators, workers and callers write.
 type Encoding struct {
 	node.Formats
 	EncodeCatalog func(*job.Catalog) []byte
@@ -19,7 +19,7 @@
 	EncodeJob     func(*job.Job) []byte
 }
 
-// Keys of the stand-in's own language.
+// Store keys of JSONEncoding.
 const (
 	keyCatalog   = "operator/catalog"
 	prefixWave   = "operator/wave/"
@@ -28,7 +28,7 @@
 	prefixWaves  = "report/wave/"
 )
 
-// JSONEncoding is the stand-in's own language: the types as JSON.
+// JSONEncoding is the default encoding of the stand-ins: the types as JSON.
 var JSONEncoding = Encoding{
 	Formats: node.Formats{
 		ConfigKey:        keyCatalog,
@@ -58,10 +58,10 @@
 	EncodeJob:     func(j *job.Job) []byte { return Encode(j) },
 }
 
-// keyHeader carries a caller's key.
+// keyHeader is the header with the API key of a caller.
 const keyHeader = "Key"
 
-// decodeCatalog decodes a configuration. One without tenants has no keys, so that every queue
+// decodeCatalog decodes a configuration. Without tenants there are no API keys, so every queue
 // is public.
 func decodeCatalog(raw []byte) (*job.Catalog, error) {
 	c, err := unmarshal[job.Catalog](raw)
@@ -75,7 +75,7 @@
 func Encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the stand-ins' own types always can be encoded
+		panic(err) // the types of the stand-ins can always be encoded
 	}
 	return raw
 }
--- a/standin/jobfleet/network.go
+++ b/standin/jobfleet/network.go
@@ -10,15 +10,15 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// peerLatency is one way between daemons.
+// peerLatency is the latency of a call between daemons.
 const peerLatency = time.Millisecond
 
-// Network connects daemons.
+// Network connects the daemons of an installation.
 type Network struct {
 	mu       sync.Mutex
 	handlers map[string]peer.Handler
 	gates    map[string]*Gate
-	left     map[string]chan struct{} // closed when the daemon there leaves
+	left     map[string]chan struct{} // by address; closed when the daemon there leaves
 }
 
 // NewNetwork returns a network without daemons.
@@ -34,7 +34,7 @@
 	n.left[addr] = make(chan struct{})
 }
 
-// Leave ends a daemon's listener.
+// Leave makes a daemon unreachable.
 func (n *Network) Leave(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -44,22 +44,23 @@
 	delete(n.handlers, addr)
 }
 
-// PeerClient is the network as one daemon sees it.
+// PeerClient is a daemon's client of its peers.
 type PeerClient struct {
 	network *Network
 	gate    *Gate
 }
 
-// Client returns the network for a daemon.
+// Client returns a daemon's client of its peers.
 func (n *Network) Client(gate *Gate) *PeerClient { return &PeerClient{n, gate} }
 
-// reach passes the gates of both daemons.
+// reach returns the handler of the daemon at addr, once the gates of both daemons let the call
+// pass.
 func (c *PeerClient) reach(ctx context.Context, addr string) (peer.Handler, error) {
 	c.network.mu.Lock()
 	h, gate := c.network.handlers[addr], c.network.gates[addr]
 	c.network.mu.Unlock()
 	if h == nil {
-		return nil, verdict.New(verdict.NotRun, peer.CodePeerUnreachable, "nobody listens at %s", addr)
+		return nil, verdict.New(verdict.NotRun, peer.CodePeerUnreachable, "no daemon listens at %s", addr)
 	}
 	if c.gate.pass(ctx, toPeers) != nil || gate.pass(ctx, toPeers) != nil {
 		return nil, verdict.Wrap(errNoAnswer, verdict.MayHaveRun, peer.CodePeerUnreachable, "peer %s", addr)
--- a/standin/jobfleet/shrink.go
+++ b/standin/jobfleet/shrink.go
@@ -7,11 +7,11 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// capacityUpdateBound is how long after a worker's room has become less starts may still go by what
-// it was: they are on their way, or its entry in the store is.
+// capacityUpdateBound is the time after a decrease of a worker's capacity in which starts may
+// still assume the old one: they, or its registration, are in flight.
 const capacityUpdateBound = time.Second
 
-// configure takes which services' workers guard their room.
+// configure sets which services' workers start tasks beyond their capacity.
 func (f *Fleet) configure(c *job.Catalog) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -21,7 +21,7 @@
 	}
 }
 
-// Shrink leaves a worker a share of its room for a while. What runs there runs on.
+// Shrink reduces a worker's capacity to a share of it for d. Running tasks go on.
 func (f *Fleet) Shrink(id owner.InstanceID, share float64, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -47,12 +47,13 @@
 	f.publish(string(w.reg.Worker), &w.reg)
 }
 
-// checkCapacity judges a start that brings a worker over its room.
+// checkCapacity records a start beyond the capacity of a worker, unless this was reduced just
+// before.
 func (j *Checker) checkCapacity(t job.TaskID, w *worker) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if !w.shrank.IsZero() && time.Since(w.shrank) <= capacityUpdateBound {
 		return
 	}
-	j.violation("task %s starts on %s, which has no room for it", t, w.reg.Worker)
+	j.addViolation("task %s starts on %s, which has no capacity left for it", t, w.reg.Worker)
 }
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -1,8 +1,7 @@
-// Package jobfleet holds small stand-ins for what the job subsystem reaches
-// outside of itself: the store, workers, the instance manager and the network
-// between daemons, all in memory and on the process' clock, with faults to
-// inject. A Judge checks from what callers and workers saw that the promises
-// were kept.
+// Package jobfleet holds small stand-ins for the environment of the job subsystem: the store,
+// workers, the instance manager and the network between daemons, all in memory and on the
+// process' clock, with fault injection. A Checker checks the subsystem's guarantees from what
+// callers and workers observe.
 package jobfleet
 
 import (
@@ -18,28 +17,27 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// storeLatency is one way to the store.
+// storeLatency is the latency of a call to the store.
 const storeLatency = 2 * time.Millisecond
 
-// delayedWrite is how long the store takes to carry out a write whose answer was
-// lost and that is late.
+// delayedWrite is the delay of a call to the store with the failure Delayed.
 const delayedWrite = 2 * time.Second
 
-// pageItems is how many items a page of a range holds.
+// pageItems is the maximum number of items in a page of a range.
 const pageItems = 100
 
-// Store is a key-value service with revisions, leases and watches.
+// Store is an in-memory key-value service with revisions, leases and watches.
 type Store struct {
 	mu             sync.Mutex
 	rev            int64
 	items          map[string]ledger.Item
 	history        []ledger.Event
-	compacted      int64 // history up to this revision is gone
+	compacted      int64 // history up to this revision is deleted
 	leases         map[ledger.LeaseID]*lease
 	nextLease      ledger.LeaseID
-	changed        chan struct{} // closed at the next change
+	changed        chan struct{} // closed and replaced at the next change
 	calls          map[string]int
-	maxWatchEvents int // changes that a watch returns at most; 0: any number
+	maxWatchEvents int // maximum number of changes in an answer to a watch; 0: no limit
 }
 
 type lease struct {
@@ -57,15 +55,15 @@
 	}
 }
 
-// LimitWatches lets a watch return no more than so many changes, the oldest first, unless they are
-// of one transaction.
+// LimitWatches limits the number of changes in an answer to a watch, which holds the oldest ones.
+// The changes of a transaction are not split.
 func (s *Store) LimitWatches(most int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.maxWatchEvents = most
 }
 
-// Calls returns how many calls of a kind were made; "" counts all.
+// Calls returns the number of calls of a kind; "" means all kinds.
 func (s *Store) Calls(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +77,7 @@
 	return n
 }
 
-// Put writes a key for the operator or a worker.
+// Put writes a key on behalf of an operator or a worker.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +85,7 @@
 	s.notifyWatches()
 }
 
-// Remove removes a key for the operator or a worker.
+// Remove removes a key on behalf of an operator or a worker.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -95,7 +93,7 @@
 	s.notifyWatches()
 }
 
-// CompactHistory drops the history, so that watches have to start anew.
+// CompactHistory deletes the history, so that watches have to start again.
 func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,14 +102,14 @@
 	s.notifyWatches()
 }
 
-// Revoke removes all keys of a daemon's leases and ends these.
+// Revoke ends a lease and removes its keys.
 func (s *Store) Revoke(id ledger.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLease(id)
 }
 
-// RevokeAll ends every lease, as an outage in which leases lapse does.
+// RevokeAll ends every lease, like an outage that is longer than their TTL.
 func (s *Store) RevokeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,7 +125,7 @@
 	return s.items[key].Value
 }
 
-// notifyWatches wakes the watches.
+// notifyWatches makes waiting watches look for changes.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -194,13 +192,13 @@
 	return out
 }
 
-// changesAfter returns the changes after a revision, or a channel that is closed at
-// the next one.
+// changesAfter returns the changes after a revision, and a channel that is closed at the next
+// change.
 func (s *Store) changesAfter(prefix string, after int64) (ledger.Changes, <-chan struct{}, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if after < s.compacted {
-		return ledger.Changes{}, nil, verdict.New(verdict.NotRun, ledger.CodeCompacted, "history after %d is gone", after)
+		return ledger.Changes{}, nil, verdict.New(verdict.NotRun, ledger.CodeCompacted, "history after revision %d is compacted", after)
 	}
 	out := ledger.Changes{Revision: s.rev}
 	for _, e := range s.history {
@@ -242,7 +240,7 @@
 	defer s.mu.Unlock()
 	s.calls["commit"]++
 	if n := len(t.If) + len(t.Puts) + len(t.Deletes); n > ledger.MaxTxnEntries {
-		return ledger.TxnResult{}, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "%d entries", n)
+		return ledger.TxnResult{}, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "transaction has %d entries, at most %d are allowed", n, ledger.MaxTxnEntries)
 	}
 	held := true
 	var current []ledger.Item
--- a/standin/jobfleet/tenants.go
+++ b/standin/jobfleet/tenants.go
@@ -6,21 +6,21 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Figures of the promise about tenants' limits.
+// Bounds of the check on tenants' limits.
 const (
-	// limitUpdateBound is how long after a configuration the one before may still be in force.
+	// limitUpdateBound is how long the previous configuration may still apply after a new one.
 	limitUpdateBound = 3 * time.Second
-	// limitOverage is by how much a tenant may be over its limit, beside one task.
+	// limitOverage is the factor by which a tenant may exceed its limit, in addition to one task.
 	limitOverage = 1.1
 )
 
-// tenantLimit is a tenant's limit from a configuration on.
+// tenantLimit is the limit of a tenant from a time on.
 type tenantLimit struct {
 	limit job.Resources
 	at    time.Time
 }
 
-// configured takes note of the limits of a configuration.
+// configured records the tenants' limits of a configuration.
 func (j *Checker) configured(c *job.Catalog) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkTenantLimit checks what the tenant of a task that has just started has running. Of the limits
-// that may be in force the highest counts.
+// checkTenantLimit checks the running tasks of a tenant after a start against the highest limit
+// that may apply.
 func (j *Checker) checkTenantLimit(t job.TaskID, spec *job.Job) {
 	limits := j.limits[spec.Tenant]
 	if spec.Tenant == "" || len(limits) == 0 {
@@ -54,15 +54,16 @@
 	}
 	most := int(limitOverage*float64(highest)) + spec.Steps[t.Step].Need.CPUMilli
 	if used > most {
-		j.violation("task %s starts, tenant %s has %d thousandths of a core running, %d are allowed", t, spec.Tenant, used, most)
+		j.addViolation("task %s starts: tenant %s uses %d millicores, %d are allowed", t, spec.Tenant, used, most)
 	}
 }
 
-// UnknownKeyAnswered says that a call with a key that no configuration has was answered.
+// UnknownKeyAnswered checks the status of the answer to a call with an API key that is in no
+// configuration.
 func (j *Checker) UnknownKeyAnswered(status int) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	if status >= 200 && status < 300 {
-		j.violation("a call with a key that nobody has was answered with %d", status)
+		j.addViolation("a call with an unknown API key was answered with status %d", status)
 	}
 }
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -11,28 +11,29 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Figures of the stand-in's workers.
+// Timing of the workers and of the instance manager.
 const (
 	workerLatency = time.Millisecond
-	startupTime   = 300 * time.Millisecond // of a long-running task
-	maintenance   = 2 * time.Second
-	migration     = 1500 * time.Millisecond
-	delayedOrder  = 2500 * time.Millisecond // delay of an order that is carried out late
-	maxLease      = 10 * time.Second
+	startupTime   = 300 * time.Millisecond  // of a long-running task
+	maintenance   = 2 * time.Second         // of an instance
+	migration     = 1500 * time.Millisecond // of an instance to another pool
+	delayedOrder  = 2500 * time.Millisecond // delay of an order with the failure Delayed
+	maxLease      = 10 * time.Second        // maximum task lease that a worker accepts
 )
 
-// Fleet is instances and the workers that are their lives.
+// Fleet is a set of instances and their workers. An instance gets a new worker each time it comes
+// up.
 type Fleet struct {
 	mu          sync.Mutex
 	instances   map[owner.InstanceID]*instance
 	workers     map[owner.WorkerID]*worker
-	jobs        map[job.ID]*job.Job // what callers submitted
+	jobs        map[job.ID]*job.Job // submitted by callers
 	workerCount int
 	heartbeats  int
-	judge       *Checker
-	publish     func(key string, r *owner.Registration) // nil registration: removed
-	down        map[owner.InstanceID]int                // wave of the instances under maintenance
-	unenforced  map[string]bool                         // pools the workers of which start whatever they are told
+	checker     *Checker
+	publish     func(key string, r *owner.Registration) // writes a registration; nil removes it
+	down        map[owner.InstanceID]int                // wave of each instance in maintenance
+	unenforced  map[string]bool                         // pools whose workers start tasks beyond their capacity
 	crashers    map[crasher]crashTimes
 	onCrash     func(job.TaskID)
 }
@@ -40,13 +41,13 @@
 type instance struct {
 	owner.Instance
 	capacity     job.Resources
-	endedWorkers int  // how often a life of it ended
-	keepWorkerID bool // its next worker has the id of the last one
+	endedWorkers int  // number of its workers that have ended
+	keepWorkerID bool // its next worker gets the id of the last one
 }
 
 type worker struct {
 	reg      owner.Registration
-	began    time.Time // its clock starts then
+	began    time.Time // origin of its clock
 	instance *instance
 	token    uint64
 	active   map[job.TaskID]*execution
@@ -55,28 +56,29 @@
 	latest   map[job.TaskID]uint64 // highest run that ended or was stopped
 	lease    time.Time
 	lapse    *time.Timer
-	ping     chan struct{} // closed at the next end
+	ping     chan struct{} // closed and replaced at the end of a run
 	dead     bool
-	refuses  bool      // it is dead, and its address refuses connections
-	shrank   time.Time // when its room last became less; zero: it did not
-	cut      bool      // its path to all daemons is cut
-	fails    bool      // every task fails
-	hangs    bool      // tasks stand still
+	refuses  bool      // its address refuses connections, as it is dead
+	shrank   time.Time // newest decrease of its capacity; zero: none
+	cut      bool      // no daemon reaches it
+	fails    bool      // every task that starts fails
+	hangs    bool      // tasks that start don't end
 }
 
 type execution struct {
 	task  job.TaskID
 	run   uint64
 	began time.Time
-	takes time.Duration // 0: until it is stopped
+	takes time.Duration // duration; 0: until it is stopped
 	timer *time.Timer
 	need  job.Resources
 }
 
-// NewFleet returns a fleet without instances. publish is told of registrations.
+// NewFleet returns a fleet without instances. publish is called with each registration, nil for
+// one that ends.
 func NewFleet(j *Checker, publish func(key string, r *owner.Registration)) *Fleet {
 	return &Fleet{
-		judge: j, publish: publish,
+		checker: j, publish: publish,
 		instances:  map[owner.InstanceID]*instance{},
 		workers:    map[owner.WorkerID]*worker{},
 		jobs:       map[job.ID]*job.Job{},
@@ -86,7 +88,7 @@
 	}
 }
 
-// RegisterJob tells the workers what a job's tasks are.
+// RegisterJob makes the tasks of a job known to the workers.
 func (f *Fleet) RegisterJob(j *job.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +104,7 @@
 	f.startWorker(i)
 }
 
-// startWorker begins a new life of an instance.
+// startWorker brings an instance up with a new worker.
 func (f *Fleet) startWorker(i *instance) {
 	f.workerCount++
 	id := owner.WorkerID(fmt.Sprintf("w-%03d", f.workerCount))
@@ -121,7 +123,7 @@
 	f.publish(string(id), &w.reg)
 }
 
-// endWorker ends the life of an instance.
+// endWorker sets an instance's state and ends its worker.
 func (f *Fleet) endWorker(i *instance, state owner.InstanceState) {
 	w := f.workers[i.Worker]
 	i.State = state
@@ -137,14 +139,14 @@
 	for _, e := range w.active {
 		e.timer.Stop()
 		if how == endedWithInstance {
-			f.judge.checkDisruption(e.task, w.reg.Worker, how, w.healthy())
+			f.checker.checkDisruption(e.task, w.reg.Worker, how, w.healthy())
 		}
-		f.judge.ended(e.task, e.run, w.reg.Worker, how)
+		f.checker.ended(e.task, e.run, w.reg.Worker, how)
 		f.endGang(e)
 	}
 	if w.refuses {
-		close(w.ping) // holds that wait there end
-		return        // and its registration stays for a while
+		close(w.ping) // ends the holds that wait there
+		return        // the registration stays for registrationTTL
 	}
 	if i.keepWorkerID {
 		return
@@ -152,13 +154,13 @@
 	f.publish(string(w.reg.Worker), nil)
 }
 
-// healthy reports whether nothing is wrong with the worker.
+// healthy reports whether the worker has no injected fault.
 func (w *worker) healthy() bool { return !w.cut && !w.fails && !w.hangs }
 
-// endedWithInstance is how the tasks of an instance end that is moved or maintained.
+// endedWithInstance is the end of the tasks of an instance that is moved or maintained.
 const endedWithInstance = "taken away"
 
-// Crash ends a worker without notice; it comes back after d.
+// Crash ends an instance's worker without notice; a new one starts after d.
 func (f *Fleet) Crash(id owner.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -167,8 +169,8 @@
 	f.startWorkerAfter(i, d)
 }
 
-// Restart ends a worker without notice; it comes back after d, under the id that it had. Its
-// entry in the store stays meanwhile.
+// Restart ends an instance's worker without notice; it starts again after d with the same id. Its
+// registration stays in the store meanwhile.
 func (f *Fleet) Restart(id owner.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -177,24 +179,24 @@
 		return
 	}
 	for t := range f.workers[i.Worker].active {
-		f.judge.crashed(t)
+		f.checker.crashed(t)
 	}
 	i.keepWorkerID = true
 	f.endWorker(i, owner.InstanceDown)
 	f.startWorkerAfter(i, d)
 }
 
-// Cut cuts an instance off from all daemons for a while; it runs on.
+// Cut cuts an instance off from all daemons for d; its tasks go on.
 func (f *Fleet) Cut(id owner.InstanceID, d time.Duration) {
 	f.set(id, d, func(w *worker, on bool) { w.cut = on })
 }
 
-// FailTasks lets every task on an instance fail for a while.
+// FailTasks makes tasks that start on an instance in the next d fail at their end.
 func (f *Fleet) FailTasks(id owner.InstanceID, d time.Duration) {
 	f.set(id, d, func(w *worker, on bool) { w.fails = on })
 }
 
-// HangTasks lets tasks that start on an instance stand still for a while.
+// HangTasks makes tasks that start on an instance in the next d hang.
 func (f *Fleet) HangTasks(id owner.InstanceID, d time.Duration) {
 	f.set(id, d, func(w *worker, on bool) { w.hangs = on })
 }
@@ -214,19 +216,19 @@
 	})
 }
 
-// Drain announces that an instance's worker leaves.
+// Drain marks an instance's worker as draining in its registration.
 func (f *Fleet) Drain(id owner.InstanceID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if w := f.workers[f.instances[id].Worker]; w != nil && !w.dead {
 		w.reg.Draining = true
-		f.judge.draining(w.reg.Worker)
+		f.checker.draining(w.reg.Worker)
 		f.publish(string(w.reg.Worker), &w.reg)
 	}
 }
 
-// HeartbeatTenth lets a tenth of the workers write their entries anew, each time others, as they do at
-// each heartbeat.
+// HeartbeatTenth makes a tenth of the workers rewrite their registrations, as each heartbeat
+// does. Successive calls select different workers.
 func (f *Fleet) HeartbeatTenth() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -239,12 +241,13 @@
 	}
 }
 
-// clockStart is what a worker's clock shows when its life begins, in ms.
+// clockStart is the time on a worker's clock when it starts, in ms.
 const clockStart = 1000
 
 func (w *worker) clock() int64 { return time.Since(w.began).Milliseconds() + clockStart }
 
-// extend takes the end of a lease from an order. It never shortens.
+// extend extends a worker's task lease to a time in ms on its clock, at most to maxLease from
+// now. It never shortens the lease.
 func (f *Fleet) extend(w *worker, until int64) {
 	end := w.began.Add(time.Duration(until-clockStart) * time.Millisecond)
 	if limit := time.Now().Add(maxLease); end.After(limit) {
@@ -279,9 +282,9 @@
 	w.number++
 	w.ended = append(w.ended, owner.RunEnd{Seq: w.number, Task: e.task, Run: e.run, Kind: kind})
 	if kind == owner.EndStopped || kind == owner.EndLapsed {
-		f.judge.checkDisruption(e.task, w.reg.Worker, kind.String(), w.healthy())
+		f.checker.checkDisruption(e.task, w.reg.Worker, kind.String(), w.healthy())
 	}
-	f.judge.ended(e.task, e.run, w.reg.Worker, kind.String())
+	f.checker.ended(e.task, e.run, w.reg.Worker, kind.String())
 	close(w.ping)
 	w.ping = make(chan struct{})
 }
@@ -315,7 +318,7 @@
 			a.Outcome = owner.NoRoom
 			return a
 		}
-		f.judge.checkCapacity(o.Task, w)
+		f.checker.checkCapacity(o.Task, w)
 	}
 	f.execute(w, o, spec)
 	return a
@@ -340,8 +343,8 @@
 func (f *Fleet) execute(w *worker, o owner.Start, spec *job.Step) {
 	e := &execution{task: o.Task, run: o.Run, began: time.Now(), need: spec.ReservedResources()}
 	w.active[o.Task] = e
-	f.judge.started(o.Task, o.Run, w.reg.Worker, o.Token)
-	f.judge.checkZone(o.Task, w.reg.Zone)
+	f.checker.started(o.Task, o.Run, w.reg.Worker, o.Token)
+	f.checker.checkZone(o.Task, w.reg.Zone)
 	f.scheduleCrash(w, e)
 	e.takes = spec.Estimate
 	kind := owner.EndDone
@@ -378,7 +381,8 @@
 	return a
 }
 
-// beginHold applies a hold; the caller waits for its end.
+// beginHold applies a hold: its token, lease and acknowledgements. The caller waits for ended
+// runs.
 func (f *Fleet) beginHold(w *worker, o owner.Hold) owner.Answer {
 	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
 	if o.Token < w.token {
@@ -394,7 +398,7 @@
 			continue
 		}
 		if e.Kind == owner.EndDone {
-			f.judge.acknowledged(e.Task)
+			f.checker.acknowledged(e.Task)
 		}
 	}
 	w.ended = kept
@@ -428,8 +432,7 @@
 	return n
 }
 
-// startWorkerAfter begins a new life of an instance after d, unless something else
-// has befallen it by then.
+// startWorkerAfter brings an instance up after d, unless it went down again meanwhile.
 func (f *Fleet) startWorkerAfter(i *instance, d time.Duration) {
 	fell := i.endedWorkers
 	time.AfterFunc(d, func() {
