--- a/lab/control.go
+++ b/lab/control.go
@@ -12,11 +12,12 @@
 	"github.com/postmount/postmount/standin/platform"
 )
 
-// ControlExperiments are the measurements of control.
+// ControlExperiments returns the measurements of the control path.
 func ControlExperiments() []Experiment { return []Experiment{controlCost(), rollOut(), weights()} }
 
-// installed starts a user's fleet with n daemons and its pools.
-func installed(ctx context.Context, t Topology, n int, adjust func(*settings.Settings)) (*Fixture, error) {
+// newReadyFixture starts a fixture with n daemons, waits until they are ready and creates the
+// topology's pools.
+func newReadyFixture(ctx context.Context, t Topology, n int, adjust func(*settings.Settings)) (*Fixture, error) {
 	f, err := NewFixture(t, n, adjust, io.Discard)
 	if err != nil {
 		return nil, err
@@ -33,8 +34,8 @@
 	return f, nil
 }
 
-// processTime is the processor time that the process has used.
-func processTime() time.Duration {
+// processCPUTime returns the CPU time that the process has used, 0 if it can't be read.
+func processCPUTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -42,7 +43,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// usage is what the daemons have used for control so far.
+// usage holds the store calls and bytes of all daemons' control work, and the CPU time of the
+// process, up to a moment.
 type usage struct {
 	reads, writes, bytes int64
 	cpu                  time.Duration
@@ -50,7 +52,7 @@
 }
 
 func (f *Fixture) usage() usage {
-	u := usage{cpu: processTime(), at: time.Now()}
+	u := usage{cpu: processCPUTime(), at: time.Now()}
 	for _, d := range f.Daemons {
 		s := d.Status()
 		u.reads += s.StoreReads
@@ -60,8 +62,8 @@
 	return u
 }
 
-// perDaemon formats what each daemon used between two moments. The processor
-// time includes the stand-ins, which share the process.
+// perDaemon formats what each daemon used between two moments. The CPU time includes the
+// stand-ins, which run in the same process.
 func perDaemon(before, after usage, n int) []string {
 	seconds := after.at.Sub(before.at).Seconds() * float64(n)
 	return []string{
@@ -72,7 +74,7 @@
 	}
 }
 
-// controlCost: six daemons over 50 workers, idle and during a wave, without
+// controlCost measures six daemons that control 50 workers, idle and during a wave, without
 // traffic.
 func controlCost() Experiment {
 	return Experiment{
@@ -80,7 +82,7 @@
 		Columns: []string{"store reads an hour", "store writes an hour", "KB a second", "of a core (stand-ins included)"},
 		Run: func(ctx context.Context, _ uint64) ([]Row, error) {
 			const daemons = 6
-			f, err := installed(ctx, OrderDesks(), daemons, nil)
+			f, err := newReadyFixture(ctx, OrderDesks(), daemons, nil)
 			if err != nil {
 				return nil, err
 			}
@@ -101,8 +103,8 @@
 	}
 }
 
-// waitForWave waits until a wave has ended and returns how long it took. A wave
-// that halts is resumed, as an operator would after a look at it.
+// waitForWave waits until a wave has ended and returns its duration. It resumes a halted wave
+// at once, as an operator would after checking it.
 func (f *Fixture) waitForWave(ctx context.Context, name string, atMost time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, atMost)
 	defer cancel()
@@ -124,9 +126,9 @@
 	}
 }
 
-// rollOut: a wave over the order desks as wide as the budgets allow, against
-// one instance of a pool at a time, with quick and with slower reboots, and
-// with a tenth of the reboots never returning.
+// rollOut measures a wave over the order desks: as wide as the budgets allow and one instance
+// per pool at a time, with reboots of 0.4 s and 2 s, and with a tenth of the instances never
+// coming back from a reboot.
 func rollOut() Experiment {
 	return Experiment{
 		Name:    "Roll-out time of a wave over 50 workers in 5 pools, budget 2 a pool",
@@ -156,7 +158,7 @@
 }
 
 func rollOutOnce(ctx context.Context, width, rebootMS int, never []string) ([]string, error) {
-	f, err := installed(ctx, OrderDesks(), 6, func(s *settings.Settings) {
+	f, err := newReadyFixture(ctx, OrderDesks(), 6, func(s *settings.Settings) {
 		s.Control.WaveWidth = width
 		s.Control.RebootTimeout = settings.Duration(3 * time.Second)
 	})
@@ -184,8 +186,8 @@
 	}, nil
 }
 
-// weights: the same wave under both users' weights. Buffer is the mean number
-// of instances out while the wave runs.
+// weights measures the same wave under the weights of both users. The buffer is the mean
+// number of instances out of service during the wave.
 func weights() Experiment {
 	return Experiment{
 		Name:    "A wave under both users' weights, 50 workers in 5 pools, budget 4 a pool, reboot 1 s",
@@ -195,7 +197,7 @@
 				{"order desks (3, 1, 1)", "set weights rollout 3 buffer 1 moves 1"},
 				{"alumni hub (1, 3, 1)", "set weights rollout 1 buffer 3 moves 1"},
 			} {
-				row, err := weighted(ctx, c.set)
+				row, err := waveWithWeights(ctx, c.set)
 				if err != nil {
 					return nil, err
 				}
@@ -206,8 +208,8 @@
 	}
 }
 
-func weighted(ctx context.Context, set string) ([]string, error) {
-	f, err := installed(ctx, OrderDesks(), 6, nil)
+func waveWithWeights(ctx context.Context, set string) ([]string, error) {
+	f, err := newReadyFixture(ctx, OrderDesks(), 6, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -223,7 +225,7 @@
 	}
 	out := make(chan float64, 1)
 	sampling, stop := context.WithCancel(ctx)
-	go func() { out <- f.meanOut(sampling) }()
+	go func() { out <- f.meanOutOfService(sampling) }()
 	took, err := f.waitForWave(ctx, "w", time.Minute)
 	stop()
 	if err != nil {
@@ -234,8 +236,8 @@
 	return []string{fmt.Sprintf("%.1f", took.Seconds()), fmt.Sprintf("%.2f", took.Seconds()/bound), fmt.Sprintf("%.1f", mean), fmt.Sprintf("%.2f", mean/pools)}, nil
 }
 
-// meanOut returns how many instances were out on average until ctx ended.
-func (f *Fixture) meanOut(ctx context.Context) float64 {
+// meanOutOfService returns the mean number of instances out of service until ctx ended.
+func (f *Fixture) meanOutOfService(ctx context.Context) float64 {
 	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
 	sum, samples := 0, 0
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -15,7 +15,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// DemoOptions describe a demo.
+// DemoOptions are the parameters of a demo.
 type DemoOptions struct {
 	Topology Topology
 	Entries  int
@@ -31,19 +31,19 @@
 	Pools   []PoolReport  `json:"pools"`
 	Workers worker.Report `json:"workers"`
 	Wave    WaveReport    `json:"wave"`
-	// InstanceMoves and JobMoves count what was relocated.
+	// InstanceMoves counts instances moved between pools, JobMoves further attempts of jobs.
 	InstanceMoves int `json:"instance_moves"`
 	JobMoves      int `json:"job_moves"`
 	Jobs          int `json:"jobs"`
 	JobsDone      int `json:"jobs_done"`
-	// BufferShare is the mean share of worker slots that were out of service
-	// or idle for the budgets; IdealBuffer is what the budgets alone need.
+	// BufferShare is the mean share of worker slots on instances that were out of service;
+	// IdealBuffer is the share that the budgets allow to be out.
 	BufferShare float64 `json:"buffer_share"`
 	IdealBuffer float64 `json:"ideal_buffer"`
-	// InForceMillis holds, per operators' change, the time from recorded to in
-	// force everywhere.
+	// InForceMillis holds, for each change by an operator, the time from its recording until
+	// all daemons applied it.
 	InForceMillis []int64 `json:"in_force_ms"`
-	// Broken lists every promise that was seen broken.
+	// Broken lists the violated guarantees.
 	Broken []string `json:"broken"`
 	Took   float64  `json:"took_seconds"`
 }
@@ -66,7 +66,7 @@
 	Done         bool    `json:"done"`
 }
 
-// demo is one demo under way.
+// demo is the state of a running demo.
 type demo struct {
 	o      DemoOptions
 	f      *Fixture
@@ -81,9 +81,8 @@
 	}
 }
 
-// Demo runs the main job: daemons, load, a wave over every pool, jobs, a move,
-// a budget change, a graceful stop, a kill and a store outage, in this order
-// and over one another.
+// Demo runs daemons under load and applies jobs, a wave over every pool, an instance move, a
+// budget change, a graceful stop, a store outage, a kill and a daemon start, overlapping.
 func Demo(ctx context.Context, o DemoOptions) (*Report, error) {
 	logs := o.Logs
 	if logs == nil {
@@ -106,7 +105,7 @@
 	return &d.report, nil
 }
 
-func (d *demo) say(format string, args ...any) {
+func (d *demo) progressf(format string, args ...any) {
 	fmt.Fprintf(d.o.Progress, "%5.1fs  %s\n", time.Since(d.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
@@ -118,15 +117,15 @@
 	if err := d.f.WaitReady(wait); err != nil {
 		return err
 	}
-	d.say("%d entry daemons agree on a view", d.o.Entries)
+	d.progressf("%d entry daemons agree on a view", d.o.Entries)
 	if err := d.exec(ctx, d.o.Topology.Statements()); err != nil {
 		return err
 	}
-	d.say("%d pools with %d workers are in force", len(d.o.Topology.Services), len(d.o.Topology.Workers()))
+	d.progressf("%d pools with %d workers are in force", len(d.o.Topology.Services), len(d.o.Topology.Workers()))
 	return nil
 }
 
-// exec carries out statements and keeps the time until they were in force.
+// exec runs statements and records how long each took to be in force.
 func (d *demo) exec(ctx context.Context, text string) error {
 	a, err := d.f.Client().Exec(ctx, text)
 	if err != nil {
@@ -143,11 +142,11 @@
 	return nil
 }
 
-// step is one event of the demo at a share of its length.
+// step is an action of the demo; at is its time as a share of the demo's length.
 type step struct {
-	at  float64
-	say string
-	do  func(ctx context.Context) error
+	at          float64
+	description string
+	do          func(ctx context.Context) error
 }
 
 func (d *demo) steps() []step {
@@ -177,7 +176,7 @@
 	}
 }
 
-// jobStatements submits some jobs to every pool.
+// jobStatements returns statements that submit a normal and an urgent job to every pool.
 func (d *demo) jobStatements() string {
 	var b strings.Builder
 	for _, s := range d.o.Topology.Services {
@@ -187,7 +186,7 @@
 	return b.String()
 }
 
-// move moves the last instance of a pool; it waits its turn in the budget.
+// move moves the last instance of a pool; the move waits until the budget allows it.
 func (d *demo) move(ctx context.Context, from, to string) error {
 	d.report.InstanceMoves++
 	return d.exec(ctx, fmt.Sprintf("move instance %s to pool %s", WorkerID(from, d.o.Topology.Services[0].Workers), to))
@@ -210,9 +209,9 @@
 		defer wg.Done()
 		d.sampleLoop(sampling)
 	}()
-	d.say("load starts")
+	d.progressf("load starts")
 	started := time.Now()
-	err := d.play(loadCtx, started)
+	err := d.runSteps(loadCtx, started)
 	if err == nil {
 		d.waitWave(ctx)
 	}
@@ -220,12 +219,12 @@
 	stopSampling()
 	wg.Wait()
 	d.report.Classes = load.Summaries()
-	d.report.Broken = append(d.report.Broken, load.CheckRan(d.f.Workers.Ran)...)
+	d.report.Broken = append(d.report.Broken, load.CheckExecutions(d.f.Workers.Ran)...)
 	return err
 }
 
-// play carries out the steps when they are due.
-func (d *demo) play(ctx context.Context, started time.Time) error {
+// runSteps runs the steps when they are due.
+func (d *demo) runSteps(ctx context.Context, started time.Time) error {
 	for _, s := range d.steps() {
 		due := started.Add(time.Duration(s.at * float64(d.o.For)))
 		select {
@@ -233,15 +232,15 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		}
-		d.say("%s", s.say)
+		d.progressf("%s", s.description)
 		if err := s.do(ctx); err != nil {
-			return fmt.Errorf("%s: %w", s.say, err)
+			return fmt.Errorf("%s: %w", s.description, err)
 		}
 	}
 	return nil
 }
 
-// waveTimeout bounds the wait for the wave's end.
+// waveTimeout bounds the wait for the end of the wave.
 const waveTimeout = 15 * time.Second
 
 func (d *demo) waitWave(ctx context.Context) {
@@ -249,7 +248,7 @@
 	defer cancel()
 	for {
 		if w := d.wave(); w != nil && w.State == fleet.WaveDone {
-			d.say("the wave has ended")
+			d.progressf("the wave has ended")
 			return
 		}
 		select {
@@ -260,20 +259,20 @@
 	}
 }
 
-func (d *demo) alive() *Running {
-	i := slices.IndexFunc(d.f.Daemons, func(r *Running) bool { return !r.Over() })
+func (d *demo) runningDaemon() *RunningDaemon {
+	i := slices.IndexFunc(d.f.Daemons, func(r *RunningDaemon) bool { return !r.Ended() })
 	return d.f.Daemons[i]
 }
 
 func (d *demo) wave() *fleet.Wave {
-	v, ok := d.alive().Snapshot().State.Waves["demo"]
+	v, ok := d.runningDaemon().Snapshot().State.Waves["demo"]
 	if !ok {
 		return nil
 	}
 	return v.Value
 }
 
-// sampleInterval is how often the pools' true state is looked at.
+// sampleInterval is the time between two samples of the pools' actual state.
 const sampleInterval = 25 * time.Millisecond
 
 func (d *demo) sampleLoop(ctx context.Context) {
@@ -289,9 +288,10 @@
 	}
 }
 
-// takeSample compares each pool's instances that are truly out with its budget.
+// takeSample compares the number of each pool's instances that are actually out of service
+// with its budget.
 func (d *demo) takeSample() {
-	s := d.alive().Snapshot().State
+	s := d.runningDaemon().Snapshot().State
 	truth := d.f.Platform.States()
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -19,14 +19,14 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Fixture is a whole installation in one process, on loopback, with the real
-// adapters: the stand-ins and the entry daemons.
+// Fixture is a complete installation in one process: the stand-ins and the entry daemons,
+// connected over loopback by the real adapters.
 type Fixture struct {
 	Topology Topology
 	Store    *store.Server
 	Platform *platform.Platform
 	Workers  *worker.Fleet
-	Daemons  []*Running
+	Daemons  []*RunningDaemon
 
 	storeHTTP, platformHTTP *http.Server
 	storeAddr, platformAddr string
@@ -34,43 +34,43 @@
 	logs                    io.Writer
 }
 
-// Running is a daemon that runs.
-type Running struct {
+// RunningDaemon is an entry daemon of a fixture.
+type RunningDaemon struct {
 	*daemon.Daemon
-	stop context.CancelFunc
-	done chan struct{}
-	mu   sync.Mutex
-	over bool
+	stop  context.CancelFunc
+	done  chan struct{}
+	mu    sync.Mutex
+	ended bool
 }
 
-// Stop stops the daemon gracefully and waits for it.
-func (r *Running) Stop() {
+// Stop stops the daemon gracefully and waits for its end.
+func (r *RunningDaemon) Stop() {
 	r.stop()
 	<-r.done
-	r.markOver()
+	r.markEnded()
 }
 
 // Kill ends the daemon at once.
-func (r *Running) Kill() {
+func (r *RunningDaemon) Kill() {
 	r.Daemon.Kill()
 	<-r.done
-	r.markOver()
+	r.markEnded()
 }
 
-func (r *Running) markOver() {
+func (r *RunningDaemon) markEnded() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.over = true
+	r.ended = true
 }
 
-// Over reports whether the daemon was stopped or killed.
-func (r *Running) Over() bool {
+// Ended reports whether the daemon was stopped or killed.
+func (r *RunningDaemon) Ended() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.over
+	return r.ended
 }
 
-// listenAndServe serves h on a free port of the loopback address.
+// listenAndServe serves h on a free loopback port and returns the address.
 func listenAndServe(h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -81,11 +81,11 @@
 	return s, l.Addr().String(), nil
 }
 
-// NewFixture starts the stand-ins and n daemons. adjust may change each
-// daemon's settings; logs receives the daemons' logs.
+// NewFixture starts the stand-ins and n daemons. adjust, if not nil, changes each daemon's
+// settings; logs receives the daemons' logs.
 func NewFixture(t Topology, n int, adjust func(*settings.Settings), logs io.Writer) (*Fixture, error) {
 	f := &Fixture{Topology: t, adjust: adjust, logs: logs}
-	if err := f.standins(); err != nil {
+	if err := f.startStandins(); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 	return f, nil
 }
 
-func (f *Fixture) standins() error {
+func (f *Fixture) startStandins() error {
 	var err error
 	f.Store = store.NewServer()
 	if f.storeHTTP, f.storeAddr, err = listenAndServe(f.Store); err != nil {
@@ -113,11 +113,11 @@
 	return err
 }
 
-// fixtureToken is the peers' shared token inside one process.
+// fixtureToken is the daemons' shared peer token.
 const fixtureToken = "fixture-token-of-the-lab"
 
-// StartDaemon starts the daemon of entry instance number i.
-func (f *Fixture) StartDaemon(i int) (*Running, error) {
+// StartDaemon starts the daemon of entry i, counted from 1.
+func (f *Fixture) StartDaemon(i int) (*RunningDaemon, error) {
 	s := settings.Default()
 	s.Entry = settings.Entry{ID: fmt.Sprintf("entry-%d", i), Zone: f.Topology.Zones[(i-1)%len(f.Topology.Zones)]}
 	s.Listen = settings.Listen{Traffic: "127.0.0.1:0", API: "127.0.0.1:0", Peer: "127.0.0.1:0"}
@@ -137,7 +137,7 @@
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	r := &Running{Daemon: d, stop: cancel, done: make(chan struct{})}
+	r := &RunningDaemon{Daemon: d, stop: cancel, done: make(chan struct{})}
 	go func() {
 		defer close(r.done)
 		_ = d.Run(ctx)
@@ -146,18 +146,18 @@
 	return r, nil
 }
 
-// Client returns an operators' client of every daemon that runs.
+// Client returns an operators' client for all running daemons.
 func (f *Fixture) Client() *client.Client {
 	var addrs []string
 	for _, d := range f.Daemons {
-		if !d.Over() {
+		if !d.Ended() {
 			addrs = append(addrs, d.APIAddr())
 		}
 	}
 	return client.New(addrs, 20*time.Second)
 }
 
-// Exec carries out statements and fails unless all are done.
+// Exec runs statements and returns an error unless all of them are done.
 func (f *Fixture) Exec(ctx context.Context, text string) error {
 	a, err := f.Client().Exec(ctx, text)
 	if err != nil {
@@ -171,16 +171,16 @@
 	return nil
 }
 
-// errNotReady says that the daemons did not agree on a view in time.
+// errNotReady means that the daemons did not agree on a view in time.
 var errNotReady = errors.New("the entry daemons did not become ready")
 
-// WaitReady waits until every running daemon would be sent requests and the
-// view holds just those.
+// WaitReady waits until every running daemon is ready and their view has exactly the running
+// daemons as members.
 func (f *Fixture) WaitReady(ctx context.Context) error {
 	for {
 		ready, running := 0, 0
 		for _, d := range f.Daemons {
-			if d.Over() {
+			if d.Ended() {
 				continue
 			}
 			running++
@@ -201,14 +201,14 @@
 
 func (f *Fixture) viewSize() int {
 	for _, d := range f.Daemons {
-		if !d.Over() {
+		if !d.Ended() {
 			return len(d.Members())
 		}
 	}
 	return 0
 }
 
-// TrafficAddrs returns the callers' addresses of every daemon ever started.
+// TrafficAddrs returns the traffic addresses of all daemons, ended ones included.
 func (f *Fixture) TrafficAddrs() []string {
 	var out []string
 	for _, d := range f.Daemons {
@@ -217,23 +217,23 @@
 	return out
 }
 
-// Balancer returns a check whether an entry is to be sent requests, as the
-// platform's balancer would see it: ready, and not known to have ended.
+// Balancer returns the health check of a load balancer: it reports whether the entry at addr
+// is ready and has not ended.
 func (f *Fixture) Balancer() func(addr string) bool {
-	byAddr := map[string]*Running{}
+	byAddr := map[string]*RunningDaemon{}
 	for _, d := range f.Daemons {
 		byAddr[d.TrafficAddr()] = d
 	}
 	return func(addr string) bool {
 		d := byAddr[addr]
-		return d != nil && !d.Over() && d.Ready() == nil
+		return d != nil && !d.Ended() && d.Ready() == nil
 	}
 }
 
-// Close ends everything.
+// Close kills the daemons and closes the stand-ins.
 func (f *Fixture) Close() {
 	for _, d := range f.Daemons {
-		if !d.Over() {
+		if !d.Ended() {
 			d.Kill()
 		}
 	}
--- a/lab/fixture_test.go
+++ b/lab/fixture_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWholePath runs everything over real connections. It judges what was
-// answered, never how fast.
+// TestWholePath sends load through daemons over real connections and checks every answer, but
+// no latency.
 func TestWholePath(t *testing.T) {
 	f, err := NewFixture(OrderDesks(), 3, nil, io.Discard)
 	require.NoError(t, err)
@@ -26,5 +26,5 @@
 	for _, s := range load.Summaries() {
 		require.Zero(t, s.Cut+s.Foreign+s.Differs, "%+v", s)
 	}
-	require.Empty(t, load.CheckRan(f.Workers.Ran))
+	require.Empty(t, load.CheckExecutions(f.Workers.Ran))
 }
--- a/lab/load.go
+++ b/lab/load.go
@@ -24,32 +24,31 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// LoadOptions describe the load of one run.
+// LoadOptions are the parameters of a load.
 type LoadOptions struct {
 	Topology Topology
-	// Entries are the traffic addresses that the balancer knows.
+	// Entries are the traffic addresses that requests are balanced over.
 	Entries []string
-	// Ready reports whether the balancer would send to an entry now; nil
-	// means always.
+	// Ready reports whether an entry passes the balancer's health check; nil means that all do.
 	Ready func(addr string) bool
 	// Scale multiplies every arrival rate.
 	Scale float64
-	// Resend is the share of keyed requests that are sent again through
-	// another entry, half of them while the first is still running.
+	// Resend is the share of keyed requests that are sent twice, the second time through another
+	// entry; half of them while the first is in flight.
 	Resend float64
 	Seed   uint64
 }
 
-// Load is an open-loop caller: requests are sent when they are due, whether
-// earlier ones were answered or not, and latency counts from that moment.
+// Load is an open-loop load generator: requests are sent when they are due, whether or not
+// earlier ones were answered, and latency counts from the due time.
 type Load struct {
 	opts  LoadOptions
 	http  *http.Client
 	next  atomic.Uint64
-	stats map[string]*ClassStats // by "service/class"; fixed after New
+	stats map[string]*ClassStats // by "service/class"; the map doesn't change after NewLoad
 
 	mu      sync.Mutex
-	outcome map[string]verdict.Verdict // of each keyed request, all its sends together
+	outcome map[string]verdict.Verdict // of each keyed request, over all its sends
 }
 
 // ClassStats are the results of one class.
@@ -59,12 +58,12 @@
 	Done    int64
 	NotRun  int64
 	MayRun  int64
-	Lost    int64 // no answer at all: the entry was gone
-	Cut     int64 // an answer that broke off
-	Foreign int64 // an answer to another request
-	Differs int64 // a resend's answer that differs from the first
+	Lost    int64 // sends without any answer, as from an entry that has ended
+	Cut     int64 // truncated answers
+	Foreign int64 // answers to another request
+	Differs int64 // resends whose answer differs from the first
 	Codes   map[string]int64
-	latency *hdrhistogram.Histogram // microseconds, of whole answers
+	latency *hdrhistogram.Histogram // microseconds; complete answers of done requests only
 }
 
 const (
@@ -72,7 +71,7 @@
 	significantDigits = 3
 )
 
-// NewLoad returns a load that has not started.
+// NewLoad returns a load; Run starts it.
 func NewLoad(o LoadOptions) *Load {
 	l := &Load{
 		opts: o,
@@ -92,7 +91,7 @@
 	return l
 }
 
-// Run sends requests until ctx ends, then waits for the last answers.
+// Run sends requests until ctx ends and waits for the last answers.
 func (l *Load) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	seed := l.opts.Seed
@@ -111,7 +110,7 @@
 	l.http.CloseIdleConnections()
 }
 
-// runClass sends one class's requests at random intervals of its mean rate.
+// runClass sends the requests of a class as a Poisson process with its rate.
 func (l *Load) runClass(ctx context.Context, service string, c Class, rnd *rand.Rand) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -129,27 +128,27 @@
 		wg.Add(1)
 		go func(due time.Time) {
 			defer wg.Done()
-			l.one(service, c, due, resend && c.Keyed, early)
+			l.sendRequest(service, c, due, resend && c.Keyed, early)
 		}(due)
 	}
 }
 
-// request is one request with its identity.
+// request is a request and its due time.
 type request struct {
 	service string
 	class   Class
-	id      string // also the key, if the class is keyed
+	id      string // also the idempotency key if the class is keyed
 	body    []byte
 	due     time.Time
 }
 
-// answer is what came of one send.
+// answer is the result of one send.
 type answer struct {
 	verdict verdict.Verdict
-	body    []byte // of a whole answer
+	body    []byte // nil if there was no answer
 }
 
-func (l *Load) one(service string, c Class, due time.Time, resend, early bool) {
+func (l *Load) sendRequest(service string, c Class, due time.Time, resend, early bool) {
 	id, err := uuid.NewV7()
 	if err != nil {
 		return
@@ -157,7 +156,7 @@
 	r := request{service: service, class: c, id: id.String(), due: due, body: []byte("order " + id.String())}
 	entryNumber := int(l.next.Add(1))
 	if !resend {
-		l.note(r, l.send(r, entryNumber))
+		l.recordOutcome(r, l.send(r, entryNumber))
 		return
 	}
 	var second answer
@@ -175,15 +174,16 @@
 		again()
 	}
 	wg.Wait()
-	l.note(r, first)
-	l.note(r, second)
+	l.recordOutcome(r, first)
+	l.recordOutcome(r, second)
 	if first.verdict == verdict.Done && second.verdict == verdict.Done && !bytes.Equal(first.body, second.body) {
 		l.count(r, func(s *ClassStats) { s.Differs++ })
 	}
 }
 
-// note keeps the strongest word on a keyed request: done, then may have run.
-func (l *Load) note(r request, a answer) {
+// recordOutcome keeps the strongest verdict on a keyed request: done before may have run before
+// not run.
+func (l *Load) recordOutcome(r request, a answer) {
 	if !r.class.Keyed {
 		return
 	}
@@ -202,8 +202,8 @@
 	fn(s)
 }
 
-// pick returns the entry that the balancer sends to.
-func (l *Load) pick(n int) string {
+// pickEntry returns the next ready entry from number n on, or entry n if none is ready.
+func (l *Load) pickEntry(n int) string {
 	for i := range l.opts.Entries {
 		addr := l.opts.Entries[(n+i)%len(l.opts.Entries)]
 		if l.opts.Ready == nil || l.opts.Ready(addr) {
@@ -213,10 +213,10 @@
 	return l.opts.Entries[n%len(l.opts.Entries)]
 }
 
-// send sends a request once and checks its answer.
+// send sends a request once, checks its answer and counts the result.
 func (l *Load) send(r request, n int) answer {
 	l.count(r, func(s *ClassStats) { s.Sent++ })
-	resp, body, err := l.exchange(r, l.pick(n))
+	resp, body, err := l.exchange(r, l.pickEntry(n))
 	if resp == nil {
 		l.count(r, func(s *ClassStats) { s.Lost++ })
 		return answer{verdict: verdict.MayHaveRun}
@@ -230,7 +230,7 @@
 		case v == verdict.Done:
 			s.Done++
 			_ = s.latency.RecordValue(min(took.Microseconds(), maxLatency))
-			s.Foreign += foreign(r, body, resp.StatusCode)
+			s.Foreign += countForeign(r, body, resp.StatusCode)
 		case v == verdict.NotRun:
 			s.NotRun++
 			s.Codes[problemCode(body)]++
@@ -247,7 +247,7 @@
 	if r.class.Keyed {
 		method = http.MethodPost
 	}
-	// A body without GetBody keeps the caller's own transport from replaying.
+	// Without GetBody the caller's transport can't replay the request by itself.
 	req, err := http.NewRequest(method, "http://"+addr+"/"+r.class.Name+"/"+r.id, struct{ io.Reader }{bytes.NewReader(r.body)})
 	if err != nil {
 		return nil, nil, err
@@ -270,8 +270,8 @@
 	return resp, body, err
 }
 
-// foreign returns 1 if a whole answer is not the one to r.
-func foreign(r request, body []byte, status int) int64 {
+// countForeign returns 1 if a complete answer doesn't belong to r, else 0.
+func countForeign(r request, body []byte, status int) int64 {
 	var a worker.Answer
 	if err := json.Unmarshal(body, &a); err != nil {
 		return 1
@@ -291,7 +291,7 @@
 	return p.Type[len("urn:postmount:"):]
 }
 
-// Summary is the result of one class.
+// Summary is the result of a class.
 type Summary struct {
 	Service string           `json:"service"`
 	Class   string           `json:"class"`
@@ -329,9 +329,9 @@
 	return out
 }
 
-// CheckRan compares what callers were told about keyed requests with how often
-// the workers ran them. It returns one line for each promise that was broken.
-func (l *Load) CheckRan(ran func(id string) int) []string {
+// CheckExecutions compares the verdicts that callers got for keyed requests with how often the
+// workers ran them. It returns one line for each violation.
+func (l *Load) CheckExecutions(ran func(id string) int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var broken []string
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -11,22 +11,22 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
-// Row is one line of a measurement: what was varied, and the figures.
+// Row is a line of a measurement: the case and its figures, one for each column.
 type Row struct {
 	Case    string
 	Figures []string
 }
 
-// Experiment is one measurement against a baseline, with the same seed.
+// Experiment measures several cases, a baseline among them, with the same seed.
 type Experiment struct {
 	Name    string
 	Columns []string
 	Run     func(ctx context.Context, seed uint64) ([]Row, error)
 }
 
-// Experiments are the measurements of the request path.
+// Experiments returns the measurements of the request path.
 func Experiments() []Experiment {
-	return []Experiment{saturation(), goodput(), amplification(), slowWorker(), endings(), shares()}
+	return []Experiment{saturation(), goodput(), amplification(), slowWorker(), daemonEnd(), slotShares()}
 }
 
 // Print runs an experiment and prints it as a Markdown table.
@@ -42,21 +42,21 @@
 	return nil
 }
 
-// trial is one run of a load against a fresh installation.
+// trial is a run of a load against a new fixture.
 type trial struct {
 	topology Topology
 	entries  int
 	length   time.Duration
 	resend   float64
 	adjust   func(*settings.Settings)
-	// only makes all requests enter through the first entry.
-	only bool
-	// prepare is called before the load starts, during while it runs.
+	// singleEntry sends all requests through the first entry.
+	singleEntry bool
+	// prepare is called before the load starts; during is called in a goroutine when it starts.
 	prepare func(*Fixture) error
 	during  func(*Fixture)
 }
 
-// measured is what a trial gave.
+// measured is the result of a trial.
 type measured struct {
 	classes map[string]Summary
 	workers worker.Report
@@ -82,7 +82,7 @@
 		}
 	}
 	addrs := f.TrafficAddrs()
-	if t.only {
+	if t.singleEntry {
 		addrs = addrs[:1]
 	}
 	load := NewLoad(LoadOptions{Topology: t.topology, Entries: addrs, Ready: f.Balancer(), Scale: 1, Resend: t.resend, Seed: seed})
@@ -96,18 +96,18 @@
 	for _, s := range load.Summaries() {
 		m.classes[s.Class] = s
 	}
-	if broken := load.CheckRan(f.Workers.Ran); len(broken) > 0 {
-		return m, fmt.Errorf("broken: %v", broken)
+	if broken := load.CheckExecutions(f.Workers.Ran); len(broken) > 0 {
+		return m, fmt.Errorf("violations: %v", broken)
 	}
 	return m, nil
 }
 
-// desk is a fleet of one service. Its capacity is workers x 8 slots.
-func desk(workers int, classes ...Class) Topology {
+// singleService returns a fleet of one service, with 8 slots per worker.
+func singleService(workers int, classes ...Class) Topology {
 	return Topology{Name: "desk", Zones: []string{"zone-a", "zone-b", "zone-c", "zone-d"}, Services: []Service{{Name: "desk", Workers: workers, Classes: classes}}}
 }
 
-func ms(v float64) string { return fmt.Sprintf("%.1f", v) }
+func formatMS(v float64) string { return fmt.Sprintf("%.1f", v) }
 
 func percent(part, whole int64) string {
 	if whole == 0 {
@@ -120,8 +120,8 @@
 	return func(s *settings.Settings) { s.Policies.Admit = policy }
 }
 
-// saturation: bulk repricing offers 1.5 times the capacity of 4 workers
-// (32 slots / 40 ms = 800 a second) while retail orders come at 40 a second.
+// saturation measures 40 retail orders per second while bulk repricing offers 1.5 times the
+// capacity of 4 workers (32 slots / 40 ms = 800 requests per second).
 func saturation() Experiment {
 	return Experiment{
 		Name:    "Retail orders while bulk repricing saturates the desk",
@@ -129,7 +129,7 @@
 		Run: func(ctx context.Context, seed uint64) (rows []Row, err error) {
 			for _, policy := range []string{"weighted", "fifo"} {
 				m, err := trial{
-					topology: desk(4,
+					topology: singleService(4,
 						Class{Name: "retail", Weight: 8, Rate: 40, ServiceMS: 10, DeadlineMS: 5000, Keyed: true, Availability: 99},
 						Class{Name: "bulk", Weight: 1, Rate: 1200, ServiceMS: 40, DeadlineMS: 10000, Availability: 90}),
 					entries: 6, length: 8 * time.Second, adjust: admission(policy),
@@ -138,15 +138,15 @@
 					return nil, err
 				}
 				r, b := m.classes["retail"], m.classes["bulk"]
-				rows = append(rows, Row{policy, []string{ms(r.P50MS), ms(r.P99MS), ms(r.P999MS), percent(r.Done, r.Sent), percent(b.Done, b.Sent), "10"}})
+				rows = append(rows, Row{policy, []string{formatMS(r.P50MS), formatMS(r.P99MS), formatMS(r.P999MS), percent(r.Done, r.Sent), percent(b.Done, b.Sent), "10"}})
 			}
 			return rows, nil
 		},
 	}
 }
 
-// goodput: three classes with deadlines of one second at multiples of the
-// capacity of 4 workers (800 a second at 40 ms).
+// goodput measures three classes with a deadline of one second at multiples of the capacity
+// of 4 workers (800 requests per second of 40 ms).
 func goodput() Experiment {
 	return Experiment{
 		Name:    "Answers in time at multiples of capacity (800 a second)",
@@ -160,7 +160,7 @@
 					}
 					const length = 6 * time.Second
 					m, err := trial{
-						topology: desk(4, class("retail", 8, 0.2), class("intraday", 4, 0.3), class("bulk", 1, 0.5)),
+						topology: singleService(4, class("retail", 8, 0.2), class("intraday", 4, 0.3), class("bulk", 1, 0.5)),
 						entries:  6, length: length, adjust: admission(policy),
 					}.run(ctx, seed)
 					if err != nil {
@@ -175,7 +175,7 @@
 						worst = max(worst, c.P99MS)
 					}
 					rate := done / length.Seconds()
-					figures = append(figures, fmt.Sprintf("%.0f", rate), fmt.Sprintf("%.2f", rate/capacity), ms(worst))
+					figures = append(figures, fmt.Sprintf("%.0f", rate), fmt.Sprintf("%.2f", rate/capacity), formatMS(worst))
 					rows = append(rows, Row{fmt.Sprintf("%s, %gx", policy, load), figures})
 				}
 			}
@@ -184,8 +184,8 @@
 	}
 }
 
-// amplification: a third of 6 workers fail every request, then all of them. A
-// whole answer that reports a failure counts as done.
+// amplification measures attempts per request while two of 6 workers, then all, fail every
+// request. A complete answer that reports a failure counts as done.
 func amplification() Experiment {
 	return Experiment{
 		Name:    "Tries per request while workers fail every request",
@@ -196,7 +196,7 @@
 				failing int
 			}{{"budgeted", 2}, {"unbudgeted", 2}, {"budgeted", 6}, {"unbudgeted", 6}} {
 				m, err := trial{
-					topology: desk(6, Class{Name: "intraday", Weight: 1, Rate: 300, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
+					topology: singleService(6, Class{Name: "intraday", Weight: 1, Rate: 300, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
 					entries:  6, length: 6 * time.Second,
 					adjust: func(s *settings.Settings) { s.Policies.Retry = c.policy },
 					prepare: func(f *Fixture) error {
@@ -221,7 +221,7 @@
 	}
 }
 
-// slowWorker: one of 6 workers takes 500 ms longer.
+// slowWorker measures latency while one of 6 workers takes 500 ms longer.
 func slowWorker() Experiment {
 	return Experiment{
 		Name:    "One of six workers is 500 ms slower (600 a second of 10 ms)",
@@ -232,7 +232,7 @@
 				slowMS       int
 			}{{"none slow (ideal)", "least-loaded", 0}, {"least-loaded", "least-loaded", 500}, {"random", "random", 500}} {
 				m, err := trial{
-					topology: desk(6, Class{Name: "intraday", Weight: 1, Rate: 600, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
+					topology: singleService(6, Class{Name: "intraday", Weight: 1, Rate: 600, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
 					entries:  6, length: 6 * time.Second,
 					adjust: func(s *settings.Settings) { s.Policies.Pick = c.policy },
 					prepare: func(f *Fixture) error {
@@ -243,15 +243,15 @@
 					return nil, err
 				}
 				s := m.classes["intraday"]
-				rows = append(rows, Row{c.name, []string{ms(s.P50MS), ms(s.P99MS), percent(s.Done, s.Sent)}})
+				rows = append(rows, Row{c.name, []string{formatMS(s.P50MS), formatMS(s.P99MS), percent(s.Done, s.Sent)}})
 			}
 			return rows, nil
 		},
 	}
 }
 
-// endings: one of 6 entry daemons is stopped or killed under keyed load.
-func endings() Experiment {
+// daemonEnd measures keyed requests while one of 6 entry daemons is stopped or killed.
+func daemonEnd() Experiment {
 	return Experiment{
 		Name:    "Keyed requests when one of six entry daemons ends",
 		Columns: []string{"sent", "done", "did not run", "may have run", "no answer", "p99 ms", "max ms"},
@@ -265,7 +265,7 @@
 				{"killed", func(f *Fixture) { f.Daemons[0].Kill() }},
 			} {
 				m, err := trial{
-					topology: desk(6, Class{Name: "retail", Weight: 1, Rate: 400, ServiceMS: 10, DeadlineMS: 2000, Keyed: true, Availability: 99}),
+					topology: singleService(6, Class{Name: "retail", Weight: 1, Rate: 400, ServiceMS: 10, DeadlineMS: 2000, Keyed: true, Availability: 99}),
 					entries:  6, length: 12 * time.Second, resend: 0.1,
 					during: func(f *Fixture) {
 						time.Sleep(2 * time.Second)
@@ -277,7 +277,7 @@
 				}
 				s := m.classes["retail"]
 				rows = append(rows, Row{c.name, []string{
-					fmt.Sprint(s.Sent), percent(s.Done, s.Sent), percent(s.NotRun, s.Sent), percent(s.MayRun, s.Sent), percent(s.Lost, s.Sent), ms(s.P99MS), ms(s.MaxMS),
+					fmt.Sprint(s.Sent), percent(s.Done, s.Sent), percent(s.NotRun, s.Sent), percent(s.MayRun, s.Sent), percent(s.Lost, s.Sent), formatMS(s.P99MS), formatMS(s.MaxMS),
 				}})
 			}
 			return rows, nil
@@ -285,9 +285,9 @@
 	}
 }
 
-// shares: every request enters through one of six daemons, whose own share is
-// a sixth of the slots; the ideal is a single daemon that has them all.
-func shares() Experiment {
+// slotShares measures the wait when all requests enter through one of six daemons, whose own
+// share is a sixth of the slots. The ideal is a single daemon that has all slots.
+func slotShares() Experiment {
 	return Experiment{
 		Name:    "Wait caused by slot shares: all requests through one daemon (6 workers, 800 a second of 1200)",
 		Columns: []string{"p50 ms", "p99 ms", "done", "wait over the ideal p99"},
@@ -299,8 +299,8 @@
 				loans   string
 			}{{"one daemon (ideal)", 1, "on"}, {"six, idle shares lent", 6, "on"}, {"six, no loans", 6, "off"}} {
 				m, err := trial{
-					topology: desk(6, Class{Name: "retail", Weight: 1, Rate: 800, ServiceMS: 40, DeadlineMS: 4000, Availability: 99}),
-					entries:  c.entries, length: 6 * time.Second, only: true,
+					topology: singleService(6, Class{Name: "retail", Weight: 1, Rate: 800, ServiceMS: 40, DeadlineMS: 4000, Availability: 99}),
+					entries:  c.entries, length: 6 * time.Second, singleEntry: true,
 					adjust: func(s *settings.Settings) { s.Policies.Loans = c.loans },
 				}.run(ctx, seed)
 				if err != nil {
@@ -310,7 +310,7 @@
 				if ideal == 0 {
 					ideal = s.P99MS
 				}
-				rows = append(rows, Row{c.name, []string{ms(s.P50MS), ms(s.P99MS), percent(s.Done, s.Sent), fmt.Sprintf("%.2fx", s.P99MS/ideal)}})
+				rows = append(rows, Row{c.name, []string{formatMS(s.P50MS), formatMS(s.P99MS), percent(s.Done, s.Sent), fmt.Sprintf("%.2fx", s.P99MS/ideal)}})
 			}
 			return rows, nil
 		},
--- a/lab/path_bench_test.go
+++ b/lab/path_bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/postmount/postmount/requests/entry"
 )
 
-// benchPath measures requests of no service time against addr.
+// benchPath measures requests without service time to addr.
 func benchPath(b *testing.B, addr string, keyed bool) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -46,11 +46,10 @@
 	})
 }
 
-// BenchmarkPath compares a request through an entry daemon with one sent to a
-// worker directly. Caller, daemon and worker share the process, so allocations
-// are those of all three.
+// BenchmarkPath compares a request through an entry daemon with one sent directly to a worker.
+// Caller, daemon and worker share the process, so the allocations are those of all three.
 func BenchmarkPath(b *testing.B) {
-	f, err := NewFixture(desk(6, Class{Name: "retail", Weight: 1, Rate: 1, Availability: 99}, Class{Name: "order", Weight: 1, Rate: 1, Keyed: true, Availability: 99}), 3, nil, io.Discard)
+	f, err := NewFixture(singleService(6, Class{Name: "retail", Weight: 1, Rate: 1, Availability: 99}, Class{Name: "order", Weight: 1, Rate: 1, Keyed: true, Availability: 99}), 3, nil, io.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lab/report.go
+++ b/lab/report.go
@@ -12,11 +12,11 @@
 	"github.com/postmount/postmount/standin/platform"
 )
 
-// finish works out the report and lists what was broken.
+// finish computes the report and lists the violated guarantees.
 func (d *demo) finish() {
 	r := &d.report
 	r.Workers = d.f.Workers.Report()
-	for _, name := range d.alive().Snapshot().State.SortedPools() {
+	for _, name := range d.runningDaemon().Snapshot().State.SortedPools() {
 		if p := d.pools[name]; p != nil {
 			r.Pools = append(r.Pools, *p)
 		}
@@ -29,12 +29,11 @@
 		r.IdealBuffer = d.sample.budgetSlots / n / total
 	}
 	r.Took = time.Since(d.start).Seconds()
-	d.findBroken()
+	d.findViolations()
 }
 
-// finishWave compares the wave's time with the lower bound that the budgets
-// and the reboot time allow: the slowest pool's rounds, each as long as a
-// reboot.
+// finishWave compares the wave's duration with its lower bound: the number of rounds that the
+// budget allows in the largest pool, times the reboot time.
 func (d *demo) finishWave() {
 	w := d.wave()
 	if w == nil {
@@ -50,14 +49,14 @@
 	r.Seconds = end.Sub(w.StartedAt).Seconds()
 	reboot := float64(platform.DefaultFaults.RebootMS) / 1000
 	for _, s := range d.o.Topology.Services {
-		const allowed = 2 // the budget that the fleet is set up with
+		const allowed = 2 // max-unavailable of the pools, see Topology.Statements
 		rounds := (s.Workers + allowed - 1) / allowed
 		r.BoundSeconds = max(r.BoundSeconds, float64(rounds)*reboot)
 	}
 }
 
 func (d *demo) finishJobs() {
-	for _, js := range d.alive().Snapshot().State.Jobs {
+	for _, js := range d.runningDaemon().Snapshot().State.Jobs {
 		for _, j := range js.Value.Jobs {
 			d.report.Jobs++
 			if j.State == fleet.JobDone {
@@ -68,8 +67,8 @@
 	}
 }
 
-// findBroken lists the promises that were seen broken.
-func (d *demo) findBroken() {
+// findViolations lists the violated guarantees.
+func (d *demo) findViolations() {
 	r := &d.report
 	broken := func(n int64, what string) {
 		if n > 0 {
@@ -78,27 +77,27 @@
 	}
 	for _, c := range r.Classes {
 		name := c.Service + "/" + c.Class
-		broken(c.Cut, "answers cut off in "+name)
-		broken(c.Foreign, "foreign answers in "+name)
-		broken(c.Differs, "resends with another answer in "+name)
+		broken(c.Cut, "truncated answers in "+name)
+		broken(c.Foreign, "answers to another request in "+name)
+		broken(c.Differs, "resends with a different answer in "+name)
 	}
 	for _, p := range r.Pools {
-		broken(int64(p.Broken), "samples below the budget of pool "+p.Pool)
+		broken(int64(p.Broken), "samples over the budget of pool "+p.Pool)
 	}
-	broken(int64(len(r.Workers.Duplicates)), "requests that ran twice")
+	broken(int64(len(r.Workers.Duplicates)), "run-once requests that ran more than once")
 	broken(r.Workers.OverSlots, "requests beyond a worker's slots")
 	broken(r.Workers.OverConns, "connections beyond a worker's limit")
-	broken(r.Workers.LateWork, "requests to a worker that was long leaving")
-	broken(r.Workers.TasksTwice, "tasks that ran beside another attempt")
+	broken(r.Workers.LateWork, "requests to a worker after the grace time of its drain")
+	broken(r.Workers.TasksTwice, "tasks that ran at the same time as another attempt")
 	if !r.Wave.Done {
 		r.Broken = append(r.Broken, "the wave did not end")
 	}
 	if r.JobsDone != r.Jobs {
-		r.Broken = append(r.Broken, fmt.Sprintf("%d of %d jobs were done", r.JobsDone, r.Jobs))
+		r.Broken = append(r.Broken, fmt.Sprintf("only %d of %d jobs were done", r.JobsDone, r.Jobs))
 	}
 }
 
-// PrintSummaries prints one line per class.
+// PrintSummaries prints a table with one line per class.
 func PrintSummaries(w io.Writer, sums []Summary) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "class\tsent\tdone\tnot run\tmay have run\tlost\tcut\tforeign\tdiffers\tp50 ms\tp99 ms\tmax ms\t")
@@ -123,7 +122,7 @@
 	}
 	fmt.Fprintln(w)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(t, "pool\tsize\tallowed out\tmost out\tsamples\tbelow budget\t")
+	fmt.Fprintln(t, "pool\tsize\tallowed out\tmost out\tsamples\tover budget\t")
 	for _, p := range r.Pools {
 		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", p.Pool, p.Size, p.Allowed, p.MostOut, p.Samples, p.Broken)
 	}
@@ -139,7 +138,7 @@
 	fmt.Fprintf(w, "workers: %d requests, %d keyed ones ran, %d ran twice; at most %d at once on one worker\n",
 		r.Workers.Requests, r.Workers.Ran, len(r.Workers.Duplicates), r.Workers.MaxAtOnce)
 	if len(r.Broken) == 0 {
-		fmt.Fprintf(w, "\nno promise was broken (%.1f s)\n", r.Took)
+		fmt.Fprintf(w, "\nno violations (%.1f s)\n", r.Took)
 		return
 	}
 	fmt.Fprintf(w, "\nBROKEN:\n  %s\n", strings.Join(r.Broken, "\n  "))
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -1,5 +1,5 @@
-// Package lab runs postmount against its stand-ins: it describes the users'
-// fleets, puts load on entry daemons and checks every answer, and runs the
+// Package lab runs postmount against stand-ins of its environment: it defines the fleets of two
+// users, sends load to entry daemons and checks every answer, and runs the experiments and the
 // demo.
 package lab
 
@@ -10,28 +10,28 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
-// Service is one service of a user with its pool.
+// Service is a service of a user and the size of its pool.
 type Service struct {
 	Name    string
 	Workers int
 	Classes []Class
 }
 
-// Class is one class of traffic.
+// Class is a class of requests to a service.
 type Class struct {
 	Name       string
 	Weight     int
-	Rate       float64 // requests a second
-	ServiceMS  int     // time at the worker
+	Rate       float64 // requests per second
+	ServiceMS  int     // processing time at the worker
 	DeadlineMS int
-	// Keyed requests are not idempotent and carry a key.
+	// Keyed requests are not idempotent and carry an idempotency key.
 	Keyed bool
-	// Availability is the objective in percent, LatencyMS its bound.
+	// Availability is the objective in percent; LatencyMS is its latency bound, 0 for none.
 	Availability float64
 	LatencyMS    int
 }
 
-// Topology is a user's fleet.
+// Topology is the fleet of a user.
 type Topology struct {
 	Name     string
 	Zones    []string
@@ -78,17 +78,17 @@
 	}
 }
 
-// TopologyByName returns a user's fleet.
+// TopologyByName returns the fleet of that name.
 func TopologyByName(name string) (Topology, error) {
 	for _, t := range []Topology{OrderDesks(), AlumniHub()} {
 		if t.Name == name {
 			return t, nil
 		}
 	}
-	return Topology{}, fmt.Errorf("no fleet %q", name)
+	return Topology{}, fmt.Errorf("unknown fleet %q", name)
 }
 
-// Shape of a worker of both users, and how many share a rack.
+// Size of a worker, and the number of workers in a rack, for both users.
 const (
 	workerSlots       = 8
 	workerConnections = 64
@@ -97,10 +97,10 @@
 	workersPerRack    = 4
 )
 
-// WorkerID names the i-th worker of a service, from 1.
+// WorkerID returns the id of worker i of a service, counted from 1.
 func WorkerID(service string, i int) string { return fmt.Sprintf("%s-%02d", service, i) }
 
-// Workers returns the specs of every worker; their ports are free ones.
+// Workers returns the specs of all workers; each listens on a free port.
 func (t Topology) Workers() []worker.Spec {
 	var out []worker.Spec
 	n := 0
@@ -117,11 +117,11 @@
 	return out
 }
 
-// Host is the host name that callers of a service use.
+// Host returns the host name of a service.
 func Host(service string) string { return service + ".example" }
 
-// Statements returns the commands that set the fleet up: services, routes,
-// objectives, pools with a budget of one instance in ten, and their instances.
+// Statements returns the commands that create the fleet: services, routes, objectives, pools
+// with max-unavailable 2, and their instances.
 func (t Topology) Statements() string {
 	var b strings.Builder
 	for _, s := range t.Services {
