--- a/cmd/postmount-lab/workers.go
+++ b/cmd/postmount-lab/workers.go
@@ -57,7 +57,7 @@
 // register registers the workers with the platform; it retries until that succeeds.
 func register(ctx context.Context, addr string, specs []worker.Spec) {
 	for ctx.Err() == nil {
-		if platform.Register(addr, specs) == nil {
+		if platform.RegisterWorkers(addr, specs) == nil {
 			fmt.Println("registered", len(specs), "workers")
 			return
 		}
--- a/internal/matrix/request_test.go
+++ b/internal/matrix/request_test.go
@@ -66,7 +66,7 @@
 			heal(c, func() { c.setStores(store.Faults{}) })
 		}},
 		{name: "store loses answers", strike: func(c *scenario) { c.setStores(store.Faults{LoseAnswers: 3}) }},
-		{name: "leases lapse", strike: func(c *scenario) { c.in.engine.LapseLeases() }},
+		{name: "leases lapse", strike: func(c *scenario) { c.in.engine.ExpireAllLeases() }},
 		{name: "worker down", strike: func(c *scenario) { c.in.backend.update(func(b *backend) { b.down = true }) }},
 		{name: "worker hangs", strike: func(c *scenario) { c.in.backend.update(func(b *backend) { b.hang = true }) }},
 		{name: "answer cut", strike: func(c *scenario) { c.in.backend.update(func(b *backend) { b.truncate = true }) }},
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -219,7 +219,7 @@
 	stopSampling()
 	wg.Wait()
 	d.report.Classes = load.Summaries()
-	d.report.Broken = append(d.report.Broken, load.CheckExecutions(d.f.Workers.Ran)...)
+	d.report.Broken = append(d.report.Broken, load.CheckExecutions(d.f.Workers.RunCount)...)
 	return err
 }
 
--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -108,7 +108,7 @@
 		return err
 	}
 	f.Platform = platform.New(f.Workers, platform.DefaultFaults)
-	f.Platform.Add(platform.Messages(f.Workers.Specs()))
+	f.Platform.Add(platform.InstanceMessages(f.Workers.Specs()))
 	f.platformHTTP, f.platformAddr, err = listenAndServe(f.Platform)
 	return err
 }
--- a/lab/fixture_test.go
+++ b/lab/fixture_test.go
@@ -26,5 +26,5 @@
 	for _, s := range load.Summaries() {
 		require.Zero(t, s.Cut+s.Foreign+s.Differs, "%+v", s)
 	}
-	require.Empty(t, load.CheckExecutions(f.Workers.Ran))
+	require.Empty(t, load.CheckExecutions(f.Workers.RunCount))
 }
--- a/lab/load.go
+++ b/lab/load.go
@@ -259,7 +259,7 @@
 	req.Header.Set(worker.HeaderServiceMS, strconv.Itoa(r.class.ServiceMS))
 	if r.class.Keyed {
 		req.Header.Set(entry.HeaderKey, r.id)
-		req.Header.Set(worker.HeaderOnce, r.id)
+		req.Header.Set(worker.HeaderRunOnce, r.id)
 	}
 	resp, err := l.http.Do(req)
 	if err != nil {
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -96,7 +96,7 @@
 	for _, s := range load.Summaries() {
 		m.classes[s.Class] = s
 	}
-	if broken := load.CheckExecutions(f.Workers.Ran); len(broken) > 0 {
+	if broken := load.CheckExecutions(f.Workers.RunCount); len(broken) > 0 {
 		return m, fmt.Errorf("violations: %v", broken)
 	}
 	return m, nil
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,7 +1,6 @@
-// Package platform is a small stand-in for the platform's instance list and
-// pool actions. docs/PROTOCOLS.md describes its calls. Its list lags, commands
-// are idempotent by id and refused for a wrong generation, and it can be told
-// to misbehave.
+// Package platform is a small stand-in for the platform's instance list and instance commands;
+// docs/PROTOCOLS.md describes its calls. The list shows changes with a delay, commands are
+// idempotent by id and refused for a wrong generation, and faults can be injected.
 package platform
 
 import (
@@ -20,33 +19,33 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// Workers controls the workers behind the instances.
+// Workers controls the workers on the instances.
 type Workers interface {
 	SetDraining(id string, draining bool) error
 	SetUp(id string, up bool) error
 	Busy(id string) (int, error)
 }
 
-// Faults are the ways in which the stand-in can be told to misbehave.
+// Faults are the faults and delays of the stand-in.
 type Faults struct {
 	Down bool `json:"down"` // refuses every call
-	// ListLagMS is how late a change shows in the instance list.
+	// ListLagMS is the delay until a change shows in the instance list.
 	ListLagMS int `json:"list_lag_ms"`
-	// RebootMS is how long a reboot takes.
+	// RebootMS is the duration of a reboot.
 	RebootMS int `json:"reboot_ms"`
-	// DrainLimitMS bounds a drain: what is still running then is cut off.
+	// DrainLimitMS bounds a drain: the instance is drained then even if work still runs.
 	DrainLimitMS int `json:"drain_limit_ms"`
 	// NeverReturn lists instances that do not come back from a reboot.
 	NeverReturn []string `json:"never_return"`
 }
 
-// DefaultFaults are a healthy platform that is quick enough for a demo.
+// DefaultFaults describe a healthy platform, with delays short enough for a demo.
 var DefaultFaults = Faults{ListLagMS: 200, RebootMS: 400, DrainLimitMS: 10_000}
 
-// instance is the true state of one instance.
+// instance is the actual state of an instance.
 type instance struct {
 	msg      platformhttp.InstanceMessage
-	commands map[string]bool // ids carried out
+	commands map[string]bool // ids of executed commands
 }
 
 // listing is an instance as the list shows it.
@@ -55,26 +54,26 @@
 	version int64 // of its last change
 }
 
-// pending is a change that does not show in the list yet.
+// pending is a change that the list doesn't show yet.
 type pending struct {
 	at  time.Time
 	msg platformhttp.InstanceMessage
 }
 
-// Platform is the stand-in.
+// Platform is the stand-in for the platform.
 type Platform struct {
 	workers Workers
 
-	mu        sync.Mutex
-	faults    Faults
-	instances map[string]*instance
-	listed    map[string]listing
-	version   int64 // of the newest change in listed
-	pending   []pending
-	gone      []string
-	router    chi.Router
-	timers    sync.WaitGroup
-	closed    chan struct{}
+	mu          sync.Mutex
+	faults      Faults
+	instances   map[string]*instance
+	listed      map[string]listing
+	version     int64 // of the newest change in listed
+	pending     []pending
+	goneEntries []string
+	router      chi.Router
+	timers      sync.WaitGroup
+	closed      chan struct{}
 }
 
 // New returns a platform without instances.
@@ -86,8 +85,8 @@
 	r.Put("/standin/faults", p.putFaults)
 	r.Get("/standin/faults", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(p.Faults()) })
 	r.Post("/standin/instances", p.postInstances)
-	r.Post("/standin/instances/{id}/fail", func(w http.ResponseWriter, q *http.Request) { answer(w, p.Fail(chi.URLParam(q, "id"))) })
-	r.Post("/standin/instances/{id}/restart", func(w http.ResponseWriter, q *http.Request) { answer(w, p.Restart(chi.URLParam(q, "id"))) })
+	r.Post("/standin/instances/{id}/fail", func(w http.ResponseWriter, q *http.Request) { writeResult(w, p.Fail(chi.URLParam(q, "id"))) })
+	r.Post("/standin/instances/{id}/restart", func(w http.ResponseWriter, q *http.Request) { writeResult(w, p.Restart(chi.URLParam(q, "id"))) })
 	r.Post("/standin/entries/gone", p.postGone)
 	p.router = r
 	return p
@@ -96,13 +95,13 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
 
-// Close waits for drains and reboots under way.
+// Close ends running drains and reboots and waits for them.
 func (p *Platform) Close() {
 	close(p.closed)
 	p.timers.Wait()
 }
 
-// Faults returns the faults in force.
+// Faults returns the current faults.
 func (p *Platform) Faults() Faults {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,23 +123,23 @@
 		m.State = string(fleet.InstanceReady)
 		m.Generation = 1
 		p.instances[m.ID] = &instance{msg: m, commands: map[string]bool{}}
-		p.showLocked(m)
+		p.listLocked(m)
 	}
 }
 
-func (p *Platform) showLocked(m platformhttp.InstanceMessage) {
+func (p *Platform) listLocked(m platformhttp.InstanceMessage) {
 	p.version++
 	p.listed[m.ID] = listing{m, p.version}
 }
 
-// MarkGone lists entry daemons that have ended.
+// MarkGone adds entry daemons that have ended to the list.
 func (p *Platform) MarkGone(incarnations ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.gone = append(p.gone, incarnations...)
+	p.goneEntries = append(p.goneEntries, incarnations...)
 }
 
-// States returns the true state of every instance.
+// States returns the actual state of every instance, by id.
 func (p *Platform) States() map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -151,8 +150,8 @@
 	return out
 }
 
-// changedLocked schedules an instance's new state to show in the list.
-func (p *Platform) changedLocked(i *instance) {
+// scheduleListingLocked makes the list show an instance's state after the list lag.
+func (p *Platform) scheduleListingLocked(i *instance) {
 	lag := time.Duration(p.faults.ListLagMS) * time.Millisecond
 	p.pending = append(p.pending, pending{at: time.Now().Add(lag), msg: i.msg})
 }
@@ -164,17 +163,18 @@
 			rest = append(rest, c)
 			continue
 		}
-		p.showLocked(c.msg)
+		p.listLocked(c.msg)
 	}
 	p.pending = rest
 }
 
-// list answers with what changed after the version asked from.
+// list answers with the instances that changed after the version in the query's since, or with
+// all if there is none.
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	p.mu.Lock()
 	p.publishLocked(time.Now())
-	m := platformhttp.ListMessage{Version: p.version, Full: err != nil || since <= 0 || since > p.version, GoneEntries: slices.Clone(p.gone)}
+	m := platformhttp.ListMessage{Version: p.version, Full: err != nil || since <= 0 || since > p.version, GoneEntries: slices.Clone(p.goneEntries)}
 	for _, id := range slices.Sorted(maps.Keys(p.listed)) {
 		if l := p.listed[id]; m.Full || l.version > since {
 			m.Instances = append(m.Instances, l.msg)
@@ -200,13 +200,13 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	if err := p.carryOut(chi.URLParam(r, "id"), m); err != nil {
+	if err := p.execute(chi.URLParam(r, "id"), m); err != nil {
 		http.Error(w, err.Error(), http.StatusConflict)
 	}
 }
 
-// carryOut starts a command. A repeat of one carried out is answered again.
-func (p *Platform) carryOut(id string, m platformhttp.CommandMessage) error {
+// execute starts a command. A repeated command succeeds without effect.
+func (p *Platform) execute(id string, m platformhttp.CommandMessage) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	i := p.instances[id]
@@ -227,13 +227,13 @@
 	switch fleet.Action(m.Action) {
 	case fleet.ActionDrain:
 		p.setLocked(i, fleet.InstanceDraining)
-		p.later(func() { p.drain(id, generation) })
+		p.runAsync(func() { p.drain(id, generation) })
 	case fleet.ActionReboot:
 		p.setLocked(i, fleet.InstanceRebooting)
-		p.later(func() { p.reboot(id, generation) })
+		p.runAsync(func() { p.reboot(id, generation) })
 	case fleet.ActionReturn:
 		p.setLocked(i, fleet.InstanceReady)
-		p.later(func() { _ = p.workers.SetDraining(id, false) })
+		p.runAsync(func() { _ = p.workers.SetDraining(id, false) })
 	default:
 		return fmt.Errorf("unknown action %q", m.Action)
 	}
@@ -242,10 +242,10 @@
 
 func (p *Platform) setLocked(i *instance, s fleet.InstanceState) {
 	i.msg.State = string(s)
-	p.changedLocked(i)
+	p.scheduleListingLocked(i)
 }
 
-func (p *Platform) later(fn func()) {
+func (p *Platform) runAsync(fn func()) {
 	p.timers.Add(1)
 	go func() {
 		defer p.timers.Done()
@@ -253,8 +253,9 @@
 	}()
 }
 
-// set changes an instance's state unless something newer has acted on it.
-func (p *Platform) set(id string, generation int64, s fleet.InstanceState) {
+// setState sets the state of an instance unless a newer command or event has changed its
+// generation.
+func (p *Platform) setState(id string, generation int64, s fleet.InstanceState) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := p.instances[id]; i != nil && i.msg.Generation == generation {
@@ -264,7 +265,7 @@
 
 const drainPoll = 20 * time.Millisecond
 
-// drain waits until the worker has nothing left.
+// drain waits until the worker is idle or the drain limit is over.
 func (p *Platform) drain(id string, generation int64) {
 	_ = p.workers.SetDraining(id, true)
 	limit := time.Now().Add(time.Duration(p.Faults().DrainLimitMS) * time.Millisecond)
@@ -272,24 +273,24 @@
 		if n, err := p.workers.Busy(id); err == nil && n == 0 {
 			break
 		}
-		if !p.pause(drainPoll) {
+		if !p.sleep(drainPoll) {
 			return
 		}
 	}
-	p.set(id, generation, fleet.InstanceDrained)
+	p.setState(id, generation, fleet.InstanceDrained)
 }
 
 func (p *Platform) reboot(id string, generation int64) {
 	_ = p.workers.SetUp(id, false)
 	f := p.Faults()
-	if slices.Contains(f.NeverReturn, id) || !p.pause(time.Duration(f.RebootMS)*time.Millisecond) {
+	if slices.Contains(f.NeverReturn, id) || !p.sleep(time.Duration(f.RebootMS)*time.Millisecond) {
 		return
 	}
 	_ = p.workers.SetUp(id, true)
-	p.set(id, generation, fleet.InstanceDrained)
+	p.setState(id, generation, fleet.InstanceDrained)
 }
 
-func (p *Platform) pause(d time.Duration) bool {
+func (p *Platform) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -300,7 +301,7 @@
 	}
 }
 
-// Fail takes an instance down by itself.
+// Fail makes an instance fail without a command.
 func (p *Platform) Fail(id string) error {
 	p.mu.Lock()
 	i := p.instances[id]
@@ -314,7 +315,7 @@
 	return p.workers.SetUp(id, false)
 }
 
-// Restart brings an instance back into service by itself.
+// Restart puts an instance back into service without a command.
 func (p *Platform) Restart(id string) error {
 	if err := p.workers.SetUp(id, true); err != nil {
 		return err
@@ -362,7 +363,7 @@
 	p.MarkGone(incarnations...)
 }
 
-func answer(w http.ResponseWriter, err error) {
+func writeResult(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 	}
--- a/standin/platform/remote.go
+++ b/standin/platform/remote.go
@@ -11,13 +11,13 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
-// RemoteWorkers controls the workers of another process over HTTP.
+// RemoteWorkers controls workers in another process over HTTP.
 type RemoteWorkers struct {
 	addr string // IP:port of the workers' control interface
 	http *http.Client
 }
 
-// NewRemoteWorkers returns the workers controlled at addr.
+// NewRemoteWorkers returns a client for the workers' control interface at addr.
 func NewRemoteWorkers(addr string) *RemoteWorkers {
 	return &RemoteWorkers{addr: addr, http: &http.Client{Timeout: 2 * time.Second}}
 }
@@ -64,7 +64,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("workers answered %d", resp.StatusCode)
+		return fmt.Errorf("control interface of the workers at %s: %s %s answered %d", r.addr, req.Method, req.URL.Path, resp.StatusCode)
 	}
 	if out == nil {
 		return nil
@@ -72,8 +72,8 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// Messages turns workers into the instances they run on.
-func Messages(specs []worker.Spec) []platformhttp.InstanceMessage {
+// InstanceMessages returns the instances that the workers run on.
+func InstanceMessages(specs []worker.Spec) []platformhttp.InstanceMessage {
 	out := make([]platformhttp.InstanceMessage, 0, len(specs))
 	for _, s := range specs {
 		out = append(out, platformhttp.InstanceMessage{
@@ -84,9 +84,9 @@
 	return out
 }
 
-// Register puts workers into service at the platform at addr.
-func Register(addr string, specs []worker.Spec) error {
-	body, err := json.Marshal(platformhttp.ListMessage{Instances: Messages(specs)})
+// RegisterWorkers adds the instances of workers to the platform at addr.
+func RegisterWorkers(addr string, specs []worker.Spec) error {
+	body, err := json.Marshal(platformhttp.ListMessage{Instances: InstanceMessages(specs)})
 	if err != nil {
 		return err
 	}
@@ -96,7 +96,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("platform answered %d", resp.StatusCode)
+		return fmt.Errorf("platform at %s: register workers: answered %d", addr, resp.StatusCode)
 	}
 	return nil
 }
--- a/standin/store/direct.go
+++ b/standin/store/direct.go
@@ -10,14 +10,14 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Direct is port.Store over an engine without a network, for tests in virtual
-// time. Several callers may share an engine, each with faults of its own.
+// Direct implements port.Store on an engine without a network, for tests in virtual time.
+// Several callers may share an engine, each through a Direct with faults of its own.
 type Direct struct {
 	Engine *Engine
 
 	mu     sync.Mutex
 	faults Faults
-	closed chan struct{} // closed when watches are to break
+	closed chan struct{} // closed to end the watches; replaced then
 	Calls  Calls
 }
 
@@ -26,7 +26,7 @@
 // NewDirect returns a healthy store over engine e.
 func NewDirect(e *Engine) *Direct { return &Direct{Engine: e, closed: make(chan struct{})} }
 
-// SetFaults replaces the faults. Going down breaks the watches.
+// SetFaults replaces the faults. Down ends all watches.
 func (d *Direct) SetFaults(f Faults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,13 +37,13 @@
 	}
 }
 
-// errDown is what a call to a service that is down returns.
+// errDown returns the error of a call while the service is down.
 func errDown() error {
 	return verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "the store is down")
 }
 
-// enter counts a call and applies the faults before its effect.
-func (d *Direct) enter(ctx context.Context, write bool) error {
+// beginCall counts a call and applies the faults that act before its effect.
+func (d *Direct) beginCall(ctx context.Context, write bool) error {
 	d.mu.Lock()
 	f := d.faults
 	if write {
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// lost reports whether the answer of a write that took effect is lost.
-func (d *Direct) lost() error {
+// loseAnswer returns an error if the answer of a write that took effect is to be lost.
+func (d *Direct) loseAnswer() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.faults.LoseAnswers == 0 {
@@ -79,7 +79,7 @@
 
 // Get implements port.Store.
 func (d *Direct) Get(ctx context.Context, key string) (port.KV, bool, error) {
-	if err := d.enter(ctx, false); err != nil {
+	if err := d.beginCall(ctx, false); err != nil {
 		return port.KV{}, false, err
 	}
 	found, rev := d.Engine.Range(key, "")
@@ -95,7 +95,7 @@
 
 // List implements port.Store.
 func (d *Direct) List(ctx context.Context, prefix string) (port.Listing, error) {
-	if err := d.enter(ctx, false); err != nil {
+	if err := d.beginCall(ctx, false); err != nil {
 		return port.Listing{}, err
 	}
 	found, rev := d.Engine.Range(prefix, prefix+"\xff")
@@ -108,12 +108,12 @@
 
 // CompareAndSwap implements port.Store.
 func (d *Direct) CompareAndSwap(ctx context.Context, key string, expect fleet.Revision, value []byte, lease port.LeaseID) (fleet.Revision, bool, error) {
-	if err := d.enter(ctx, true); err != nil {
+	if err := d.beginCall(ctx, true); err != nil {
 		return 0, false, err
 	}
 	rev, ok := d.Engine.Put(key, int64(expect), value, int64(lease))
 	if ok {
-		if err := d.lost(); err != nil {
+		if err := d.loseAnswer(); err != nil {
 			return 0, false, err
 		}
 	}
@@ -122,7 +122,7 @@
 
 // CompareAndDelete implements port.Store.
 func (d *Direct) CompareAndDelete(ctx context.Context, key string, expect fleet.Revision) (bool, error) {
-	if err := d.enter(ctx, true); err != nil {
+	if err := d.beginCall(ctx, true); err != nil {
 		return false, err
 	}
 	_, ok := d.Engine.Delete(key, int64(expect))
@@ -131,7 +131,7 @@
 
 // Watch implements port.Store.
 func (d *Direct) Watch(ctx context.Context, prefix string, from fleet.Revision, fn func([]port.Event)) error {
-	if err := d.enter(ctx, false); err != nil {
+	if err := d.beginCall(ctx, false); err != nil {
 		return err
 	}
 	d.mu.Lock()
@@ -140,9 +140,9 @@
 	next := int64(from) + 1
 	fn(nil)
 	for {
-		events, upTo, changed, ok := d.Engine.Since(prefix, prefix+"\xff", next)
+		events, upTo, changed, ok := d.Engine.ChangesSince(prefix, prefix+"\xff", next)
 		if !ok {
-			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "history is gone")
+			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "history from revision %d on is compacted", next)
 		}
 		var out []port.Event
 		for _, c := range events {
@@ -164,7 +164,7 @@
 
 // GrantLease implements port.Store.
 func (d *Direct) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
-	if err := d.enter(ctx, true); err != nil {
+	if err := d.beginCall(ctx, true); err != nil {
 		return 0, err
 	}
 	return port.LeaseID(d.Engine.Grant(ttl)), nil
@@ -172,7 +172,7 @@
 
 // KeepAlive implements port.Store.
 func (d *Direct) KeepAlive(ctx context.Context, id port.LeaseID) (bool, error) {
-	if err := d.enter(ctx, true); err != nil {
+	if err := d.beginCall(ctx, true); err != nil {
 		return false, err
 	}
 	return d.Engine.KeepAlive(int64(id)) > 0, nil
@@ -180,7 +180,7 @@
 
 // RevokeLease implements port.Store.
 func (d *Direct) RevokeLease(ctx context.Context, id port.LeaseID) error {
-	if err := d.enter(ctx, true); err != nil {
+	if err := d.beginCall(ctx, true); err != nil {
 		return err
 	}
 	d.Engine.Revoke(int64(id))
--- a/standin/store/engine.go
+++ b/standin/store/engine.go
@@ -1,6 +1,6 @@
-// Package store is a small stand-in for the platform's key-value service. It
-// speaks the parts of the etcd v3 JSON gateway that postmount uses, keeps its
-// data in memory for its own lifetime, and can be told to misbehave.
+// Package store is a small stand-in for the platform's key-value service. It serves the parts
+// of the etcd v3 JSON gateway that postmount uses, keeps its data in memory and can inject
+// faults.
 package store
 
 import (
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// entry is one live key.
+// entry is the current value of a key.
 type entry struct {
 	value          []byte
 	modRevision    int64
@@ -19,7 +19,7 @@
 	lease          int64
 }
 
-// change is one event of the history that watches replay.
+// change is an event in the history that watches replay.
 type change struct {
 	key      string
 	value    []byte
@@ -33,20 +33,21 @@
 	expires time.Time
 }
 
-// historySize bounds the events kept for watches; older ones are compacted.
+// historySize is the maximum number of events kept for watches; the oldest tenth is compacted
+// when it is exceeded.
 const historySize = 50_000
 
-// Engine is the state of the service: keys, revisions, leases and history.
-// Its methods are safe for concurrent use.
+// Engine holds the keys, revisions, leases and history of the service. Its methods are safe
+// for concurrent use.
 type Engine struct {
 	mu        sync.Mutex
 	revision  int64
-	compacted int64 // revisions up to here are gone from history
+	compacted int64 // history up to this revision is deleted
 	keys      map[string]entry
 	leases    map[int64]*lease
 	nextLease int64
 	history   []change
-	changed   chan struct{} // closed and replaced at every change
+	changed   chan struct{} // closed and replaced by every change
 }
 
 // NewEngine returns an empty store at revision 1.
@@ -67,7 +68,8 @@
 	return e.revision
 }
 
-// Range returns the keys in [key, end) in order; an empty end means key alone.
+// Range returns the keys in [key, end) in order and the current revision; an empty end means
+// key alone.
 func (e *Engine) Range(key, end string) ([]change, int64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -83,7 +85,7 @@
 	return out, e.revision
 }
 
-// ModRevision returns the revision key was last written at, 0 if absent.
+// ModRevision returns the revision at which key was last written, 0 if it doesn't exist.
 func (e *Engine) ModRevision(key string) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -91,8 +93,8 @@
 	return e.keys[key].modRevision
 }
 
-// Put writes key if it is at revision expect. ok is false when it is not, or
-// when the lease does not exist.
+// Put writes key if its revision is expect, 0 for a key that doesn't exist. ok is false if it
+// is another, or if the lease doesn't exist; leaseID 0 means no lease.
 func (e *Engine) Put(key string, expect int64, value []byte, leaseID int64) (revision int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -114,7 +116,7 @@
 	return e.revision, true
 }
 
-// Delete removes key if it is at revision expect.
+// Delete removes key if it exists and its revision is expect.
 func (e *Engine) Delete(key string, expect int64) (revision int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -153,7 +155,7 @@
 	return id
 }
 
-// KeepAlive renews a lease and returns its time to live, 0 if it is unknown.
+// KeepAlive renews a lease and returns its TTL, 0 if it doesn't exist.
 func (e *Engine) KeepAlive(id int64) time.Duration {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -185,8 +187,8 @@
 	}
 }
 
-// LapseLeases ends every lease at once, as if their holders had paused.
-func (e *Engine) LapseLeases() {
+// ExpireAllLeases expires every lease, as if its holder had paused for longer than its TTL.
+func (e *Engine) ExpireAllLeases() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range slices.Sorted(maps.Keys(e.leases)) {
@@ -194,7 +196,7 @@
 	}
 }
 
-// Expire ends the leases that are due.
+// Expire ends the leases whose TTL is over.
 func (e *Engine) Expire() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -209,7 +211,7 @@
 	}
 }
 
-// ExtendLeases moves every expiry by d: time does not pass for leases while
+// ExtendLeases moves every expiry by d, the duration of an outage: leases don't expire while
 // the service itself is down.
 func (e *Engine) ExtendLeases(d time.Duration) {
 	e.mu.Lock()
@@ -219,10 +221,10 @@
 	}
 }
 
-// Since returns the changes in [key, end) from revision from on, the revision
-// up to which they are complete, and a channel closed at the next change.
-// ok is false if the history no longer reaches back to from.
-func (e *Engine) Since(key, end string, from int64) (events []change, upTo int64, next <-chan struct{}, ok bool) {
+// ChangesSince returns the changes in [key, end) from revision from on, the revision up to
+// which they are complete, and a channel that the next change closes. ok is false if the
+// history from there on is compacted.
+func (e *Engine) ChangesSince(key, end string, from int64) (events []change, upTo int64, next <-chan struct{}, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if from <= e.compacted {
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -5,22 +5,21 @@
 	"time"
 )
 
-// Faults are the ways in which the stand-in can be told to misbehave. The zero
-// value is a healthy service.
+// Faults are the faults that the stand-in injects. The zero value is a healthy service.
 type Faults struct {
-	// Down refuses every call at once.
+	// Down refuses every call.
 	Down bool `json:"down"`
-	// DelayMillis holds every call for that many milliseconds.
+	// DelayMillis delays every call.
 	DelayMillis int `json:"delay_ms"`
-	// LoseAnswers is how many of the next writes take effect and then have
-	// their connection cut before the answer.
+	// LoseAnswers is the number of next writes that take effect and whose connection is closed
+	// before the answer.
 	LoseAnswers int `json:"lose_answers"`
 	// ReadsPerSecond and WritesPerSecond limit calls; 0 means no limit.
 	ReadsPerSecond  int `json:"reads_per_second"`
 	WritesPerSecond int `json:"writes_per_second"`
 }
 
-// Calls counts what the service was asked, a waiting watch as one call.
+// Calls counts the calls to the service; a watch is one call however long it lasts.
 type Calls struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
@@ -29,34 +28,33 @@
 	Bytes   int64 `json:"bytes"`
 }
 
-// kind is the sort of a call, for counting and limits.
-type kind uint8
+// callKind is the callKind of a call, for counts and limits.
+type callKind uint8
 
 const (
-	kindRead kind = iota
+	kindRead callKind = iota
 	kindWrite
 	kindWatch
 )
 
-// switchboard holds the current faults and counts.
-type switchboard struct {
+// faultControl holds the current faults and the counts of calls.
+type faultControl struct {
 	mu        sync.Mutex
 	faults    Faults
 	calls     Calls
-	second    int64 // the second that used counts for
+	second    int64 // Unix time in seconds that used counts for
 	used      [2]int
-	dropWatch chan struct{} // closed to drop every watch
-	changed   chan struct{} // closed at every change of faults
+	dropWatch chan struct{} // closed to end every watch; replaced then
+	changed   chan struct{} // closed and replaced when the faults change
 	downSince time.Time
 }
 
-func newSwitchboard() *switchboard {
-	return &switchboard{dropWatch: make(chan struct{}), changed: make(chan struct{})}
+func newFaultControl() *faultControl {
+	return &faultControl{dropWatch: make(chan struct{}), changed: make(chan struct{})}
 }
 
-// set replaces the faults and returns for how long the service had been down
-// if that ended now.
-func (s *switchboard) set(f Faults, now time.Time) time.Duration {
+// set replaces the faults. If this ends an outage it returns its duration.
+func (s *faultControl) set(f Faults, now time.Time) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var outage time.Duration
@@ -73,12 +71,12 @@
 	return outage
 }
 
-func (s *switchboard) dropLocked() {
+func (s *faultControl) dropLocked() {
 	close(s.dropWatch)
 	s.dropWatch = make(chan struct{})
 }
 
-func (s *switchboard) dropWatches() {
+func (s *faultControl) dropWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.dropLocked()
@@ -92,7 +90,7 @@
 	dropped <-chan struct{}
 }
 
-func (s *switchboard) admit(k kind, now time.Time) decision {
+func (s *faultControl) admit(k callKind, now time.Time) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := decision{
@@ -108,7 +106,7 @@
 	return d
 }
 
-func (s *switchboard) countLocked(k kind) {
+func (s *faultControl) countLocked(k callKind) {
 	switch k {
 	case kindRead:
 		s.calls.Reads++
@@ -119,7 +117,7 @@
 	}
 }
 
-func (s *switchboard) overLimitLocked(k kind, now time.Time) bool {
+func (s *faultControl) overLimitLocked(k callKind, now time.Time) bool {
 	if now.Unix() != s.second {
 		s.second = now.Unix()
 		s.used = [2]int{}
@@ -136,9 +134,9 @@
 	return true
 }
 
-// loseAnswer reports whether the answer of the write that just took effect is
-// to be lost.
-func (s *switchboard) loseAnswer() bool {
+// loseAnswer reports whether the answer of the write that just took effect is to be lost, and
+// counts it.
+func (s *faultControl) loseAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers == 0 {
@@ -148,7 +146,7 @@
 	return true
 }
 
-func (s *switchboard) snapshot() (Faults, Calls) {
+func (s *faultControl) snapshot() (Faults, Calls) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults, s.calls
--- a/standin/store/gateway.go
+++ b/standin/store/gateway.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// The types below are the JSON forms of the etcd v3 API messages: bytes are
-// base64 text and 64-bit integers are decimal text.
+// The types below are the JSON forms of the etcd v3 API messages: bytes are base64 strings and
+// 64-bit integers decimal strings.
 
 type header struct {
 	Revision string `json:"revision"`
@@ -85,17 +85,17 @@
 	return kv
 }
 
-// txn carries out the one form of transaction that compare-and-swap needs: one
-// comparison of a key's modification revision, one put or delete of that key.
+// txn supports only the transaction that compare-and-swap needs: one comparison of a key's
+// modification revision and one put or delete of that key.
 func (s *Server) txn(body json.RawMessage) (any, error) {
 	var req txnRequest
 	if err := json.Unmarshal(body, &req); err != nil {
 		return nil, err
 	}
 	if len(req.Compare) != 1 || len(req.Success) != 1 || req.Compare[0].Target != "MOD" || req.Compare[0].Result != "EQUAL" {
-		return nil, fmt.Errorf("stand-in: only a transaction of one MOD EQUAL comparison and one operation is offered")
+		return nil, fmt.Errorf("stand-in: unsupported transaction: want one MOD EQUAL comparison and one operation")
 	}
-	expect, err := number(req.Compare[0].ModRevision)
+	expect, err := parseInt64(req.Compare[0].ModRevision)
 	if err != nil {
 		return nil, err
 	}
@@ -103,8 +103,8 @@
 	if err != nil {
 		return nil, err
 	}
-	if ok && s.board.loseAnswer() {
-		return nil, errLost{}
+	if ok && s.faults.loseAnswer() {
+		return nil, errAnswerLost{}
 	}
 	return txnResponse{Header: header{int64String(rev)}, Succeeded: ok}, nil
 }
@@ -115,9 +115,9 @@
 		return rev, ok, nil
 	}
 	if op.Put == nil {
-		return 0, false, fmt.Errorf("stand-in: want request_put or request_delete_range")
+		return 0, false, fmt.Errorf("stand-in: unsupported operation: want request_put or request_delete_range")
 	}
-	leaseID, err := number(op.Put.Lease)
+	leaseID, err := parseInt64(op.Put.Lease)
 	if err != nil {
 		return 0, false, err
 	}
@@ -125,7 +125,7 @@
 	return rev, ok, nil
 }
 
-func number(n json.Number) (int64, error) {
+func parseInt64(n json.Number) (int64, error) {
 	if n == "" {
 		return 0, nil
 	}
@@ -148,7 +148,7 @@
 	if err := json.Unmarshal(body, &req); err != nil {
 		return nil, err
 	}
-	ttl, err := number(req.TTL)
+	ttl, err := parseInt64(req.TTL)
 	if err != nil || ttl <= 0 {
 		return nil, fmt.Errorf("etcdserver: lease TTL %q out of range", req.TTL)
 	}
@@ -164,7 +164,7 @@
 	return resp
 }
 
-// streamed is the envelope of one message of a streaming call.
+// streamed is the envelope of a message of a streaming call.
 type streamed[T any] struct {
 	Result T `json:"result"`
 }
@@ -191,7 +191,7 @@
 	if err := json.Unmarshal(body, &req); err != nil {
 		return 0, err
 	}
-	return number(req.ID)
+	return parseInt64(req.ID)
 }
 
 type watchCreate struct {
@@ -217,7 +217,7 @@
 	Events          []watchEvent `json:"events,omitempty"`
 }
 
-// progressInterval is how often an idle watch is told that it is alive.
+// progressInterval is the time between two progress messages of a watch.
 const progressInterval = time.Second
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -227,12 +227,12 @@
 	}
 	var req watchRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest)).Decode(&req); err != nil {
-		fail(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
+		writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
-	from, err := number(req.Create.StartRevision)
+	from, err := parseInt64(req.Create.StartRevision)
 	if err != nil {
-		fail(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
+		writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
 	s.stream(w, r, req.Create, from, d.dropped)
@@ -253,7 +253,7 @@
 	progress := time.NewTicker(progressInterval)
 	defer progress.Stop()
 	for {
-		events, upTo, next, ok := s.engine.Since(string(create.Key), string(create.RangeEnd), from)
+		events, upTo, next, ok := s.engine.ChangesSince(string(create.Key), string(create.RangeEnd), from)
 		if !ok {
 			send(watchResponse{Canceled: true, CompactRevision: int64String(s.engine.compactedRevision())})
 			return
--- a/standin/store/server.go
+++ b/standin/store/server.go
@@ -9,17 +9,17 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Server serves an Engine over the etcd v3 JSON gateway, with faults.
+// Server serves an Engine as the etcd v3 JSON gateway and injects faults.
 type Server struct {
 	engine *Engine
-	board  *switchboard
+	faults *faultControl
 	router chi.Router
 	stop   chan struct{}
 }
 
-// NewServer returns a server over a new, empty engine. Close stops its timer.
+// NewServer returns a server of a new, empty engine. Close stops its lease timer.
 func NewServer() *Server {
-	s := &Server{engine: NewEngine(), board: newSwitchboard(), stop: make(chan struct{})}
+	s := &Server{engine: NewEngine(), faults: newFaultControl(), stop: make(chan struct{})}
 	r := chi.NewRouter()
 	r.Post("/v3/kv/range", s.handle(kindRead, s.rangeKeys))
 	r.Post("/v3/kv/txn", s.handle(kindWrite, s.txn))
@@ -40,27 +40,27 @@
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) { s.router.ServeHTTP(w, r) }
 
-// Close stops the lease timer.
+// Close stops the lease timer and ends the watches.
 func (s *Server) Close() { close(s.stop) }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the faults. Leases are extended by an outage that it ends.
 func (s *Server) SetFaults(f Faults) {
-	if outage := s.board.set(f, time.Now()); outage > 0 {
+	if outage := s.faults.set(f, time.Now()); outage > 0 {
 		s.engine.ExtendLeases(outage)
 	}
 }
 
 // Calls returns the counts since the start.
 func (s *Server) Calls() Calls {
-	_, c := s.board.snapshot()
+	_, c := s.faults.snapshot()
 	return c
 }
 
-// LapseLeases ends every lease at once.
-func (s *Server) LapseLeases() { s.engine.LapseLeases() }
+// ExpireAllLeases expires every lease.
+func (s *Server) ExpireAllLeases() { s.engine.ExpireAllLeases() }
 
-// DropWatches cuts every watch stream.
-func (s *Server) DropWatches() { s.board.dropWatches() }
+// DropWatches breaks every watch stream.
+func (s *Server) DropWatches() { s.faults.dropWatches() }
 
 const expireInterval = 100 * time.Millisecond
 
@@ -72,21 +72,21 @@
 		case <-s.stop:
 			return
 		case <-t.C:
-			if f, _ := s.board.snapshot(); !f.Down {
+			if f, _ := s.faults.snapshot(); !f.Down {
 				s.engine.Expire()
 			}
 		}
 	}
 }
 
-// gatewayError is the JSON body of a failed call.
+// gatewayError is the response body of a failed call.
 type gatewayError struct {
 	Error   string `json:"error"`
 	Code    int    `json:"code"`
 	Message string `json:"message"`
 }
 
-// Codes of the gateway, from gRPC.
+// gRPC status codes in the responses of the gateway.
 const (
 	codeResourceExhausted = 8
 	codeOutOfRange        = 11
@@ -94,36 +94,36 @@
 	codeInvalidArgument   = 3
 )
 
-func fail(w http.ResponseWriter, status, code int, text string) {
+func writeError(w http.ResponseWriter, status, code int, text string) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(gatewayError{Error: text, Code: code, Message: text})
 }
 
-// errLost makes the server cut the connection in place of an answer.
-type errLost struct{}
+// errAnswerLost makes the server close the connection instead of answering.
+type errAnswerLost struct{}
 
-func (errLost) Error() string { return "answer lost" }
+func (errAnswerLost) Error() string { return "answer lost" }
 
-// maxRequest bounds a request body: values reach 1 MB before base64.
+// maxRequest is the maximum request body in bytes: values reach 1 MB before base64 encoding.
 const maxRequest = 2 << 20
 
-func (s *Server) handle(k kind, serve func(body json.RawMessage) (any, error)) http.HandlerFunc {
+func (s *Server) handle(k callKind, serve func(body json.RawMessage) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, ok := s.admit(w, r, k); !ok {
 			return
 		}
 		var body json.RawMessage
 		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest)).Decode(&body); err != nil {
-			fail(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
+			writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 			return
 		}
 		answer, err := serve(body)
-		if _, lost := err.(errLost); lost {
+		if _, lost := err.(errAnswerLost); lost {
 			panic(http.ErrAbortHandler)
 		}
 		if err != nil {
-			fail(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
+			writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -131,16 +131,16 @@
 	}
 }
 
-// admit applies the faults to a call; it answers and returns false if the call
-// goes no further.
-func (s *Server) admit(w http.ResponseWriter, r *http.Request, k kind) (decision, bool) {
-	d := s.board.admit(k, time.Now())
+// admit applies the faults to a call. It returns false if the call ends here; it has answered
+// it then unless the caller is gone.
+func (s *Server) admit(w http.ResponseWriter, r *http.Request, k callKind) (decision, bool) {
+	d := s.faults.admit(k, time.Now())
 	if d.down {
-		fail(w, http.StatusServiceUnavailable, codeUnavailable, "etcdserver: no leader")
+		writeError(w, http.StatusServiceUnavailable, codeUnavailable, "etcdserver: no leader")
 		return d, false
 	}
 	if d.limited {
-		fail(w, http.StatusTooManyRequests, codeResourceExhausted, "etcdserver: too many requests")
+		writeError(w, http.StatusTooManyRequests, codeResourceExhausted, "etcdserver: too many requests")
 		return d, false
 	}
 	if d.delay == 0 {
@@ -155,7 +155,7 @@
 }
 
 func (s *Server) getFaults(w http.ResponseWriter, _ *http.Request) {
-	f, _ := s.board.snapshot()
+	f, _ := s.faults.snapshot()
 	_ = json.NewEncoder(w).Encode(f)
 }
 
@@ -164,7 +164,7 @@
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(&f); err != nil {
-		fail(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
+		writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
 	s.SetFaults(f)
@@ -176,7 +176,7 @@
 
 func (s *Server) dropWatches(http.ResponseWriter, *http.Request) { s.DropWatches() }
 
-func (s *Server) lapseLeases(http.ResponseWriter, *http.Request) { s.LapseLeases() }
+func (s *Server) lapseLeases(http.ResponseWriter, *http.Request) { s.ExpireAllLeases() }
 
-// int64String is how the gateway writes 64-bit integers.
+// int64String formats a 64-bit integer as the gateway does.
 func int64String(n int64) string { return strconv.FormatInt(n, 10) }
--- a/standin/worker/fleet.go
+++ b/standin/worker/fleet.go
@@ -11,18 +11,18 @@
 	"github.com/go-chi/chi/v5"
 )
 
-// Fleet is a set of workers in one process, with an interface to control them.
+// Fleet is a set of workers in one process and their control interface.
 type Fleet struct {
-	mu      sync.Mutex
-	workers map[string]*Worker
-	ran     *executions
+	mu         sync.Mutex
+	workers    map[string]*Worker
+	executions *executions
 }
 
-// NewFleet starts the workers of specs.
+// NewFleet starts a worker for each spec.
 func NewFleet(specs []Spec) (*Fleet, error) {
-	f := &Fleet{workers: map[string]*Worker{}, ran: &executions{ran: map[string]int{}}}
+	f := &Fleet{workers: map[string]*Worker{}, executions: &executions{runs: map[string]int{}}}
 	for _, s := range specs {
-		w := newWorker(s, f.ran)
+		w := newWorker(s, f.executions)
 		if err := w.start(); err != nil {
 			f.Close()
 			return nil, err
@@ -32,7 +32,7 @@
 	return f, nil
 }
 
-// Close takes every worker down.
+// Close stops every worker.
 func (f *Fleet) Close() {
 	for _, w := range f.all() {
 		w.stop()
@@ -58,7 +58,7 @@
 	return nil, fmt.Errorf("no worker %q", id)
 }
 
-// Specs returns the workers with the addresses they listen at.
+// Specs returns the specs of all workers, with the addresses that they listen on.
 func (f *Fleet) Specs() []Spec {
 	var out []Spec
 	for _, w := range f.all() {
@@ -69,7 +69,7 @@
 	return out
 }
 
-// SetDraining tells a worker that it is draining, or is no longer.
+// SetDraining sets whether a worker is draining.
 func (f *Fleet) SetDraining(id string, draining bool) error {
 	w, err := f.get(id)
 	if err != nil {
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// SetUp takes a worker down or brings it back at its address.
+// SetUp stops a worker or starts it again at the same address.
 func (f *Fleet) SetUp(id string, up bool) error {
 	w, err := f.get(id)
 	if err != nil {
@@ -98,7 +98,7 @@
 	return w.start()
 }
 
-// Busy returns the requests in flight and running tasks of a worker.
+// Busy returns the number of requests in flight and running tasks of a worker.
 func (f *Fleet) Busy(id string) (int, error) {
 	w, err := f.get(id)
 	if err != nil {
@@ -119,16 +119,16 @@
 	return nil
 }
 
-// Report is what all workers have seen together.
+// Report holds the counts of all workers together.
 type Report struct {
 	Counts
-	// Duplicates lists the requests that must run at most once and ran twice.
+	// Duplicates lists the run-once requests that ran more than once.
 	Duplicates []string `json:"duplicates"`
-	// Ran is how many requests that must run at most once have run.
+	// Ran is the number of run-once requests that ran.
 	Ran int `json:"ran_once"`
 }
 
-// Report adds up the workers' counts.
+// Report sums up the counts of the workers.
 func (f *Fleet) Report() Report {
 	var r Report
 	for _, w := range f.all() {
@@ -144,10 +144,10 @@
 		r.TasksTwice += c.TasksTwice
 		r.Lapsed += c.Lapsed
 	}
-	f.ran.mu.Lock()
-	defer f.ran.mu.Unlock()
-	r.Ran = len(f.ran.ran)
-	for id, n := range f.ran.ran {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	r.Ran = len(f.executions.runs)
+	for id, n := range f.executions.runs {
 		if n > 1 {
 			r.Duplicates = append(r.Duplicates, id)
 		}
@@ -156,11 +156,11 @@
 	return r
 }
 
-// Ran reports how often a request that must run at most once has run.
-func (f *Fleet) Ran(id string) int {
-	f.ran.mu.Lock()
-	defer f.ran.mu.Unlock()
-	return f.ran.ran[id]
+// RunCount returns how often a run-once request ran.
+func (f *Fleet) RunCount(id string) int {
+	f.executions.mu.Lock()
+	defer f.executions.mu.Unlock()
+	return f.executions.runs[id]
 }
 
 // StateMessage is the body of PUT /standin/workers/{id}/state.
@@ -169,7 +169,7 @@
 	Up       *bool `json:"up,omitempty"`
 }
 
-// Handler serves the control interface over HTTP.
+// Handler returns the HTTP handler of the control interface.
 func (f *Fleet) Handler() http.Handler {
 	r := chi.NewRouter()
 	r.Get("/standin/report", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(f.Report()) })
@@ -184,11 +184,11 @@
 	})
 	r.Put("/standin/workers/{id}/faults", func(w http.ResponseWriter, q *http.Request) {
 		var faults Faults
-		readInto(w, q, &faults, func() error { return f.SetFaults(chi.URLParam(q, "id"), faults) })
+		decodeAndApply(w, q, &faults, func() error { return f.SetFaults(chi.URLParam(q, "id"), faults) })
 	})
 	r.Put("/standin/workers/{id}/state", func(w http.ResponseWriter, q *http.Request) {
 		var m StateMessage
-		readInto(w, q, &m, func() error { return f.setState(chi.URLParam(q, "id"), m) })
+		decodeAndApply(w, q, &m, func() error { return f.setState(chi.URLParam(q, "id"), m) })
 	})
 	return r
 }
@@ -205,8 +205,8 @@
 	return nil
 }
 
-// readInto decodes a strict JSON body and acts on it.
-func readInto(w http.ResponseWriter, r *http.Request, into any, act func() error) {
+// decodeAndApply decodes a JSON body, which must not have unknown fields, and calls act.
+func decodeAndApply(w http.ResponseWriter, r *http.Request, into any, act func() error) {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
 	err := dec.Decode(into)
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -12,21 +12,21 @@
 
 func itoa(n int) string { return strconv.Itoa(n) }
 
-// taskID names a job; a worker runs at most one attempt of it.
+// taskID identifies a job; a worker runs at most one attempt of it at a time.
 type taskID struct{ pool, job string }
 
 type task struct {
 	msg   workerhttp.TaskMessage
 	ends  time.Time // when it is done
-	lease time.Time // when it is stopped unless renewed
+	lease time.Time // when it is stopped unless its lease is renewed
 	state fleet.TaskState
 }
 
-// usedShare is how much of its declared need a task really uses, in percent:
-// declared sizes are far off.
-const usedShare = 60
+// usagePercent is the share, in percent, of its declared resources that a task uses: declared sizes are
+// far off in practice.
+const usagePercent = 60
 
-// sync serves one round of the task API.
+// sync serves a call of the task API: it applies the orders and answers with the worker's tasks.
 func (w *Worker) sync(rw http.ResponseWriter, r *http.Request) {
 	var m workerhttp.SyncMessage
 	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
@@ -35,7 +35,7 @@
 	}
 	w.mu.Lock()
 	now := time.Now()
-	w.advance(now)
+	w.endDueTasks(now)
 	lease := now.Add(time.Duration(m.LeaseMS) * time.Millisecond)
 	for _, t := range m.Stop {
 		w.stopTask(t)
@@ -53,7 +53,7 @@
 	_ = json.NewEncoder(rw).Encode(answer)
 }
 
-// startTask starts an attempt unless it, or a newer one, is known already.
+// startTask starts an attempt unless the same or a newer one is known, or the worker drains.
 func (w *Worker) startTask(now, lease time.Time, t workerhttp.TaskMessage) {
 	id := taskID{t.Pool, t.Job}
 	have := w.tasks[id]
@@ -77,8 +77,8 @@
 	}
 }
 
-// advance ends the tasks whose time or lease is over.
-func (w *Worker) advance(now time.Time) {
+// endDueTasks ends the tasks whose run time or lease is over.
+func (w *Worker) endDueTasks(now time.Time) {
 	for id, t := range w.tasks {
 		switch {
 		case t.state != fleet.TaskRunning:
@@ -99,19 +99,19 @@
 	for _, t := range w.tasks {
 		a.Tasks = append(a.Tasks, workerhttp.TaskMessage{
 			Pool: t.msg.Pool, Job: t.msg.Job, Attempt: t.msg.Attempt, State: string(t.state),
-			CPUMilli: t.msg.CPUMilli * usedShare / 100, MemoryMB: t.msg.MemoryMB * usedShare / 100,
+			CPUMilli: t.msg.CPUMilli * usagePercent / 100, MemoryMB: t.msg.MemoryMB * usagePercent / 100,
 			Accelerators: t.msg.Accelerators, Slots: t.msg.Slots,
 		})
 	}
 	return a
 }
 
-// busy returns the requests in flight and the running tasks.
+// busy returns the number of requests in flight and running tasks.
 func (w *Worker) busy() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.advance(time.Now())
-	n := w.atOnce
+	w.endDueTasks(time.Now())
+	n := w.inFlight
 	for _, t := range w.tasks {
 		if t.state == fleet.TaskRunning {
 			n++
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,6 @@
-// Package worker is a small stand-in for the fleet's workers: backend servers
-// that answer requests, run tasks under leases, and can be told to misbehave.
-// It keeps count of what it was asked, to check what postmount promises.
+// Package worker is a small stand-in for the fleet's workers: backend servers that answer
+// requests, run tasks under leases and can inject faults. They count requests and tasks, to
+// check postmount's guarantees.
 package worker
 
 import (
@@ -19,23 +19,23 @@
 	"github.com/postmount/postmount/adapter/workerhttp"
 )
 
-// Faults are the ways in which one worker can be told to misbehave.
+// Faults are the faults that a worker injects.
 type Faults struct {
-	Fail     bool `json:"fail"`      // answers every request with 500 and fails every task
-	SlowMS   int  `json:"slow_ms"`   // is that much slower
-	Cut      bool `json:"cut"`       // breaks its answers off half-way
-	Hang     bool `json:"hang"`      // never answers
-	Foreign  bool `json:"foreign"`   // answers with another request's id
-	Overload bool `json:"overload"`  // refuses without running
-	CutEvery int  `json:"cut_every"` // breaks off every n-th answer
+	Fail     bool `json:"fail"`      // answers every request with status 500 and fails every task
+	SlowMS   int  `json:"slow_ms"`   // added to the time of every request
+	Cut      bool `json:"cut"`       // closes the connection in the middle of every answer
+	Hang     bool `json:"hang"`      // doesn't answer until it is stopped
+	Foreign  bool `json:"foreign"`   // answers with the id of another request
+	Overload bool `json:"overload"`  // refuses every request without running it
+	CutEvery int  `json:"cut_every"` // closes the connection in the middle of every n-th answer; 0: of none
 }
 
-// Spec describes one worker.
+// Spec describes a worker.
 type Spec struct {
 	ID           string `json:"id"`
 	Zone         string `json:"zone"`
 	Rack         string `json:"rack"`
-	Addr         string `json:"addr"` // IP:port; port 0 takes a free one
+	Addr         string `json:"addr"` // IP:port; port 0 means a free one
 	Slots        int    `json:"slots"`
 	Connections  int    `json:"connections"`
 	CPUMilli     int    `json:"cpu_milli"`
@@ -43,28 +43,28 @@
 	Accelerators int    `json:"accelerators"`
 }
 
-// Counts are what a worker has seen.
+// Counts are the counters of a worker.
 type Counts struct {
 	Requests   int64 `json:"requests"`
 	MaxAtOnce  int   `json:"max_at_once"`
-	OverSlots  int64 `json:"over_slots"`   // requests beyond the worker's slots
-	OverConns  int64 `json:"over_conns"`   // connections beyond its limit
-	LateWork   int64 `json:"late_work"`    // requests later than LateAfter into a drain
-	TasksDone  int64 `json:"tasks_done"`   //
-	TasksTwice int64 `json:"tasks_twice"`  // attempts of a job that ran beside another
-	Lapsed     int64 `json:"tasks_lapsed"` // tasks stopped because their lease lapsed
+	OverSlots  int64 `json:"over_slots"` // requests beyond the worker's slots
+	OverConns  int64 `json:"over_conns"` // connections beyond its limit
+	LateWork   int64 `json:"late_work"`  // requests later than DrainGrace after the start of a drain
+	TasksDone  int64 `json:"tasks_done"`
+	TasksTwice int64 `json:"tasks_twice"`  // attempts of a job that started while another one ran
+	Lapsed     int64 `json:"tasks_lapsed"` // tasks stopped because their lease expired
 }
 
-// LateAfter is how soon into a drain new work must have stopped.
-const LateAfter = 3 * time.Second
+// DrainGrace is how long after the start of a drain requests may still arrive.
+const DrainGrace = 3 * time.Second
 
-// HeaderOnce marks a request of the load that must run at most once.
-const HeaderOnce = "X-Load-Once"
+// HeaderRunOnce holds the id of a request that must run at most once ("run-once").
+const HeaderRunOnce = "X-Load-Once"
 
-// HeaderServiceMS is the time that the load asks a request to take.
+// HeaderServiceMS is the service time of a request in milliseconds, set by the load generator.
 const HeaderServiceMS = "X-Load-Service-Ms"
 
-// Answer is the body of a worker's answer. The load checks it.
+// Answer is the body of a worker's answer; the load generator checks it.
 type Answer struct {
 	Worker  string `json:"worker"`
 	Method  string `json:"method"`
@@ -74,41 +74,40 @@
 	Padding string `json:"padding"`
 }
 
-// Worker is one worker.
+// Worker is a stand-in for a worker; Fleet starts and controls it.
 type Worker struct {
 	spec Spec
-	log  *executions
+	runs *executions
 
-	mu       sync.Mutex
-	server   *http.Server
-	faults   Faults
-	counts   Counts
-	atOnce   int
-	conns    map[net.Conn]bool
-	draining time.Time // zero: not draining
-	down     bool
-	tasks    map[taskID]*task
-	released chan struct{} // closed to let hanging requests go
+	mu           sync.Mutex
+	server       *http.Server
+	faults       Faults
+	counts       Counts
+	inFlight     int
+	conns        map[net.Conn]bool
+	draining     time.Time // zero: not draining
+	down         bool
+	tasks        map[taskID]*task
+	hangReleased chan struct{} // closed when the worker stops; ends hanging requests
 }
 
-// executions counts, over all workers, how often each request that must run at
-// most once has run.
+// executions counts over all workers how often each run-once request ran.
 type executions struct {
-	mu  sync.Mutex
-	ran map[string]int
+	mu   sync.Mutex
+	runs map[string]int
 }
 
 func (e *executions) add(id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.ran[id]++
+	e.runs[id]++
 }
 
 func newWorker(spec Spec, log *executions) *Worker {
-	return &Worker{spec: spec, log: log, conns: map[net.Conn]bool{}, tasks: map[taskID]*task{}, released: make(chan struct{})}
+	return &Worker{spec: spec, runs: log, conns: map[net.Conn]bool{}, tasks: map[taskID]*task{}, hangReleased: make(chan struct{})}
 }
 
-// start listens at the worker's address.
+// start begins to serve at the worker's address.
 func (w *Worker) start() error {
 	l, err := net.Listen("tcp", w.spec.Addr)
 	if err != nil {
@@ -118,7 +117,7 @@
 	defer w.mu.Unlock()
 	w.spec.Addr = l.Addr().String()
 	w.down = false
-	w.released = make(chan struct{})
+	w.hangReleased = make(chan struct{})
 	server := &http.Server{Handler: w, ConnState: w.connState}
 	w.server = server
 	go func() {
@@ -129,7 +128,7 @@
 	return nil
 }
 
-// stop takes the worker down at once, as a reboot does. Its tasks are lost.
+// stop ends the worker at once, as a reboot does. Its tasks are lost.
 func (w *Worker) stop() {
 	w.mu.Lock()
 	server := w.server
@@ -137,9 +136,9 @@
 	w.down = true
 	clear(w.tasks)
 	select {
-	case <-w.released:
+	case <-w.hangReleased:
 	default:
-		close(w.released)
+		close(w.hangReleased)
 	}
 	w.mu.Unlock()
 	if server != nil {
@@ -171,26 +170,26 @@
 	if err != nil {
 		return
 	}
-	f, cut, released := w.enter()
-	defer w.leave()
+	f, cut, released := w.beginRequest()
+	defer w.endRequest()
 	if f.Overload {
 		rw.Header().Set(backendhttp.HeaderNotRun, "true")
 		rw.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if r.Header.Get(HeaderOnce) != "" {
-		w.log.add(r.Header.Get(HeaderOnce))
+	if r.Header.Get(HeaderRunOnce) != "" {
+		w.runs.add(r.Header.Get(HeaderRunOnce))
 	}
 	if f.Hang {
 		<-released
 		return
 	}
-	wait(r, f, released)
+	serveDelay(r, f, released)
 	w.answer(rw, r, body, f, cut)
 }
 
-// wait takes the time that the request asks for.
-func wait(r *http.Request, f Faults, released <-chan struct{}) {
+// serveDelay waits for the service time of the request plus SlowMS, or until the worker stops.
+func serveDelay(r *http.Request, f Faults, released <-chan struct{}) {
 	ms, _ := time.ParseDuration(r.Header.Get(HeaderServiceMS) + "ms")
 	t := time.NewTimer(ms + time.Duration(f.SlowMS)*time.Millisecond)
 	defer t.Stop()
@@ -200,29 +199,29 @@
 	}
 }
 
-func (w *Worker) enter() (f Faults, cut bool, released <-chan struct{}) {
+func (w *Worker) beginRequest() (f Faults, cut bool, released <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts.Requests++
-	w.atOnce++
-	w.counts.MaxAtOnce = max(w.counts.MaxAtOnce, w.atOnce)
-	if w.spec.Slots > 0 && w.atOnce > w.spec.Slots {
+	w.inFlight++
+	w.counts.MaxAtOnce = max(w.counts.MaxAtOnce, w.inFlight)
+	if w.spec.Slots > 0 && w.inFlight > w.spec.Slots {
 		w.counts.OverSlots++
 	}
-	if !w.draining.IsZero() && time.Since(w.draining) > LateAfter {
+	if !w.draining.IsZero() && time.Since(w.draining) > DrainGrace {
 		w.counts.LateWork++
 	}
 	cut = w.faults.Cut || (w.faults.CutEvery > 0 && w.counts.Requests%int64(w.faults.CutEvery) == 0)
-	return w.faults, cut, w.released
+	return w.faults, cut, w.hangReleased
 }
 
-func (w *Worker) leave() {
+func (w *Worker) endRequest() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.atOnce--
+	w.inFlight--
 }
 
-// paddingLength makes answers long enough to be broken off.
+// paddingLength is the padding in bytes that makes answers long enough to be truncated.
 const paddingLength = 512
 
 func (w *Worker) answer(rw http.ResponseWriter, r *http.Request, body []byte, f Faults, cut bool) {
