--- a/lab/jobsdemo/demo.go
+++ b/lab/jobsdemo/demo.go
@@ -1,6 +1,6 @@
-// Package jobsdemo shows the job subsystem on in-memory stand-ins, in real
-// time: jobs of callers, a killed owner, a store that is away, an instance that
-// is cut off, a wave of maintenance, and what callers saw.
+// Package jobsdemo is a demo of the job subsystem on in-memory stand-ins, in real time: callers
+// submit jobs while the owner is killed, the store has an outage, an instance is cut off and a
+// maintenance wave runs.
 package jobsdemo
 
 import (
@@ -25,60 +25,59 @@
 	Starts     int      `json:"starts"`
 	MedianMs   int64    `json:"median_ms"`
 	WorstMs    int64    `json:"worst_ms"`
-	Owners     int      `json:"owners"` // terms of ownership
+	Owners     int      `json:"owners"` // changes of the owner, the first election included
 	Maintained int      `json:"maintained"`
 	StoreCalls int      `json:"store_calls"`
 	Broken     []string `json:"broken"`
 }
 
-// Figures of the demo.
+// Timing of the demo.
 const (
-	jobCount    = 60
-	jobEvery    = 120 * time.Millisecond
-	killAt      = 15 // jobs sent before the owner is killed
-	awayAt      = 30 // and before the store goes away
-	cutAt       = 40 // and before an instance is cut off
-	storeAway   = 2 * time.Second
-	cutFor      = 6 * time.Second
-	finishTime  = 12 * time.Second
-	pollEvery   = 100 * time.Millisecond
-	resendEvery = 300 * time.Millisecond
-	prefix      = "/orders/"
+	jobCount       = 60
+	submitInterval = 120 * time.Millisecond
+	killOwnerAt    = 15 // jobs submitted before the owner is killed
+	storeOutageAt  = 30 // jobs submitted before the store outage
+	cutInstanceAt  = 40 // jobs submitted before an instance is cut off
+	storeOutage    = 2 * time.Second
+	instanceCut    = 6 * time.Second
+	finishTimeout  = 12 * time.Second
+	pollInterval   = 100 * time.Millisecond
+	resendInterval = 300 * time.Millisecond
+	prefix         = "/orders/"
 )
 
-// sent is a job and when it went from its caller's hands to being shown as
-// completed.
-type sent struct {
+// sentJob is a job, the time of its first submission, and when the caller saw it completed.
+type sentJob struct {
 	id   job.ID
 	at   time.Time
 	done time.Time
 }
 
 type demo struct {
-	in       *jobfleet.Installation
-	caller   *jobfleet.Caller
-	progress io.Writer
-	began    time.Time
-	open     []*sent
-	all      []*sent
-	rep      Report
-	lastTerm string
+	in        *jobfleet.Installation
+	caller    *jobfleet.Caller
+	progress  io.Writer
+	began     time.Time
+	open      []*sentJob
+	all       []*sentJob
+	rep       Report
+	lastOwner string
 }
 
-// Run plays the demo and writes what happens to progress.
+// Run runs the demo and writes its events to progress.
 func Run(ctx context.Context, progress io.Writer) Report {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := &demo{in: jobfleet.NewInstallation(ctx, zap.NewNop()), progress: progress, began: time.Now()}
 	d.caller = d.in.Caller()
 	d.setUp()
-	d.traffic()
-	d.drainOpen(time.Now().Add(finishTime))
+	d.submitJobs()
+	d.drainOpen(time.Now().Add(finishTimeout))
 	d.finish()
 	return d.rep
 }
 
-func (d *demo) say(format string, args ...any) {
+func (d *demo) progressf(format string, args ...any) {
 	fmt.Fprintf(d.progress, "%5.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
@@ -98,52 +97,52 @@
 		d.in.Start(fmt.Sprintf("d%d", i+1))
 	}
 	for d.in.Owner() == nil {
-		time.Sleep(pollEvery)
+		time.Sleep(pollInterval)
 	}
-	d.noteOwner()
-	d.say("jobs: 6 daemons, 6 instances and 2 spare ones; %s is the owner", d.in.Owner().Name)
+	d.countOwner()
+	d.progressf("jobs: 6 daemons, 6 instances and 2 spare ones; %s is the owner", d.in.Owner().Name)
 }
 
 func instance(i int) owner.InstanceID { return owner.InstanceID(fmt.Sprintf("i%d", i)) }
 
-// noteOwner counts changes of the owner.
-func (d *demo) noteOwner() {
+// countOwner counts changes of the owner.
+func (d *demo) countOwner() {
 	o := d.in.Owner()
-	if o == nil || o.Name == d.lastTerm {
+	if o == nil || o.Name == d.lastOwner {
 		return
 	}
-	if d.lastTerm != "" {
-		d.say("jobs: %s is the owner now", o.Name)
+	if d.lastOwner != "" {
+		d.progressf("jobs: %s is the owner now", o.Name)
 	}
-	d.lastTerm = o.Name
+	d.lastOwner = o.Name
 	d.rep.Owners++
 }
 
-// traffic sends jobs, and brings about the troubles at their turn.
-func (d *demo) traffic() {
+// submitJobs submits the jobs and injects the faults.
+func (d *demo) submitJobs() {
 	d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{instance(0), instance(2), instance(6)}, Within: time.Minute, MaxDown: 1})
-	d.say("jobs: a wave of 3 instances, one at a time")
+	d.progressf("jobs: a wave of 3 instances, one at a time")
 	for n := range jobCount {
 		switch n {
-		case killAt:
-			d.say("jobs: the owner %s is killed", d.lastTerm)
-			d.in.Kill(d.lastTerm)
-		case awayAt:
-			d.say("jobs: the store is away for %s", storeAway)
-			end := time.Now().Add(storeAway)
-			d.in.SetHook(storeAwayUntil(end))
-		case cutAt:
-			d.say("jobs: instance %s is cut off for %s and runs on", instance(3), cutFor)
-			d.in.Fleet.Cut(instance(3), cutFor)
+		case killOwnerAt:
+			d.progressf("jobs: the owner %s is killed", d.lastOwner)
+			d.in.Kill(d.lastOwner)
+		case storeOutageAt:
+			d.progressf("jobs: the store is unavailable for %s", storeOutage)
+			end := time.Now().Add(storeOutage)
+			d.in.SetHook(storeOutageUntil(end))
+		case cutInstanceAt:
+			d.progressf("jobs: instance %s is cut off from the daemons for %s; its tasks go on", instance(3), instanceCut)
+			d.in.Fleet.Cut(instance(3), instanceCut)
 		}
 		d.submit(n)
-		d.noteOwner()
+		d.countOwner()
 		d.poll()
-		time.Sleep(jobEvery)
+		time.Sleep(submitInterval)
 	}
 }
 
-func storeAwayUntil(end time.Time) jobfleet.Hook {
+func storeOutageUntil(end time.Time) jobfleet.Hook {
 	return func(_, op string) jobfleet.Failure {
 		switch op {
 		case "get", "range", "watch", "commit", "grant", "keep", "end":
@@ -155,13 +154,13 @@
 	}
 }
 
-// submit sends a job until it is accepted, as callers do.
+// submit sends a job until it is accepted, as a caller does.
 func (d *demo) submit(n int) {
 	j := &job.Job{ID: job.ID(fmt.Sprintf("%016x", n+1)), Steps: []job.Step{
 		{Count: 4, Need: job.Resources{CPUMilli: 1000, MemMB: 500}, Estimate: 200 * time.Millisecond},
 		{Count: 2, Need: job.Resources{CPUMilli: 2000, MemMB: 500}, Estimate: 300 * time.Millisecond, After: []int{0}},
 	}}
-	s := &sent{id: j.ID, at: time.Now()}
+	s := &sentJob{id: j.ID, at: time.Now()}
 	for {
 		accepted, refused := d.caller.Submit(prefix, j)
 		if accepted {
@@ -170,16 +169,16 @@
 		if refused {
 			d.rep.Refused++
 		}
-		time.Sleep(resendEvery)
+		time.Sleep(resendInterval)
 	}
 	d.rep.Accepted++
 	d.open = append(d.open, s)
 	d.all = append(d.all, s)
 }
 
-// poll asks for the oldest open jobs.
+// poll requests the states of the ten oldest open jobs.
 func (d *demo) poll() {
-	var still []*sent
+	var still []*sentJob
 	for i, s := range d.open {
 		if i < 10 && d.caller.State(prefix, s.id) == job.Completed {
 			s.done = time.Now()
@@ -194,8 +193,8 @@
 func (d *demo) drainOpen(end time.Time) {
 	for time.Now().Before(end) && (len(d.open) > 0 || !d.in.WaveDone(1)) {
 		d.poll()
-		d.noteOwner()
-		time.Sleep(pollEvery)
+		d.countOwner()
+		time.Sleep(pollInterval)
 	}
 }
 
@@ -225,7 +224,7 @@
 
 // Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
-	fmt.Fprintf(w, "\njobs    accepted %d, refused tries %d, completed %d; task starts %d for %d tasks\n", r.Accepted, r.Refused, r.Completed, r.Starts, 6*r.Accepted)
-	fmt.Fprintf(w, "        first send to shown as completed: half within %d ms, all within %d ms\n", r.MedianMs, r.WorstMs)
-	fmt.Fprintf(w, "        %d owners in turn, %d instances maintained, %d calls to the store\n", r.Owners, r.Maintained, r.StoreCalls)
+	fmt.Fprintf(w, "\njobs    accepted %d, refused attempts %d, completed %d; task starts %d for %d tasks\n", r.Accepted, r.Refused, r.Completed, r.Starts, 6*r.Accepted)
+	fmt.Fprintf(w, "        time from first submission to completion: median %d ms, maximum %d ms\n", r.MedianMs, r.WorstMs)
+	fmt.Fprintf(w, "        %d successive owners, %d instances maintained, %d calls to the store\n", r.Owners, r.Maintained, r.StoreCalls)
 }
