--- a/lab/jobload/decisions_test.go
+++ b/lab/jobload/decisions_test.go
@@ -57,13 +57,13 @@
 func TestSameDecisions(t *testing.T) {
 	var out string
 	for seed := range uint64(3) {
-		calm, harmed, late := rotatingLoad(seed+1), rotatingLoad(seed+10), overloadedFleet(seed+20)
-		harmed.Faults = []Fault{
+		noFaults, withFaults, overloaded := rotatingLoad(seed+1), rotatingLoad(seed+10), overloadedFleet(seed+20)
+		withFaults.Faults = []Fault{
 			{At: 2 * time.Second, For: 26 * time.Second, Kind: Wave, Count: 6},
 			{At: secondTurn, Kind: OwnerKilled},
 			{At: thirdTurn, Kind: RackLost, Count: 4},
 		}
-		for _, sc := range []Scenario{calm, harmed, late} {
+		for _, sc := range []Scenario{noFaults, withFaults, overloaded} {
 			sum, r := digest(sc)
 			assert.Zero(t, r.Open, "every accepted job is done")
 			out += sum + "\n"
--- a/lab/jobload/jobload_test.go
+++ b/lab/jobload/jobload_test.go
@@ -44,10 +44,10 @@
 func TestFaultsUnderRotatingLoad(t *testing.T) {
 	const seeds = 4
 	for _, c := range []struct {
-		name     string
-		troubles []Fault
-		least    float64 // share of all jobs in time
-		most     float64 // instances in pools, on average
+		name   string
+		faults []Fault
+		least  float64 // share of all jobs in time
+		most   float64 // instances in pools, on average
 	}{
 		{"no faults", nil, 0.95, 46},
 		// 0.90 if the next owner has to wait for the lease to end.
@@ -68,7 +68,7 @@
 			share, instances := 0.0, 0.0
 			for seed := range uint64(seeds) {
 				sc := rotatingLoad(seed + 1)
-				sc.Faults = c.troubles
+				sc.Faults = c.faults
 				r := Run(sc)
 				assert.Zero(t, r.Open, "every accepted job is done")
 				share += r.InTimeShare() / seeds
--- a/lab/jobload/report_test.go
+++ b/lab/jobload/report_test.go
@@ -39,9 +39,9 @@
 // of late jobs, and that the causes add up to the jobs' time.
 func TestLateJobCauses(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		trouble Fault
-		causes  []string // accepted as the main cause
+		name   string
+		fault  Fault
+		causes []string // accepted as the main cause
 	}{
 		{"owner-lost", Fault{At: thirdTurn, Kind: OwnerPowerLost}, []string{"earlier-term"}},
 		{"store-leases-expired", Fault{At: 10 * time.Second, For: 4 * time.Second, Kind: StoreLeasesExpired}, []string{"earlier-term"}},
@@ -49,7 +49,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			sc := rotatingLoad(1)
-			sc.Faults = []Fault{c.trouble}
+			sc.Faults = []Fault{c.fault}
 			r := late.NewReport(decisionLog(sc))
 			all := r.All()
 			require.NotEmpty(t, all.Causes)
--- a/standin/jobfleet/capacity.go
+++ b/standin/jobfleet/capacity.go
@@ -42,18 +42,18 @@
 	})
 }
 
-func (f *Fleet) resize(w *worker, room job.Resources) {
-	w.reg.Capacity = room
+func (f *Fleet) resize(w *worker, capacity job.Resources) {
+	w.reg.Capacity = capacity
 	f.publish(string(w.reg.Worker), &w.reg)
 }
 
 // checkCapacity records a start beyond the capacity of a worker, unless this was reduced just
 // before.
-func (j *Checker) checkCapacity(t job.TaskID, w *worker) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) checkCapacity(t job.TaskID, w *worker) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !w.shrank.IsZero() && time.Since(w.shrank) <= capacityUpdateBound {
 		return
 	}
-	j.addViolation("task %s starts on %s, which has no capacity left for it", t, w.reg.Worker)
+	c.addViolation("task %s starts on %s, which has no capacity left for it", t, w.reg.Worker)
 }
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -87,39 +87,39 @@
 }
 
 // Violations returns a line for each violated guarantee.
-func (j *Checker) Violations() []string {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return append([]string(nil), j.violations...)
+func (c *Checker) Violations() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return append([]string(nil), c.violations...)
 }
 
 // Starts returns the number of task starts.
-func (j *Checker) Starts() int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.starts
+func (c *Checker) Starts() int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.starts
 }
 
-func (j *Checker) addViolation(format string, args ...any) {
-	at := time.Since(j.began).Round(time.Millisecond)
-	j.violations = append(j.violations, at.String()+": "+fmt.Sprintf(format, args...))
+func (c *Checker) addViolation(format string, args ...any) {
+	at := time.Since(c.began).Round(time.Millisecond)
+	c.violations = append(c.violations, at.String()+": "+fmt.Sprintf(format, args...))
 }
 
 // Submitted records that a caller sent a request with this job.
-func (j *Checker) Submitted(spec *job.Job) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.jobs[spec.ID] == nil {
-		j.jobs[spec.ID] = &jobRecord{spec: spec, submitted: time.Now()}
+func (c *Checker) Submitted(spec *job.Job) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.jobs[spec.ID] == nil {
+		c.jobs[spec.ID] = &jobRecord{spec: spec, submitted: time.Now()}
 	}
-	j.jobs[spec.ID].pendingRequests++
+	c.jobs[spec.ID].pendingRequests++
 }
 
 // Answered records the answer to a submission: accepted, refused (it never runs), or neither.
-func (j *Checker) Answered(id job.ID, accepted, refused bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) Answered(id job.ID, accepted, refused bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	if accepted && !r.accepted {
 		r.acceptedAt = time.Now()
 	}
@@ -128,52 +128,52 @@
 	r.refused = refused && !r.accepted && !r.mayRun
 	r.pendingRequests--
 	if r.refused && r.started && r.pendingRequests == 0 {
-		j.addViolation("job %s was refused, but a task of it has started", id)
+		c.addViolation("job %s was refused, but a task of it has started", id)
 	}
 }
 
 // Cancelled records that the cancellation of a job was confirmed.
-func (j *Checker) Cancelled(id job.ID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.jobs[id].cancelled = time.Now()
+func (c *Checker) Cancelled(id job.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.jobs[id].cancelled = time.Now()
 }
 
 // StateReported checks a job state that a caller got.
-func (j *Checker) StateReported(id job.ID, s job.State) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) StateReported(id job.ID, s job.State) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	switch s {
 	case job.Completed:
-		if !j.allDone(r.spec) {
-			j.addViolation("job %s is reported as completed, but not all its tasks are done", id)
+		if !c.allDone(r.spec) {
+			c.addViolation("job %s is reported as completed, but not all its tasks are done", id)
 		}
 	case job.Cancelled:
 		if r.cancelled.IsZero() {
-			j.addViolation("job %s is reported as cancelled, but no cancellation was confirmed", id)
+			c.addViolation("job %s is reported as cancelled, but no cancellation was confirmed", id)
 		}
 	case job.Failed:
-		if !j.mayFail(id) {
-			j.addViolation("job %s is reported as failed without a cause", id)
+		if !c.mayFail(id) {
+			c.addViolation("job %s is reported as failed without a cause", id)
 		}
 	}
 }
 
 // NotFoundReported checks an answer that a job doesn't exist.
-func (j *Checker) NotFoundReported(id job.ID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if j.jobs[id].accepted {
-		j.addViolation("job %s was accepted, but is reported as not existing", id)
+func (c *Checker) NotFoundReported(id job.ID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.jobs[id].accepted {
+		c.addViolation("job %s was accepted, but is reported as not existing", id)
 	}
 }
 
 // Accepted records that a caller knows of the acceptance of its job by a queue.
-func (j *Checker) Accepted(id job.ID, queue string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.jobs[id]
+func (c *Checker) Accepted(id job.ID, queue string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.jobs[id]
 	r.queue = queue
 	if r.confirmed.IsZero() {
 		r.confirmed = time.Now()
@@ -182,17 +182,17 @@
 
 // PendingReported checks the count of a queue's waiting jobs, n, that daemon by gave to a request
 // sent at asked: it must be at least half of the actual count.
-func (j *Checker) PendingReported(queue string, asked time.Time, n int, by string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) PendingReported(queue string, asked time.Time, n int, by string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	waiting := 0
-	for _, r := range j.jobs {
+	for _, r := range c.jobs {
 		if r.queue == queue && r.pendingSince(asked) {
 			waiting++
 		}
 	}
 	if 2*n < waiting {
-		j.addViolation("daemon %q reports %d waiting jobs of queue %s, but %d wait for more than %s", by, n, queue, waiting, pendingCountBound)
+		c.addViolation("daemon %q reports %d waiting jobs of queue %s, but %d wait for more than %s", by, n, queue, waiting, pendingCountBound)
 	}
 }
 
@@ -202,10 +202,10 @@
 	return r.accepted && !r.started && r.cancelled.IsZero() && r.spec.Repeat == 0 && asked.Sub(r.confirmed) > pendingCountBound
 }
 
-func (j *Checker) allDone(spec *job.Job) bool {
+func (c *Checker) allDone(spec *job.Job) bool {
 	for k := range spec.Occurrences() {
 		for s := range spec.Steps {
-			if !j.stepDone(spec, k, s) {
+			if !c.stepDone(spec, k, s) {
 				return false
 			}
 		}
@@ -213,9 +213,9 @@
 	return true
 }
 
-func (j *Checker) stepDone(spec *job.Job, occurrence, step int) bool {
+func (c *Checker) stepDone(spec *job.Job, occurrence, step int) bool {
 	for i := range spec.Steps[step].Count {
-		t := j.tasks[job.TaskID{Job: spec.ID, Occurrence: occurrence, Step: step, Index: i}]
+		t := c.tasks[job.TaskID{Job: spec.ID, Occurrence: occurrence, Step: step, Index: i}]
 		if t == nil || !t.done {
 			return false
 		}
@@ -224,76 +224,76 @@
 }
 
 // SetWaveLimit sets the maximum number of instances of a wave that may be down at once.
-func (j *Checker) SetWaveLimit(wave, limit int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.waves[wave] = &waveRecord{limit: limit, begun: map[owner.InstanceID]bool{}}
+func (c *Checker) SetWaveLimit(wave, limit int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.waves[wave] = &waveRecord{limit: limit, begun: map[owner.InstanceID]bool{}}
 }
 
 // MaintainedCount returns the number of instances of a wave whose maintenance has begun.
-func (j *Checker) MaintainedCount(wave int) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return len(j.waves[wave].begun)
+func (c *Checker) MaintainedCount(wave int) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return len(c.waves[wave].begun)
 }
 
-func (j *Checker) started(t job.TaskID, run uint64, w owner.WorkerID, token uint64) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.starts++
-	r := j.record(t)
+func (c *Checker) started(t job.TaskID, run uint64, w owner.WorkerID, token uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.starts++
+	r := c.record(t)
 	for other, n := range r.running {
-		j.addViolation("task %s runs twice: run %d on %s, run %d on %s under token %d", t, n, other, run, w, token)
+		c.addViolation("task %s runs twice: run %d on %s, run %d on %s under token %d", t, n, other, run, w, token)
 	}
 	if r.acked {
-		j.addViolation("task %s starts on %s, but its end was acknowledged", t, w)
+		c.addViolation("task %s starts on %s, but its end was acknowledged", t, w)
 	}
-	j.checkCrasherStart(t, r)
+	c.checkCrasherStart(t, r)
 	r.running[w] = run
 	r.began = time.Now()
-	j.checkJobStart(t)
-	if at, ok := j.drained[w]; ok && time.Since(at) > drainBound {
-		j.addViolation("task %s starts on %s, which has been draining for %s", t, w, time.Since(at))
+	c.checkJobStart(t)
+	if at, ok := c.drained[w]; ok && time.Since(at) > drainBound {
+		c.addViolation("task %s starts on %s, which has been draining for %s", t, w, time.Since(at))
 	}
 }
 
-func (j *Checker) checkJobStart(t job.TaskID) {
-	r := j.jobs[t.Job]
+func (c *Checker) checkJobStart(t job.TaskID) {
+	r := c.jobs[t.Job]
 	if r == nil {
-		j.addViolation("task %s starts, but its job was never submitted", t)
+		c.addViolation("task %s starts, but its job was never submitted", t)
 		return
 	}
 	r.started = true
-	j.checkTenantLimit(t, r.spec)
+	c.checkTenantLimit(t, r.spec)
 	if r.refused && r.pendingRequests == 0 {
-		j.addViolation("task %s starts, but its job was refused", t)
+		c.addViolation("task %s starts, but its job was refused", t)
 	}
 	if !r.cancelled.IsZero() && time.Since(r.cancelled) > cancelBound {
-		j.addViolation("task %s starts %s after its job was cancelled", t, time.Since(r.cancelled))
+		c.addViolation("task %s starts %s after its job was cancelled", t, time.Since(r.cancelled))
 	}
 	for _, a := range r.spec.Steps[t.Step].After {
-		if !j.stepDone(r.spec, t.Occurrence, a) {
-			j.addViolation("task %s starts before step %d is done", t, a)
+		if !c.stepDone(r.spec, t.Occurrence, a) {
+			c.addViolation("task %s starts before step %d is done", t, a)
 		}
 	}
 }
 
-func (j *Checker) record(t job.TaskID) *taskRecord {
-	r := j.tasks[t]
+func (c *Checker) record(t job.TaskID) *taskRecord {
+	r := c.tasks[t]
 	if r == nil {
 		r = &taskRecord{running: map[owner.WorkerID]uint64{}}
-		j.tasks[t] = r
+		c.tasks[t] = r
 	}
 	return r
 }
 
-func (j *Checker) ended(t job.TaskID, run uint64, w owner.WorkerID, how string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	r := j.record(t)
+func (c *Checker) ended(t job.TaskID, run uint64, w owner.WorkerID, how string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.record(t)
 	if r.ready() {
 		r.lastReady = time.Now()
-		r.endedByOrder = how == endedWithInstance || how == owner.EndStopped.String() || how == owner.EndLapsed.String() && j.faultsEnded
+		r.endedByOrder = how == endedWithInstance || how == owner.EndStopped.String() || how == owner.EndLapsed.String() && c.faultsEnded
 	}
 	if r.running[w] == run {
 		delete(r.running, w)
@@ -304,63 +304,63 @@
 	}
 }
 
-func (j *Checker) acknowledged(t job.TaskID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.record(t).acked = true
+func (c *Checker) acknowledged(t job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.record(t).acked = true
 }
 
-func (j *Checker) draining(w owner.WorkerID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.drained[w] = time.Now()
+func (c *Checker) draining(w owner.WorkerID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.drained[w] = time.Now()
 }
 
-func (j *Checker) maintained(wave int, id owner.InstanceID) bool {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	w := j.waves[wave]
+func (c *Checker) maintained(wave int, id owner.InstanceID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	w := c.waves[wave]
 	return w != nil && w.begun[id]
 }
 
 // instanceOrdered checks an order for an instance; wave is 0 for a move, and down is the number
 // of instances of the wave that are down. late says that the daemon was frozen between its last
 // check and the call, which it can't prevent.
-func (j *Checker) instanceOrdered(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) instanceOrdered(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if !late {
-		j.checkDutyHolder(d, id)
+		c.checkDutyHolder(d, id)
 	}
 	if wave == 0 {
 		return
 	}
-	w := j.waves[wave]
+	w := c.waves[wave]
 	w.begun[id] = true
 	if down > w.limit {
-		j.addViolation("%d instances of wave %d are down, the limit is %d", down, wave, w.limit)
+		c.addViolation("%d instances of wave %d are down, the limit is %d", down, wave, w.limit)
 	}
 }
 
 // checkDutyHolder checks the orders for an instance: its holder must not change within
 // dutyHandover, and its tokens must not decrease.
-func (j *Checker) checkDutyHolder(d owner.Duty, id owner.InstanceID) {
-	last, ordered := j.duties[id]
+func (c *Checker) checkDutyHolder(d owner.Duty, id owner.InstanceID) {
+	last, ordered := c.duties[id]
 	if ordered && last.Holder != d.Holder && time.Since(last.at) < dutyHandover {
-		j.addViolation("%s gives an order for instance %s only %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
+		c.addViolation("%s gives an order for instance %s only %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
 	}
 	if ordered && d.Token < last.Token {
-		j.addViolation("%s gives an order for instance %s with token %d after token %d", d.Holder, id, d.Token, last.Token)
+		c.addViolation("%s gives an order for instance %s with token %d after token %d", d.Holder, id, d.Token, last.Token)
 	}
-	j.duties[id] = dutyRecord{d, time.Now()}
+	c.duties[id] = dutyRecord{d, time.Now()}
 }
 
 // Running returns the number of running tasks of a job.
-func (j *Checker) Running(id job.ID) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) Running(id job.ID) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	n := 0
-	for t, r := range j.tasks {
+	for t, r := range c.tasks {
 		if t.Job == id && len(r.running) > 0 {
 			n++
 		}
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -246,9 +246,9 @@
 func (g *Gate) pass(ctx context.Context, d direction) error {
 	for {
 		g.mu.Lock()
-		thaw, gone := g.thaw, g.cut[d] || g.killed
+		thaw, dropped := g.thaw, g.cut[d] || g.killed
 		g.mu.Unlock()
-		if gone {
+		if dropped {
 			<-ctx.Done()
 			return errNoAnswer
 		}
--- a/standin/jobfleet/crash.go
+++ b/standin/jobfleet/crash.go
@@ -83,10 +83,10 @@
 }
 
 // addCrasher records that a task crashes its workers.
-func (j *Checker) addCrasher(t job.TaskID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.crashers[crasherKey(t)] = true
+func (c *Checker) addCrasher(t job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.crashers[crasherKey(t)] = true
 }
 
 // Bounds of the check on tasks that crash their workers.
@@ -96,19 +96,19 @@
 )
 
 // crashed records a crash of the worker that a task ran on, whichever task caused it.
-func (j *Checker) crashed(t job.TaskID) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.record(t).crashes++
+func (c *Checker) crashed(t job.TaskID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.record(t).crashes++
 }
 
 // MaxTaskCrashes returns the largest number of workers that crashed while running the same task
 // of a job.
-func (j *Checker) MaxTaskCrashes(id job.ID) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) MaxTaskCrashes(id job.ID) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	most := 0
-	for t, r := range j.tasks {
+	for t, r := range c.tasks {
 		if t.Job == id {
 			most = max(most, r.crashes)
 		}
@@ -117,20 +117,20 @@
 }
 
 // checkCrasherStart checks that a task which has crashed its workers isn't started too often.
-func (j *Checker) checkCrasherStart(t job.TaskID, r *taskRecord) {
-	if r.crashes < crashesAllowed || !j.crashers[crasherKey(t)] {
+func (c *Checker) checkCrasherStart(t job.TaskID, r *taskRecord) {
+	if r.crashes < crashesAllowed || !c.crashers[crasherKey(t)] {
 		return
 	}
 	if r.afterCrashes++; r.afterCrashes > startsAfterCrashes {
-		j.addViolation("task %s starts after %d workers crashed while running it", t, r.crashes)
+		c.addViolation("task %s starts after %d workers crashed while running it", t, r.crashes)
 	}
 }
 
 // mayFail reports whether the state of a job may be failed: a run of it failed, or one of its
 // tasks has crashed more than one worker.
-func (j *Checker) mayFail(id job.ID) bool {
-	for t, r := range j.tasks {
-		if t.Job == id && (r.failures > 0 || r.crashes > 1 && j.crashers[crasherKey(t)]) {
+func (c *Checker) mayFail(id job.ID) bool {
+	for t, r := range c.tasks {
+		if t.Job == id && (r.failures > 0 || r.crashes > 1 && c.crashers[crasherKey(t)]) {
 			return true
 		}
 	}
@@ -138,12 +138,12 @@
 }
 
 // MaxCrasherCrashes is MaxTaskCrashes over the tasks that cause crashes.
-func (j *Checker) MaxCrasherCrashes(id job.ID) int {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) MaxCrasherCrashes(id job.ID) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	most := 0
-	for t, r := range j.tasks {
-		if t.Job == id && j.crashers[crasherKey(t)] {
+	for t, r := range c.tasks {
+		if t.Job == id && c.crashers[crasherKey(t)] {
 			most = max(most, r.crashes)
 		}
 	}
--- a/standin/jobfleet/disruption_test.go
+++ b/standin/jobfleet/disruption_test.go
@@ -17,52 +17,52 @@
 // TestDisruptionBudgetViolations checks a step of three long-running tasks of which one may be
 // unavailable. Ending the second one by an order violates the budget, whatever ended the first,
 // unless the first is ready again.
-func TestTheJudgeKeepsTheBudgetOfAStepThatLasts(t *testing.T) {
+func TestDisruptionBudgetViolations(t *testing.T) {
 	const lease = 5 * time.Second
 	for _, c := range []struct {
-		name   string
-		take   func(r *lastingRun)
-		broken int
+		name       string
+		take       func(r *longRunningJob)
+		violations int
 	}{
-		{"one stop", func(r *lastingRun) { r.stop(0) }, 0},
-		{"two stops", func(r *lastingRun) { r.stop(0); r.stop(1) }, 1},
-		{"a stop and a move", func(r *lastingRun) { r.stop(0); r.move(1) }, 1},
-		{"a stop and a crash", func(r *lastingRun) { r.stop(0); r.fleet.Crash("i1", time.Hour) }, 0},
-		{"a crash and at once a stop", func(r *lastingRun) { r.fleet.Crash("i0", time.Hour); r.stop(1) }, 0},
-		{"a crash and later a stop", func(r *lastingRun) { r.fleet.Crash("i0", time.Hour); r.wait(absenceGrace); r.stop(1) }, 1},
-		{"a stop while the first is back", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.wait(time.Second); r.stop(1) }, 0},
-		{"a stop while the first starts up", func(r *lastingRun) { r.stop(0); r.start(0, 2); r.stop(1) }, 1},
-		{"a stop on a worker that drains", func(r *lastingRun) { r.stop(0); r.fleet.Drain("i1"); r.stop(1) }, 0},
-		{"leases that end while faults are injected", func(r *lastingRun) { r.wait(lease) }, 0},
-		{"leases that end without faults", func(r *lastingRun) { r.judge.FaultsEnded(); r.wait(lease) }, 2},
+		{"one stop", func(r *longRunningJob) { r.stop(0) }, 0},
+		{"two stops", func(r *longRunningJob) { r.stop(0); r.stop(1) }, 1},
+		{"a stop and a move", func(r *longRunningJob) { r.stop(0); r.move(1) }, 1},
+		{"a stop and a crash", func(r *longRunningJob) { r.stop(0); r.fleet.Crash("i1", time.Hour) }, 0},
+		{"a crash and at once a stop", func(r *longRunningJob) { r.fleet.Crash("i0", time.Hour); r.stop(1) }, 0},
+		{"a crash and later a stop", func(r *longRunningJob) { r.fleet.Crash("i0", time.Hour); r.wait(absenceGrace); r.stop(1) }, 1},
+		{"a stop while the first is back", func(r *longRunningJob) { r.stop(0); r.start(0, 2); r.wait(time.Second); r.stop(1) }, 0},
+		{"a stop while the first starts up", func(r *longRunningJob) { r.stop(0); r.start(0, 2); r.stop(1) }, 1},
+		{"a stop on a worker that drains", func(r *longRunningJob) { r.stop(0); r.fleet.Drain("i1"); r.stop(1) }, 0},
+		{"leases that end while faults are injected", func(r *longRunningJob) { r.wait(lease) }, 0},
+		{"leases that end without faults", func(r *longRunningJob) { r.checker.FaultsEnded(); r.wait(lease) }, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				r := newLastingRun(t, lease)
+				r := newLongRunningJob(t, lease)
 				c.take(r)
-				assert.Len(t, r.judge.Violations(), c.broken, "%v", r.judge.Violations())
+				assert.Len(t, r.checker.Violations(), c.violations, "%v", r.checker.Violations())
 			})
 		})
 	}
 }
 
-// lastingRun is a job of three long-running tasks, ready on three workers.
-type lastingRun struct {
-	t      *testing.T
-	judge  *Checker
-	fleet  *Fleet
-	client *FleetClient
-	lease  time.Duration
+// longRunningJob is a job of three long-running tasks, ready on three workers.
+type longRunningJob struct {
+	t       *testing.T
+	checker *Checker
+	fleet   *Fleet
+	client  *FleetClient
+	lease   time.Duration
 }
 
-func newLastingRun(t *testing.T, lease time.Duration) *lastingRun {
-	r := &lastingRun{t: t, judge: NewChecker(), lease: lease}
-	r.fleet = NewFleet(r.judge, func(string, *owner.Registration) {})
+func newLongRunningJob(t *testing.T, lease time.Duration) *longRunningJob {
+	r := &longRunningJob{t: t, checker: NewChecker(), lease: lease}
+	r.fleet = NewFleet(r.checker, func(string, *owner.Registration) {})
 	r.client = r.fleet.Client("d", &Gate{}, func(string, string) Failure { return NoFailure })
 	j := &job.Job{ID: "0000000000000001", Steps: []job.Step{{Count: 3, LongRunning: true, MayMiss: 1}}}
 	r.fleet.RegisterJob(j)
-	r.judge.Submitted(j)
-	r.judge.Answered(j.ID, true, false)
+	r.checker.Submitted(j)
+	r.checker.Answered(j.ID, true, false)
 	for i := range 3 {
 		r.fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "a", "r", job.Resources{CPUMilli: 1000})
 		r.start(i, 1)
@@ -71,26 +71,26 @@
 	return r
 }
 
-func (r *lastingRun) wait(d time.Duration) { time.Sleep(d); synctest.Wait() }
+func (r *longRunningJob) wait(d time.Duration) { time.Sleep(d); synctest.Wait() }
 
-func (r *lastingRun) order(i int) (owner.Target, job.TaskID) {
+func (r *longRunningJob) order(i int) (owner.Target, job.TaskID) {
 	return owner.Target{Worker: owner.WorkerID(fmt.Sprintf("w-%03d", i+1))}, job.TaskID{Job: "0000000000000001", Index: i}
 }
 
-func (r *lastingRun) start(i int, run uint64) {
+func (r *longRunningJob) start(i int, run uint64) {
 	to, task := r.order(i)
 	until := r.fleet.workers[to.Worker].clock() + r.lease.Milliseconds()
 	a := r.client.Start(context.Background(), owner.Start{Target: to, Task: task, Run: run, LeaseUntilMs: until})
 	require.Equal(r.t, owner.Taken, a.Outcome)
 }
 
-func (r *lastingRun) stop(i int) {
+func (r *longRunningJob) stop(i int) {
 	to, task := r.order(i)
 	a := r.client.Stop(context.Background(), owner.Stop{Target: to, Task: task, Run: 1})
 	require.Equal(r.t, owner.Taken, a.Outcome)
 }
 
-func (r *lastingRun) move(i int) {
+func (r *longRunningJob) move(i int) {
 	o := r.client.Move(context.Background(), owner.Duty{Holder: "d", Token: 1}, owner.InstanceID(fmt.Sprintf("i%d", i)), "b")
 	require.Equal(r.t, owner.DutyDone, o)
 }
--- a/standin/jobfleet/evacuation.go
+++ b/standin/jobfleet/evacuation.go
@@ -35,36 +35,36 @@
 	in.Store.Remove(in.encoding.EvacuationPrefix + zone)
 }
 
-func (j *Checker) setEvacuated(zone string, since time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.evacuated[zone] = since
+func (c *Checker) setEvacuated(zone string, since time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.evacuated[zone] = since
 }
 
 // ExtendEvacuationBound allows more time than evacuationBound, for tests with store outages.
-func (j *Checker) ExtendEvacuationBound(by time.Duration) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.extraEvacuationTime = by
+func (c *Checker) ExtendEvacuationBound(by time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.extraEvacuationTime = by
 }
 
 // checkZone checks that a task doesn't start in a zone that is evacuated.
-func (j *Checker) checkZone(t job.TaskID, zone string) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	since := j.evacuated[zone]
-	if !since.IsZero() && time.Since(since) > evacuationBound+j.extraEvacuationTime {
-		j.addViolation("task %s starts in zone %s, %s after its evacuation was requested", t, zone, time.Since(since))
+func (c *Checker) checkZone(t job.TaskID, zone string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	since := c.evacuated[zone]
+	if !since.IsZero() && time.Since(since) > evacuationBound+c.extraEvacuationTime {
+		c.addViolation("task %s starts in zone %s, %s after its evacuation was requested", t, zone, time.Since(since))
 	}
 	if !since.IsZero() {
-		j.lastEvacuatedStart = time.Since(since)
+		c.lastEvacuatedStart = time.Since(since)
 	}
 }
 
 // LastStartInEvacuatedZone returns the time from the request to the newest start in an evacuated
 // zone, 0 if there was none.
-func (j *Checker) LastStartInEvacuatedZone() time.Duration {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.lastEvacuatedStart
+func (c *Checker) LastStartInEvacuatedZone() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.lastEvacuatedStart
 }
--- a/standin/jobfleet/tenants.go
+++ b/standin/jobfleet/tenants.go
@@ -21,18 +21,18 @@
 }
 
 // configured records the tenants' limits of a configuration.
-func (j *Checker) configured(c *job.Catalog) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	for _, t := range c.Tenants {
-		j.limits[t.Name] = append(j.limits[t.Name], tenantLimit{t.Limit, time.Now()})
+func (c *Checker) configured(catalog *job.Catalog) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for _, t := range catalog.Tenants {
+		c.limits[t.Name] = append(c.limits[t.Name], tenantLimit{t.Limit, time.Now()})
 	}
 }
 
 // checkTenantLimit checks the running tasks of a tenant after a start against the highest limit
 // that may apply.
-func (j *Checker) checkTenantLimit(t job.TaskID, spec *job.Job) {
-	limits := j.limits[spec.Tenant]
+func (c *Checker) checkTenantLimit(t job.TaskID, spec *job.Job) {
+	limits := c.limits[spec.Tenant]
 	if spec.Tenant == "" || len(limits) == 0 {
 		return
 	}
@@ -47,23 +47,23 @@
 		}
 	}
 	used := 0
-	for id, r := range j.tasks {
-		if of := j.jobs[id.Job]; of != nil && of.spec.Tenant == spec.Tenant {
+	for id, r := range c.tasks {
+		if of := c.jobs[id.Job]; of != nil && of.spec.Tenant == spec.Tenant {
 			used += len(r.running) * of.spec.Steps[id.Step].Need.CPUMilli
 		}
 	}
 	most := int(limitOverage*float64(highest)) + spec.Steps[t.Step].Need.CPUMilli
 	if used > most {
-		j.addViolation("task %s starts: tenant %s uses %d millicores, %d are allowed", t, spec.Tenant, used, most)
+		c.addViolation("task %s starts: tenant %s uses %d millicores, %d are allowed", t, spec.Tenant, used, most)
 	}
 }
 
 // UnknownKeyAnswered checks the status of the answer to a call with an API key that is in no
 // configuration.
-func (j *Checker) UnknownKeyAnswered(status int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+func (c *Checker) UnknownKeyAnswered(status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if status >= 200 && status < 300 {
-		j.addViolation("a call with an unknown API key was answered with status %d", status)
+		c.addViolation("a call with an unknown API key was answered with status %d", status)
 	}
 }
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -46,23 +46,23 @@
 }
 
 type worker struct {
-	reg      owner.Registration
-	began    time.Time // origin of its clock
-	instance *instance
-	token    uint64
-	active   map[job.TaskID]*execution
-	ended    []owner.RunEnd
-	number   uint64
-	latest   map[job.TaskID]uint64 // highest run that ended or was stopped
-	lease    time.Time
-	lapse    *time.Timer
-	ping     chan struct{} // closed and replaced at the end of a run
-	dead     bool
-	refuses  bool      // its address refuses connections, as it is dead
-	shrank   time.Time // newest decrease of its capacity; zero: none
-	cut      bool      // no daemon reaches it
-	fails    bool      // every task that starts fails
-	hangs    bool      // tasks that start don't end
+	reg        owner.Registration
+	began      time.Time // origin of its clock
+	instance   *instance
+	token      uint64
+	active     map[job.TaskID]*execution
+	ended      []owner.RunEnd
+	number     uint64
+	latest     map[job.TaskID]uint64 // highest run that ended or was stopped
+	lease      time.Time
+	leaseTimer *time.Timer
+	ping       chan struct{} // closed and replaced at the end of a run
+	dead       bool
+	refuses    bool      // its address refuses connections, as it is dead
+	shrank     time.Time // newest decrease of its capacity; zero: none
+	cut        bool      // no daemon reaches it
+	fails      bool      // every task that starts fails
+	hangs      bool      // tasks that start don't end
 }
 
 type execution struct {
@@ -96,10 +96,10 @@
 }
 
 // Add adds an instance to a pool.
-func (f *Fleet) Add(id owner.InstanceID, pool, rack string, room job.Resources) {
+func (f *Fleet) Add(id owner.InstanceID, pool, rack string, capacity job.Resources) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	i := &instance{Instance: owner.Instance{ID: id, Pool: pool, Rack: rack}, capacity: room}
+	i := &instance{Instance: owner.Instance{ID: id, Pool: pool, Rack: rack}, capacity: capacity}
 	f.instances[id] = i
 	f.startWorker(i)
 }
@@ -132,7 +132,7 @@
 		return
 	}
 	w.dead = true
-	how := "gone"
+	how := "worker crashed"
 	if state != owner.InstanceDown {
 		how = endedWithInstance
 	}
@@ -158,7 +158,7 @@
 func (w *worker) healthy() bool { return !w.cut && !w.fails && !w.hangs }
 
 // endedWithInstance is the end of the tasks of an instance that is moved or maintained.
-const endedWithInstance = "taken away"
+const endedWithInstance = "instance moved or maintained"
 
 // Crash ends an instance's worker without notice; a new one starts after d.
 func (f *Fleet) Crash(id owner.InstanceID, d time.Duration) {
@@ -257,10 +257,10 @@
 		return
 	}
 	w.lease = end
-	if w.lapse != nil {
-		w.lapse.Stop()
+	if w.leaseTimer != nil {
+		w.leaseTimer.Stop()
 	}
-	w.lapse = time.AfterFunc(time.Until(end), func() {
+	w.leaseTimer = time.AfterFunc(time.Until(end), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if w.dead || time.Now().Before(w.lease) {
@@ -333,11 +333,11 @@
 }
 
 func (f *Fleet) freeOf(w *worker) job.Resources {
-	room := w.reg.Capacity
+	free := w.reg.Capacity
 	for _, e := range w.active {
-		room = room.Sub(e.need)
+		free = free.Sub(e.need)
 	}
-	return room
+	return free
 }
 
 func (f *Fleet) execute(w *worker, o owner.Start, spec *job.Step) {
