--- a/jobs/node/calllimiter.go
+++ b/jobs/node/calllimiter.go
@@ -44,12 +44,12 @@
 }
 
 // newCallLimiter returns a limiter with perCore slots for each core, at least minSlots.
-func newCallLimiter(perCore, cores float64, lasts time.Duration) callLimiter {
-	return callLimiter{make(chan struct{}, max(minSlots, int(perCore*cores))), lasts}
+func newCallLimiter(perCore, cores float64, slotTimeout time.Duration) callLimiter {
+	return callLimiter{make(chan struct{}, max(minSlots, int(perCore*cores))), slotTimeout}
 }
 
 // acquire blocks until a slot is free; ok is false if ctx ended first. The slot is released by
-// leave or after slotTimeout, whichever is first.
+// release or after slotTimeout, whichever is first.
 func (l callLimiter) acquire(ctx context.Context) (release func(), ok bool) {
 	select {
 	case l.slots <- struct{}{}:
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -30,8 +30,8 @@
 	previous *arrival // of the order before, until this order is known to be sent
 }
 
-// newInstanceOrders returns the recent orders of the previous owner. Each is kept for the time
-// of a duty hand-over.
+// newInstanceOrders returns instanceOrders with the recent orders of the previous owner. Each is
+// kept for the time of a duty hand-over.
 func newInstanceOrders(self string, handover time.Duration, before []owner.RecentOrder, electedAt time.Time) instanceOrders {
 	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyHandoverMargin}
 	for _, b := range before {
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -153,7 +153,7 @@
 	if partitioned < partitionedYieldAfter || t.isLeaving() {
 		return
 	}
-	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", "the owner is partitioned from the store, and other daemons reach it"), zap.Duration("cut-for", partitioned))
+	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", "the owner is partitioned from the store, and other daemons reach it"), zap.Duration("partitioned-for", partitioned))
 	go t.handOver()
 }
 
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -256,8 +256,8 @@
 	return ledger.Member{Node: n.settings.Node, Addr: n.settings.peerAddr(), Cores: n.currentCores()}
 }
 
-// hasPeerWithMoreCPU reports whether another live daemon has more than times as many cores
-// as this one gets at present. Scheduling, the owner's work, needs the most CPU.
+// hasPeerWithMoreCPU reports whether another live daemon has more than times the cores that
+// this one gets at present. Scheduling, the owner's work, needs the most CPU.
 func (n *Node) hasPeerWithMoreCPU(times float64) bool {
 	list := n.members.Load()
 	if list == nil {
--- a/jobs/node/rand.go
+++ b/jobs/node/rand.go
@@ -22,7 +22,7 @@
 	return &lockedRand{rnd: rand.New(rand.NewPCG(h.Sum64(), 1))}
 }
 
-// durationBelow returns a random duration in [0, most).
+// durationBelow returns a random duration in [0, limit).
 func (c *lockedRand) durationBelow(limit time.Duration) time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -40,8 +40,8 @@
 const minCores = 0.05
 
 // relayWeight estimates a daemon's capacity as a relay. Link bandwidth grows faster than CPU,
-// so the weight is the square of the cores: in the users' data sheets 0.8 cores come with
-// 200 Mbit/s, 0.19 cores with 10 Mbit/s.
+// so the weight is the square of the cores: in the users' specification sheets 0.8 cores
+// come with 200 Mbit/s, 0.19 cores with 10 Mbit/s.
 func relayWeight(m ledger.Member) float64 {
 	cores := max(minCores, m.Cores)
 	return cores * cores
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -22,7 +22,7 @@
 	// registrationsInterval is the minimum time between two watch calls that return all changes:
 	// a fifth of the time in which starts to a draining worker must stop. Each worker's heartbeat
 	// is a change. expectingInterval applies while instances are moving to a pool: a read costs as
-	// much as a thirtieth of a second of an instance.
+	// much as an instance in a thirtieth of a second.
 	registrationsInterval = 400 * time.Millisecond
 	expectingInterval     = 100 * time.Millisecond
 )
--- a/jobs/node/slowdown_test.go
+++ b/jobs/node/slowdown_test.go
@@ -41,8 +41,8 @@
 	assert.Equal(t, 1.0, s.sustainedFactor(at), "the slowdown is over")
 }
 
-// TestBaselineFollowsLastingChange: a CPU that becomes twice as slow for good, as an idle one does
-// under load, and one that stays several times slower.
+// TestBaselineFollowsLastingChange: the baseline follows a CPU that becomes twice as slow for good,
+// as an idle one does under load, and one that stays several times slower.
 func TestBaselineFollowsLastingChange(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	s.addProbes(&at, 40, 1)
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -348,9 +348,9 @@
 }
 
 // breakdownFields returns log fields with what a late job's time was spent on, in milliseconds.
-func breakdownFields(a *owner.TimeBreakdown) []zap.Field {
-	out := []zap.Field{zap.Int64("total", a.Total.Milliseconds()), zap.Int64("allowed", a.Allowed.Milliseconds())}
-	for c, d := range a.Spent {
+func breakdownFields(b *owner.TimeBreakdown) []zap.Field {
+	out := []zap.Field{zap.Int64("total", b.Total.Milliseconds()), zap.Int64("allowed", b.Allowed.Milliseconds())}
+	for c, d := range b.Spent {
 		if d >= time.Millisecond {
 			out = append(out, zap.Int64(owner.Cause(c).String(), d.Milliseconds()))
 		}
