--- a/jobs/explain/entries.go
+++ b/jobs/explain/entries.go
@@ -24,26 +24,26 @@
 func RefusedEntries(lines []Line) []RefusedEntry {
 	lines = slices.Clone(lines)
 	slices.SortStableFunc(lines, func(a, b Line) int { return a.Time.Compare(b.Time) })
-	traces := map[string]*entryState{}
+	states := map[string]*entryState{}
 	for _, l := range lines {
 		switch l.Event {
 		case "entry-refused":
-			e := stateOf(traces, l.Get("key"))
+			e := stateOf(states, l.Get("key"))
 			if len(e.refusedBy) == 0 {
 				e.First = l.Time
 			}
 			e.Why = l.Get("error")
 			e.refusedBy[l.Source] = true
 		case "entry-accepted":
-			delete(stateOf(traces, l.Get("key")).refusedBy, l.Source)
+			delete(stateOf(states, l.Get("key")).refusedBy, l.Source)
 		case "start": // a new process has refused no entry yet
-			for _, e := range traces {
+			for _, e := range states {
 				delete(e.refusedBy, l.Source)
 			}
 		}
 	}
 	var out []RefusedEntry
-	for _, e := range traces {
+	for _, e := range states {
 		for by := range e.refusedBy {
 			e.By = append(e.By, by)
 		}
@@ -56,9 +56,9 @@
 	return out
 }
 
-func stateOf(traces map[string]*entryState, key string) *entryState {
-	if traces[key] == nil {
-		traces[key] = &entryState{RefusedEntry: RefusedEntry{Key: key}, refusedBy: map[string]bool{}}
+func stateOf(states map[string]*entryState, key string) *entryState {
+	if states[key] == nil {
+		states[key] = &entryState{RefusedEntry: RefusedEntry{Key: key}, refusedBy: map[string]bool{}}
 	}
-	return traces[key]
+	return states[key]
 }
--- a/jobs/explain/entries_test.go
+++ b/jobs/explain/entries_test.go
@@ -21,12 +21,12 @@
 {"ts":"2030-01-01T00:00:04Z","msg":"entry-refused","key":"servers/i-1","revision":12,"error":"address is missing"}
 `)
 	two := read("d2", `
-{"ts":"2030-01-01T00:00:01Z","msg":"entry-refused","key":"owner/lock","revision":5,"error":"it names nobody"}
+{"ts":"2030-01-01T00:00:01Z","msg":"entry-refused","key":"owner/lock","revision":5,"error":"node is empty"}
 {"ts":"2030-01-01T00:00:03Z","msg":"entry-refused","key":"op/wave/3","revision":9,"error":"maxCount is 0"}
 {"ts":"2030-01-01T00:00:05Z","msg":"entry-accepted","key":"owner/lock"}
 `)
 	restarted := read("d3", `
-{"ts":"2030-01-01T00:00:01Z","msg":"entry-refused","key":"member/x","revision":5,"error":"it names nobody"}
+{"ts":"2030-01-01T00:00:01Z","msg":"entry-refused","key":"member/x","revision":5,"error":"node is empty"}
 {"ts":"2030-01-01T00:00:05Z","msg":"start"}
 `)
 	assert.Equal(t, []RefusedEntry{
--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -79,8 +79,8 @@
 const (
 	minCrashesAtStart = 2 // right after the start, at a known time
 	minCrashesTimed   = 3 // at any time, if one is timed and has no other suspect
-	// minCrashesUntimed applies if no crash is timed, as when instances lose power. A task is
-	// allowed two starts more than three crashes.
+	// minCrashesUntimed applies if no crash is timed, as when instances lose power. It is within
+	// the limit on a task that crashes its workers: two starts after its third crash.
 	minCrashesUntimed = 4
 )
 
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -87,12 +87,12 @@
 	LongRunning   bool          `json:",omitempty"` // runs until the job is cancelled
 	Image         string        `json:",omitempty"` // tasks with the same image behave alike
 	LatencyTarget time.Duration `json:",omitempty"` // upper bound of a serving task's tail latency; 0: none
-	Filler        bool          `json:",omitempty"` // uses only processor time that other tasks leave idle
+	Filler        bool          `json:",omitempty"` // uses only CPU time that other tasks leave idle
 	MayMiss       int           `json:",omitempty"` // how many of its tasks maintenance may take down at once
 }
 
 // ReservedResources returns the part of a worker's capacity that a task of the step reserves.
-// A filler reserves no processor time.
+// A filler reserves no CPU.
 func (s *Step) ReservedResources() Resources {
 	need := s.Need
 	if s.Filler {
--- a/jobs/job/tenant.go
+++ b/jobs/job/tenant.go
@@ -9,8 +9,8 @@
 // Tenant is an organization whose callers submit jobs.
 type Tenant struct {
 	Name string
-	// Weight is the tenant's share under overload relative to the other tenants, in jobs per
-	// second.
+	// Weight is the tenant's share in jobs per second. Jobs beyond it yield free capacity to
+	// other tenants. 0: the share is not limited.
 	Weight float64
 	// Limit bounds the resources of its running tasks over all workers; 0: the resource is not
 	// limited.
--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -1,6 +1,6 @@
 // Package late reports from the daemons' logs why jobs were late, failed or were never
-// accepted. It aggregates the owner's account of each late job and the refusals that callers
-// received by cause, by queue and by time.
+// accepted. It aggregates the owner's time breakdown of each late job and the refusals that
+// callers received by cause, by queue and by time.
 package late
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Causes in addition to those of the owner's accounts.
+// Causes in addition to those of the owner's time breakdowns.
 const (
 	// NotAccepted is the time between a caller's first refused attempt and the attempt that was
 	// accepted.
@@ -187,7 +187,7 @@
 	return j, true
 }
 
-// addSpentTimes adds the times of the owner's account and the time until the job was accepted.
+// addSpentTimes adds the times of the owner's breakdown and the time until the job was accepted.
 func (t *jobTrace) addSpentTimes(j *Job) {
 	for _, f := range t.late.Fields {
 		ms, err := strconv.ParseInt(f.Value, 10, 64)
--- a/jobs/ledger/keys.go
+++ b/jobs/ledger/keys.go
@@ -41,7 +41,7 @@
 type Member struct {
 	Node  string
 	Addr  string  // of the daemon's peer listener
-	Cores float64 // processor time it effectively gets, in cores; lower while its instance is slow
+	Cores float64 // CPU that it gets at present, in cores; lower while its instance is slow
 }
 
 func encode(v any) []byte {
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -229,7 +229,7 @@
 	return nil
 }
 
-// RecordWrites returns the r.Entries() puts and deletes that store a job's progress.
+// RecordWrites returns the puts and deletes that store a job's progress, r.TxnEntries() in all.
 func RecordWrites(r owner.Record) (puts []Put, deletes []string) {
 	progress := prefixProgress + string(r.Job.ID)
 	if !r.Progress.State.Final() {
--- a/jobs/placement/placement_test.go
+++ b/jobs/placement/placement_test.go
@@ -68,7 +68,7 @@
 	assert.Equal(t, cores(4), w[0].Free, "the workers are not changed")
 }
 
-func TestPossible(t *testing.T) {
+func TestFeasible(t *testing.T) {
 	w := workers(0)
 	assert.True(t, Feasible(&w[0], &Request{Need: cores(8)}))
 	assert.False(t, Feasible(&w[0], &Request{Need: cores(9)}))
