--- a/jobs/calls/calls.go
+++ b/jobs/calls/calls.go
@@ -1,6 +1,6 @@
 // Package calls adapts timeouts and attempts of calls to workers to the outcomes of earlier
 // calls. A single unanswered call has one of two causes, which need opposite reactions. On a
-// congested link or processor all answers are slow: longer timeouts help, and retries make it
+// congested link or CPU all answers are slow: longer timeouts help, and retries make it
 // worse. If single calls are lost, as with a switch that drops one in twenty, the others are
 // answered within milliseconds: a call that has not been answered by then never will be and
 // should be retried soon.
@@ -27,7 +27,7 @@
 // Parameters of calls on a lossy link.
 const (
 	// LossyTimeout is the timeout of a call: thirty times the usual response time, and more
-	// than the 100 ms for which a throttled processor may stall.
+	// than the 100 ms for which a throttled CPU may stall.
 	LossyTimeout = 120 * time.Millisecond
 	// LossyAttempts is how many times a call is sent. If one in five calls is lost, one in
 	// 15,000 loses all attempts. Together they take no longer than two usual timeouts.
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -70,24 +70,24 @@
 	return f.workers[id]
 }
 
-// Start implements owner.Workers.
+// Start implements owner.WorkerClient.
 func (c *FleetClient) Start(ctx context.Context, o owner.Start) owner.Answer {
 	return c.order(ctx, o.Target, "start", func(w *worker) owner.Answer { return c.fleet.start(w, o) })
 }
 
-// Stop implements owner.Workers.
+// Stop implements owner.WorkerClient.
 func (c *FleetClient) Stop(ctx context.Context, o owner.Stop) owner.Answer {
 	return c.order(ctx, o.Target, "stop", func(w *worker) owner.Answer { return c.fleet.stop(w, o) })
 }
 
-// Throttle implements owner.Workers.
+// Throttle implements owner.WorkerClient.
 func (c *FleetClient) Throttle(ctx context.Context, o owner.Throttle) owner.Answer {
 	return c.order(ctx, o.Target, "throttle", func(w *worker) owner.Answer {
 		return owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
 	})
 }
 
-// Hold implements owner.Workers.
+// Hold implements owner.WorkerClient.
 func (c *FleetClient) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
 	a := c.order(ctx, o.Target, "hold", func(w *worker) owner.Answer { return c.fleet.beginHold(w, o) })
 	if a.Outcome != owner.Taken {
