--- a/jobs/late/late_test.go
+++ b/jobs/late/late_test.go
@@ -21,8 +21,8 @@
 {"ts":"2030-01-01T00:00:03Z","msg":"job-accepted","job":"b","queue":"q"}
 {"ts":"2030-01-01T00:00:03Z","msg":"job-accepted","job":"c","queue":"q"}
 {"ts":"2030-01-01T00:00:04Z","msg":"request-refused","method":"POST","job":"d","status":503,"why":"512 submissions wait for the store"}
-{"ts":"2030-01-01T00:00:04Z","msg":"request-refused","method":"GET","job":"e","status":503,"why":"the owner is changing"}
-{"ts":"2030-01-01T00:00:05Z","msg":"request-refused","method":"POST","job":"f","status":504,"why":"after 3 tries: store away"}
+{"ts":"2030-01-01T00:00:04Z","msg":"request-refused","method":"GET","job":"e","status":503,"why":"no owner is elected at present"}
+{"ts":"2030-01-01T00:00:05Z","msg":"request-refused","method":"POST","job":"f","status":504,"why":"store transaction retried for 1.02s: connection reset"}
 {"ts":"2030-01-01T00:00:06Z","msg":"job-failed","job":"c"}
 {"ts":"2030-01-01T00:00:07Z","msg":"job-late","job":"a","why":"s","total":4000,"allowed":2500,"work":1500,"pool-short":2000,"run-failed":500}
 {"ts":"2030-01-01T00:00:07Z","msg":"job-completed","job":"b"}
