--- a/jobs/owner/backoff_test.go
+++ b/jobs/owner/backoff_test.go
@@ -89,7 +89,7 @@
 		}
 		assert.LessOrEqual(t, n, 12, "starts in a minute")
 	})
-	t.Run("refused tickets", func(t *testing.T) {
+	t.Run("rejected tickets", func(t *testing.T) {
 		r := newRig(t, 1)
 		r.core.catalog.Queues[0].Advisor = &job.AdvisorTiming{TicketValidity: 2 * time.Second}
 		r.addWorkers("w0", "w1", "w2")
@@ -97,9 +97,9 @@
 		n := 0
 		for range 600 {
 			r.answerHolds(100*time.Millisecond, nil)
-			questions := r.out.AdviceQueries
+			queries := r.out.AdviceQueries
 			r.out.AdviceQueries = nil
-			for _, q := range questions {
+			for _, q := range queries {
 				a := Advice{}
 				for _, w := range q.Workers {
 					a.Permits = append(a.Permits, Permit{w, "t"})
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -392,7 +392,7 @@
 	r.answerHold(b, nil, RunEnd{Seq: 1, Task: starts[0].Task, Run: starts[0].Run, Kind: EndFailed})
 	r.tick(100 * time.Millisecond)
 	require.Len(t, r.out.AdviceQueries, 2, "the ticket has expired")
-	assert.Equal(t, []WorkerID{b}, r.out.AdviceQueries[1].Workers, "a was refused, which is final")
+	assert.Equal(t, []WorkerID{b}, r.out.AdviceQueries[1].Workers, "a was denied a permit, which is final")
 }
 
 func TestCopyOfASpeculativeTask(t *testing.T) {
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -193,7 +193,7 @@
 			}
 			r.publishLists()
 		},
-		"a reset": func(r *rig, id WorkerID) { r.failConnection(id) },
+		"a connection reset": func(r *rig, id WorkerID) { r.failConnection(id) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t, 1)
@@ -276,14 +276,14 @@
 // TestUnansweredOrderIsNoCrash: an order that times out while the worker's hold is in flight
 // records no unconfirmed crash for its task; an order whose connection fails does.
 func TestUnansweredOrderIsNoCrash(t *testing.T) {
-	for broken, open := range map[bool]int{false: 0, true: 1} {
+	for connFailed, unconfirmed := range map[bool]int{false: 0, true: 1} {
 		r := newRig(t, 1)
 		r.addWorkers("w0", "w1")
 		j := r.submit(1, 1)
 		sent := r.out.Starts
 		require.Len(t, sent, 1)
-		r.core.OnStarted(sent[0], Answer{Outcome: Unanswered, Err: errors.New("lost"), ConnFailed: broken}, r.now)
-		assert.Len(t, r.core.jobs[j.ID].steps[0].tasks[0].crashes, open, "broken %t", broken)
+		r.core.OnStarted(sent[0], Answer{Outcome: Unanswered, Err: errors.New("lost"), ConnFailed: connFailed}, r.now)
+		assert.Len(t, r.core.jobs[j.ID].steps[0].tasks[0].crashes, unconfirmed, "connection failed %t", connFailed)
 	}
 }
 
--- a/jobs/owner/freeindex_test.go
+++ b/jobs/owner/freeindex_test.go
@@ -67,16 +67,16 @@
 			if r.IntN(3) == 0 {
 				req.RequiredLabel = fmt.Sprint("k", r.IntN(3))
 			}
-			barred, mine := map[*worker]bool{}, map[*worker]int{}
+			excluded, stepTasks := map[*worker]bool{}, map[*worker]int{}
 			for i, w := range workers {
-				barred[w], mine[w] = r.IntN(6) == 0, r.IntN(3)
-				views[i].Excluded, views[i].SameStep = barred[w], mine[w]
+				excluded[w], stepTasks[w] = r.IntN(6) == 0, r.IntN(3)
+				views[i].Excluded, views[i].SameStep = excluded[w], stepTasks[w]
 			}
 			want := (*worker)(nil)
 			if i := placement.Choose(views, req); i >= 0 {
 				want = workers[i]
 			}
-			got := x.choose(&req, func(w *worker) bool { return !barred[w] }, mine, now)
+			got := x.choose(&req, func(w *worker) bool { return !excluded[w] }, stepTasks, now)
 			assert.Same(t, want, got, "seed %d, %+v", seed, req)
 		}
 	}
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These tests guard against an overloaded owner that takes healthy workers for silent. With a
+// These tests guard against an overloaded owner that treats healthy workers as silent. With a
 // fifth of a core, answers waited for the processor longer than the owner's own timeout: 97 of
 // 100 holds went unanswered for 15 s, while its timer was late by only 0.4 s. When silence was
 // evaluated per worker, the owner let leases expire (54 workers in 10 s) and started tasks again
@@ -138,8 +138,8 @@
 	assert.Greater(t, sent, 20)
 }
 
-// TestLeftOverRegistrationsAreNotSilentWorkers guards against an idle owner that takes itself
-// for overloaded. Workers that were moved or maintained stay registered for some seconds, and
+// TestLeftOverRegistrationsAreNotSilentWorkers guards against an idle owner that considers
+// itself overloaded. Workers that were moved or maintained stay registered for some seconds, and
 // a new owner sends them holds, too. When these were counted, 177 of 336 workers seemed silent
 // a quarter of a second after a takeover.
 func TestLeftOverRegistrationsAreNotSilentWorkers(t *testing.T) {
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -16,7 +16,7 @@
 	pool        *poolState
 	now         time.Time
 	entries     []queueEntry // in placement order
-	unplaceable placement.RejectedNeeds
+	unplaceable placement.UnplaceableNeeds
 
 	placedEntries int         // entries handled by placeLongRunning
 	view          *workerView // all usable workers; nil until needed
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -27,9 +27,9 @@
 	assert.Len(t, r.out.Stops, 1, "the answer to a hold sent 0.9 s later shows no progress")
 }
 
-// TestMaintenanceNeedsAFreshView: an owner that was suspended must not rely on tasks that
-// served before.
-func TestMaintenanceNeedsAFreshView(t *testing.T) {
+// TestMaintenanceNeedsFreshRunLists: an owner that was suspended must not rely on run lists
+// from before.
+func TestMaintenanceNeedsFreshRunLists(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
 	r.answerHold(a, nil)
@@ -93,7 +93,7 @@
 	j := simpleJob(1, 1)
 	j.Steps[0].LongRunning = true
 	r := newRig(t, 2, Loaded{Job: j})
-	r.core.opt.TaskLease = 6 * time.Second // longer than the pause of the duty after a change of owner
+	r.core.opt.TaskLease = 6 * time.Second // longer than instance orders pause after a change of owner
 	a, b := r.worker("a"), r.worker("b")
 	r.answerHold(b, nil)
 	r.core.OnWave(WaveRequest{Wave: 1, Instances: []InstanceID{"i-a"}, Within: time.Minute, MaxDown: 1}, nil, false, r.now)
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -17,7 +17,7 @@
 // little CPU sends 80 a second. A long-running task that a wave had moved was started again
 // only after 9.6 s, though there was capacity; callers are promised 6 s.
 
-// TestUrgentStartsDoNotQueueBehindOthers: only as many starts are decided as can be sent, so
+// TestUrgentStartsDoNotQueueBehindOthers: only as many starts are ordered as can be sent, so
 // that a long-running task is started before tasks that were ready long before it.
 func TestUrgentStartsDoNotQueueBehindOthers(t *testing.T) {
 	const window, workers, rounds = 16, 40, 3
@@ -107,9 +107,9 @@
 	assert.InDelta(t, 3, r.core.pool("s").waitingCores, 0.01, "cores")
 }
 
-// TestDeadWorkersDoNotBlockStarts: starts that a rack without power does not answer occupy the
-// window for maxOutstandingAge, not until they time out.
-func TestDeadWorkersDoNotBlockStarts(t *testing.T) {
+// TestUnreachableWorkersDoNotBlockStarts: starts that a rack without power does not answer
+// occupy the window for maxOutstandingAge, not until they time out.
+func TestUnreachableWorkersDoNotBlockStarts(t *testing.T) {
 	const window = 4
 	r := newRig(t, 1)
 	r.core.startWindow = newStartWindow(window)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -310,7 +310,7 @@
 	presumedUsage          presumedUsage           // usage by tenant of runs that may exist but are not known
 	takeoverDone           map[string]bool         // services for which all runs of earlier owners are known
 	loggedTakeoverWaits    map[string]takeoverWait // last logged wait, by service
-	lastAwaited            map[string]InstanceID   // instance found unconfirmed by the last scan, by service
+	lastAwaited            map[string]InstanceID   // instance found by the last scan in awaitedInstance, by service
 	startedAt              time.Time
 	electedAt              time.Time
 	orderHoldoff           map[InstanceID]time.Time // until when no order is sent, because of one of an earlier owner
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -138,10 +138,10 @@
 	c.logDecision(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + awaited})
 }
 
-// awaitedInstance names an instance of the service that may run tasks and has not
-// answered a hold of this owner yet; "" if there is none. Registered workers that the
-// instance list does not show are ignored: they have ended, and their registrations are
-// left over.
+// awaitedInstance describes what inherited tasks of the service wait for: the first instance
+// list, or an instance that may run tasks and has not answered a hold of this owner yet; "" if
+// there is none. Registered workers that the instance list does not show are ignored: they
+// have ended, and their registrations are left over.
 func (c *Core) awaitedInstance(service string) string {
 	if c.instanceListAt.IsZero() {
 		return "the instance list"
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -33,9 +33,9 @@
 // Timing of the daemon around the core, as in package node.
 const (
 	daemonTick         = 25 * time.Millisecond
-	daemonHoldReserve  = 300 * time.Millisecond // timeout of a hold beyond its Wait
+	daemonHoldTimeout  = 300 * time.Millisecond // timeout of a hold beyond its Wait
 	daemonListInterval = 400 * time.Millisecond // between reads of the registrations
-	fullLease          = 4500 * time.Millisecond
+	busyTaskLease      = 4500 * time.Millisecond
 	roundTrip          = 4 * time.Millisecond
 )
 
@@ -75,7 +75,7 @@
 		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 3, ObjectiveFactor: 1.6, ObjectiveOffset: 600 * time.Millisecond}},
 		Services: []job.Service{{Name: "s"}},
 	}
-	opt := Options{Term: 4, TaskLease: fullLease, HoldWait: 900 * time.Millisecond, DutyHandover: 3 * time.Second, StatusRetention: time.Minute}
+	opt := Options{Term: 4, TaskLease: busyTaskLease, HoldWait: 900 * time.Millisecond, DutyHandover: 3 * time.Second, StatusRetention: time.Minute}
 	f.core = New(opt, catalog, f.jobs(), f.startedAt)
 	f.placeRuns()
 	return f
@@ -103,7 +103,7 @@
 func (f *busyFleet) placeRuns() {
 	for n := range busyWorkers {
 		age := time.Duration(n) * time.Second / busyWorkers
-		f.workers[busyID(n)] = &busyWorker{leaseEnd: f.startedAt.Add(fullLease - age)}
+		f.workers[busyID(n)] = &busyWorker{leaseEnd: f.startedAt.Add(busyTaskLease - age)}
 	}
 	for n := range busySteps * 24 {
 		id := job.TaskID{Job: simpleJob(busyJobs+n/24+1, 1).ID, Index: n % 24}
@@ -181,7 +181,7 @@
 	sent := f.freeAt
 	for _, h := range e.Holds {
 		f.freeAt = f.freeAt.Add(callCost)
-		f.hold(h, f.freeAt, sent.Add(h.Wait+daemonHoldReserve))
+		f.hold(h, f.freeAt, sent.Add(h.Wait+daemonHoldTimeout))
 	}
 	for _, o := range e.Starts {
 		f.freeAt = f.freeAt.Add(callCost)
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -112,13 +112,13 @@
 	c := *r.core.catalog
 	c.Tenants = []job.Tenant{{Name: "t", Weight: 2}, {Name: "modest", Weight: 2}}
 	r.core.Configure(&c)
-	greedy := func(n int) *job.Job {
+	jobOfT := func(n int) *job.Job {
 		j := tenantJob(n, 1, "q")
 		j.AcceptedAt = r.now
 		return j
 	}
 	for n := 1; n <= 20; n++ {
-		r.core.Submit(greedy(n), r.now)
+		r.core.Submit(jobOfT(n), r.now)
 	}
 	modest := tenantJob(30, 2, "q")
 	modest.Tenant, modest.AcceptedAt = "modest", r.now.Add(100*time.Millisecond)
@@ -129,5 +129,5 @@
 	r.tick(50 * time.Millisecond)
 	starts := r.confirmStarts()
 	require.Len(t, starts, 8)
-	assert.Len(t, startsOf(starts[:4], modest), 2, "placed after the two jobs within the greedy tenant's share")
+	assert.Len(t, startsOf(starts[:4], modest), 2, "placed after the two jobs within tenant t's share")
 }
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -196,9 +196,9 @@
 // HoldAnswer is a worker's answer to a Hold.
 type HoldAnswer struct {
 	Answer
-	StartedMs int64 // of the incarnation that answered; 0: not reported
-	Active    []ActiveRun
-	Ends      []RunEnd
+	StartedMs int64       // of the incarnation that answered; 0: not reported
+	Active    []ActiveRun // the worker's run list
+	Ends      []RunEnd    // ended runs that were not acknowledged yet
 }
 
 // WorkerClient sends orders to workers and returns their answers.
--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -14,7 +14,7 @@
 	Free        job.Resources
 	Rack        string
 	Labels      []string
-	Unreliable  bool // failed or stalled recently; used only if nothing else fits
+	Unreliable  bool // tasks failed on it recently; used only if nothing else fits
 	SameStep    int  // tasks on it of the request's step and occurrence
 	Fillers     int  // filler tasks on it, which use idle cores only
 	Serving     int  // long-running tasks on it that have a latency target
@@ -107,13 +107,13 @@
 	return s
 }
 
-// RejectedNeeds holds the needs of requests for which no worker fits. A request that needs at
+// UnplaceableNeeds holds the needs of requests for which no worker fits. A request that needs at
 // least as much of every resource doesn't fit either, until capacity is freed.
-type RejectedNeeds struct{ needs []job.Resources }
+type UnplaceableNeeds struct{ needs []job.Resources }
 
 // Add records a request for which no worker fits. Requests with further conditions are not
 // recorded, since others may fit where they don't.
-func (f *RejectedNeeds) Add(r *Request) {
+func (f *UnplaceableNeeds) Add(r *Request) {
 	if r.RequiredLabel != "" || r.MaxPerWorker != 0 || r.Restricted || f.Covers(r) {
 		return
 	}
@@ -121,7 +121,7 @@
 }
 
 // Covers reports whether certainly no worker fits the request.
-func (f *RejectedNeeds) Covers(r *Request) bool {
+func (f *UnplaceableNeeds) Covers(r *Request) bool {
 	return slices.ContainsFunc(f.needs, func(need job.Resources) bool { return r.Need.Fits(need) })
 }
 
--- a/jobs/placement/placement_test.go
+++ b/jobs/placement/placement_test.go
@@ -74,9 +74,9 @@
 	assert.False(t, Feasible(&w[0], &Request{Need: cores(9)}))
 }
 
-func TestRejectedNeedsCoverLargerNeeds(t *testing.T) {
+func TestUnplaceableNeedsCoverLargerNeeds(t *testing.T) {
 	need := func(cpu, mem int) *Request { return &Request{Need: job.Resources{CPUMilli: cpu, MemMB: mem}} }
-	var f RejectedNeeds
+	var f UnplaceableNeeds
 	assert.False(t, f.Covers(need(1, 1)))
 	f.Add(need(4000, 100))
 	assert.True(t, f.Covers(need(4000, 100)))
--- a/jobs/quota/quota.go
+++ b/jobs/quota/quota.go
@@ -72,18 +72,18 @@
 }
 
 // Allows reports whether the tenant may start n tasks at once that need this much each.
-// possible are resources of runs that may exist without being known. A single task larger
+// presumed are resources of runs that may exist without being known. A single task larger
 // than the limit may start if the tenant has no other run, since it could never start
 // otherwise; platforms allow one task beyond the limit.
-func (l *Ledger) Allows(tenant string, need job.Resources, n int, possible job.Resources) bool {
+func (l *Ledger) Allows(tenant string, need job.Resources, n int, presumed job.Resources) bool {
 	if !l.HasLimit(tenant) {
 		return true
 	}
 	a := l.tenant(tenant)
-	if n == 1 && a.runs == 0 && possible == (job.Resources{}) {
+	if n == 1 && a.runs == 0 && presumed == (job.Resources{}) {
 		return true
 	}
-	return a.used.Add(possible).Add(need.Times(n)).Within(a.limit)
+	return a.used.Add(presumed).Add(need.Times(n)).Within(a.limit)
 }
 
 // AddWaiter records that tasks of the tenant wait in a service for its limit.
