--- a/jobs/node/refusedentries.go
+++ b/jobs/node/refusedentries.go
@@ -24,7 +24,7 @@
 func (r *refusedEntries) add(key string, revision int64, why error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if known, told := r.bad[key]; told && known == revision {
+	if known, refused := r.bad[key]; refused && known == revision {
 		return
 	}
 	r.bad[key] = revision
@@ -36,7 +36,7 @@
 func (r *refusedEntries) remove(key string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, told := r.bad[key]; !told {
+	if _, refused := r.bad[key]; !refused {
 		return
 	}
 	delete(r.bad, key)
