--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -13,7 +13,7 @@
 	// PollFullLists is a baseline: the owner polls all registrations and instances instead of reading
 	// the changes of the registrations.
 	PollFullLists bool
-	// UnlimitedStarts is a baseline: the owner's pending starts are not limited.
+	// UnlimitedStarts is a baseline: the owner's outstanding starts are not limited.
 	UnlimitedStarts bool
 }
 
@@ -21,20 +21,20 @@
 // BenchmarkCalls of package platform, BenchmarkFleetSize, and on the large fleet (164,000
 // calls in 15 s of a core); bytes include headers and payloads.
 const (
-	callCost             = 90 * time.Microsecond // half of it to send and half for the answer
-	eventCost            = 10 * time.Microsecond
-	tickCost             = 100 * time.Microsecond
-	orderBytes           = 900 // a start with a payload of 500 bytes
-	answerBytes          = 200
-	holdRowBytes         = 60  // a task in the answer to a hold
-	registrationBytes    = 370 // a registration in the store's answer
-	instanceBytes        = 155 // an instance in the list
-	holdMargin           = 300 * time.Millisecond
-	maxStartAge          = time.Second
-	slotTime             = 50 * time.Millisecond
-	slotsPerCore         = 120
-	minSlots             = 4
-	pendingStartsPerSlot = 4
+	callCost                 = 90 * time.Microsecond // half of it to send and half for the answer
+	eventCost                = 10 * time.Microsecond
+	tickCost                 = 100 * time.Microsecond
+	orderBytes               = 900 // a start with a payload of 500 bytes
+	answerBytes              = 200
+	holdRowBytes             = 60  // a task in the answer to a hold
+	registrationBytes        = 370 // a registration in the store's answer
+	instanceBytes            = 155 // an instance in the list
+	holdMargin               = 300 * time.Millisecond
+	maxStartAge              = time.Second
+	slotTime                 = 50 * time.Millisecond
+	slotsPerCore             = 120
+	minSlots                 = 4
+	outstandingStartsPerSlot = 4
 	// listLinkShare is the share of the link that reading the instance list may take.
 	listLinkShare = 0.1
 )
@@ -68,11 +68,11 @@
 
 func (h *daemonSim) slots() int { return max(minSlots, int(slotsPerCore*h.daemon.Cores)) }
 
-func (h *daemonSim) maxPendingStarts() int {
+func (h *daemonSim) maxOutstandingStarts() int {
 	if h.daemon.UnlimitedStarts {
 		return 0
 	}
-	return pendingStartsPerSlot * h.slots()
+	return outstandingStartsPerSlot * h.slots()
 }
 
 // callAt calls do at t, which must not be in the past.
@@ -89,8 +89,8 @@
 	h.callAt(way.use(h.s.engine.now, took), do)
 }
 
-// tell passes an event to the owner's core when the CPU gets to it.
-func (h *daemonSim) tell(kind EventKind, term uint64, f func(*owner.Core)) {
+// deliver passes an event to the owner's core when the CPU gets to it.
+func (h *daemonSim) deliver(kind EventKind, term uint64, f func(*owner.Core)) {
 	h.compute(eventCost, func() {
 		h.s.deliver(kind, term, f)
 		h.s.applyEffects()
@@ -133,7 +133,7 @@
 func (h *daemonSim) sendStart(next queuedStart) {
 	term := h.s.term
 	if h.s.engine.now.Sub(next.decided) > maxStartAge {
-		h.tell(StartAnswered, term, func(c *owner.Core) {
+		h.deliver(StartAnswered, term, func(c *owner.Core) {
 			c.OnStarted(next.order, owner.Answer{Outcome: owner.NotSent}, h.s.engine.now)
 		})
 		return
@@ -158,7 +158,7 @@
 		if took > owner.OrderTimeout {
 			a = owner.Answer{Outcome: owner.Unanswered}
 		}
-		h.tell(StartAnswered, term, func(c *owner.Core) { c.OnStarted(next.order, a, h.s.engine.now) })
+		h.deliver(StartAnswered, term, func(c *owner.Core) { c.OnStarted(next.order, a, h.s.engine.now) })
 	})
 }
 
@@ -172,7 +172,7 @@
 		if took > owner.OrderTimeout {
 			a = owner.Answer{Outcome: owner.Unanswered}
 		}
-		h.tell(StopAnswered, term, func(c *owner.Core) { c.OnStopped(o, a, h.s.engine.now) })
+		h.deliver(StopAnswered, term, func(c *owner.Core) { c.OnStopped(o, a, h.s.engine.now) })
 	})
 }
 
@@ -185,7 +185,7 @@
 	answer := func(held owner.HoldAnswer) {
 		if !answered {
 			answered = true
-			h.tell(HoldAnswered, term, func(c *owner.Core) { c.OnHoldAnswer(o.Target, held, h.s.engine.now) })
+			h.deliver(HoldAnswered, term, func(c *owner.Core) { c.OnHoldAnswer(o.Target, held, h.s.engine.now) })
 		}
 	}
 	h.s.engine.after(o.Wait+holdMargin, func() { answer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
--- a/lab/jobload/jobs.go
+++ b/lab/jobload/jobs.go
@@ -12,12 +12,12 @@
 // scheduleArrivals submits the jobs of a queue as a Poisson process whose rate follows the
 // queue's rate factor.
 func (s *sim) scheduleArrivals(q Queue) {
-	const look = 10 * time.Millisecond // time between two samples of the rate
-	s.engine.after(look, func() {
+	const rateInterval = 10 * time.Millisecond // time between two samples of the rate
+	s.engine.after(rateInterval, func() {
 		if s.engine.elapsed() > s.scenario.Length {
 			return
 		}
-		due := q.PerSecond * q.RateFactor(s.engine.elapsed()) * look.Seconds()
+		due := q.PerSecond * q.RateFactor(s.engine.elapsed()) * rateInterval.Seconds()
 		for ; due > 0; due-- {
 			if s.rand.Float64() < due {
 				s.submit(q, 1)
--- a/lab/jobload/sim.go
+++ b/lab/jobload/sim.go
@@ -159,12 +159,12 @@
 		}
 		loaded = append(loaded, l)
 	}
-	startsAtOnce := 0
+	maxOutstandingStarts := 0
 	if s.daemonSim != nil {
-		startsAtOnce = s.daemonSim.maxPendingStarts()
+		maxOutstandingStarts = s.daemonSim.maxOutstandingStarts()
 	}
 	s.core = owner.New(owner.Options{
-		MaxOutstandingStarts: startsAtOnce,
+		MaxOutstandingStarts: maxOutstandingStarts,
 		Term:                 s.term, TaskLease: taskLease, HoldWait: holdWait, StatusRetention: 2 * time.Minute,
 		DutyHandover: dutyHandover, PriorOrders: s.recentOrders(), ElectedAt: s.electedAt,
 		Weights: capacity.DefaultWeights, PoolPolicy: s.scenario.PoolPolicy, SchedulingPolicy: s.scenario.SchedulingPolicy, CallPolicy: s.scenario.CallPolicy,
@@ -248,7 +248,7 @@
 	}
 }
 
-// pollInstances reads the instance pollInstances periodically.
+// pollInstances reads the instance list periodically.
 func (s *sim) pollInstances() {
 	pause := instancesEvery
 	if s.daemonSim != nil {
@@ -262,7 +262,7 @@
 	})
 }
 
-// readList calls got once the owner has readList a list of all instances, with entries of that many
+// readList calls got once the owner has read a list of all instances, with entries of that many
 // bytes.
 func (s *sim) readList(entry int, got func()) {
 	if s.daemonSim == nil {
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -96,8 +96,8 @@
 	for _, s := range load.Summaries() {
 		m.classes[s.Class] = s
 	}
-	if broken := load.CheckExecutions(f.Workers.RunCount); len(broken) > 0 {
-		return m, fmt.Errorf("violations: %v", broken)
+	if violations := load.CheckExecutions(f.Workers.RunCount); len(violations) > 0 {
+		return m, fmt.Errorf("violations: %v", violations)
 	}
 	return m, nil
 }
--- a/lab/report.go
+++ b/lab/report.go
@@ -70,25 +70,25 @@
 // findViolations lists the violated guarantees.
 func (d *demo) findViolations() {
 	r := &d.report
-	broken := func(n int64, what string) {
+	addViolation := func(n int64, what string) {
 		if n > 0 {
 			r.Broken = append(r.Broken, fmt.Sprintf("%d %s", n, what))
 		}
 	}
 	for _, c := range r.Classes {
 		name := c.Service + "/" + c.Class
-		broken(c.Cut, "truncated answers in "+name)
-		broken(c.Foreign, "answers to another request in "+name)
-		broken(c.Differs, "resends with a different answer in "+name)
+		addViolation(c.Cut, "truncated answers in "+name)
+		addViolation(c.Foreign, "answers to another request in "+name)
+		addViolation(c.Differs, "resends with a different answer in "+name)
 	}
 	for _, p := range r.Pools {
-		broken(int64(p.Broken), "samples over the budget of pool "+p.Pool)
+		addViolation(int64(p.Broken), "samples over the budget of pool "+p.Pool)
 	}
-	broken(int64(len(r.Workers.Duplicates)), "run-once requests that ran more than once")
-	broken(r.Workers.OverSlots, "requests beyond a worker's slots")
-	broken(r.Workers.OverConns, "connections beyond a worker's limit")
-	broken(r.Workers.LateWork, "requests to a worker after the grace time of its drain")
-	broken(r.Workers.TasksTwice, "tasks that ran at the same time as another attempt")
+	addViolation(int64(len(r.Workers.Duplicates)), "run-once requests that ran more than once")
+	addViolation(r.Workers.OverSlots, "requests beyond a worker's slots")
+	addViolation(r.Workers.OverConns, "connections beyond a worker's limit")
+	addViolation(r.Workers.LateWork, "requests to a worker after the grace time of its drain")
+	addViolation(r.Workers.TasksTwice, "tasks that ran at the same time as another attempt")
 	if !r.Wave.Done {
 		r.Broken = append(r.Broken, "the wave did not end")
 	}
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -35,7 +35,7 @@
 		switch {
 		case w != nil && w.refuses:
 			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}
-		case w == nil || w.dead || w.cut:
+		case w == nil || w.dead || w.cutOff:
 			return unheard
 		}
 		return do(w)
@@ -132,10 +132,10 @@
 	switch {
 	case w != nil && w.refuses:
 		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}}, nil
-	case w == nil || w.dead || w.cut:
+	case w == nil || w.dead || w.cutOff:
 		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}}, nil
 	}
-	return c.fleet.list(w), w.ping
+	return c.fleet.list(w), w.endNotify
 }
 
 // Instances implements owner.InstanceManager.
--- a/standin/jobfleet/network.go
+++ b/standin/jobfleet/network.go
@@ -18,12 +18,12 @@
 	mu       sync.Mutex
 	handlers map[string]peer.Handler
 	gates    map[string]*Gate
-	left     map[string]chan struct{} // by address; closed when the daemon there leaves
+	departed map[string]chan struct{} // by address; closed when the daemon there leaves
 }
 
 // NewNetwork returns a network without daemons.
 func NewNetwork() *Network {
-	return &Network{handlers: map[string]peer.Handler{}, gates: map[string]*Gate{}, left: map[string]chan struct{}{}}
+	return &Network{handlers: map[string]peer.Handler{}, gates: map[string]*Gate{}, departed: map[string]chan struct{}{}}
 }
 
 // Join makes a daemon reachable at addr.
@@ -31,7 +31,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[addr], n.gates[addr] = h, gate
-	n.left[addr] = make(chan struct{})
+	n.departed[addr] = make(chan struct{})
 }
 
 // Leave makes a daemon unreachable.
@@ -39,7 +39,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.handlers[addr] != nil {
-		close(n.left[addr])
+		close(n.departed[addr])
 	}
 	delete(n.handlers, addr)
 }
@@ -134,7 +134,7 @@
 		return err
 	}
 	c.network.mu.Lock()
-	left := c.network.left[addr]
+	left := c.network.departed[addr]
 	c.network.mu.Unlock()
 	select {
 	case <-ctx.Done():
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -56,13 +56,13 @@
 	latest     map[job.TaskID]uint64 // highest run that ended or was stopped
 	lease      time.Time
 	leaseTimer *time.Timer
-	ping       chan struct{} // closed and replaced at the end of a run
+	endNotify  chan struct{} // closed and replaced at the end of a run
 	dead       bool
 	refuses    bool      // its address refuses connections, as it is dead
 	shrank     time.Time // newest decrease of its capacity; zero: none
-	cut        bool      // no daemon reaches it
-	fails      bool      // every task that starts fails
-	hangs      bool      // tasks that start don't end
+	cutOff     bool      // no daemon reaches it
+	failTasks  bool      // every task that starts fails
+	hangTasks  bool      // tasks that start don't end
 }
 
 type execution struct {
@@ -116,7 +116,7 @@
 	w := &worker{
 		reg:      owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Zone: i.Zone, Labels: []string{i.Rack}, Capacity: i.capacity, StartedMs: time.Now().UnixMilli()},
 		began:    time.Now(),
-		instance: i, active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{}, ping: make(chan struct{}),
+		instance: i, active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{}, endNotify: make(chan struct{}),
 	}
 	f.workers[id] = w
 	delete(f.down, i.ID)
@@ -132,7 +132,7 @@
 		return
 	}
 	w.dead = true
-	how := "worker crashed"
+	how := "gone"
 	if state != owner.InstanceDown {
 		how = endedWithInstance
 	}
@@ -145,8 +145,8 @@
 		f.endGang(e)
 	}
 	if w.refuses {
-		close(w.ping) // ends the holds that wait there
-		return        // the registration stays for registrationTTL
+		close(w.endNotify) // ends the holds that wait there
+		return             // the registration stays for registrationTTL
 	}
 	if i.keepWorkerID {
 		return
@@ -155,7 +155,7 @@
 }
 
 // healthy reports whether the worker has no injected fault.
-func (w *worker) healthy() bool { return !w.cut && !w.fails && !w.hangs }
+func (w *worker) healthy() bool { return !w.cutOff && !w.failTasks && !w.hangTasks }
 
 // endedWithInstance is the end of the tasks of an instance that is moved or maintained.
 const endedWithInstance = "instance moved or maintained"
@@ -188,17 +188,17 @@
 
 // Cut cuts an instance off from all daemons for d; its tasks go on.
 func (f *Fleet) Cut(id owner.InstanceID, d time.Duration) {
-	f.set(id, d, func(w *worker, on bool) { w.cut = on })
+	f.set(id, d, func(w *worker, on bool) { w.cutOff = on })
 }
 
 // FailTasks makes tasks that start on an instance in the next d fail at their end.
 func (f *Fleet) FailTasks(id owner.InstanceID, d time.Duration) {
-	f.set(id, d, func(w *worker, on bool) { w.fails = on })
+	f.set(id, d, func(w *worker, on bool) { w.failTasks = on })
 }
 
 // HangTasks makes tasks that start on an instance in the next d hang.
 func (f *Fleet) HangTasks(id owner.InstanceID, d time.Duration) {
-	f.set(id, d, func(w *worker, on bool) { w.hangs = on })
+	f.set(id, d, func(w *worker, on bool) { w.hangTasks = on })
 }
 
 func (f *Fleet) set(id owner.InstanceID, d time.Duration, change func(w *worker, on bool)) {
@@ -235,7 +235,7 @@
 	f.heartbeats++
 	for n, id := range slices.Sorted(maps.Keys(f.instances)) {
 		w := f.workers[f.instances[id].Worker]
-		if n%10 == f.heartbeats%10 && w != nil && !w.dead && !w.cut {
+		if n%10 == f.heartbeats%10 && w != nil && !w.dead && !w.cutOff {
 			f.publish(string(w.reg.Worker), &w.reg)
 		}
 	}
@@ -285,8 +285,8 @@
 		f.checker.checkDisruption(e.task, w.reg.Worker, kind.String(), w.healthy())
 	}
 	f.checker.ended(e.task, e.run, w.reg.Worker, kind.String())
-	close(w.ping)
-	w.ping = make(chan struct{})
+	close(w.endNotify)
+	w.endNotify = make(chan struct{})
 }
 
 func (f *Fleet) start(w *worker, o owner.Start) owner.Answer {
@@ -348,12 +348,12 @@
 	f.scheduleCrash(w, e)
 	e.takes = spec.Estimate
 	kind := owner.EndDone
-	if w.fails {
+	if w.failTasks {
 		kind = owner.EndFailed
 	}
-	if spec.LongRunning || w.hangs {
+	if spec.LongRunning || w.hangTasks {
 		e.timer = time.NewTimer(time.Hour)
-		if w.hangs {
+		if w.hangTasks {
 			e.takes = time.Hour
 		}
 		return
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -28,7 +28,7 @@
 	Bytes   int64 `json:"bytes"`
 }
 
-// callKind is the callKind of a call, for counts and limits.
+// callKind is the kind of a call, for counts and limits.
 type callKind uint8
 
 const (
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -22,8 +22,8 @@
 	state fleet.TaskState
 }
 
-// usagePercent is the share, in percent, of its declared resources that a task uses: declared sizes are
-// far off in practice.
+// usagePercent is the share, in percent, of its declared resources that a task uses: declared
+// sizes are far off in practice.
 const usagePercent = 60
 
 // sync serves a call of the task API: it applies the orders and answers with the worker's tasks.
