--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -232,7 +232,7 @@
 	}
 	c.counts.GivenUp++
 	c.logDecision(Decision{Event: "task-given-up", Job: j.spec.ID, Task: t.id().String(),
-		Reason: fmt.Sprintf("%d workers have crashed under it; %s", t.crashes.Confirmed(), outcome)})
+		Reason: fmt.Sprintf("%d workers crashed while running it; %s", t.crashes.Confirmed(), outcome)})
 	if !serves {
 		c.finishJob(j, job.Failed, now)
 	}
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -112,7 +112,7 @@
 }
 
 // startIncarnation ends the known incarnation of a worker and begins a new one under the
-// same id. Runs ended with the old incarnation, unless their order reached the new one. The
+// same id. Runs ended with the past incarnation, unless their order reached the new one. The
 // first run list of the new one shows which; until then they are kept, so that their tasks do
 // not start elsewhere.
 func (c *Core) startIncarnation(old *worker, startedMs int64, proof string, now time.Time) *worker {
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -9,7 +9,7 @@
 		c.onInstance(i, now)
 	}
 	if len(c.instances) == len(list) {
-		return // no instance is gone
+		return // no instance was removed
 	}
 	seen := map[InstanceID]bool{}
 	for _, i := range list {
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -68,7 +68,7 @@
 }
 
 // overlaps reports whether both losses may have happened at the same time: each happened
-// between the last sign of life and the first unanswered call.
+// between lastAliveAt and the first unanswered call.
 func (l *contactLoss) overlaps(o *contactLoss) bool {
 	if l.lostAt.IsZero() || o.lostAt.IsZero() {
 		return false
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -18,7 +18,7 @@
 const moveTimeout = 6 * time.Second
 
 // removeFinishedMoves removes accepted moves that are complete or timed out, and moves of
-// instances that are gone from the instance list.
+// instances that are no longer in the instance list.
 func (c *Core) removeFinishedMoves(now time.Time) {
 	for id, m := range c.moves {
 		i := c.instances[id]
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -32,7 +32,7 @@
 // ReportTimerDelay reports by how much the owner's timer was late.
 func (c *Core) ReportTimerDelay(d time.Duration, now time.Time) {
 	if d >= starvedTimerDelay {
-		c.markStarved("owner-delayed", d.Round(time.Millisecond).String(), now)
+		c.markStarved("owner-delayed", "timer late by "+d.Round(time.Millisecond).String(), now)
 	}
 }
 
@@ -40,7 +40,7 @@
 // its events does not include. All that was received is older by d, and workers that seem
 // silent may have answered.
 func (c *Core) ReportSuspension(d time.Duration, now time.Time) {
-	c.markStarved("owner-suspended", d.Round(time.Millisecond).String(), now)
+	c.markStarved("owner-suspended", "suspended for "+d.Round(time.Millisecond).String(), now)
 	if !c.instanceListAt.IsZero() {
 		c.instanceListAt = c.instanceListAt.Add(-d)
 	}
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -26,7 +26,7 @@
 )
 
 // preempt stops less urgent runs on one worker if the step has waited long enough for
-// capacity. The freed worker is reserved for the step for preemptInterval.
+// capacity. The freed worker is kept for the step for preemptInterval.
 func (p *schedulingPass) preempt(s *stepState, req *placement.Request) {
 	now := p.now
 	if s.waitingSince.IsZero() {
@@ -106,8 +106,8 @@
 	return lostWork
 }
 
-// isReservedForOther reports whether the worker is reserved for another step after a
+// isKeptForOther reports whether the worker is kept for another step after a
 // preemption, or isolated from the step's job.
-func (w *worker) isReservedForOther(s *stepState, now time.Time) bool {
+func (w *worker) isKeptForOther(s *stepState, now time.Time) bool {
 	return w.isIsolatedFrom(s.job, now) || w.preemptedFor != nil && w.preemptedFor != s && now.Before(w.preemptedUntil) && !w.preemptedFor.job.state.Final()
 }
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -31,7 +31,7 @@
 func (c *Core) UpdateRegistrations(changed []Registration, missing []WorkerID, upToDate bool, now time.Time) {
 	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > storeOutageGap {
 		c.unregisterFrom = now.Add(reregistrationGrace)
-		c.logDecision(Decision{Event: "registrations-back", Reason: now.Sub(c.registrationsAt).String()})
+		c.logDecision(Decision{Event: "registrations-back", Reason: "no update for " + now.Sub(c.registrationsAt).String()})
 	}
 	c.registrationsAt = now
 	c.trackRegistrationLag(upToDate, now)
@@ -66,7 +66,7 @@
 func (c *Core) trackRegistrationLag(upToDate bool, now time.Time) {
 	switch {
 	case upToDate && c.areRegistrationsStale(now):
-		c.logDecision(Decision{Event: "registrations-caught-up", Reason: now.Sub(c.registrationsLagSince).String()})
+		c.logDecision(Decision{Event: "registrations-caught-up", Reason: "behind the store for " + now.Sub(c.registrationsLagSince).String()})
 		c.registrationsLagSince = time.Time{}
 		for service := range c.pools {
 			c.changedServices[service] = true
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -278,7 +278,7 @@
 	s, now := sel.step, sel.pass.now
 	permits := s.needsPermits()
 	allowed := func(w *worker) bool {
-		return !excluded(w) && !w.isReservedForOther(s, now) && (!permits || s.hasValidTicket(w, now))
+		return !excluded(w) && !w.isKeptForOther(s, now) && (!permits || s.hasValidTicket(w, now))
 	}
 	return sel.pass.pool.free.choose(&sel.req, allowed, sel.stepTasks, now)
 }
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -316,7 +316,7 @@
 	orderHoldoff           map[InstanceID]time.Time // until when no order is sent, because of one of an earlier owner
 	registrationsAt        time.Time                // last update of the registrations
 	registrationsLagSince  time.Time                // since when known registrations are behind the store; zero: up to date
-	unregisterFrom         time.Time                // when missing registrations begin to count as gone
+	unregisterFrom         time.Time                // when missing registrations begin to count as deleted
 	instanceListAt         time.Time                // last instance list
 	fenced                 bool
 
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -75,7 +75,7 @@
 // holdWait returns how long the worker is to wait for a new end before it answers.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
-	case !w.heldByThisOwner || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnconfirmedStart():
+	case !w.heldByThisOwner || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnansweredStart():
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
@@ -98,9 +98,9 @@
 	return time.Duration(float64(busy) / c.opt.MaxHoldsPerSec * float64(time.Second))
 }
 
-// hasUnconfirmedStart reports whether the worker has an unanswered start that is not sent
+// hasUnansweredStart reports whether the worker has an unanswered start that is not sent
 // again. Its task is blocked until the worker's run list shows whether the run started.
-func (w *worker) hasUnconfirmedStart() bool {
+func (w *worker) hasUnansweredStart() bool {
 	for _, r := range w.runs {
 		if r.phase == starting && !r.startAbandonedAt.IsZero() {
 			return true
@@ -235,7 +235,7 @@
 		return
 	}
 	if !w.silentSince.IsZero() {
-		c.logDecision(Decision{Event: "worker-answers", Worker: w.Worker, Reason: now.Sub(w.silentSince).String()})
+		c.logDecision(Decision{Event: "worker-answers", Worker: w.Worker, Reason: "silent for " + now.Sub(w.silentSince).String()})
 		w.silentSince = time.Time{}
 		c.silentWorkers.put(w, false)
 	}
--- a/jobs/owner/workerview.go
+++ b/jobs/owner/workerview.go
@@ -41,7 +41,7 @@
 	needsPermits := s.needsPermits()
 	for i, w := range v.workers {
 		v.views[i].SameStep = 0
-		v.views[i].Excluded = needsPermits && !s.hasValidTicket(w, now) || w.isReservedForOther(s, now)
+		v.views[i].Excluded = needsPermits && !s.hasValidTicket(w, now) || w.isKeptForOther(s, now)
 	}
 	for _, t := range s.tasks {
 		for _, r := range t.runs {
