--- a/jobs/owner/saturatedlink_test.go
+++ b/jobs/owner/saturatedlink_test.go
@@ -9,13 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against treating a saturated network link as worker failures. When an owner's link of
-// 2 Mbit/s was saturated, sends and reads waited for over a second and holds timed out: for
-// half a minute 30 to 45% of its 132 workers seemed silent at a time. As these were fewer than
-// half, the owner took each one for lost: 476 leases lapsed, long-running tasks ended beyond
-// their disruption budgets and other tasks were started twice. The processor was not the cause:
-// at most three quarters of it were used while 1,249 starts went unanswered, and all of this
-// ended once run lists no longer used the link.
+// Guards against treating a saturated network link as worker failures. On a saturated link of 2 Mbit/s sends and reads took
+// over a second and holds timed out, so for half a minute 30 to 45% of the owner's 132 workers seemed silent at a time. As
+// these were fewer than half, the owner took each one for lost: 476 leases lapsed, long-running tasks ended beyond their
+// disruption budgets and other tasks were started twice. The processor was not the cause: at most three quarters of it were
+// used while 1,249 starts went unanswered, and all of this ended once run lists no longer used the link.
 
 // saturatedLinkLatency is the latency of an order over a saturated link.
 const saturatedLinkLatency = 300 * time.Millisecond
@@ -74,13 +72,11 @@
 	}
 }
 
-// TestUnansweredStartsIndicateSaturatedLink checks that starts without any answer indicate a
-// saturated link too. For three seconds no answer arrived over an owner's link, so no slow
-// answer showed that the link was saturated; 92 of 132 workers seemed silent, 32 of them
-// incarnations that had ended. Once the link was free, holds did not renew the leases of silent
-// workers, and 28 and 54 of them lapsed half a second later in two of three runs of the same
-// day (AVAIL 17 and 16). The owner's log showed 51 and 24 silent workers, 33 and 40 unanswered
-// starts within two seconds, and no owner-link-full line.
+// TestUnansweredStartsIndicateSaturatedLink checks that starts without any answer indicate a saturated link too. For three
+// seconds no answer arrived over an owner's link, so no slow answer showed that it was saturated, and 92 of 132 workers
+// seemed silent, 32 of them incarnations that had ended. Once the link was free, holds did not renew the leases of silent
+// workers: 28 and 54 of them lapsed half a second later in two of three runs, whose logs showed 51 and 24 silent workers,
+// 33 and 40 unanswered starts within two seconds, and no owner-link-full line.
 func TestUnansweredStartsIndicateSaturatedLink(t *testing.T) {
 	const workers, silent = 30, 12
 	r := newRig(t, 1)
--- a/lab/jobload/lostcalls_test.go
+++ b/lab/jobload/lostcalls_test.go
@@ -10,16 +10,11 @@
 	"github.com/postmount/postmount/jobs/calls"
 )
 
-// TestLostCalls guards against a collapse when answers of workers are lost. Observed: 0.73 of
-// the work was served with a fifth of the starts and holds unanswered for ten seconds, 0.89 with
-// a twentieth, 0.99 without. The owner waited for each lost order as long as on a full link; its
-// task made no progress meanwhile, its worker got no new task until its hold returned, and the end
-// of a run was known a second late if its hold was lost.
-//
-// Under rotatingLoad calls.Patient gives 0.69 in time with a twentieth of the calls lost and 0.45
-// with a fifth, calls.Short 0.97 and 0.91 (but it holds each worker with tasks eight times a
-// second, also if nothing is lost). The bounds are the goal: a twentieth costs at most 0.03 of
-// the share without loss, a fifth at most 0.10.
+// TestLostCalls guards against a collapse when workers' answers are lost. The owner waited for each lost start or hold as
+// long as on a saturated link, and tasks and workers waited with it: 0.73 of the work was served with a fifth of these calls
+// lost, 0.89 with a twentieth, 0.99 with none. Under rotatingLoad calls.Patient gives 0.45 and 0.69 (a fifth, a twentieth),
+// calls.Short 0.91 and 0.97, but it always holds each worker with tasks eight times a second. The bounds are the goal: a
+// twentieth costs at most 0.03 of the share without loss, a fifth at most 0.10.
 func TestLostCalls(t *testing.T) {
 	const seeds = 12
 	served := func(share float64, policy calls.Policy) float64 {
--- a/lab/jobload/unusedmoves_test.go
+++ b/lab/jobload/unusedmoves_test.go
@@ -36,13 +36,10 @@
 	return sc
 }
 
-// TestUnusedMoves checks that the number of instances that are moved to a pool without use grows
-// with the work, not with the size of the fleet.
-//
-// Observed on 6,000 instances: 2,900 were moved to two pools whose peaks needed 300. The arrival
-// rate was estimated over the newest five arrivals. On a large fleet these come within
-// milliseconds, sometimes within one, so the forecast was ten times the actual load (a trace of
-// the plans shows 18,000 cores a second forecast, 1,800 arrived), and all of it was ordered at once.
+// TestUnusedMoves checks that the number of instances moved to a pool without use grows with the work, not with the fleet.
+// The arrival rate was estimated over the newest five arrivals, which on a large fleet come within milliseconds. So the
+// forecast was ten times the load (18,000 cores a second, 1,800 arrived), and all of it was ordered at once: of 6,000
+// instances 2,900 were moved to two pools whose peaks needed 300.
 func TestUnusedMoves(t *testing.T) {
 	inVain := func(instances, seeds int) float64 {
 		moves, jobs := 0, 0
