--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -118,7 +118,7 @@
 		Instances: func() []fleet.Instance { return nil }, SeedInstances: func([]fleet.Instance) {},
 	})
 	d.handler = &entry.Handler{
-		Dispatcher: d.dispatcher, Claims: &stepClaims{d.node.Claims, d}, Backend: &stepBackend{d}, Standing: d.node.ServingStatus, Observer: &stepObserver{d},
+		Dispatcher: d.dispatcher, Claims: &stepClaims{d.node.Claims, d}, Backend: &stepBackend{d}, ServingStatus: d.node.ServingStatus, Observer: &stepObserver{d},
 		Limits: entry.Limits{MaxBody: 1 << 20, DefaultTimeout: 2 * time.Second, MaxTimeout: 10 * time.Second, MaxInFlight: 100, MaxBuffered: 1 << 30, MaxRetained: 1 << 16},
 	}
 	d.dispatcher.SetDirectory(fixedDirectory())
--- a/requests/admit/admit_test.go
+++ b/requests/admit/admit_test.go
@@ -12,7 +12,7 @@
 
 var t0 = time.Date(2026, 1, 1, 9, 30, 0, 0, time.UTC)
 
-func newCore(p Policy) *Controller {
+func newController(p Policy) *Controller {
 	o := DefaultOptions
 	o.Policy = p
 	o.MaxQueue = 100
@@ -38,7 +38,7 @@
 }
 
 func TestLowWeightBacklogDoesNotDelayHighWeightClass(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	for i := range 50 {
 		push(t, c, ID(i), "bulk", time.Minute)
 	}
@@ -47,7 +47,7 @@
 	}
 	first := order(c, 6)
 	assert.Subset(t, first, []ID{100, 101, 102, 103})
-	fifo := newCore(PolicyFIFO)
+	fifo := newController(PolicyFIFO)
 	for i := range 50 {
 		push(t, fifo, ID(i), "bulk", time.Minute)
 	}
@@ -56,7 +56,7 @@
 }
 
 func TestNoClassStarves(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	for i := range 90 {
 		push(t, c, ID(i), "retail", time.Minute)
 	}
@@ -65,7 +65,7 @@
 }
 
 func TestEarliestDeadlineFirstWithinAClass(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	push(t, c, 1, "retail", 3*time.Second)
 	push(t, c, 2, "retail", time.Second)
 	push(t, c, 3, "retail", 2*time.Second)
@@ -73,7 +73,7 @@
 }
 
 func TestRefusesRequestThatCannotMeetItsDeadline(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	for range 100 {
 		c.ObserveServiceTime(time.Second)
 	}
@@ -90,7 +90,7 @@
 // its weight alone: by weight bulk would wait four seconds, but retail leaves
 // most of its share unused and bulk is dispatched every 10 ms.
 func TestExpectedWaitUsesRecentDispatchRate(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	for range 100 {
 		c.ObserveServiceTime(100 * time.Millisecond)
 	}
@@ -108,7 +108,7 @@
 }
 
 func TestQueueIsBounded(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	for i := range 100 {
 		push(t, c, ID(i), "bulk", time.Hour)
 	}
@@ -117,7 +117,7 @@
 }
 
 func TestExpiredAndRemovedRequestsAreNotRun(t *testing.T) {
-	c := newCore(PolicyWeighted)
+	c := newController(PolicyWeighted)
 	push(t, c, 1, "retail", time.Second)
 	push(t, c, 2, "retail", 2*time.Second)
 	push(t, c, 3, "retail", 3*time.Second)
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -86,7 +86,8 @@
 	minRetryPause = 25 * time.Millisecond
 	reportTimeout = 30 * time.Second
 	// maxRetryPause bounds the pause for what no caller waits for: reports of ended
-	// attempts and transfers of partitions. A view without a lost owner takes seconds.
+	// attempts and transfers of partitions. It takes
+	// seconds until a view without a lost owner is in force.
 	maxRetryPause = 400 * time.Millisecond
 )
 
@@ -131,8 +132,8 @@
 	if owner.Incarnation == c.node.opts.Self.Incarnation {
 		return c.OnTransfer(tr)
 	}
-	taken, err := c.node.deps.Peers.Transfer(ctx, owner.PeerAddr, tr)
-	return err == nil && taken
+	accepted, err := c.node.deps.Peers.Transfer(ctx, owner.PeerAddr, tr)
+	return err == nil && accepted
 }
 
 // idle reports whether no transfer is in progress and the owners have recorded the
@@ -199,8 +200,9 @@
 // OnTransfer implements port.PeerServer.
 func (n *Node) OnTransfer(t once.Transfer) bool { return n.Claims.OnTransfer(t) }
 
-// CodeNoOwner is the code of a request whose key's owner cannot be reached.
-const CodeNoOwner verdict.Code = "key-owner-unavailable"
+// CodeKeyOwnerUnavailable is the code of a request whose key's owner cannot grant a
+// claim now, because it is unreachable or not ready.
+const CodeKeyOwnerUnavailable verdict.Code = "key-owner-unavailable"
 
 // askTimeout bounds a request for a claim. A planned view change takes much less;
 // a caller must not wait for an owner that is down.
@@ -236,8 +238,8 @@
 	uncertain := false
 	for {
 		asked := c.node.View()
-		reply, maybe := c.askOnce(ctx, asked, cl)
-		uncertain = uncertain || maybe
+		reply, mayBeGranted := c.askOnce(ctx, asked, cl)
+		uncertain = uncertain || mayBeGranted
 		if reply.Result == once.Granted && c.node.View().Epoch != asked.Epoch {
 			// The view changed during the request, so the claim is requested again:
 			// the owner may have been paused before it answered and own it no more.
@@ -255,7 +257,7 @@
 		}
 		if !sleep.For(ctx, minRetryPause) {
 			c.abandon(attempt, uncertain)
-			return "", once.Reply{}, verdict.New(verdict.NotRun, CodeNoOwner, "the owner of the key cannot grant it now")
+			return "", once.Reply{}, verdict.New(verdict.NotRun, CodeKeyOwnerUnavailable, "the owner of the key cannot grant it now")
 		}
 	}
 }
@@ -280,9 +282,9 @@
 	c.mu.Unlock()
 }
 
-// askOnce sends one request to the owner under view v. maybe is true if the owner
-// may have granted the claim although its answer did not arrive.
-func (c *Claims) askOnce(ctx context.Context, v *fleet.View, cl once.Claim) (reply once.Reply, maybe bool) {
+// askOnce sends one request to the owner under view v. mayBeGranted is true if the
+// owner may have granted the claim although its answer did not arrive.
+func (c *Claims) askOnce(ctx context.Context, v *fleet.View, cl once.Claim) (reply once.Reply, mayBeGranted bool) {
 	r := once.Request{Epoch: v.Epoch, Key: cl.Key, Fingerprint: cl.Fingerprint, Attempt: cl.Attempt, Claimer: cl.Claimer}
 	owner := v.Member(once.Owner(v, cl.Key.Partition()))
 	if owner == nil {
@@ -346,6 +348,6 @@
 	if owner.Incarnation == c.node.opts.Self.Incarnation {
 		return c.RecordAttempt(cl)
 	}
-	noted, err := c.node.deps.Peers.ReportAttempt(ctx, owner.PeerAddr, cl)
-	return err == nil && noted
+	recorded, err := c.node.deps.Peers.ReportAttempt(ctx, owner.PeerAddr, cl)
+	return err == nil && recorded
 }
--- a/requests/cluster/claims_test.go
+++ b/requests/cluster/claims_test.go
@@ -20,8 +20,8 @@
 // unreachablePeer refuses reports of attempts until reachable is set.
 type unreachablePeer struct {
 	port.Peers
-	reachable    atomic.Bool
-	tries, noted atomic.Int64
+	reachable       atomic.Bool
+	tries, recorded atomic.Int64
 }
 
 func (p *unreachablePeer) ReportAttempt(context.Context, string, once.Claim) (bool, error) {
@@ -29,7 +29,7 @@
 	if !p.reachable.Load() {
 		return false, errors.New("connection refused")
 	}
-	p.noted.Add(1)
+	p.recorded.Add(1)
 	return true, nil
 }
 
@@ -53,7 +53,7 @@
 		assert.LessOrEqual(t, peers.tries.Load(), int64(12*attempts), "reports sent while the owner is unreachable")
 		peers.reachable.Store(true)
 		time.Sleep(500 * time.Millisecond)
-		assert.EqualValues(t, attempts, peers.noted.Load(), "reports recorded within half a second")
+		assert.EqualValues(t, attempts, peers.recorded.Load(), "reports recorded within half a second")
 		n.Claims.wait()
 	})
 }
--- a/requests/cluster/heartbeat.go
+++ b/requests/cluster/heartbeat.go
@@ -24,10 +24,10 @@
 	for _, e := range n.deps.Mirror.State().Entries {
 		targets[e.Value.PeerAddr] = e.Value.Incarnation
 	}
-	for _, m := range n.core.View().Members {
+	for _, m := range n.tracker.View().Members {
 		targets[m.PeerAddr] = m.Incarnation
 	}
-	if n.core.View().Epoch == 0 {
+	if n.tracker.View().Epoch == 0 {
 		for _, addr := range n.opts.Seeds {
 			if _, known := targets[addr]; !known {
 				targets[addr] = ""
@@ -71,8 +71,8 @@
 	return port.Heartbeat{
 		From:     n.opts.Self.Incarnation,
 		ID:       n.opts.Self.ID,
-		Epoch:    n.core.View().Epoch,
-		Highest:  n.core.HighestEpoch(),
+		Epoch:    n.tracker.View().Epoch,
+		Highest:  n.tracker.HighestEpoch(),
 		Revision: n.deps.Mirror.State().Revision,
 		Settled:  n.deps.Shares.SelfSettled(),
 		Stopping: n.stopping,
@@ -80,7 +80,7 @@
 }
 
 func (n *Node) handleHeartbeatReply(ctx context.Context, now, sentAt time.Time, addr string, asked port.Heartbeat, r port.HeartbeatReply) {
-	n.core.RecordConfirmation(now, sentAt, r.From, asked.Epoch, r.Highest)
+	n.tracker.RecordConfirmation(now, sentAt, r.From, asked.Epoch, r.Highest)
 	n.recordPeerState(now, r.From, r.Epoch, r.Revision, r.Settled, r.Stopping)
 	if r.Revision > n.deps.Mirror.State().Revision && n.needsRecords() {
 		n.fetchRecords(ctx, addr)
@@ -101,7 +101,7 @@
 // needsRecords reports whether to fetch records from a peer that has newer ones:
 // if the store's watch is down or a newer epoch is known.
 func (n *Node) needsRecords() bool {
-	return !n.deps.Connected() || n.core.HighestEpoch() > n.core.View().Epoch
+	return !n.deps.Connected() || n.tracker.HighestEpoch() > n.tracker.View().Epoch
 }
 
 // fetchRecords fetches the peer's records that are newer than this daemon's.
@@ -123,16 +123,16 @@
 
 // OnHeartbeat implements port.PeerServer. It runs on the control goroutine, so that
 // once the reply reports a newer epoch, this daemon serves no older one.
-func (n *Node) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
+func (n *Node) OnHeartbeat(hb port.Heartbeat) port.HeartbeatReply {
 	var r port.HeartbeatReply
 	n.runOnLoop(func(now time.Time) {
-		n.core.RecordEpoch(now, b.From, b.Highest)
-		n.recordPeerState(now, b.From, b.Epoch, b.Revision, b.Settled, b.Stopping)
+		n.tracker.RecordEpoch(now, hb.From, hb.Highest)
+		n.recordPeerState(now, hb.From, hb.Epoch, hb.Revision, hb.Settled, hb.Stopping)
 		n.publish(now)
 		r = port.HeartbeatReply{
 			From:     n.opts.Self.Incarnation,
-			Epoch:    n.core.View().Epoch,
-			Highest:  n.core.HighestEpoch(),
+			Epoch:    n.tracker.View().Epoch,
+			Highest:  n.tracker.HighestEpoch(),
 			Revision: n.deps.Mirror.State().Revision,
 			Settled:  n.deps.Shares.SelfSettled(),
 			Stopping: n.stopping,
@@ -171,11 +171,11 @@
 		return
 	}
 	state := n.deps.Mirror.State()
-	if state.View.Value.Epoch != n.core.View().Epoch {
+	if state.View.Value.Epoch != n.tracker.View().Epoch {
 		return
 	}
 	ev := n.observations(now, state)
-	serving := n.core.ServingStatus(now).Serving(now)
+	serving := n.tracker.ServingStatus(now).Serving(now)
 	next, ok := member.Propose(now, state.View.Value, ev, n.opts.Grace, serving)
 	if !ok {
 		return
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -38,7 +38,7 @@
 // view. entry.Dispatcher implements it.
 type SlotShares interface {
 	SetView(v *fleet.View)
-	Advance(now time.Time, retired bool)
+	ActivateShares(now time.Time, retired bool)
 	SelfSettled() bool
 	PeerSettled(peer fleet.Incarnation, e fleet.Epoch)
 	OnBorrow(r port.BorrowRequest) port.BorrowReply
@@ -78,7 +78,7 @@
 
 	// The fields below belong to the control goroutine.
 	rand           *rand.Rand
-	core           *member.Tracker
+	tracker        *member.Tracker
 	peers          map[fleet.Incarnation]*peerState
 	missingSince   map[fleet.Incarnation]time.Time
 	ended          map[fleet.Incarnation]bool
@@ -117,7 +117,7 @@
 		heartbeatNow: make(chan struct{}, 1),
 		done:         make(chan struct{}),
 		rand:         rand.New(rand.NewPCG(deps.Seed, 1)),
-		core:         member.New(opts.Self.Incarnation, opts.Member),
+		tracker:      member.New(opts.Self.Incarnation, opts.Member),
 		peers:        map[fleet.Incarnation]*peerState{},
 		missingSince: map[fleet.Incarnation]time.Time{},
 		ended:        map[fleet.Incarnation]bool{},
@@ -223,7 +223,7 @@
 // adopt makes the mirror's newest view the current one.
 func (n *Node) adopt(ctx context.Context, now time.Time) {
 	v := n.deps.Mirror.State().View.Value
-	if !n.core.Adopt(now, v) {
+	if !n.tracker.Adopt(now, v) {
 		return
 	}
 	// The status under the old view is replaced before anything acts on the new one.
@@ -237,15 +237,15 @@
 // publish makes the serving status and the members' progress visible to other
 // goroutines.
 func (n *Node) publish(now time.Time) {
-	s := n.core.ServingStatus(now)
+	s := n.tracker.ServingStatus(now)
 	n.servingStatus.Store(&s)
-	n.deps.Shares.Advance(now, s.EarlierViewsRetired)
+	n.deps.Shares.ActivateShares(now, s.EarlierViewsRetired)
 	if s.Reason != n.lastReason {
 		n.lastReason = s.Reason
 		n.deps.Log.Info("serving status changed", zap.Int64("epoch", int64(s.Epoch)), zap.String("reason", s.Reason))
 	}
 	p := &MemberProgress{
-		View:     n.core.View().Clone(),
+		View:     n.tracker.View().Clone(),
 		Revision: map[fleet.Incarnation]fleet.Revision{n.opts.Self.Incarnation: n.deps.Mirror.State().Revision},
 		HeardAt:  map[fleet.Incarnation]time.Time{n.opts.Self.Incarnation: now},
 		Stopping: map[fleet.Incarnation]bool{n.opts.Self.Incarnation: n.stopping},
@@ -285,7 +285,7 @@
 	n.runOnLoop(func(now time.Time) {
 		for _, i := range incarnations {
 			n.ended[i] = true
-			n.core.MarkEnded(now, i)
+			n.tracker.MarkEnded(now, i)
 		}
 	})
 }
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -47,8 +47,8 @@
 	}
 }
 
-func (b *taskTracker) find(id fleet.InstanceID, pool fleet.PoolName, j *fleet.Job) (fleet.Task, bool) {
-	for _, t := range b.reports[id].tasks {
+func (tracker *taskTracker) find(id fleet.InstanceID, pool fleet.PoolName, j *fleet.Job) (fleet.Task, bool) {
+	for _, t := range tracker.reports[id].tasks {
 		if t.Pool == pool && t.Job == j.Name && t.Attempt == j.Attempt {
 			return t, true
 		}
@@ -280,23 +280,23 @@
 // stop: after urgentSyncInterval if anything changes, else after
 // routineSyncInterval, which is well before the leases expire.
 func (r *round) syncWorkers(name fleet.PoolName, js *fleet.JobSet) {
-	rounds := map[fleet.InstanceID]*port.TaskSyncRequest{}
+	requests := map[fleet.InstanceID]*port.TaskSyncRequest{}
 	urgent := map[fleet.InstanceID]bool{}
 	for i := range js.Jobs {
 		j := &js.Jobs[i]
 		if j.Worker == "" {
 			continue
 		}
-		s := rounds[j.Worker]
+		s := requests[j.Worker]
 		if s == nil {
 			s = &port.TaskSyncRequest{Lease: r.c.opts.TaskLease, Checkpoint: true}
-			rounds[j.Worker] = s
+			requests[j.Worker] = s
 		}
 		if r.addToSync(name, j, s) {
 			urgent[j.Worker] = true
 		}
 	}
-	for id, s := range rounds {
+	for id, s := range requests {
 		r.syncWorker(id, *s, urgent[id])
 	}
 }
@@ -331,20 +331,20 @@
 )
 
 func (r *round) syncWorker(id fleet.InstanceID, s port.TaskSyncRequest, urgent bool) {
-	b := r.c.tasks
+	tracker := r.c.tasks
 	due := routineSyncInterval
 	if urgent {
 		due = urgentSyncInterval
 	}
 	inst, listed := r.snap.Instances[id]
-	if !listed || b.syncing[id] || r.now.Sub(b.syncedAt[id]) < due {
+	if !listed || tracker.syncing[id] || r.now.Sub(tracker.syncedAt[id]) < due {
 		return
 	}
 	if len(s.Start)+len(s.Keep)+len(s.Stop) == 0 {
 		return
 	}
-	b.syncing[id] = true
-	b.syncedAt[id] = r.now
+	tracker.syncing[id] = true
+	tracker.syncedAt[id] = r.now
 	r.c.background(func() { r.c.syncTasks(r.ctx, id, inst.Addr, s) })
 }
 
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -188,7 +188,7 @@
 		StoreConnected: d.syncer.Connected.Load, OnEntriesEnded: d.node.MarkEnded, OnSnapshot: d.applySnapshot, Log: d.log,
 	})
 	d.handler = &entry.Handler{
-		Dispatcher: d.dispatcher, Claims: d.node.Claims, Backend: d.backend, Standing: d.node.ServingStatus,
+		Dispatcher: d.dispatcher, Claims: d.node.Claims, Backend: d.backend, ServingStatus: d.node.ServingStatus,
 		Limits: entry.Limits{
 			MaxBody: s.Limits.MaxBodyBytes, DefaultTimeout: s.Limits.DefaultTimeout.D(), MaxTimeout: s.Limits.MaxTimeout.D(),
 			MaxInFlight: s.Limits.MaxInFlight, MaxBuffered: s.Limits.MaxBufferedBytes, MaxRetained: s.Limits.MaxRetainedBytes,
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -126,10 +126,10 @@
 		return api.WaveReport{}, false
 	}
 	w := v.Value
-	tally := control.ComputeWaveProgress(snap, snap.State.MembersByPool(), w)
+	progress := control.ComputeWaveProgress(snap, snap.State.MembersByPool(), w)
 	r := api.WaveReport{
 		Wave: name, State: string(w.State), Started: w.StartedAt, Ended: w.EndedAt, Deadline: w.Deadline,
-		Finished: tally.Finished, Failed: tally.Failed,
+		Finished: progress.Finished, Failed: progress.Failed,
 	}
 	to := w.EndedAt
 	if to.IsZero() {
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -78,12 +78,12 @@
 
 // Handler implements http.Handler for callers.
 type Handler struct {
-	Dispatcher *Dispatcher
-	Claims     Claims
-	Backend    port.Backend
-	Standing   func() member.ServingStatus
-	Limits     Limits
-	Observer   Observer
+	Dispatcher    *Dispatcher
+	Claims        Claims
+	Backend       port.Backend
+	ServingStatus func() member.ServingStatus
+	Limits        Limits
+	Observer      Observer
 
 	inFlight     atomic.Int64
 	reservedBody atomic.Int64 // bytes reserved for request bodies
@@ -255,8 +255,8 @@
 		if err == nil && !h.failedAnswerRetryable(c, answer) {
 			return answer, nil
 		}
-		again, ok := h.shouldRetry(ctx, c, attempt, err)
-		if !ok || !sleep.For(ctx, again) {
+		delay, ok := h.shouldRetry(ctx, c, attempt, err)
+		if !ok || !sleep.For(ctx, delay) {
 			return answer, err
 		}
 	}
@@ -271,7 +271,7 @@
 // attempt acquires a slot, claims the key if there is one and sends the request
 // once.
 func (h *Handler) attempt(ctx context.Context, c *call, attempt int) (*port.BackendAnswer, error) {
-	if !h.Standing().MayUseSlots(time.Now()) {
+	if !h.ServingStatus().MayUseSlots(time.Now()) {
 		return nil, newRefusal(CodeCutOff, "this entry daemon is cut off from its peers", time.Second)
 	}
 	if c.key != "" && !h.Claims.Reachable(c.key) {
@@ -289,7 +289,7 @@
 
 // send sends the request to the granted worker and releases the slot.
 func (h *Handler) send(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
-	if !h.Standing().MayUseSlots(time.Now()) {
+	if !h.ServingStatus().MayUseSlots(time.Now()) {
 		h.Dispatcher.ReleaseUnsent(grant)
 		return nil, newRefusal(CodeCutOff, "this entry daemon is cut off from its peers", time.Second)
 	}
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -65,7 +65,7 @@
 	d.SetDirectory(dir)
 	return &Handler{
 		Dispatcher: d, Claims: claims, Backend: backend, Observer: noObserver{},
-		Standing: func() member.ServingStatus {
+		ServingStatus: func() member.ServingStatus {
 			return member.ServingStatus{Epoch: 1, SlotsUntil: time.Now().Add(time.Hour)}
 		},
 		Limits: Limits{MaxBody: 16, DefaultTimeout: time.Second, MaxTimeout: time.Minute, MaxInFlight: 10, MaxBuffered: 1000, MaxRetained: 10},
@@ -166,7 +166,7 @@
 func TestCutOffDaemonRefusesRequests(t *testing.T) {
 	b := &fakeBackend{}
 	h := newHandler(&fakeClaims{}, b)
-	h.Standing = func() member.ServingStatus {
+	h.ServingStatus = func() member.ServingStatus {
 		return member.ServingStatus{Epoch: 1, SlotsUntil: time.Now().Add(-time.Second)}
 	}
 	w := do(h, http.MethodGet, "http://desk/orders", "")
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -17,7 +17,8 @@
 const (
 	// loanIdleTimeout is the age from which a borrowed slot is returned when free,
 	// and the interval between attempts to return it.
-	loanIdleTimeout  = 300 * time.Millisecond
+	loanIdleTimeout = 300 * time.Millisecond
+	// loanTickInterval is the interval between calls of loanTick.
 	loanTickInterval = 100 * time.Millisecond
 	// peakDecay is the factor applied to recentPeak at each tick.
 	peakDecay = 0.97
@@ -50,9 +51,9 @@
 	d.slots.PeerSettled(peer, e)
 }
 
-// Advance implements cluster.SlotShares. It activates the shares of the current view
-// once no slots of earlier views can be in use.
-func (d *Dispatcher) Advance(now time.Time, retired bool) {
+// ActivateShares implements cluster.SlotShares. It activates the shares of the
+// current view once no slots of earlier views can be in use.
+func (d *Dispatcher) ActivateShares(now time.Time, retired bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.slots.ActivateShares(now, retired)
--- a/requests/member/member_test.go
+++ b/requests/member/member_test.go
@@ -41,7 +41,7 @@
 	assert.False(t, c.ServingStatus(later).Serving(later))
 }
 
-func TestConfirmationCountsFromTheTimeOfTheQuestion(t *testing.T) {
+func TestConfirmationIsValidFromWhenTheHeartbeatWasSent(t *testing.T) {
 	c := New("a", DefaultOptions)
 	c.Adopt(t0, view(1, nil, "a", "b", "c"))
 	answered := t0.Add(DefaultOptions.ConfirmWindow)
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -58,10 +58,10 @@
 	Heartbeat(ctx context.Context, addr string, b Heartbeat) (HeartbeatReply, error)
 	Changes(ctx context.Context, addr string, since fleet.Revision) (Changes, error)
 	Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error)
-	// ReportAttempt reports the state of an attempt to the owner of its key. noted is
-	// false if the peer does not own the key's partition.
-	ReportAttempt(ctx context.Context, addr string, n once.Claim) (noted bool, err error)
-	Transfer(ctx context.Context, addr string, t once.Transfer) (taken bool, err error)
+	// ReportAttempt reports the state of an attempt to the owner of its key. recorded
+	// is false if the peer does not own the key's partition.
+	ReportAttempt(ctx context.Context, addr string, n once.Claim) (recorded bool, err error)
+	Transfer(ctx context.Context, addr string, t once.Transfer) (accepted bool, err error)
 	Borrow(ctx context.Context, addr string, r BorrowRequest) (BorrowReply, error)
 	Return(ctx context.Context, addr string, loans []slots.LoanID) error
 	Burn(ctx context.Context, addr string) (BurnCounts, error)
--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -56,7 +56,7 @@
 	Pool              *fleet.Pool
 	Commands          []InstanceCommand
 	MembershipChanges []MembershipChange
-	// Notes explain the decisions to operators (postmount why).
+	// Notes explain the decisions to operators (statement "why").
 	Notes []Note
 }
 
