--- a/requests/admit/admit.go
+++ b/requests/admit/admit.go
@@ -94,8 +94,8 @@
 // initialServiceTime is assumed until the first request has completed.
 const initialServiceTime = 20 * time.Millisecond
 
-// averageNewWeight is the weight of the newest sample in the moving averages.
-const averageNewWeight = 0.1
+// averageSmoothing is the weight of the newest sample in the moving averages.
+const averageSmoothing = 0.1
 
 // New returns a controller with no classes and one slot.
 func New(opts Options) *Controller {
@@ -141,7 +141,7 @@
 
 // ObserveServiceTime records how long a request held its slot.
 func (c *Controller) ObserveServiceTime(held time.Duration) {
-	c.serviceTime += time.Duration(averageNewWeight * float64(held-c.serviceTime))
+	c.serviceTime += time.Duration(averageSmoothing * float64(held-c.serviceTime))
 }
 
 // Waiting returns the number of waiting requests.
@@ -211,7 +211,7 @@
 		if k.dispatchInterval == 0 {
 			k.dispatchInterval = sample
 		}
-		k.dispatchInterval += time.Duration(averageNewWeight * float64(sample-k.dispatchInterval))
+		k.dispatchInterval += time.Duration(averageSmoothing * float64(sample-k.dispatchInterval))
 	}
 	k.lastDispatch = now
 	if k.queue.Len() == 0 {
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -86,8 +86,8 @@
 	minRetryPause = 25 * time.Millisecond
 	reportTimeout = 30 * time.Second
 	// maxRetryPause bounds the pause for what no caller waits for: reports of ended
-	// attempts and transfers of partitions. It takes
-	// seconds until a view without a lost owner is in force.
+	// attempts and transfers of partitions. It takes seconds until a view without a
+	// lost owner is in force.
 	maxRetryPause = 400 * time.Millisecond
 )
 
--- a/requests/health/health.go
+++ b/requests/health/health.go
@@ -96,8 +96,8 @@
 }
 
 const (
-	// latencyNewWeight is the weight of the newest sample in the moving average.
-	latencyNewWeight = 0.3
+	// latencySmoothing is the weight of the newest sample in the moving average.
+	latencySmoothing = 0.3
 	// latencyMaxAge is how long the average is valid without a new sample, so that
 	// a slow worker is tried again.
 	latencyMaxAge = 5 * time.Second
@@ -109,7 +109,7 @@
 	if l.at.IsZero() || now.Sub(l.at) > latencyMaxAge {
 		l.mean = took
 	}
-	l.mean += time.Duration(latencyNewWeight * float64(took-l.mean))
+	l.mean += time.Duration(latencySmoothing * float64(took-l.mean))
 	l.at = now
 	l.waitingSince = time.Time{}
 	d.latencies[id] = l
--- a/requests/member/member.go
+++ b/requests/member/member.go
@@ -63,78 +63,78 @@
 }
 
 // View returns the view in force at this daemon. Callers must not change it.
-func (c *Tracker) View() *fleet.View { return &c.view }
+func (t *Tracker) View() *fleet.View { return &t.view }
 
 // HighestEpoch returns the newest epoch known, which this daemon reports in its
 // heartbeats. The daemon confirms no epoch lower than that.
-func (c *Tracker) HighestEpoch() fleet.Epoch { return c.highestEpoch }
+func (t *Tracker) HighestEpoch() fleet.Epoch { return t.highestEpoch }
 
 // Adopt makes v the current view if it is newer. It reports whether it did.
-func (c *Tracker) Adopt(now time.Time, v *fleet.View) bool {
-	if v.Epoch <= c.view.Epoch {
+func (t *Tracker) Adopt(now time.Time, v *fleet.View) bool {
+	if v.Epoch <= t.view.Epoch {
 		return false
 	}
-	c.previousViewUntil = c.ServingStatus(now).SlotsUntil
-	c.view = *v.Clone()
-	c.highestEpoch = max(c.highestEpoch, v.Epoch)
-	clear(c.confirmedAt)
-	c.retiredAt = time.Time{}
-	c.allStopped = false
-	c.checkRetired(now)
+	t.previousViewUntil = t.ServingStatus(now).SlotsUntil
+	t.view = *v.Clone()
+	t.highestEpoch = max(t.highestEpoch, v.Epoch)
+	clear(t.confirmedAt)
+	t.retiredAt = time.Time{}
+	t.allStopped = false
+	t.checkRetired(now)
 	return true
 }
 
 // RecordEpoch records that a peer reported epoch e as the newest it knows.
-func (c *Tracker) RecordEpoch(now time.Time, peer fleet.Incarnation, e fleet.Epoch) {
-	c.highestEpoch = max(c.highestEpoch, e)
-	c.knownEpoch[peer] = max(c.knownEpoch[peer], e)
-	c.checkRetired(now)
+func (t *Tracker) RecordEpoch(now time.Time, peer fleet.Incarnation, e fleet.Epoch) {
+	t.highestEpoch = max(t.highestEpoch, e)
+	t.knownEpoch[peer] = max(t.knownEpoch[peer], e)
+	t.checkRetired(now)
 }
 
 // RecordConfirmation records a peer's reply to a heartbeat that was sent at sentAt
 // under epoch asked. e is the newest epoch that the peer knows; the reply confirms
 // the view if e equals asked.
-func (c *Tracker) RecordConfirmation(now, sentAt time.Time, peer fleet.Incarnation, asked, e fleet.Epoch) {
-	c.RecordEpoch(now, peer, e)
-	if asked != c.view.Epoch || e != asked {
+func (t *Tracker) RecordConfirmation(now, sentAt time.Time, peer fleet.Incarnation, asked, e fleet.Epoch) {
+	t.RecordEpoch(now, peer, e)
+	if asked != t.view.Epoch || e != asked {
 		return
 	}
-	if sentAt.After(c.confirmedAt[peer]) {
-		c.confirmedAt[peer] = sentAt
+	if sentAt.After(t.confirmedAt[peer]) {
+		t.confirmedAt[peer] = sentAt
 	}
 }
 
 // MarkEnded records that a member's process has ended according to the platform's
 // instance list, so that it can't confirm any view.
-func (c *Tracker) MarkEnded(now time.Time, member fleet.Incarnation) {
-	c.ended[member] = true
-	c.checkRetired(now)
+func (t *Tracker) MarkEnded(now time.Time, member fleet.Incarnation) {
+	t.ended[member] = true
+	t.checkRetired(now)
 }
 
 // checkRetired sets retiredAt once, for each earlier view, a quorum of its members
 // can no longer confirm it, and allStopped once none of them can.
-func (c *Tracker) checkRetired(now time.Time) {
-	if c.view.Epoch == 0 || c.allStopped {
+func (t *Tracker) checkRetired(now time.Time) {
+	if t.view.Epoch == 0 || t.allStopped {
 		return
 	}
 	retired, all := true, true
-	for _, old := range c.view.Unretired {
-		stopped, first := c.countStopped(old)
+	for _, old := range t.view.Unretired {
+		stopped, first := t.countStopped(old)
 		retired = retired && isQuorum(stopped, first, len(old.Members))
 		all = all && stopped == len(old.Members)
 	}
-	c.allStopped = all
-	if retired && c.retiredAt.IsZero() {
-		c.retiredAt = now
+	t.allStopped = all
+	if retired && t.retiredAt.IsZero() {
+		t.retiredAt = now
 	}
 }
 
 // countStopped counts the members that no longer serve or confirm an earlier view,
 // because they know a newer one or have ended. first reports whether the view's
 // first member is among them.
-func (c *Tracker) countStopped(old fleet.RetiringView) (n int, first bool) {
+func (t *Tracker) countStopped(old fleet.RetiringView) (n int, first bool) {
 	for i, m := range old.Members {
-		if m == c.self || c.ended[m] || c.knownEpoch[m] > old.Epoch {
+		if m == t.self || t.ended[m] || t.knownEpoch[m] > old.Epoch {
 			n++
 			first = first || i == 0
 		}
@@ -195,26 +195,26 @@
 )
 
 // ServingStatus returns this daemon's status at time now.
-func (c *Tracker) ServingStatus(now time.Time) ServingStatus {
-	s := ServingStatus{Epoch: c.view.Epoch, EarlierViewsRetired: c.earlierViewsRetired(now)}
+func (t *Tracker) ServingStatus(now time.Time) ServingStatus {
+	s := ServingStatus{Epoch: t.view.Epoch, EarlierViewsRetired: t.earlierViewsRetired(now)}
 	switch {
-	case c.view.Epoch == 0:
+	case t.view.Epoch == 0:
 		s.Reason = ReasonNoView
 		return s
-	case c.view.Member(c.self) == nil:
+	case t.view.Member(t.self) == nil:
 		s.Reason = ReasonNotMember
 		return s
 	}
-	confirmed := c.confirmedUntil(now)
+	confirmed := t.confirmedUntil(now)
 	s.SlotsUntil = confirmed
-	if c.previousViewUntil.After(confirmed) {
-		s.SlotsUntil = c.previousViewUntil
+	if t.previousViewUntil.After(confirmed) {
+		s.SlotsUntil = t.previousViewUntil
 	}
-	if c.highestEpoch == c.view.Epoch {
+	if t.highestEpoch == t.view.Epoch {
 		s.ServeUntil = confirmed
 	}
 	switch {
-	case c.highestEpoch > c.view.Epoch:
+	case t.highestEpoch > t.view.Epoch:
 		s.Reason = ReasonNewerEpoch
 	case !s.HasQuorum(now):
 		s.Reason = ReasonNoQuorum
@@ -226,24 +226,24 @@
 
 // confirmedUntil returns until when a quorum's confirmations are valid. The daemon
 // itself confirms at every call, so the only member of a view always has a quorum.
-func (c *Tracker) confirmedUntil(now time.Time) time.Time {
-	times := make([]confirmation, 0, len(c.view.Members))
-	for i, m := range c.view.Members {
-		at := c.confirmedAt[m.Incarnation]
-		if m.Incarnation == c.self {
+func (t *Tracker) confirmedUntil(now time.Time) time.Time {
+	confirmations := make([]confirmation, 0, len(t.view.Members))
+	for i, m := range t.view.Members {
+		at := t.confirmedAt[m.Incarnation]
+		if m.Incarnation == t.self {
 			at = now
 		}
-		times = append(times, confirmation{at: at, first: i == 0})
+		confirmations = append(confirmations, confirmation{at: at, first: i == 0})
 	}
-	slices.SortFunc(times, func(a, b confirmation) int { return b.at.Compare(a.at) })
+	slices.SortFunc(confirmations, func(a, b confirmation) int { return b.at.Compare(a.at) })
 	first := false
-	for i, t := range times {
-		first = first || t.first
-		if isQuorum(i+1, first, len(times)) {
-			if t.at.IsZero() {
+	for i, conf := range confirmations {
+		first = first || conf.first
+		if isQuorum(i+1, first, len(confirmations)) {
+			if conf.at.IsZero() {
 				return time.Time{}
 			}
-			return t.at.Add(c.opts.ConfirmWindow)
+			return conf.at.Add(t.opts.ConfirmWindow)
 		}
 	}
 	return time.Time{}
@@ -255,9 +255,9 @@
 }
 
 // earlierViewsRetired reports whether certainly no earlier view is served any more.
-func (c *Tracker) earlierViewsRetired(now time.Time) bool {
-	if c.allStopped || c.retiredAt.IsZero() {
-		return c.allStopped
+func (t *Tracker) earlierViewsRetired(now time.Time) bool {
+	if t.allStopped || t.retiredAt.IsZero() {
+		return t.allStopped
 	}
-	return now.Sub(c.retiredAt) >= c.opts.ConfirmWindow+c.opts.DriftMargin
+	return now.Sub(t.retiredAt) >= t.opts.ConfirmWindow+t.opts.DriftMargin
 }
--- a/requests/slots/slots_test.go
+++ b/requests/slots/slots_test.go
@@ -146,58 +146,58 @@
 	})
 }
 
-func (f *simulation) pick(t *rapid.T) fleet.Incarnation {
-	return rapid.SampledFrom(f.view.Incarnations()).Draw(t, "member")
+func (sim *simulation) pick(t *rapid.T) fleet.Incarnation {
+	return rapid.SampledFrom(sim.view.Incarnations()).Draw(t, "member")
 }
 
-func (f *simulation) check(t *rapid.T) {
+func (sim *simulation) check(t *rapid.T) {
 	sum := 0
-	for _, n := range f.inUse {
+	for _, n := range sim.inUse {
 		sum += n
 	}
 	if sum > 8 {
-		t.Fatalf("%d of 8 slots in use: %v", sum, f.inUse)
+		t.Fatalf("%d of 8 slots in use: %v", sum, sim.inUse)
 	}
 }
 
-func (f *simulation) acquire(t *rapid.T) {
-	if id := f.pick(t); f.allocators[id].Acquire("w") {
-		f.inUse[id]++
+func (sim *simulation) acquire(t *rapid.T) {
+	if id := sim.pick(t); sim.allocators[id].Acquire("w") {
+		sim.inUse[id]++
 	}
 }
 
-func (f *simulation) release(t *rapid.T) {
-	if id := f.pick(t); f.inUse[id] > 0 {
-		f.allocators[id].Release("w")
-		f.inUse[id]--
+func (sim *simulation) release(t *rapid.T) {
+	if id := sim.pick(t); sim.inUse[id] > 0 {
+		sim.allocators[id].Release("w")
+		sim.inUse[id]--
 	}
 }
 
-func (f *simulation) borrow(t *rapid.T) {
-	lender, borrower := f.pick(t), f.pick(t)
+func (sim *simulation) borrow(t *rapid.T) {
+	lender, borrower := sim.pick(t), sim.pick(t)
 	if lender == borrower {
 		return
 	}
-	f.nextID++
-	if l, ok := f.allocators[lender].Lend(f.now, LoanID(fmt.Sprint(f.nextID)), borrower, f.allocators[borrower].view.Epoch, []fleet.InstanceID{"w"}, keepNone); ok {
-		f.loans = append(f.loans, l)
+	sim.nextID++
+	if l, ok := sim.allocators[lender].Lend(sim.now, LoanID(fmt.Sprint(sim.nextID)), borrower, sim.allocators[borrower].view.Epoch, []fleet.InstanceID{"w"}, keepNone); ok {
+		sim.loans = append(sim.loans, l)
 	}
 }
 
 // deliver delivers a granted loan to its borrower, possibly repeatedly or under
 // a later view.
-func (f *simulation) deliver(t *rapid.T) {
-	if len(f.loans) == 0 {
+func (sim *simulation) deliver(t *rapid.T) {
+	if len(sim.loans) == 0 {
 		return
 	}
-	l := rapid.SampledFrom(f.loans).Draw(t, "loan")
-	if c := f.allocators[l.Borrower]; c != nil && !f.returned(l) {
+	l := rapid.SampledFrom(sim.loans).Draw(t, "loan")
+	if c := sim.allocators[l.Borrower]; c != nil && !sim.returned(l) {
 		c.AddBorrowed(l)
 	}
 }
 
-func (f *simulation) returned(l Loan) bool {
-	for _, b := range f.returnedLoans {
+func (sim *simulation) returned(l Loan) bool {
+	for _, b := range sim.returnedLoans {
 		if b.ID == l.ID {
 			return true
 		}
@@ -205,10 +205,10 @@
 	return false
 }
 
-func (f *simulation) giveBack(t *rapid.T) {
-	for _, l := range f.allocators[f.pick(t)].ReleaseIdle(f.now.Add(time.Second)) {
-		f.returnedLoans = append(f.returnedLoans, l)
-		if c := f.allocators[l.Lender]; c != nil && rapid.Bool().Draw(t, "arrives") {
+func (sim *simulation) giveBack(t *rapid.T) {
+	for _, l := range sim.allocators[sim.pick(t)].ReleaseIdle(sim.now.Add(time.Second)) {
+		sim.returnedLoans = append(sim.returnedLoans, l)
+		if c := sim.allocators[l.Lender]; c != nil && rapid.Bool().Draw(t, "arrives") {
 			c.TakeBack(l.ID)
 		}
 	}
@@ -216,47 +216,47 @@
 
 // tick advances the clock, lets some members learn that others have settled, and
 // activates shares.
-func (f *simulation) tick(t *rapid.T) {
-	f.now = f.now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "seconds")) * time.Second)
-	for id, ended := range f.removedAt {
-		if f.now.Sub(ended) >= drain {
-			f.inUse[id] = 0
+func (sim *simulation) tick(t *rapid.T) {
+	sim.now = sim.now.Add(time.Duration(rapid.IntRange(0, 4).Draw(t, "seconds")) * time.Second)
+	for id, ended := range sim.removedAt {
+		if sim.now.Sub(ended) >= drain {
+			sim.inUse[id] = 0
 		}
 	}
-	for _, a := range f.view.Incarnations() {
-		for _, b := range f.view.Incarnations() {
-			if a != b && f.allocators[b].SelfSettled() && rapid.Bool().Draw(t, "heard") {
-				f.allocators[a].PeerSettled(b, f.allocators[b].view.Epoch)
+	for _, a := range sim.view.Incarnations() {
+		for _, b := range sim.view.Incarnations() {
+			if a != b && sim.allocators[b].SelfSettled() && rapid.Bool().Draw(t, "heard") {
+				sim.allocators[a].PeerSettled(b, sim.allocators[b].view.Epoch)
 			}
 		}
-		f.allocators[a].ActivateShares(f.now, true)
+		sim.allocators[a].ActivateShares(sim.now, true)
 	}
 }
 
 // replaceMember replaces a member, which is either lost with requests running or
 // leaves with none. All remaining members switch to the new view.
-func (f *simulation) replaceMember(t *rapid.T) {
-	old := f.pick(t)
-	f.nextID++
-	next := &fleet.View{Epoch: f.view.Epoch + 1, Unretired: []fleet.RetiringView{{Epoch: f.view.Epoch, Members: f.view.Incarnations()}}}
-	for _, m := range f.view.Members {
+func (sim *simulation) replaceMember(t *rapid.T) {
+	old := sim.pick(t)
+	sim.nextID++
+	next := &fleet.View{Epoch: sim.view.Epoch + 1, Unretired: []fleet.RetiringView{{Epoch: sim.view.Epoch, Members: sim.view.Incarnations()}}}
+	for _, m := range sim.view.Members {
 		if m.Incarnation != old {
 			next.Members = append(next.Members, m)
 		}
 	}
-	if f.inUse[old] == 0 && rapid.Bool().Draw(t, "leaves") {
+	if sim.inUse[old] == 0 && rapid.Bool().Draw(t, "leaves") {
 		next.Departed = []fleet.Incarnation{old}
 	}
-	fresh := fleet.Incarnation(fmt.Sprint("n", f.nextID))
+	fresh := fleet.Incarnation(fmt.Sprint("n", sim.nextID))
 	next.Members = append(next.Members, fleet.Entry{Incarnation: fresh})
-	delete(f.allocators, old)
-	f.removedAt[old] = f.now
-	f.view = next
-	for _, c := range f.allocators {
+	delete(sim.allocators, old)
+	sim.removedAt[old] = sim.now
+	sim.view = next
+	for _, c := range sim.allocators {
 		c.SetView(next)
 	}
 	c := New(fresh, drain)
 	c.SetWorkers(map[fleet.InstanceID]int{"w": 8})
 	c.SetView(next)
-	f.allocators[fresh] = c
+	sim.allocators[fresh] = c
 }
