--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -206,11 +206,11 @@
 	})
 }
 
-// instancesEvery returns the pause between two reads of the instance list.
-func (h *daemonSim) instancesEvery(instances int) time.Duration {
+// listInterval returns the pause between two reads of the instance list.
+func (h *daemonSim) listInterval(instances int) time.Duration {
 	if h.daemon.PollFullLists {
-		return expectingEvery
+		return expectingInterval
 	}
 	megabits := float64(instances*instanceBytes) * 8 / 1e6
-	return max(instancesEvery, time.Duration(megabits/(h.daemon.LinkMbps*listLinkShare)*float64(time.Second)))
+	return max(instancesInterval, time.Duration(megabits/(h.daemon.LinkMbps*listLinkShare)*float64(time.Second)))
 }
--- a/lab/jobload/daemon_test.go
+++ b/lab/jobload/daemon_test.go
@@ -15,7 +15,7 @@
 func slowLinkFleet(seed uint64, d Daemon) Scenario {
 	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 4500, MemMB: 16000, Task: 800 * time.Millisecond, EstimateError: 0.5}
 	large := JobKind{Steps: 2, Width: 8, CPUMilli: 9700, MemMB: 20000, Task: 1700 * time.Millisecond, EstimateError: 0.5}
-	sc := Scenario{Seed: seed, Length: 34 * time.Second, Instances: 27, Spare: 24, Room: job.Resources{CPUMilli: 32000, MemMB: 131072}, Daemon: &d}
+	sc := Scenario{Seed: seed, Length: 34 * time.Second, Instances: 27, Spare: 24, Capacity: job.Resources{CPUMilli: 32000, MemMB: 131072}, Daemon: &d}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 6.3, Kind: small},
 		{Name: "b", PerSecond: 1.24, Kind: large, Priority: 1},
--- a/lab/jobload/decisions_test.go
+++ b/lab/jobload/decisions_test.go
@@ -40,7 +40,7 @@
 
 // overloadedFleet has less capacity than its work needs, and tasks of many sizes.
 func overloadedFleet(seed uint64) Scenario {
-	sc := Scenario{Seed: seed, Length: 12 * time.Second, Instances: 12, Spare: 4, Room: job.Resources{CPUMilli: 16000, MemMB: 32768}}
+	sc := Scenario{Seed: seed, Length: 12 * time.Second, Instances: 12, Spare: 4, Capacity: job.Resources{CPUMilli: 16000, MemMB: 32768}}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 14, Kind: JobKind{Steps: 1.6, Width: 8, CPUMilli: 2300, MemMB: 5000, Task: 800 * time.Millisecond, EstimateError: 0.5}},
 		{Name: "b", PerSecond: 6, Kind: JobKind{Steps: 2, Width: 8, CPUMilli: 3900, MemMB: 2000, Task: 1700 * time.Millisecond, EstimateError: 0.9}, Priority: 1},
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -47,11 +47,11 @@
 type pendingHold struct{ answer func(owner.HoldAnswer) }
 
 type execution struct {
-	run     uint64
-	began   time.Time
-	takes   time.Duration
-	cores   float64
-	stopped bool
+	run      uint64
+	began    time.Time
+	duration time.Duration
+	cores    float64
+	stopped  bool
 }
 
 // startWorker brings the instance up in its pool, with a new worker unless it is spare.
@@ -65,7 +65,7 @@
 	id := owner.WorkerID(fmt.Sprintf("%s.%d", i.ID, i.workerCount))
 	i.Worker = id
 	i.worker = &worker{
-		reg:    owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Capacity: s.scenario.Room},
+		reg:    owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Capacity: s.scenario.Capacity},
 		on:     i,
 		active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{},
 	}
@@ -120,12 +120,12 @@
 	}
 	s.running[o.Task]++
 	step := &s.jobs[o.Task.Job].spec.Steps[o.Task.Step]
-	e := &execution{run: o.Run, began: s.engine.now, takes: s.taskDuration(o.Task), cores: float64(step.Need.CPUMilli) / 1000}
+	e := &execution{run: o.Run, began: s.engine.now, duration: s.taskDuration(o.Task), cores: float64(step.Need.CPUMilli) / 1000}
 	w.active[o.Task] = e
 	w.ranTask = true
 	w.startOrder = append(w.startOrder, o.Task)
 	s.result.Starts++
-	s.engine.after(e.takes, func() {
+	s.engine.after(e.duration, func() {
 		if !e.stopped && !w.dead {
 			s.end(w, o.Task, e, owner.EndDone)
 		}
@@ -219,7 +219,7 @@
 	held := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}, Ends: slices.Clone(w.ends)}
 	for _, t := range w.startOrder {
 		e := w.active[t]
-		percent := min(99, int(100*s.engine.now.Sub(e.began)/e.takes))
+		percent := min(99, int(100*s.engine.now.Sub(e.began)/e.duration))
 		held.Active = append(held.Active, owner.ActiveRun{Task: t, Run: e.run, Percent: percent})
 	}
 	h.answer(held)
--- a/lab/jobload/jobs.go
+++ b/lab/jobload/jobs.go
@@ -42,12 +42,12 @@
 		if n > 0 {
 			step.After = []int{n - 1}
 		}
-		var takes []time.Duration
+		var durations []time.Duration
 		for range step.Count {
-			takes = append(takes, time.Duration(float64(mean)*(0.8+0.4*s.rand.Float64())))
+			durations = append(durations, time.Duration(float64(mean)*(0.8+0.4*s.rand.Float64())))
 		}
 		spec.Steps = append(spec.Steps, step)
-		j.takes = append(j.takes, takes)
+		j.durations = append(j.durations, durations)
 	}
 	s.jobs[spec.ID] = j
 	s.result.JobsBySecond[s.submitSecond(j)]++
@@ -89,7 +89,9 @@
 	s.engine.after(submitAttempts[n+1]-submitAttempts[n], func() { s.attemptSubmit(j, n+1) })
 }
 
-func (s *sim) taskDuration(t job.TaskID) time.Duration { return s.jobs[t.Job].takes[t.Step][t.Index] }
+func (s *sim) taskDuration(t job.TaskID) time.Duration {
+	return s.jobs[t.Job].durations[t.Step][t.Index]
+}
 
 func (s *sim) submitSecond(j *simJob) int { return int(j.first.Sub(s.engine.begin).Seconds()) }
 
@@ -116,7 +118,7 @@
 // stepsDuration returns the minimum duration of the job: the sum of the longest tasks of its steps.
 func (j *simJob) stepsDuration() time.Duration {
 	var sum time.Duration
-	for _, step := range j.takes {
+	for _, step := range j.durations {
 		var longest time.Duration
 		for _, t := range step {
 			longest = max(longest, t)
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -15,7 +15,7 @@
 	Length    time.Duration // of the arrivals; jobs that are open then have drainTime to end
 	Instances int           // of each pool at the start
 	Spare     int           // instances in the spare pool, which cost nothing
-	Room      job.Resources // of an instance
+	Capacity  job.Resources // of an instance
 	Queues    []Queue       // each has a pool of its own
 	Faults    []Fault
 	Daemon    *Daemon // limits of the owner's daemon; nil: its work takes no time
--- a/lab/jobload/sim.go
+++ b/lab/jobload/sim.go
@@ -12,16 +12,16 @@
 
 // Timing of the daemon, as in package node, and of callers, as in the users' documentation.
 const (
-	tickEvery          = 25 * time.Millisecond
-	commitEvery        = 40 * time.Millisecond
-	storeTime          = 5 * time.Millisecond
-	recordsPerCommit   = 28
-	registrationsEvery = 400 * time.Millisecond
-	expectingEvery     = 100 * time.Millisecond
-	instancesEvery     = 700 * time.Millisecond
-	taskLease          = 4500 * time.Millisecond
-	holdWait           = 900 * time.Millisecond
-	dutyHandover       = 3 * time.Second
+	tickInterval          = 25 * time.Millisecond
+	commitInterval        = 40 * time.Millisecond
+	storeTime             = 5 * time.Millisecond
+	recordsPerCommit      = 28
+	registrationsInterval = 400 * time.Millisecond
+	expectingInterval     = 100 * time.Millisecond
+	instancesInterval     = 700 * time.Millisecond
+	taskLease             = 4500 * time.Millisecond
+	holdWait              = 900 * time.Millisecond
+	dutyHandover          = 3 * time.Second
 	// electionAfterPowerLoss is the time from the owner's loss of power to the next election:
 	// its lease of 2 s, and the election. electionAfterKill is the same for a killed process,
 	// which is detected at once.
@@ -73,10 +73,10 @@
 }
 
 type simJob struct {
-	spec  *job.Job
-	takes [][]time.Duration // of each task of each step
-	first time.Time         // first submission
-	ended bool
+	spec      *job.Job
+	durations [][]time.Duration // of each task of each step
+	first     time.Time         // first submission
+	ended     bool
 }
 
 // Run simulates a scenario to its end.
@@ -121,8 +121,8 @@
 
 func (s *sim) begin() {
 	s.elect()
-	s.every(tickEvery, s.tick)
-	s.every(commitEvery, s.commit)
+	s.every(tickInterval, s.tick)
+	s.every(commitInterval, s.commit)
 	s.pollInstances()
 	s.pollWorkers()
 	for _, q := range s.scenario.Queues {
@@ -250,9 +250,9 @@
 
 // pollInstances reads the instance list periodically.
 func (s *sim) pollInstances() {
-	pause := instancesEvery
+	pause := instancesInterval
 	if s.daemonSim != nil {
-		pause = s.daemonSim.instancesEvery(len(s.ids))
+		pause = s.daemonSim.listInterval(len(s.ids))
 	}
 	s.engine.after(pause, func() {
 		s.readList(instanceBytes, func() {
@@ -375,9 +375,9 @@
 
 func (s *sim) workersRead() {
 	s.listWorkers()
-	pause := registrationsEvery
+	pause := registrationsInterval
 	if s.core != nil && s.core.ExpectsWorkers() {
-		pause = expectingEvery
+		pause = expectingInterval
 	}
 	s.engine.after(pause, s.pollWorkers)
 }
--- a/operators/api/exec.go
+++ b/operators/api/exec.go
@@ -110,7 +110,7 @@
 			return plan, mayHaveRunIfWritten(err, written)
 		}
 	}
-	return command.Plan{}, mayHaveRunIfWritten(verdict.New(verdict.NotRun, record.CodeConflict, "gave up: the record kept changing"), written)
+	return command.Plan{}, mayHaveRunIfWritten(verdict.New(verdict.NotRun, record.CodeConflict, "gave up: the statement is still incomplete after the maximum number of writes and write conflicts"), written)
 }
 
 // mayHaveRunIfWritten changes the verdict NotRun of err to MayHaveRun if a part of the
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -1,6 +1,6 @@
 // Package jobfleet holds small stand-ins for the environment of the job subsystem: the store,
 // workers, the instance manager and the network between daemons, all in memory and on the
-// process' clock, with fault injection. A Checker checks the subsystem's guarantees from what
+// process's clock, with fault injection. A Checker checks the subsystem's guarantees from what
 // callers and workers observe.
 package jobfleet
 
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -66,12 +66,12 @@
 }
 
 type execution struct {
-	task  job.TaskID
-	run   uint64
-	began time.Time
-	takes time.Duration // duration; 0: until it is stopped
-	timer *time.Timer
-	need  job.Resources
+	task     job.TaskID
+	run      uint64
+	began    time.Time
+	duration time.Duration // 0: until it is stopped
+	timer    *time.Timer
+	need     job.Resources
 }
 
 // NewFleet returns a fleet without instances. publish is called with each registration, nil for
@@ -346,7 +346,7 @@
 	f.checker.started(o.Task, o.Run, w.reg.Worker, o.Token)
 	f.checker.checkZone(o.Task, w.reg.Zone)
 	f.scheduleCrash(w, e)
-	e.takes = spec.Estimate
+	e.duration = spec.Estimate
 	kind := owner.EndDone
 	if w.failTasks {
 		kind = owner.EndFailed
@@ -354,11 +354,11 @@
 	if spec.LongRunning || w.hangTasks {
 		e.timer = time.NewTimer(time.Hour)
 		if w.hangTasks {
-			e.takes = time.Hour
+			e.duration = time.Hour
 		}
 		return
 	}
-	e.timer = time.AfterFunc(e.takes, func() {
+	e.timer = time.AfterFunc(e.duration, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if !w.dead {
@@ -415,11 +415,11 @@
 }
 
 func (e *execution) percent() int {
-	takes := e.takes
-	if takes == 0 {
-		takes = startupTime
+	duration := e.duration
+	if duration == 0 {
+		duration = startupTime
 	}
-	return min(100, int(100*time.Since(e.began)/takes))
+	return min(100, int(100*time.Since(e.began)/duration))
 }
 
 func (f *Fleet) downOf(wave int) int {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is a small stand-in for the platform's instance list and instance commands;
+// Package platform is a small stand-in for the platform's instance list and instance actions;
 // docs/PROTOCOLS.md describes its calls. The list shows changes with a delay, commands are
 // idempotent by id and refused for a wrong generation, and faults can be injected.
 package platform
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// endDueTasks ends the tasks whose run time or lease is over.
+// endDueTasks ends the tasks whose run time or lease is over; while Faults.Fail is set it fails all.
 func (w *Worker) endDueTasks(now time.Time) {
 	for id, t := range w.tasks {
 		switch {
