--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -164,27 +164,27 @@
 // beginHold carries out a hold without the costs of the owner's daemon.
 func (s *sim) beginHold(o owner.Hold) {
 	term := s.term
-	tell := func(held owner.HoldAnswer) {
+	deliverAnswer := func(held owner.HoldAnswer) {
 		s.deliver(HoldAnswered, term, func(c *owner.Core) { c.OnHoldAnswer(o.Target, held, s.engine.now) })
 	}
 	if w := s.workers[o.Worker]; w == nil || w.dead {
-		s.engine.after(o.Wait+owner.OrderTimeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+		s.engine.after(o.Wait+owner.OrderTimeout, func() { deliverAnswer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 		return
 	}
 	if s.drawCallLoss() {
-		s.engine.after(o.Wait+o.Timeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+		s.engine.after(o.Wait+o.Timeout, func() { deliverAnswer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 		return
 	}
 	if s.drawCallLoss() {
-		s.engine.after(o.Wait+o.Timeout, func() { tell(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
+		s.engine.after(o.Wait+o.Timeout, func() { deliverAnswer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}}) })
 		return
 	}
 	s.receiveHold(o, func(held owner.HoldAnswer) {
 		if held.Outcome == owner.Unanswered {
-			tell(held)
+			deliverAnswer(held)
 			return
 		}
-		s.engine.after(callTime, func() { tell(held) })
+		s.engine.after(callTime, func() { deliverAnswer(held) })
 	})
 }
 
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -22,9 +22,9 @@
 
 // order carries out do on a worker, with the faults of the daemon and of the worker.
 func (c *FleetClient) order(ctx context.Context, to owner.Target, op string, do func(w *worker) owner.Answer) owner.Answer {
-	unheard := owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}
+	unanswered := owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}
 	if c.gate.pass(ctx, toWorkers) != nil {
-		return unheard
+		return unanswered
 	}
 	time.Sleep(workerLatency)
 	reached := c.fleet.workerOf(to.Worker)
@@ -36,11 +36,11 @@
 		case w != nil && w.refuses:
 			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}
 		case w == nil || w.dead || w.cutOff:
-			return unheard
+			return unanswered
 		}
 		return do(w)
 	}
-	a := unheard
+	a := unanswered
 	switch c.hook(c.daemon, op) {
 	case Refused:
 		return owner.Answer{Outcome: owner.Unhealthy}
@@ -59,7 +59,7 @@
 		return a
 	}
 	if c.gate.pass(ctx, toWorkers) != nil {
-		return unheard
+		return unanswered
 	}
 	return a
 }
@@ -96,12 +96,12 @@
 	end := time.NewTimer(o.Wait)
 	defer end.Stop()
 	for {
-		h, ping := c.holdAnswer(o.Worker)
+		h, ended := c.holdAnswer(o.Worker)
 		if len(h.Ends) > 0 || h.Outcome != owner.Taken {
 			return c.deliverHold(ctx, h)
 		}
 		select {
-		case <-ping:
+		case <-ended:
 		case <-end.C:
 			h, _ = c.holdAnswer(o.Worker)
 			return c.deliverHold(ctx, h)
--- a/standin/store/server.go
+++ b/standin/store/server.go
@@ -30,7 +30,7 @@
 	r.Get("/standin/faults", s.getFaults)
 	r.Put("/standin/faults", s.putFaults)
 	r.Post("/standin/drop-watches", s.dropWatches)
-	r.Post("/standin/lapse-leases", s.lapseLeases)
+	r.Post("/standin/lapse-leases", s.expireLeases)
 	r.Get("/standin/calls", s.getCalls)
 	s.router = r
 	go s.expireLoop()
@@ -176,7 +176,7 @@
 
 func (s *Server) dropWatches(http.ResponseWriter, *http.Request) { s.DropWatches() }
 
-func (s *Server) lapseLeases(http.ResponseWriter, *http.Request) { s.ExpireAllLeases() }
+func (s *Server) expireLeases(http.ResponseWriter, *http.Request) { s.ExpireAllLeases() }
 
 // int64String formats a 64-bit integer as the gateway does.
 func int64String(n int64) string { return strconv.FormatInt(n, 10) }
