--- a/internal/matrix/mutations.sh
+++ b/internal/matrix/mutations.sh
@@ -42,7 +42,7 @@
 broken "missed views are not noticed" requests/once/handover.go 's/if missed == 0 \{/if true {/' "$M ./requests/once"
 broken "a view serves before the earlier one stopped" requests/member/member.go 's/return c\.allStopped\n/return true\n/' "$M ./requests/member"
 broken "a minority serves" requests/member/member.go 's/return 2\*n > total[^\n]*/return true/' "$M ./requests/member"
-broken "a newer epoch is ignored" requests/member/member.go 's/if c\.highest == c\.view\.Epoch \{/if true {/' "$M ./requests/member"
+broken "a newer epoch is ignored" requests/member/member.go 's/if c\.highestEpoch == c\.view\.Epoch \{/if true {/' "$M ./requests/member"
 broken "what may have run is noted as not run" requests/entry/keyed.go 's/case verdict\.Of\(err\) == verdict\.NotRun:\n\t\th\.Claims/case true:\n\t\th.Claims/' "$M"
 broken "the request is sent without a claim" requests/entry/handler.go 's/if c\.key == "" \{\n\t\treturn h\.send/if true {\n\t\treturn h.send/' "$M"
 broken "a cut-off daemon goes on sending" requests/entry/handler.go 's/if !h\.Standing\(\)\.MayUseSlots\(time\.Now\(\)\) \{/if false {/g' "$M ./requests/entry"
