--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -117,7 +117,7 @@
 		}
 		t.Rows = append(t.Rows, []string{
 			string(name), string(v.Value.State), strings.Join(pools, " "), strconv.Itoa(c.Remaining), strconv.Itoa(c.Finished), strconv.Itoa(c.Failed),
-			formatTime(v.Value.StartedAt), formatTime(v.Value.Deadline), formatTime(c.End), v.Value.Reason, formatRevision(v.Revision),
+			formatTime(v.Value.StartedAt), formatTime(v.Value.Deadline), formatTime(c.EstimatedEnd), v.Value.Reason, formatRevision(v.Revision),
 		})
 	}
 	return t
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -143,10 +143,10 @@
 		return nil
 	}
 	add("%d instances are finished, %d given up, %d remain", c.Finished, c.Failed, c.Remaining)
-	if !c.End.IsZero() {
-		add("it is forecast to end at %s", formatTime(c.End))
+	if !c.EstimatedEnd.IsZero() {
+		add("it is forecast to end at %s", formatTime(c.EstimatedEnd))
 	}
-	if !w.Deadline.IsZero() && c.End.After(w.Deadline) {
+	if !w.Deadline.IsZero() && c.EstimatedEnd.After(w.Deadline) {
 		add("it will not meet its deadline %s", formatTime(w.Deadline))
 	}
 	for _, pool := range w.Pools {
--- a/requests/control/reconcile.go
+++ b/requests/control/reconcile.go
@@ -127,8 +127,8 @@
 	Failed    int  // skipped because they failed
 	Granted   int  // taken out of service so far
 	Known     bool // false if no instance list has been read
-	// End is the estimated end of the wave; zero if there is no estimate.
-	End time.Time
+	// EstimatedEnd is the estimated end of the wave; zero if there is no estimate.
+	EstimatedEnd time.Time
 }
 
 // ComputeWaveProgress counts the progress of w over all its pools.
@@ -159,8 +159,8 @@
 			}
 		}
 		allowed := budget.Compute(p.Value, members[name], s.Instances).Allowed
-		if end, ok := wave.EstimateEnd(time.Now(), p.Value, len(left), allowed); ok && end.After(t.End) {
-			t.End = end
+		if end, ok := wave.EstimateEnd(time.Now(), p.Value, len(left), allowed); ok && end.After(t.EstimatedEnd) {
+			t.EstimatedEnd = end
 		}
 	}
 	t.Granted += t.Finished + t.Failed
