--- a/requests/control/controller.go
+++ b/requests/control/controller.go
@@ -2,9 +2,10 @@
 // records and the observed instances; others write by compare-and-swap, send
 // commands and call task APIs.
 //
-// Every daemon runs the same loops. The view determines which daemon reconciles a
-// pool or wave. If two do so at the same time, one fails its compare-and-swap, and
-// nothing else goes wrong.
+// Every daemon runs the same loops. The live members of the view share the pools,
+// waves and jobs by rendezvous hashing. If two daemons reconcile the same object at
+// the same time, one of them fails its compare-and-swap and plans again in its next
+// round.
 package control
 
 import (
@@ -30,7 +31,7 @@
 // Options configure a Controller.
 type Options struct {
 	Self         fleet.Incarnation
-	Tick         time.Duration // between rounds if nothing changes
+	Tick         time.Duration // longest pause between two rounds
 	ListInterval time.Duration // between reads of the instance list
 	// ListMaxAge is the greatest age of the instance list at which records are
 	// still written.
@@ -79,7 +80,8 @@
 	Notes map[fleet.PoolName][]wave.Note
 }
 
-// Counters are the controller's counters.
+// Counters count the controller's writes to the store, its calls to the platform
+// and the workers, and their errors, since the start of the daemon.
 type Counters struct {
 	Writes, Conflicts, WriteErrors    atomic.Int64
 	Commands, CommandErrors           atomic.Int64
@@ -101,18 +103,19 @@
 	wg       sync.WaitGroup
 
 	// lastListVersion is the platform's version of the instance list that was read
-	// last. It belongs to the polling goroutine.
+	// last. Only the goroutine of pollList uses it.
 	lastListVersion int64
 
-	// The fields below belong to the control goroutine.
+	// Only the control goroutine, which runs Run, uses the fields below.
 	instances      map[fleet.InstanceID]fleet.Instance
 	listVersion    int // counts changes of instances
 	listedAt       time.Time
 	reconnectedAt  time.Time // when the connection to the store was last restored
 	reconciledAt   time.Time // when the last full round ran
-	workWasPending bool      // the last round found work pending
-	wasConnected   bool
-	// members groups the memberships of groupedState by pool.
+	workWasPending bool      // the last full round found work pending
+	wasConnected   bool      // the store was connected in the last round
+	// members groups the memberships of groupedState by pool. It was computed at
+	// groupedAt, in the first full round with that state.
 	groupedState *fleet.State
 	groupedAt    time.Time
 	members      map[fleet.PoolName][]fleet.Membership
@@ -121,8 +124,8 @@
 	// the newest record arrived: an older list shows instances as out whose claims
 	// are already released.
 	historyPending bool
-	writing        map[string]bool // keys with a write in progress
-	lastSent       map[fleet.CommandID]time.Time
+	writing        map[string]bool               // keys with a write in progress
+	lastSent       map[fleet.CommandID]time.Time // when each command was last sent
 	notes          map[fleet.PoolName][]wave.Note
 	tasks          *taskTracker
 }
@@ -152,7 +155,7 @@
 // SeedInstances uses a peer's instance list until the platform's list has been
 // read.
 func (c *Controller) SeedInstances(list []fleet.Instance) {
-	c.post(func() {
+	c.postToLoop(func() {
 		if c.listedAt.IsZero() && len(c.instances) == 0 {
 			c.instances = byID(list)
 			c.listVersion++
@@ -181,6 +184,7 @@
 	}
 }
 
+// background runs fn on its own goroutine. Run waits for it before it returns.
 func (c *Controller) background(fn func()) {
 	c.wg.Add(1)
 	go func() {
@@ -189,7 +193,8 @@
 	}()
 }
 
-func (c *Controller) post(fn func()) {
+// postToLoop runs fn on the control goroutine, unless the controller has stopped.
+func (c *Controller) postToLoop(fn func()) {
 	select {
 	case c.events <- fn:
 	case <-c.done:
@@ -218,7 +223,7 @@
 		return
 	}
 	c.lastListVersion = ch.Version
-	c.post(func() {
+	c.postToLoop(func() {
 		c.listedAt = requestedAt
 		if ch.Full || len(ch.Instances) > 0 {
 			c.instances = applyListChanges(c.instances, ch)
@@ -254,11 +259,11 @@
 func (c *Controller) reconcile(ctx context.Context, now time.Time) {
 	before := c.snapshot.Load()
 	s := c.publish()
-	up := c.deps.StoreConnected()
-	if up && !c.wasConnected {
+	connected := c.deps.StoreConnected()
+	if connected && !c.wasConnected {
 		c.reconnectedAt = now
 	}
-	c.wasConnected = up
+	c.wasConnected = connected
 	c.pruneSent(now)
 	unchanged := s.State == before.State && s.version == before.version
 	if unchanged && !c.workWasPending && !c.historyPending && now.Sub(c.reconciledAt) < idleInterval {
@@ -270,7 +275,7 @@
 		c.groupedState, c.members = s.State, s.State.MembersByPool()
 		c.groupedAt = now
 	}
-	r := &round{c: c, ctx: ctx, now: now, snap: s, members: c.members, mayWrite: c.mayWrite(now, up)}
+	r := &round{c: c, ctx: ctx, now: now, snap: s, members: c.members, mayWrite: c.mayWrite(now, connected)}
 	c.historyPending = c.historyPending || !unchanged
 	if c.historyPending && c.listedAt.After(c.groupedAt) {
 		c.historyPending = false
@@ -318,8 +323,8 @@
 
 // mayWrite reports whether the state is recent enough to write records. After a
 // reconnection to the store, the instance list must first be read again.
-func (c *Controller) mayWrite(now time.Time, up bool) bool {
-	return up && c.listedAt.After(c.reconnectedAt) && now.Sub(c.listedAt) < c.opts.ListMaxAge
+func (c *Controller) mayWrite(now time.Time, connected bool) bool {
+	return connected && c.listedAt.After(c.reconnectedAt) && now.Sub(c.listedAt) < c.opts.ListMaxAge
 }
 
 // assignedToSelf reports whether this daemon reconciles the object with the given
@@ -328,6 +333,8 @@
 	return rendezvous.Owner(c.deps.LiveMembers(), key) == c.opts.Self
 }
 
+// publish stores a new snapshot and calls OnSnapshot if its records or instances
+// differ from those of the last one.
 func (c *Controller) publish() *Snapshot {
 	old := c.snapshot.Load()
 	state := c.deps.Mirror.State()
@@ -367,7 +374,7 @@
 		default:
 			c.Counters.WriteErrors.Add(1)
 		}
-		c.post(func() { delete(c.writing, key) })
+		c.postToLoop(func() { delete(c.writing, key) })
 	})
 }
 
@@ -375,24 +382,26 @@
 // does not report yet.
 const resendInterval = time.Second
 
-// send sends a recorded command to the platform, at least once.
-func (c *Controller) send(ctx context.Context, now time.Time, s wave.InstanceCommand) {
-	if at, ok := c.lastSent[s.Command.ID]; ok && now.Sub(at) < resendInterval {
+// send sends a recorded command to the platform. Every round calls it until the
+// platform reports the effect, so a command is sent at least once.
+func (c *Controller) send(ctx context.Context, now time.Time, cmd wave.InstanceCommand) {
+	if at, ok := c.lastSent[cmd.Command.ID]; ok && now.Sub(at) < resendInterval {
 		return
 	}
-	c.lastSent[s.Command.ID] = now
+	c.lastSent[cmd.Command.ID] = now
 	c.background(func() {
 		c.Counters.Commands.Add(1)
-		if err := c.deps.Actions.Send(ctx, s.Instance, s.Command); err != nil {
+		if err := c.deps.Actions.Send(ctx, cmd.Instance, cmd.Command); err != nil {
 			c.Counters.CommandErrors.Add(1)
 		}
 	})
 }
 
+// pruneSent forgets commands that have not been sent for a minute.
 func (c *Controller) pruneSent(now time.Time) {
-	const keep = time.Minute
+	const retention = time.Minute
 	for id, at := range c.lastSent {
-		if now.Sub(at) > keep {
+		if now.Sub(at) > retention {
 			delete(c.lastSent, id)
 		}
 	}
--- a/requests/control/history.go
+++ b/requests/control/history.go
@@ -13,9 +13,9 @@
 // sample. Counts are in instances.
 type Sample struct {
 	At      time.Time
-	Size    int
-	Allowed int
-	Out     int
+	Size    int // members of the pool without those that are joining
+	Allowed int // maximum number out of service
+	Out     int // out of service
 }
 
 // maxSamplesPerPool bounds the samples of one pool: a wave over 100 instances makes
@@ -23,7 +23,7 @@
 const maxSamplesPerPool = 512
 
 // History holds the changes of each pool's availability that this daemon observed
-// since its start.
+// since its start. It is safe for concurrent use.
 type History struct {
 	mu    sync.Mutex
 	pools map[fleet.PoolName][]Sample
@@ -31,19 +31,19 @@
 
 func newHistory() *History { return &History{pools: map[fleet.PoolName][]Sample{}} }
 
-// add records a pool's budget if it differs from the last sample.
-func (h *History) add(now time.Time, a budget.Status) {
+// add records the status of a pool's budget if it differs from the last sample.
+func (h *History) add(now time.Time, status budget.Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := Sample{At: now, Size: a.Size, Allowed: a.Allowed, Out: a.Out()}
-	old := h.pools[a.Pool]
+	s := Sample{At: now, Size: status.Size, Allowed: status.Allowed, Out: status.Out()}
+	old := h.pools[status.Pool]
 	if n := len(old); n > 0 && old[n-1].Size == s.Size && old[n-1].Allowed == s.Allowed && old[n-1].Out == s.Out {
 		return
 	}
 	if len(old) >= maxSamplesPerPool {
 		old = slices.Clone(old[len(old)-maxSamplesPerPool/2:])
 	}
-	h.pools[a.Pool] = append(old, s)
+	h.pools[status.Pool] = append(old, s)
 }
 
 // SamplesBetween returns the samples of a pool that applied at any time between
--- a/requests/control/history_test.go
+++ b/requests/control/history_test.go
@@ -35,15 +35,15 @@
 	members := fleet.MemberShard{Members: []fleet.Membership{{Instance: "a", Pool: "p"}, {Instance: "b", Pool: "p"}}}
 	pool := fleet.Pool{Name: "p", Budget: fleet.AvailabilityBudget{MaxUnavailable: 1}, Disruptions: []fleet.Disruption{{Instance: "b"}}}
 	m.Apply([]port.Event{event(record.ShardKey(0), 1, members), event(record.PoolKey("p"), 2, pool)}, 2)
-	list := func(at time.Time, a fleet.InstanceState) {
-		c.instances = map[fleet.InstanceID]fleet.Instance{"a": {ID: "a", State: a}, "b": {ID: "b", State: fleet.InstanceReady}}
-		c.listedAt = at
+	setList := func(requestedAt time.Time, stateOfA fleet.InstanceState) {
+		c.instances = map[fleet.InstanceID]fleet.Instance{"a": {ID: "a", State: stateOfA}, "b": {ID: "b", State: fleet.InstanceReady}}
+		c.listedAt = requestedAt
 		c.listVersion++
 	}
-	list(t0, fleet.InstanceDrained)
+	setList(t0, fleet.InstanceDrained)
 	c.reconcile(context.Background(), t0.Add(time.Second))
 	assert.Empty(t, c.History.SamplesBetween("p", t0, t0.Add(time.Hour)))
-	list(t0.Add(2*time.Second), fleet.InstanceReady)
+	setList(t0.Add(2*time.Second), fleet.InstanceReady)
 	c.reconcile(context.Background(), t0.Add(3*time.Second))
 	got := c.History.SamplesBetween("p", t0, t0.Add(time.Hour))
 	if assert.Len(t, got, 1) {
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -13,8 +13,8 @@
 // taskTracker holds what the control goroutine knows about tasks on workers.
 type taskTracker struct {
 	reports  map[fleet.InstanceID]taskReport
-	syncing  map[fleet.InstanceID]bool
-	syncedAt map[fleet.InstanceID]time.Time
+	syncing  map[fleet.InstanceID]bool      // workers with a sync request in flight
+	syncedAt map[fleet.InstanceID]time.Time // when the last sync request was started
 	// failures counts the consecutive task failures on each worker.
 	failures        map[fleet.InstanceID]int
 	countedFailures map[taskKey]bool // failed attempts already counted
@@ -32,7 +32,7 @@
 // taskReport is a worker's last answer to a sync request.
 type taskReport struct {
 	receivedAt time.Time
-	sentAt     time.Time
+	sentAt     time.Time // when the sync request was sent
 	tasks      []fleet.Task
 }
 
@@ -47,6 +47,8 @@
 	}
 }
 
+// find returns the task of job j's current attempt, if the last report of worker id
+// lists it.
 func (tracker *taskTracker) find(id fleet.InstanceID, pool fleet.PoolName, j *fleet.Job) (fleet.Task, bool) {
 	for _, t := range tracker.reports[id].tasks {
 		if t.Pool == pool && t.Job == j.Name && t.Attempt == j.Attempt {
@@ -56,8 +58,8 @@
 	return fleet.Task{}, false
 }
 
-// maxAttempts is the number of failed attempts after which a job has failed.
-const maxAttempts = 5
+// maxFailures is the number of failed attempts after which a job has failed.
+const maxFailures = 5
 
 // reconcileJobs reconciles the jobs of the pools that are assigned to this daemon.
 func (r *round) reconcileJobs() {
@@ -98,6 +100,8 @@
 	return next, changed
 }
 
+// applyDecision updates a pending job by a placement decision and reports whether
+// the job changed.
 func (r *round) applyDecision(j *fleet.Job, d place.Decision) bool {
 	if d.State == fleet.JobPending && j.Reason == d.Reason {
 		return false
@@ -123,7 +127,7 @@
 		j.State, j.Reason = fleet.JobDone, ""
 		return true
 	case known && t.State == fleet.TaskFailed:
-		return r.jobFailed(pool, j)
+		return r.handleFailedAttempt(pool, j)
 	case known:
 		if j.LostAt.IsZero() {
 			return false
@@ -131,11 +135,13 @@
 		j.LostAt = time.Time{}
 		return true
 	default:
-		return r.jobMissing(j)
+		return r.handleMissingTask(j)
 	}
 }
 
-func (r *round) jobFailed(pool fleet.PoolName, j *fleet.Job) bool {
+// handleFailedAttempt sets a job pending again, or failed after maxFailures failed
+// attempts. It reports that the job changed.
+func (r *round) handleFailedAttempt(pool fleet.PoolName, j *fleet.Job) bool {
 	key := taskKey{pool, j.Name, j.Attempt}
 	if !r.c.tasks.countedFailures[key] {
 		r.c.tasks.countedFailures[key] = true
@@ -143,28 +149,29 @@
 	}
 	j.Failures++
 	j.State, j.Reason = fleet.JobPending, "its last attempt failed on "+string(j.Worker)
-	if j.Failures >= maxAttempts {
+	if j.Failures >= maxFailures {
 		j.State = fleet.JobFailed
 	}
 	j.Worker = ""
 	return true
 }
 
-// jobMissing handles a placed job that its worker does not report: it may not
-// have been started yet, was stopped for a drain, or is lost with the worker.
+// handleMissingTask handles a placed job that its worker does not report: it may not
+// have been started yet, was stopped for a drain, or is lost with the worker. It
+// reports whether the job changed.
 //
 // Invariant: a job is placed again only when its last attempt has stopped. Either
 // the worker no longer reported it after it was told to stop it, at a time when no
 // request to start it could still arrive; or the task's lease has expired, which
 // stops the task on the worker.
-func (r *round) jobMissing(j *fleet.Job) bool {
+func (r *round) handleMissingTask(j *fleet.Job) bool {
 	rep, reported := r.c.tasks.reports[j.Worker]
-	settled := j.PlacedAt
-	if unanswered := r.c.tasks.unansweredAt[j.Worker]; unanswered.After(settled) {
-		settled = unanswered
+	maybeStartedAt := j.PlacedAt
+	if unanswered := r.c.tasks.unansweredAt[j.Worker]; unanswered.After(maybeStartedAt) {
+		maybeStartedAt = unanswered
 	}
-	leaving := !r.usable(j.Worker)
-	if leaving && reported && rep.sentAt.After(settled.Add(r.c.opts.TaskLease)) {
+	unusable := !r.usable(j.Worker)
+	if unusable && reported && rep.sentAt.After(maybeStartedAt.Add(r.c.opts.TaskLease)) {
 		j.State, j.Worker, j.Reason = fleet.JobPending, "", "its worker was drained"
 		return true
 	}
@@ -191,6 +198,8 @@
 	return r.disruption(id) == nil
 }
 
+// disruption returns the disruption of an instance in whichever pool records it, or
+// nil.
 func (r *round) disruption(id fleet.InstanceID) *fleet.Disruption {
 	for _, p := range r.snap.State.Pools {
 		if d := p.Value.Disruption(id); d != nil {
@@ -203,11 +212,13 @@
 // usageMaxAge is the age up to which a worker's reported resource usage is used.
 const usageMaxAge = 10 * time.Second
 
+// placeWorkers returns the pool's members that the platform lists, as the input of
+// the placement.
 func (r *round) placeWorkers(name fleet.PoolName, js *fleet.JobSet) []place.Worker {
-	declared := map[fleet.InstanceID]fleet.Resources{}
+	used := map[fleet.InstanceID]fleet.Resources{}
 	for _, j := range js.Jobs {
 		if j.State == fleet.JobPlaced {
-			declared[j.Worker] = declared[j.Worker].Add(r.jobUsage(name, &j))
+			used[j.Worker] = used[j.Worker].Add(r.jobUsage(name, &j))
 		}
 	}
 	waves := r.runningWaves(name)
@@ -219,7 +230,7 @@
 		}
 		out = append(out, place.Worker{
 			ID: inst.ID, Zone: inst.Zone, Rack: inst.Rack, Capacity: inst.Capacity,
-			Used:                declared[inst.ID],
+			Used:                used[inst.ID],
 			Usable:              !m.Joining && r.usable(inst.ID),
 			Maintained:          r.maintainedByAll(name, waves, inst.ID),
 			ConsecutiveFailures: r.c.tasks.failures[inst.ID],
@@ -239,6 +250,7 @@
 	return t.Used
 }
 
+// runningWaves lists the waves over a pool that have not ended.
 func (r *round) runningWaves(name fleet.PoolName) []fleet.WaveName {
 	var out []fleet.WaveName
 	for _, w := range r.snap.State.SortedWaves() {
@@ -249,6 +261,7 @@
 	return out
 }
 
+// maintainedByAll reports whether every wave in waves has finished with an instance.
 func (r *round) maintainedByAll(name fleet.PoolName, waves []fleet.WaveName, id fleet.InstanceID) bool {
 	for _, w := range waves {
 		if !r.snap.State.Pools[name].Value.MaintainedBy(w, id) {
@@ -324,20 +337,22 @@
 	}
 }
 
-// Shortest time between sync requests to one worker.
+// Minimum time between the starts of two sync requests to one worker.
 const (
 	urgentSyncInterval  = 100 * time.Millisecond
 	routineSyncInterval = 700 * time.Millisecond
 )
 
+// syncWorker sends a sync request to one worker, unless it is empty, another one is
+// in flight or the last one is too recent.
 func (r *round) syncWorker(id fleet.InstanceID, s port.TaskSyncRequest, urgent bool) {
 	tracker := r.c.tasks
-	due := routineSyncInterval
+	interval := routineSyncInterval
 	if urgent {
-		due = urgentSyncInterval
+		interval = urgentSyncInterval
 	}
 	inst, listed := r.snap.Instances[id]
-	if !listed || tracker.syncing[id] || r.now.Sub(tracker.syncedAt[id]) < due {
+	if !listed || tracker.syncing[id] || r.now.Sub(tracker.syncedAt[id]) < interval {
 		return
 	}
 	if len(s.Start)+len(s.Keep)+len(s.Stop) == 0 {
@@ -348,6 +363,8 @@
 	r.c.background(func() { r.c.syncTasks(r.ctx, id, inst.Addr, s) })
 }
 
+// syncTasks sends a sync request and records the worker's report, or that the
+// request was not answered.
 func (c *Controller) syncTasks(ctx context.Context, id fleet.InstanceID, addr string, s port.TaskSyncRequest) {
 	c.Counters.TaskSyncs.Add(1)
 	sentAt := time.Now()
@@ -355,7 +372,7 @@
 	if err != nil {
 		c.Counters.TaskErrors.Add(1)
 	}
-	c.post(func() {
+	c.postToLoop(func() {
 		delete(c.tasks.syncing, id)
 		if err != nil {
 			c.tasks.unansweredAt[id] = time.Now()
--- a/requests/control/jobs_test.go
+++ b/requests/control/jobs_test.go
@@ -11,9 +11,10 @@
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// TestJobIsReplacedOnlyWhenItsLastAttemptHasStopped covers the states of a placed
-// job that its worker does not report.
-func TestJobIsReplacedOnlyWhenItsLastAttemptHasStopped(t *testing.T) {
+// TestJobIsPlacedAgainOnlyAfterItsLastAttemptStopped guards against two attempts of
+// one job running at the same time. Its worker does not report the job: it may not
+// have started it yet, may have stopped it, or may be unreachable and still run it.
+func TestJobIsPlacedAgainOnlyAfterItsLastAttemptStopped(t *testing.T) {
 	lease := DefaultOptions.TaskLease
 	for _, tc := range []struct {
 		name       string
@@ -52,7 +53,7 @@
 				j.LostAt = t0.Add(tc.now - tc.lost)
 			}
 			r := &round{c: c, now: t0.Add(tc.now), snap: &Snapshot{State: state, Instances: map[fleet.InstanceID]fleet.Instance{"w": inst}}}
-			r.jobMissing(j)
+			r.handleMissingTask(j)
 			assert.Equal(t, tc.want, j.State)
 			if tc.want == fleet.JobPlaced {
 				assert.Equal(t, tc.wantLost, !j.LostAt.IsZero())
--- a/requests/control/reconcile.go
+++ b/requests/control/reconcile.go
@@ -41,8 +41,8 @@
 	p := r.snap.State.Pools[name]
 	plan := wave.Reconcile(r.waveInput(name, p.Value))
 	r.c.notes[name] = plan.Notes
-	for _, s := range plan.Commands {
-		r.c.send(r.ctx, r.now, s)
+	for _, cmd := range plan.Commands {
+		r.c.send(r.ctx, r.now, cmd)
 	}
 	if !r.mayWrite {
 		return
@@ -96,21 +96,22 @@
 	write(r.ctx, r.c, record.ShardKey(shard), base, next)
 }
 
-// reconcileWave marks a wave as done or halted if it has ended or must halt.
+// reconcileWave marks a wave as done when no instance remains, and as halted when
+// wave.ShouldHalt asks for it.
 func (r *round) reconcileWave(name fleet.WaveName) {
 	w := r.snap.State.Waves[name]
 	if !r.mayWrite || w.Value.Ended() {
 		return
 	}
-	t := ComputeWaveProgress(r.snap, r.members, w.Value)
+	progress := ComputeWaveProgress(r.snap, r.members, w.Value)
 	next := w.Value.Clone()
 	switch {
-	case t.Remaining == 0 && t.Known:
+	case progress.Remaining == 0 && progress.Known:
 		next.State = fleet.WaveDone
 		next.EndedAt = r.now
 		next.Reason = ""
-		next.Finished, next.Failed = t.Finished, t.Failed
-	case w.Value.State == fleet.WaveRunning && wave.ShouldHalt(t.Failed, t.Granted, w.Value.Forgiven):
+		next.Finished, next.Failed = progress.Finished, progress.Failed
+	case w.Value.State == fleet.WaveRunning && wave.ShouldHalt(progress.Failed, progress.Granted, w.Value.Forgiven):
 		next.State = fleet.WaveHalted
 		next.Reason = "too many instances did not come back"
 	default:
@@ -122,10 +123,10 @@
 
 // WaveProgress counts the instances of a wave by outcome.
 type WaveProgress struct {
-	Remaining int  // not done yet
+	Remaining int  // not finished yet, see wave.Remaining
 	Finished  int  // rebooted and back in service
-	Failed    int  // skipped because they failed
-	Granted   int  // taken out of service so far
+	Failed    int  // skipped because they failed or did not come back
+	Granted   int  // taken out of service so far; 0 if the wave has ended
 	Known     bool // false if no instance list has been read
 	// EstimatedEnd is the estimated end of the wave; zero if there is no estimate.
 	EstimatedEnd time.Time
@@ -136,33 +137,33 @@
 	if w.Ended() {
 		return WaveProgress{Finished: w.Finished, Failed: w.Failed, Known: true}
 	}
-	t := WaveProgress{Known: len(s.Instances) > 0}
+	progress := WaveProgress{Known: len(s.Instances) > 0}
 	for _, name := range w.Pools {
 		p, ok := s.State.Pools[name]
 		if !ok {
 			continue
 		}
 		left := wave.Remaining(w.Name, p.Value, members[name], s.Instances)
-		t.Remaining += len(left)
+		progress.Remaining += len(left)
 		for _, m := range p.Value.Maintained {
 			switch {
 			case m.Wave != w.Name:
 			case m.Skipped != "":
-				t.Failed++
+				progress.Failed++
 			default:
-				t.Finished++
+				progress.Finished++
 			}
 		}
 		for _, d := range p.Value.Disruptions {
 			if d.Wave == w.Name && !p.Value.MaintainedBy(w.Name, d.Instance) {
-				t.Granted++
+				progress.Granted++
 			}
 		}
 		allowed := budget.Compute(p.Value, members[name], s.Instances).Allowed
-		if end, ok := wave.EstimateEnd(time.Now(), p.Value, len(left), allowed); ok && end.After(t.EstimatedEnd) {
-			t.EstimatedEnd = end
+		if end, ok := wave.EstimateEnd(time.Now(), p.Value, len(left), allowed); ok && end.After(progress.EstimatedEnd) {
+			progress.EstimatedEnd = end
 		}
 	}
-	t.Granted += t.Finished + t.Failed
-	return t
+	progress.Granted += progress.Finished + progress.Failed
+	return progress
 }
