--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -62,7 +62,7 @@
 
 // Note explains one decision.
 type Note struct {
-	Instance fleet.InstanceID
+	Instance fleet.InstanceID // "" if the decision is about the whole pool
 	Text     string
 }
 
@@ -72,7 +72,7 @@
 	in   Input
 	next *fleet.Pool
 	plan Plan
-	// poolChanged is true if next differs from in.Pool.
+	// poolChanged is true if next differs from in.Pool, so that it must be written.
 	poolChanged bool
 }
 
@@ -117,7 +117,7 @@
 	case inst.State == fleet.InstanceFailed:
 		p.giveUp(d, "failed before it was drained")
 	case inst.LastCommand == d.Command.ID && inst.Generation == d.Command.Generation+1:
-		p.handleCarriedOut(d, inst)
+		p.handleExecutedCommand(d, inst)
 	case inst.Generation > d.Command.Generation:
 		p.restartPhase(d, inst)
 	default:
@@ -125,9 +125,10 @@
 	}
 }
 
-// handleCarriedOut handles a disruption whose command the platform has carried
-// out.
-func (p *planner) handleCarriedOut(d fleet.Disruption, inst fleet.Instance) {
+// handleExecutedCommand handles a disruption whose command the platform has carried
+// out: it starts the next phase once the instance has reached the state that the
+// command leads to.
+func (p *planner) handleExecutedCommand(d fleet.Disruption, inst fleet.Instance) {
 	done := false
 	switch d.Phase {
 	case fleet.PhaseDrain, fleet.PhaseReboot:
@@ -179,6 +180,7 @@
 	}
 }
 
+// advanceHeld returns a held instance to service once an operator wants it.
 func (p *planner) advanceHeld(d fleet.Disruption, inst fleet.Instance) {
 	if !d.LeaveWanted {
 		p.note(d.Instance, "held out of service since %s by an operator", d.PhaseAt.Format(time.TimeOnly))
@@ -263,15 +265,16 @@
 	}
 }
 
-// pruneMaintained removes the results of ended waves.
+// pruneMaintained removes the results of ended waves. Results of waves that are not
+// in the input are kept.
 func (p *planner) pruneMaintained() {
-	running := map[fleet.WaveName]bool{}
+	active := map[fleet.WaveName]bool{}
 	for _, w := range p.in.Waves {
-		running[w.Name] = !w.Ended()
+		active[w.Name] = !w.Ended()
 	}
 	kept := p.next.Maintained[:0:0]
 	for _, m := range p.next.Maintained {
-		if alive, known := running[m.Wave]; !known || alive {
+		if isActive, known := active[m.Wave]; !known || isActive {
 			kept = append(kept, m)
 		}
 	}
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -88,6 +88,8 @@
 	p.poolChanged = true
 }
 
+// grantWave adds disruptions for wave w until the budget, the concurrency limit or
+// the deadline stops it.
 func (p *planner) grantWave(w *fleet.Wave) {
 	for _, m := range p.candidates(w) {
 		account := budget.Compute(p.next, p.in.Members, p.in.Instances)
@@ -108,6 +110,7 @@
 	}
 }
 
+// disruptedBy returns how many instances of the pool wave w has out of service.
 func (p *planner) disruptedBy(w fleet.WaveName) int {
 	n := 0
 	for _, d := range p.next.Disruptions {
@@ -136,18 +139,18 @@
 // ChooseConcurrency chooses how many of n instances to take out at once, at most
 // allowed. A higher concurrency ends the wave sooner but takes more capacity out
 // of service. The result minimises the weighted sum of roll-out time and instances
-// out, each relative to its value at the full budget. Without weights it is
-// allowed.
+// out, each relative to its value at the full budget. Without weights, the result
+// is allowed.
 func ChooseConcurrency(n, allowed int, w fleet.Weights) int {
 	if allowed <= 1 || n <= 1 || (w.RollOut == 0 && w.Buffer == 0) {
 		return allowed
 	}
-	rounds := func(width int) float64 { return math.Ceil(float64(n) / float64(width)) }
-	best, least := allowed, math.Inf(1)
-	for width := allowed; width >= 1; width-- {
-		cost := w.RollOut*rounds(width)/rounds(allowed) + w.Buffer*float64(width)/float64(allowed)
-		if cost < least {
-			best, least = width, cost
+	rounds := func(concurrency int) float64 { return math.Ceil(float64(n) / float64(concurrency)) }
+	best, lowestCost := allowed, math.Inf(1)
+	for concurrency := allowed; concurrency >= 1; concurrency-- {
+		cost := w.RollOut*rounds(concurrency)/rounds(allowed) + w.Buffer*float64(concurrency)/float64(allowed)
+		if cost < lowestCost {
+			best, lowestCost = concurrency, cost
 		}
 	}
 	return best
@@ -184,25 +187,26 @@
 	var out []fleet.InstanceID
 	for _, m := range members {
 		inst := instances[m.Instance]
-		claimed := p.Disruption(m.Instance)
+		disruption := p.Disruption(m.Instance)
 		switch {
 		case p.MaintainedBy(w, m.Instance):
-		case claimed != nil || inst.Serving() && !m.Joining:
+		case disruption != nil || inst.Serving() && !m.Joining:
 			out = append(out, m.Instance)
 		}
 	}
 	return out
 }
 
-// A wave is halted when it has lost at least haltMinFailures instances and more
-// than one in haltFailureRatio of those it has taken out.
+// A wave is halted when at least haltMinFailures of its instances have failed and
+// these are more than one in haltFailureRatio of those it has taken out.
 const (
 	haltFailureRatio = 10
 	haltMinFailures  = 2
 )
 
 // ShouldHalt reports whether a wave must be halted. granted is the number of
-// instances it has taken out; forgiven failures are not counted.
+// instances it has taken out; forgiven is the number of failures that are not
+// counted (Wave.Forgiven).
 func ShouldHalt(failures, granted, forgiven int) bool {
 	n := failures - forgiven
 	return n >= haltMinFailures && n*haltFailureRatio > granted
--- a/requests/wave/wave_test.go
+++ b/requests/wave/wave_test.go
@@ -117,8 +117,9 @@
 	assert.Equal(t, time.Minute, plan.Pool.MeanOut)
 }
 
-// TestInstanceRestartRepeatsThePhase: after the drain was carried out, the instance
-// restarted by itself and is in service again.
+// TestInstanceRestartRepeatsThePhase guards against rebooting an instance that
+// takes requests: after the drain was carried out, the instance restarted by itself
+// and is in service again, so it must be drained again.
 func TestInstanceRestartRepeatsThePhase(t *testing.T) {
 	in := poolWithWave(1, fleet.AvailabilityBudget{MaxUnavailable: 1})
 	in.Pool = Reconcile(in).Pool
@@ -176,7 +177,7 @@
 	assert.Len(t, disruptedInstances(Reconcile(in).Pool), 4, "a deadline takes precedence over the weights")
 }
 
-func TestHaltRule(t *testing.T) {
+func TestShouldHalt(t *testing.T) {
 	for _, tc := range []struct {
 		failures, granted, forgiven int
 		want                        bool
