--- a/requests/fleet/instance.go
+++ b/requests/fleet/instance.go
@@ -12,7 +12,7 @@
 // Resources are the capacity of a worker or the needs of a job.
 type Resources struct {
 	Slots        int // concurrent requests
-	Connections  int // TCP connections over all entry daemons together
+	Connections  int // TCP connections from all entry daemons together
 	CPUMilli     int // thousandths of a processor core
 	MemoryMB     int
 	Accelerators int
--- a/requests/fleet/job.go
+++ b/requests/fleet/job.go
@@ -32,10 +32,10 @@
 	Team     string
 	Need     Resources
 	Urgent   bool
-	Deadline time.Time // zero means none
-	RunFor   time.Duration
+	Deadline time.Time     // zero means none
+	RunFor   time.Duration // how long the task runs
 	State    JobState
-	Reason   string     `json:",omitempty"` // why it is pending or unplaceable
+	Reason   string     `json:",omitempty"` // why it is pending, unplaceable or failed
 	Worker   InstanceID `json:",omitempty"` // set while JobPlaced
 	// Attempt counts placements. A worker refuses a start whose attempt is
 	// not newer than the last one it knows of the job.
@@ -91,5 +91,5 @@
 	Job     JobName
 	Attempt int
 	State   TaskState
-	Used    Resources // observed usage; the report lags
+	Used    Resources // usage observed by the worker, possibly out of date
 }
--- a/requests/fleet/pool.go
+++ b/requests/fleet/pool.go
@@ -11,22 +11,24 @@
 // PoolName names a pool of instances.
 type PoolName string
 
-// AvailabilityBudget bounds how many instances of a pool may be out at once.
+// AvailabilityBudget bounds how many instances of a pool may be out of service at
+// once.
 type AvailabilityBudget struct {
 	// MaxUnavailable is a number of instances, or a percentage of the pool if
 	// Percent is true. A percentage is rounded down, so that rounding never allows
 	// an additional disruption.
 	MaxUnavailable int
 	Percent        bool
-	// MinAvailable is a floor of instances in service; 0 means none. It also
-	// bounds how far moves may shrink the pool.
+	// MinAvailable is the least number of instances that the budget keeps in service;
+	// 0 means no minimum. It also bounds how far moves may shrink the pool.
 	MinAvailable int
 	// SurviveZone requires that the budget would still hold if the largest
 	// availability zone of the pool failed.
 	SurviveZone bool
 }
 
-// Allowed returns how many of size instances may be out at once.
+// Allowed returns how many instances of a pool of the given size may be out of
+// service at once.
 func (b AvailabilityBudget) Allowed(size int) int {
 	allowed := b.MaxUnavailable
 	if b.Percent {
@@ -46,7 +48,8 @@
 	return strconv.Itoa(b.MaxUnavailable)
 }
 
-// ParseMaxUnavailable reads "N" or "N%".
+// ParseMaxUnavailable reads "N" or "N%" into a budget that sets only MaxUnavailable
+// and Percent.
 func ParseMaxUnavailable(s string) (AvailabilityBudget, error) {
 	digits, percent := strings.CutSuffix(s, "%")
 	n, err := strconv.Atoi(digits)
@@ -124,7 +127,7 @@
 	Disruptions []Disruption        `json:",omitempty"`
 	Maintained  []MaintenanceResult `json:",omitempty"`
 	// MeanOut is the moving average of how long an instance is out of service for
-	// maintenance, used for estimates. Zero before the first.
+	// maintenance, used for estimates. It is zero until the first instance is back.
 	MeanOut time.Duration `json:",omitempty"`
 	Applied CommandLog    `json:",omitempty"`
 }
--- a/requests/fleet/service.go
+++ b/requests/fleet/service.go
@@ -75,8 +75,8 @@
 	Applied  CommandLog `json:",omitempty"`
 }
 
-// Weights weigh three costs against each other. Planning minimises their weighted
-// sum.
+// Weights are the weights of three costs. Planning minimises their weighted sum; see
+// wave.ChooseConcurrency and place.Input.PreferTightFit.
 type Weights struct {
 	RollOut float64 // roll-out time relative to its ideal
 	Buffer  float64 // spare capacity relative to its ideal
--- a/requests/fleet/state.go
+++ b/requests/fleet/state.go
@@ -116,7 +116,8 @@
 	return out
 }
 
-// MembersByPool groups every membership by pool in one pass.
+// MembersByPool groups every membership by pool in one pass. Within a pool they are
+// in the order of the shards, not sorted by instance.
 func (s *State) MembersByPool() map[PoolName][]Membership {
 	out := make(map[PoolName][]Membership, len(s.Pools))
 	for _, i := range slices.Sorted(maps.Keys(s.Shards)) {
@@ -149,7 +150,8 @@
 // holds about 200 memberships, roughly 10 KB.
 const MemberShardCount = 64
 
-// ShardOf returns the shard that holds the membership of id (FNV-1a).
+// ShardOf returns the number of the shard that holds the membership of id: its
+// FNV-1a hash modulo MemberShardCount.
 func ShardOf(id InstanceID) int {
 	const (
 		offset = 2166136261
--- a/requests/fleet/wave.go
+++ b/requests/fleet/wave.go
@@ -51,5 +51,6 @@
 // Covers reports whether the wave covers pool p.
 func (w *Wave) Covers(p PoolName) bool { return slices.Contains(w.Pools, p) }
 
-// Ended reports whether the wave starts no more disruptions.
+// Ended reports whether the wave's state is final. The wave then starts no more
+// disruptions.
 func (w *Wave) Ended() bool { return w.State == WaveCancelled || w.State == WaveDone }
