--- a/requests/place/place.go
+++ b/requests/place/place.go
@@ -17,30 +17,31 @@
 	Zone     fleet.AvailabilityZone
 	Rack     fleet.Rack
 	Capacity fleet.Resources
-	// Used sums the use of the placed jobs: as observed where the worker's report
-	// is fresh, else as declared.
+	// Used sums the resources of the placed jobs: as the worker observed them if its
+	// report is recent enough, else as the jobs declared them.
 	Used fleet.Resources
-	// Usable is false for a worker that is still joining the pool, not serving or
-	// under a disruption; it gets no new jobs.
+	// Usable is false for a worker that is still joining the pool, not in service or
+	// has a recorded disruption. It gets no new jobs.
 	Usable bool
-	// Maintained is true if no running maintenance wave will still take the worker
-	// out, so that a job placed there doesn't have to move again.
+	// Maintained is true if no running wave has yet to take the worker out of service,
+	// so that a job placed there does not have to move again.
 	Maintained          bool
 	ConsecutiveFailures int // tasks that failed on the worker in a row
 }
 
-// TeamUsage is a team's quota and its fleet-wide use.
+// TeamUsage is a team's quota and the resources that its placed jobs declare in the
+// whole fleet.
 type TeamUsage struct {
 	Quota fleet.Resources
 	Used  fleet.Resources
-	// HasQuota is false if the team's use is not limited.
+	// HasQuota is false if the team may use any amount.
 	HasQuota bool
 }
 
 // Policy selects how a worker is chosen.
 type Policy string
 
-// Policies. PolicyFirstFit is the baseline of the measurements.
+// Policies. PolicyFirstFit is the baseline that measurements compare with.
 const (
 	PolicyBestFit  Policy = "best-fit"
 	PolicyFirstFit Policy = "first-fit"
@@ -53,8 +54,8 @@
 	Workers []Worker
 	Teams   map[string]TeamUsage
 	Policy  Policy
-	// PreferTightFit ranks a tight fit above Maintained: less capacity is held
-	// back, but jobs may have to move again.
+	// PreferTightFit ignores Worker.Maintained when it ranks workers, so that the
+	// tightest fit wins: less capacity is held back, but jobs may have to move again.
 	PreferTightFit bool
 }
 
@@ -121,6 +122,8 @@
 	return a.Deadline.Compare(b.Deadline)
 }
 
+// decide decides on one job. workers and teams include the jobs that the plan has
+// placed before.
 func decide(in Input, j fleet.Job, workers []Worker, teams map[string]TeamUsage) Decision {
 	if !fitsAnywhere(workers, j.Need) {
 		return Decision{Job: j.Name, State: fleet.JobUnplaceable, Reason: unplaceableReason(workers, j.Need)}
@@ -128,13 +131,14 @@
 	if t := teams[j.Team]; t.HasQuota && !t.Quota.Sub(t.Used).Fits(j.Need) {
 		return Decision{Job: j.Name, State: fleet.JobPending, Reason: fmt.Sprintf("team %s has exhausted its quota", j.Team)}
 	}
-	best, why := chooseWorker(in, workers, j)
+	best, reason := chooseWorker(in, workers, j)
 	if best == nil {
-		return Decision{Job: j.Name, State: fleet.JobPending, Reason: why}
+		return Decision{Job: j.Name, State: fleet.JobPending, Reason: reason}
 	}
 	return Decision{Job: j.Name, State: fleet.JobPlaced, Worker: best.ID}
 }
 
+// fitsAnywhere reports whether a worker could run the job if it were empty.
 func fitsAnywhere(workers []Worker, need fleet.Resources) bool {
 	if len(workers) == 0 {
 		return true // an empty pool may get workers later, so the job stays pending
@@ -165,6 +169,7 @@
 	}
 }
 
+// chooseWorker returns the worker for job j, or nil and the reason why there is none.
 func chooseWorker(in Input, workers []Worker, j fleet.Job) (*Worker, string) {
 	var best *Worker
 	unavailable, full := 0, 0
@@ -189,12 +194,12 @@
 			best = w
 		}
 	}
-	return best, fmt.Sprintf("no worker has room: %d full, %d out of service", full, unavailable)
+	return best, fmt.Sprintf("no worker has room: %d full, %d unavailable", full, unavailable)
 }
 
-// isBetter prefers workers that need no further maintenance, then those with
-// fewer failures, then the one with the least free memory after placement, which
-// keeps large gaps for large jobs.
+// isBetter reports whether worker a is a better choice than b. It prefers workers
+// that need no further maintenance, then those with fewer failures, then those with
+// the least free memory after placement, which keeps large gaps for large jobs.
 func isBetter(a, b *Worker, need fleet.Resources, preferTightFit bool) bool {
 	if a.Maintained != b.Maintained && !preferTightFit {
 		return a.Maintained
@@ -202,8 +207,8 @@
 	if a.ConsecutiveFailures != b.ConsecutiveFailures {
 		return a.ConsecutiveFailures < b.ConsecutiveFailures
 	}
-	left := func(w *Worker) int { return w.Capacity.MemoryMB - w.Used.MemoryMB - need.MemoryMB }
-	return left(a) < left(b)
+	freeAfter := func(w *Worker) int { return w.Capacity.MemoryMB - w.Used.MemoryMB - need.MemoryMB }
+	return freeAfter(a) < freeAfter(b)
 }
 
 // reserve counts job j as placed, so that later jobs of the same plan see it.
--- a/requests/place/place_test.go
+++ b/requests/place/place_test.go
@@ -42,11 +42,11 @@
 		{"not on a worker with too many failures", []Worker{worker("a", func(w *Worker) { w.ConsecutiveFailures = MaxConsecutiveFailures }), worker("b", nil)}, job("j", 1000, nil),
 			Decision{Job: "j", State: fleet.JobPlaced, Worker: "b"}},
 		{"not on an unusable worker", []Worker{worker("a", func(w *Worker) { w.Usable = false })}, job("j", 1000, nil),
-			Decision{Job: "j", State: fleet.JobPending, Reason: "no worker has room: 0 full, 1 out of service"}},
+			Decision{Job: "j", State: fleet.JobPending, Reason: "no worker has room: 0 full, 1 unavailable"}},
 		{"larger than any worker", []Worker{worker("a", nil)}, job("j", 1000, func(j *fleet.Job) { j.Need.Accelerators = 4 }),
 			Decision{Job: "j", State: fleet.JobUnplaceable, Reason: "asks for 4 accelerators; the largest worker has 2"}},
 		{"no free capacity", []Worker{worker("a", func(w *Worker) { w.Used.MemoryMB = 131072 })}, job("j", 1000, nil),
-			Decision{Job: "j", State: fleet.JobPending, Reason: "no worker has room: 1 full, 0 out of service"}},
+			Decision{Job: "j", State: fleet.JobPending, Reason: "no worker has room: 1 full, 0 unavailable"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := Plan(Input{Now: t0, Jobs: []fleet.Job{tc.job}, Workers: tc.workers, Policy: PolicyBestFit})
