--- a/requests/record/record.go
+++ b/requests/record/record.go
@@ -54,12 +54,13 @@
 	return strconv.Atoi(strings.TrimPrefix(key, MemberPrefix))
 }
 
-// maxTokens is the number of write tokens kept in a record.
+// maxTokens is the number of write tokens kept in a record. A writer whose answer was
+// lost can find out the outcome as long as fewer than maxTokens writes followed.
 const maxTokens = 16
 
 // envelope is the stored form of a record.
 type envelope struct {
-	// Tokens identify the last writes, the newest last.
+	// Tokens identify the last writes, oldest first.
 	Tokens []string        `json:"tokens"`
 	Data   json.RawMessage `json:"data"`
 }
@@ -96,8 +97,8 @@
 // Writer writes records. Create it with NewWriter.
 type Writer struct {
 	store           port.Store
-	newToken        func() string
-	resolveInterval time.Duration // interval between attempts to find out whether a write took effect
+	newToken        func() string // returns a unique write token
+	resolveInterval time.Duration // pause between attempts to find out whether a write took effect
 }
 
 // defaultResolveInterval is the resolveInterval of NewWriter.
@@ -119,8 +120,8 @@
 // Invariant: an error with verdict NotRun means that the value is not in the store
 // and never will be. After a lost answer the writer either finds its token, or
 // repeats the same compare-and-swap while the record is at the expected revision,
-// or finds a newer record whose tokens reach back to base without its own. In the
-// last case a write still in flight fails its compare-and-swap.
+// or finds a newer record that still lists the newest token of base but not its own.
+// In the last case a write still in flight fails its compare-and-swap.
 func Write[T any](ctx context.Context, w *Writer, key string, base fleet.Versioned[T], value *T, lease port.LeaseID) (Written, error) {
 	token := w.newToken()
 	tokens := append(slices.Clone(base.Tokens), token)
@@ -152,6 +153,7 @@
 	baseToken string // newest token of the base record, "" if it is new
 }
 
+// swap repeats the compare-and-swap of p until its outcome is known or ctx ends.
 func (w *Writer) swap(ctx context.Context, p pendingWrite) (Written, error) {
 	uncertain := false
 	for {
@@ -165,8 +167,8 @@
 			return Written{}, err
 		}
 		uncertain = true
-		out, settled, err := w.readBack(ctx, p)
-		if settled {
+		out, resolved, err := w.readBack(ctx, p)
+		if resolved {
 			return out, err
 		}
 		if !sleep.For(ctx, w.resolveInterval) {
@@ -175,10 +177,10 @@
 	}
 }
 
-// readBack reads the record to find out whether p took effect. settled is false if
-// this is still unknown: the record is at the expected revision or still doesn't
+// readBack reads the record to find out whether p took effect. resolved is false if
+// this cannot be told yet: the record is at the expected revision or still doesn't
 // exist, or the store doesn't answer.
-func (w *Writer) readBack(ctx context.Context, p pendingWrite) (out Written, settled bool, err error) {
+func (w *Writer) readBack(ctx context.Context, p pendingWrite) (out Written, resolved bool, err error) {
 	kv, found, err := w.store.Get(ctx, p.key)
 	if err != nil {
 		return Written{}, false, nil
@@ -187,7 +189,7 @@
 		if p.expect == 0 {
 			return Written{}, false, nil
 		}
-		return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the record was deleted meanwhile", p.key)
+		return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the answer was lost and the record has been deleted since", p.key)
 	}
 	if kv.Revision == p.expect {
 		return Written{}, false, nil
@@ -199,9 +201,9 @@
 	if slices.Contains(env.Tokens, p.token) {
 		return Written{kv}, true, nil
 	}
-	reachesBack := slices.Contains(env.Tokens, p.baseToken) || (p.expect == 0 && len(env.Tokens) < maxTokens)
-	if reachesBack {
+	listsAllSinceBase := slices.Contains(env.Tokens, p.baseToken) || (p.expect == 0 && len(env.Tokens) < maxTokens)
+	if listsAllSinceBase {
 		return Written{}, true, verdict.New(verdict.NotRun, CodeConflict, "%s changed since revision %d", p.key, p.expect)
 	}
-	return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the answer was lost and the record's last %d writes don't reach back to revision %d", p.key, maxTokens, p.expect)
+	return Written{}, true, verdict.New(verdict.MayHaveRun, CodeUnknownOutcome, "write of %s: the answer was lost and the last %d write tokens of the record do not include that of revision %d", p.key, maxTokens, p.expect)
 }
--- a/requests/record/record_test.go
+++ b/requests/record/record_test.go
@@ -19,25 +19,26 @@
 // another writer write before the outcome is known.
 type lossyStore struct {
 	port.Store
-	kv      port.KV
-	lose    bool // the next write takes effect, but its answer is lost
-	drop    bool // the next write is lost before it takes effect
-	down    bool // reads fail
-	between func(*lossyStore)
+	kv         port.KV
+	loseAnswer bool // the next write takes effect, but its answer is lost
+	loseWrite  bool // the next write is lost before it takes effect
+	down       bool // reads fail
+	// afterLoss is called once, after a write or its answer was lost.
+	afterLoss func(*lossyStore)
 }
 
 func (s *lossyStore) CompareAndSwap(_ context.Context, key string, expect fleet.Revision, value []byte, _ port.LeaseID) (fleet.Revision, bool, error) {
-	lose, drop := s.lose, s.drop
-	s.lose, s.drop = false, false
+	answerLost, writeLost := s.loseAnswer, s.loseWrite
+	s.loseAnswer, s.loseWrite = false, false
 	ok := s.kv.Revision == expect
-	if ok && !drop {
+	if ok && !writeLost {
 		s.kv = port.KV{Key: key, Value: value, Revision: expect + 1}
 	}
-	if between := s.between; between != nil && (lose || drop) {
-		s.between = nil
-		between(s)
+	if afterLoss := s.afterLoss; afterLoss != nil && (answerLost || writeLost) {
+		s.afterLoss = nil
+		afterLoss(s)
 	}
-	if lose || drop {
+	if answerLost || writeLost {
 		return 0, false, verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "lost")
 	}
 	return s.kv.Revision, ok, nil
@@ -73,12 +74,12 @@
 		want  verdict.Verdict
 	}{
 		{"answered", lossyStore{}, verdict.Done},
-		{"answer lost", lossyStore{lose: true}, verdict.Done},
-		{"write lost", lossyStore{drop: true}, verdict.Done},
-		{"answer lost, then overwritten", lossyStore{lose: true, between: otherWrites(3)}, verdict.Done},
-		{"write lost, another writer first", lossyStore{drop: true, between: otherWrites(1)}, verdict.NotRun},
-		{"write lost, overwritten more often than tokens are kept", lossyStore{drop: true, between: otherWrites(maxTokens + 2)}, verdict.MayHaveRun},
-		{"answer lost, store down", lossyStore{lose: true, down: true}, verdict.MayHaveRun},
+		{"answer lost", lossyStore{loseAnswer: true}, verdict.Done},
+		{"write lost", lossyStore{loseWrite: true}, verdict.Done},
+		{"answer lost, then overwritten", lossyStore{loseAnswer: true, afterLoss: otherWrites(3)}, verdict.Done},
+		{"write lost, another writer first", lossyStore{loseWrite: true, afterLoss: otherWrites(1)}, verdict.NotRun},
+		{"write lost, overwritten more often than tokens are kept", lossyStore{loseWrite: true, afterLoss: otherWrites(maxTokens + 2)}, verdict.MayHaveRun},
+		{"answer lost, store down", lossyStore{loseAnswer: true, down: true}, verdict.MayHaveRun},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
