--- a/requests/mirror/mirror.go
+++ b/requests/mirror/mirror.go
@@ -48,8 +48,8 @@
 }
 
 // Apply applies changes. With them, the mirror includes every change up to revision
-// completeTo. 0 leaves that revision as it was; it is for single records that this
-// daemon has written.
+// completeTo. A completeTo of 0 leaves the snapshot's revision as it is; it is for
+// single records that this daemon has written.
 func (m *Mirror) Apply(events []port.Event, completeTo fleet.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,10 +75,12 @@
 	m.applyLocked(events, l.Revision)
 }
 
+// applyLocked applies the changes that are newer than the known ones and publishes a
+// snapshot if anything changed. The caller holds m.mu.
 func (m *Mirror) applyLocked(events []port.Event, completeTo fleet.Revision) {
 	old := m.state.Load()
 	next := old.Clone()
-	fresh := false
+	changed := false
 	for _, e := range events {
 		if known, ok := m.events[e.Key]; ok && known.Revision >= e.Revision {
 			continue
@@ -87,10 +89,10 @@
 			continue
 		}
 		m.events[e.Key] = e
-		fresh = true
+		changed = true
 	}
 	next.Revision = max(old.Revision, completeTo)
-	if !fresh && next.Revision == old.Revision {
+	if !changed && next.Revision == old.Revision {
 		return
 	}
 	m.state.Store(next)
@@ -127,6 +129,8 @@
 	return err == nil
 }
 
+// putRecord decodes one change into a single record. A deleted record becomes its
+// zero value.
 func putRecord[T any](into *fleet.Versioned[T], e port.Event) error {
 	if e.Deleted {
 		*into = fleet.Versioned[T]{Value: new(T), Revision: 0}
@@ -139,6 +143,7 @@
 	return err
 }
 
+// putNamedRecord decodes one change into a map of records.
 func putNamedRecord[K comparable, T any](into map[K]fleet.Versioned[T], name K, e port.Event) error {
 	if e.Deleted {
 		delete(into, name)
@@ -152,11 +157,11 @@
 }
 
 // ChangesSince returns every known change after revision from, oldest first, and the
-// revision up to which they are complete. It serves peers that lack records.
+// revision up to which they are complete. Peers whose mirror is behind apply them.
 func (m *Mirror) ChangesSince(from fleet.Revision) ([]port.Event, fleet.Revision) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	upTo := m.state.Load().Revision
+	completeTo := m.state.Load().Revision
 	var out []port.Event
 	for _, key := range slices.Sorted(maps.Keys(m.events)) {
 		if e := m.events[key]; e.Revision > from {
@@ -164,5 +169,5 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b port.Event) int { return int(a.Revision - b.Revision) })
-	return out, upTo
+	return out, completeTo
 }
--- a/requests/mirror/mirror_test.go
+++ b/requests/mirror/mirror_test.go
@@ -12,8 +12,8 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
-func poolEvent(name string, rev fleet.Revision, max int) port.Event {
-	data, _ := json.Marshal(fleet.Pool{Name: fleet.PoolName(name), Budget: fleet.AvailabilityBudget{MaxUnavailable: max}})
+func poolEvent(name string, rev fleet.Revision, maxUnavailable int) port.Event {
+	data, _ := json.Marshal(fleet.Pool{Name: fleet.PoolName(name), Budget: fleet.AvailabilityBudget{MaxUnavailable: maxUnavailable}})
 	body, _ := json.Marshal(map[string]any{"tokens": []string{"t"}, "data": json.RawMessage(data)})
 	return port.Event{KV: port.KV{Key: record.PoolKey(fleet.PoolName(name)), Value: body, Revision: rev}}
 }
@@ -72,8 +72,8 @@
 	a, b := New(), New()
 	a.Apply([]port.Event{poolEvent("p", 5, 2), poolEvent("q", 6, 1)}, 6)
 	a.Apply([]port.Event{deletionEvent("q", 7)}, 7)
-	events, upTo := a.ChangesSince(0)
-	b.Apply(events, upTo)
+	events, completeTo := a.ChangesSince(0)
+	b.Apply(events, completeTo)
 	assert.Equal(t, a.State().Pools, b.State().Pools)
 	events, _ = a.ChangesSince(5)
 	require.Len(t, events, 1)
--- a/requests/mirror/syncer.go
+++ b/requests/mirror/syncer.go
@@ -12,29 +12,32 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Syncer keeps a mirror up to date from the store with one listing and one watch,
-// whatever the number of pools.
+// Syncer keeps a mirror up to date from the store with one listing and one watch of
+// all records, whatever the number of pools.
 type Syncer struct {
 	Mirror *Mirror
 	Store  port.Store
 	Rand   *rand.Rand
 	// Connected is true while the watch is known to be alive.
 	Connected atomic.Bool
-	// OnConnectionChange is called at each change of Connected; may be nil.
+	// OnConnectionChange is called at each change of Connected, with the error that
+	// ended the connection. It may be nil.
 	OnConnectionChange func(connected bool, err error)
 	// Listings counts the listings of all records.
 	Listings atomic.Int64
 }
 
 // Pauses between attempts to reach the store. They double from minRetryPause to
-// maxRetryPause, with jitter of up to half, so that the daemons of a fleet that
+// maxRetryPause, and up to half of each is random, so that the daemons of a fleet that
 // was cut off do not all reconnect at the same time.
 const (
 	minRetryPause = 200 * time.Millisecond
 	maxRetryPause = 5 * time.Second
 )
 
-// Run updates the mirror until ctx ends.
+// Run updates the mirror until ctx ends. After a lost connection it resumes the watch
+// at the mirror's revision; it lists all records again only if the store has compacted
+// that revision.
 func (s *Syncer) Run(ctx context.Context) {
 	pause := minRetryPause
 	relist := true
@@ -52,7 +55,7 @@
 }
 
 // listAndWatch lists all records if relist is set, then watches until the stream
-// breaks.
+// breaks. It clears relist after a listing and resets pause when the watch delivers.
 func (s *Syncer) listAndWatch(ctx context.Context, relist *bool, pause *time.Duration) error {
 	if *relist {
 		l, err := s.Store.List(ctx, record.Root)
@@ -72,12 +75,13 @@
 	})
 }
 
-func (s *Syncer) setConnected(up bool, err error) {
-	if s.Connected.Swap(up) != up && s.OnConnectionChange != nil {
-		s.OnConnectionChange(up, err)
+func (s *Syncer) setConnected(connected bool, err error) {
+	if s.Connected.Swap(connected) != connected && s.OnConnectionChange != nil {
+		s.OnConnectionChange(connected, err)
 	}
 }
 
+// jitter returns a random duration between d/2 and d.
 func jitter(r *rand.Rand, d time.Duration) time.Duration {
 	return d/2 + time.Duration(r.Int64N(int64(d/2)+1))
 }
