--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -54,11 +54,11 @@
 	log      *zap.Logger
 	self     fleet.Entry
 
-	store   *etcdkv.Client
-	peers   *peerrpc.Client
-	backend *backendhttp.Client
-	list    *platformhttp.Client
-	tasks   *workerhttp.Client
+	store    *etcdkv.Client
+	peers    *peerrpc.Client
+	backend  *backendhttp.Client
+	platform *platformhttp.Client
+	tasks    *workerhttp.Client
 
 	mirror     *mirror.Mirror
 	syncer     *mirror.Syncer
@@ -73,7 +73,7 @@
 	peerServer         *peerrpc.Server
 	listeners          listeners
 	stopping           atomic.Bool
-	ctx                context.Context // ends with everything the daemon runs
+	ctx                context.Context // of every component; cancelled when the daemon ends
 	cancel             context.CancelFunc
 }
 
@@ -110,6 +110,7 @@
 	return fallback
 }
 
+// listen binds the listeners. If one fails, it closes those already bound.
 func (d *Daemon) listen() error {
 	for _, l := range []struct {
 		addr string
@@ -137,15 +138,15 @@
 	}
 }
 
-// watchIdle is how long the store's watch may be silent before it counts as broken.
-// The store has to send progress notifications more often than that.
-const watchIdle = 15 * time.Second
+// watchIdleTimeout is how long the store's watch may be silent before it is considered
+// broken. The store has to send progress notifications more often than that.
+const watchIdleTimeout = 15 * time.Second
 
 func (d *Daemon) initClients() {
 	s := d.settings
-	d.store = etcdkv.New(etcdkv.Options{Addr: s.Store.Addr, Timeout: s.Store.Timeout.D(), WatchIdleTimeout: watchIdle})
+	d.store = etcdkv.New(etcdkv.Options{Addr: s.Store.Addr, Timeout: s.Store.Timeout.D(), WatchIdleTimeout: watchIdleTimeout})
 	d.peers = peerrpc.NewClient(s.Peers.Token, s.Peers.Timeout.D(), s.Peers.Timeout.D())
-	d.list = platformhttp.New(s.Platform.Addr, s.Platform.Timeout.D())
+	d.platform = platformhttp.New(s.Platform.Addr, s.Platform.Timeout.D())
 	d.tasks = workerhttp.New(s.Platform.Timeout.D())
 	d.backend = backendhttp.New(backendhttp.Options{
 		MaxConnections: connectionsPerWorker / member.MaxMembers,
@@ -184,7 +185,7 @@
 	opts.Wave.MaxConcurrent = s.Control.WaveWidth
 	opts.Place = place.Policy(s.Policies.Place)
 	d.controller = control.New(opts, control.Deps{
-		Store: d.store, Mirror: d.mirror, List: d.list, Actions: d.list, Tasks: d.tasks, LiveMembers: d.node.LiveMembers,
+		Store: d.store, Mirror: d.mirror, List: d.platform, Actions: d.platform, Tasks: d.tasks, LiveMembers: d.node.LiveMembers,
 		StoreConnected: d.syncer.Connected.Load, OnEntriesEnded: d.node.MarkEnded, OnSnapshot: d.applySnapshot, Log: d.log,
 	})
 	d.handler = &entry.Handler{
@@ -199,12 +200,12 @@
 
 // Limits of the HTTP servers.
 const (
-	headerTimeout  = 5 * time.Second
-	requestTimeout = 30 * time.Second
+	headerTimeout  = 5 * time.Second  // to read the header of a request
+	requestTimeout = 30 * time.Second // to read a request with its body
 	// answerTimeout bounds the writing of an answer, in addition to the longest
 	// request.
 	answerTimeout  = 30 * time.Second
-	idleTimeout    = 2 * time.Minute
+	idleTimeout    = 2 * time.Minute // of a connection between requests
 	maxHeaderBytes = 64 << 10
 )
 
@@ -215,7 +216,7 @@
 			Store: d.store, Writer: record.NewWriter(d.store), Mirror: d.mirror,
 			Snapshot: d.controller.Snapshot, WaitInForce: d.node.WaitInForce,
 		},
-		Status: d.status, Burn: d.burnReport, Wave: d.waveReport, Ready: d.Ready, Metrics: d.metrics.Handler,
+		Status: d.Status, Burn: d.burnReport, Wave: d.waveReport, Ready: d.Ready, Metrics: d.metrics.Handler,
 	}
 	newServer := func(h http.Handler) *http.Server {
 		return &http.Server{
@@ -246,7 +247,7 @@
 
 // Run runs the daemon until ctx ends, then stops it gracefully.
 func (d *Daemon) Run(ctx context.Context) error {
-	base := d.ctx
+	componentCtx := d.ctx
 	defer d.cancel()
 	var wg sync.WaitGroup
 	start := func(fn func()) {
@@ -256,19 +257,19 @@
 			fn()
 		}()
 	}
-	start(func() { d.syncer.Run(base) })
-	start(func() { d.node.Run(base) })
-	start(func() { d.controller.Run(base) })
-	start(func() { d.dispatcher.RunLoans(base, d.self.Incarnation, d.peers) })
+	start(func() { d.syncer.Run(componentCtx) })
+	start(func() { d.node.Run(componentCtx) })
+	start(func() { d.controller.Run(componentCtx) })
+	start(func() { d.dispatcher.RunLoans(componentCtx, d.self.Incarnation, d.peers) })
 	start(func() { d.peerServer.Serve(d.listeners.peer) })
 	start(func() { serve(d.apiServer, d.listeners.api) })
 	start(func() { serve(d.traffic, d.listeners.traffic) })
-	start(func() { d.updateGauges(base) })
+	start(func() { d.updateGauges(componentCtx) })
 	d.log.Info("started", zap.String("traffic", d.TrafficAddr()), zap.String("api", d.APIAddr()), zap.String("version", Version))
 	select {
 	case <-ctx.Done():
 		d.stop()
-	case <-base.Done():
+	case <-componentCtx.Done():
 	}
 	d.cancel()
 	d.close()
@@ -276,6 +277,8 @@
 	return nil
 }
 
+// serve serves until the server or its listener is closed. After any other error it
+// closes the listener.
 func serve(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
 		_ = l.Close()
@@ -323,7 +326,7 @@
 	d.peerServer.Close()
 	d.peers.Close()
 	d.store.Close()
-	d.list.Close()
+	d.platform.Close()
 	d.tasks.Close()
 	d.backend.Close()
 	_ = d.metrics.Close()
@@ -335,8 +338,8 @@
 // Run.
 func (d *Daemon) BlockPeers(blocked func(addr string) bool) { d.peers.Blocked = blocked }
 
-func (d *Daemon) storeConnectionChanged(up bool, err error) {
-	if up {
+func (d *Daemon) storeConnectionChanged(connected bool, err error) {
+	if connected {
 		d.log.Info("connected to the store")
 		return
 	}
@@ -345,12 +348,16 @@
 	}
 }
 
+// applySnapshot derives the routing data from a snapshot and closes the idle
+// connections to workers that are not in it.
 func (d *Daemon) applySnapshot(s *control.Snapshot) {
 	dir := directory.Build(s.State, s.Instances)
 	d.dispatcher.SetDirectory(dir)
 	d.backend.RetainConnections(dir.Addrs)
 }
 
+// instances lists the instances that this daemon knows, for peers that have not read
+// the platform's list yet.
 func (d *Daemon) instances() []fleet.Instance {
 	s := d.controller.Snapshot()
 	out := make([]fleet.Instance, 0, len(s.Instances))
@@ -370,7 +377,7 @@
 var (
 	errStopping         = errors.New("stopping")
 	errNotCurrentMember = errors.New("not a current member of the view")
-	errNoConfig         = errors.New("no configuration yet")
+	errNoRecords        = errors.New("no records received from the store or a peer yet")
 )
 
 // Ready returns why the load balancer should not send requests to this daemon, or
@@ -382,7 +389,7 @@
 	case !d.node.ServingStatus().MayUseSlots(time.Now()):
 		return errNotCurrentMember
 	case d.mirror.State().Revision == 0:
-		return errNoConfig
+		return errNoRecords
 	}
 	return nil
 }
--- a/requests/daemon/reports.go
+++ b/requests/daemon/reports.go
@@ -14,12 +14,9 @@
 )
 
 // Status returns the daemon's status for the operators' API.
-func (d *Daemon) Status() api.Status { return d.status() }
-
-// status returns the daemon's status for the operators' API.
-func (d *Daemon) status() api.Status {
+func (d *Daemon) Status() api.Status {
 	now := time.Now()
-	status := d.node.ServingStatus()
+	serving := d.node.ServingStatus()
 	snap := d.controller.Snapshot()
 	claims, bytes := d.node.Claims.Size()
 	counts := &d.store.Counters
@@ -27,9 +24,9 @@
 		Entry:         string(d.self.ID),
 		Zone:          string(d.self.Zone),
 		Version:       Version,
-		Epoch:         int64(status.Epoch),
-		Serving:       status.Serving(now),
-		Reason:        status.Reason,
+		Epoch:         int64(serving.Epoch),
+		Serving:       serving.Serving(now),
+		Reason:        serving.Reason,
 		StoreUp:       d.syncer.Connected.Load(),
 		Revision:      int64(snap.State.Revision),
 		ListedAt:      snap.ListedAt,
@@ -44,7 +41,7 @@
 		StoreBytesIn:  counts.BytesIn.Load(),
 		StoreBytesOut: counts.BytesOut.Load(),
 		ControlBytes: counts.BytesIn.Load() + counts.BytesOut.Load() + d.peers.Bytes.In.Load() + d.peers.Bytes.Out.Load() +
-			d.list.BytesIn.Load() + d.list.BytesOut.Load(),
+			d.platform.BytesIn.Load() + d.platform.BytesOut.Load(),
 		Conflicts: d.controller.Counters.Conflicts.Load(),
 	}
 	for _, m := range d.node.View().Members {
@@ -53,6 +50,7 @@
 	return s
 }
 
+// burnCounts returns this daemon's own request counts by class and window.
 func (d *Daemon) burnCounts() port.BurnCounts {
 	out := port.BurnCounts{Entry: d.self.ID}
 	for _, c := range d.burn.Counts(time.Now()) {
@@ -85,13 +83,15 @@
 	}
 	state := d.mirror.State()
 	for _, svc := range state.Config.Value.Services {
-		for _, k := range svc.Classes {
-			report.Rows = append(report.Rows, burnRow(svc.Name, k, sum[slo.Key{Service: svc.Name, Class: k.Name}]))
+		for _, class := range svc.Classes {
+			report.Rows = append(report.Rows, burnRow(svc.Name, class, sum[slo.Key{Service: svc.Name, Class: class.Name}]))
 		}
 	}
 	return report
 }
 
+// addCounts adds the counts of one daemon to sum, whose inner maps are keyed by the
+// window's length in seconds.
 func addCounts(sum map[slo.Key]map[int]port.BurnRow, c port.BurnCounts) {
 	for _, r := range c.Rows {
 		k := slo.Key{Service: r.Service, Class: r.Class}
@@ -105,12 +105,14 @@
 	}
 }
 
-func burnRow(service fleet.ServiceName, k fleet.Class, counts map[int]port.BurnRow) api.BurnRow {
-	row := api.BurnRow{Service: string(service), Class: string(k.Name), Objective: k.Objective.Availability}
+// burnRow computes the burn rates of one class. counts is keyed by the window's length
+// in seconds.
+func burnRow(service fleet.ServiceName, class fleet.Class, counts map[int]port.BurnRow) api.BurnRow {
+	row := api.BurnRow{Service: string(service), Class: string(class.Name), Objective: class.Objective.Availability}
 	rates := map[time.Duration]float64{}
 	for _, w := range slo.Windows {
 		c := counts[int(w.Seconds())]
-		rates[w] = slo.BurnRate(c.Total, c.Bad, k.Objective.Availability)
+		rates[w] = slo.BurnRate(c.Total, c.Bad, class.Objective.Availability)
 		row.Windows = append(row.Windows, api.BurnWindow{Seconds: int(w.Seconds()), Total: c.Total, Bad: c.Bad, Rate: rates[w]})
 	}
 	row.Alert = string(slo.EvaluateAlert(rates))
@@ -141,6 +143,8 @@
 	return r, true
 }
 
+// wavePoolReport converts the samples of one pool. BudgetExceeded is set if more
+// instances were out of service than allowed in any of them.
 func wavePoolReport(pool fleet.PoolName, samples []control.Sample) api.WavePool {
 	out := api.WavePool{Pool: string(pool)}
 	for _, s := range samples {
@@ -170,7 +174,7 @@
 			return
 		case <-t.C:
 		}
-		s := d.status()
+		s := d.Status()
 		scope := d.metrics.Scope
 		for name, v := range map[string]int64{
 			"view_epoch": s.Epoch, "revision": s.Revision, "requests_in_flight": s.InFlight,
@@ -187,7 +191,7 @@
 			name string
 			on   bool
 		}{{"store_up", s.StoreUp}, {"serving", s.Serving}, {"slots_settled", s.SlotsSettled}} {
-			scope.Gauge(b.name).Update(float64(slices.Index([]bool{false, true}, b.on)))
+			scope.Gauge(b.name).Update(float64(slices.Index([]bool{false, true}, b.on))) // 0 or 1
 		}
 	}
 }
@@ -195,9 +199,9 @@
 // updateBurnGauges exports the burn rates of the error budgets, computed from this
 // daemon's requests alone.
 func (d *Daemon) updateBurnGauges() {
-	services := d.mirror.State().Config.Value
+	config := d.mirror.State().Config.Value
 	for _, c := range d.burn.Counts(time.Now()) {
-		svc := services.Service(c.Service)
+		svc := config.Service(c.Service)
 		if svc == nil {
 			continue
 		}
