--- a/lab/control.go
+++ b/lab/control.go
@@ -159,7 +159,7 @@
 
 func rollOutOnce(ctx context.Context, width, rebootMS int, never []string) ([]string, error) {
 	f, err := newReadyFixture(ctx, OrderDesks(), 6, func(s *settings.Settings) {
-		s.Control.WaveWidth = width
+		s.Control.WaveMaxConcurrent = width
 		s.Control.RebootTimeout = settings.Duration(3 * time.Second)
 	})
 	if err != nil {
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -182,7 +182,7 @@
 	opts.ListMaxAge = max(opts.ListMaxAge, 3*opts.ListInterval)
 	opts.TaskLease = s.Control.TaskLease.D()
 	opts.Wave.RebootTimeout = s.Control.RebootTimeout.D()
-	opts.Wave.MaxConcurrent = s.Control.WaveWidth
+	opts.Wave.MaxConcurrent = s.Control.WaveMaxConcurrent
 	opts.Place = place.Policy(s.Policies.Place)
 	d.controller = control.New(opts, control.Deps{
 		Store: d.store, Mirror: d.mirror, List: d.platform, Actions: d.platform, Tasks: d.tasks, LiveMembers: d.node.LiveMembers,
--- a/requests/settings/settings.go
+++ b/requests/settings/settings.go
@@ -77,11 +77,11 @@
 
 // Control holds the times of the reconcile loops.
 type Control struct {
-	Tick          Duration `toml:"tick" validate:"mindur=10ms,maxdur=10s"`
-	ListInterval  Duration `toml:"list_interval" validate:"mindur=50ms,maxdur=60s"`
-	TaskLease     Duration `toml:"task_lease" validate:"mindur=500ms,maxdur=10m"`
-	RebootTimeout Duration `toml:"reboot_timeout" validate:"mindur=1s,maxdur=2h"`
-	WaveWidth     int      `toml:"wave_width" validate:"min=0,max=10000"`
+	Tick              Duration `toml:"tick" validate:"mindur=10ms,maxdur=10s"`
+	ListInterval      Duration `toml:"list_interval" validate:"mindur=50ms,maxdur=60s"`
+	TaskLease         Duration `toml:"task_lease" validate:"mindur=500ms,maxdur=10m"`
+	RebootTimeout     Duration `toml:"reboot_timeout" validate:"mindur=1s,maxdur=2h"`
+	WaveMaxConcurrent int      `toml:"wave_width" validate:"min=0,max=10000"`
 }
 
 // Stop holds the times of a graceful stop.
