--- a/requests/settings/settings.go
+++ b/requests/settings/settings.go
@@ -30,7 +30,7 @@
 	Policies Policies `toml:"policies"`
 }
 
-// Entry identifies the entry daemon.
+// Entry identifies the entry daemon and its availability zone.
 type Entry struct {
 	ID   string `toml:"id" validate:"required,name"`
 	Zone string `toml:"zone" validate:"required,name"`
@@ -49,39 +49,62 @@
 
 // Endpoint is an external service.
 type Endpoint struct {
-	Addr    string   `toml:"addr" validate:"required,ipport"`
+	Addr string `toml:"addr" validate:"required,ipport"`
+	// Timeout bounds one call.
 	Timeout Duration `toml:"timeout" validate:"mindur=10ms,maxdur=60s"`
 }
 
 // Peers says how daemons find, authenticate and monitor each other.
 type Peers struct {
-	Token     string   `toml:"token" validate:"required,min=16,max=128,printascii"`
-	Seeds     []string `toml:"seeds" validate:"dive,ipport"`
+	// Token authenticates the daemons to each other; all must have the same.
+	Token string `toml:"token" validate:"required,min=16,max=128,printascii"`
+	// Seeds are peer addresses to contact while no view is known.
+	Seeds []string `toml:"seeds" validate:"dive,ipport"`
+	// Heartbeat is the interval between heartbeats to each peer.
 	Heartbeat Duration `toml:"heartbeat" validate:"mindur=50ms,maxdur=500ms"`
-	LeaseTTL  Duration `toml:"lease_ttl" validate:"mindur=1s,maxdur=60s"`
-	Grace     Duration `toml:"grace" validate:"mindur=1s,maxdur=60s"`
-	Timeout   Duration `toml:"timeout" validate:"mindur=50ms,maxdur=10s"`
+	// LeaseTTL is the lifetime of the daemon's registration without renewal.
+	LeaseTTL Duration `toml:"lease_ttl" validate:"mindur=1s,maxdur=60s"`
+	// Grace is the silence after which an unregistered member is removed from the
+	// view.
+	Grace Duration `toml:"grace" validate:"mindur=1s,maxdur=60s"`
+	// Timeout bounds connecting to a peer, and each call.
+	Timeout Duration `toml:"timeout" validate:"mindur=50ms,maxdur=10s"`
 }
 
 // Limits bound the requests of callers.
 type Limits struct {
-	MaxBodyBytes     int64    `toml:"max_body_bytes" validate:"min=1,max=67108864"`
-	MaxAnswerBytes   int64    `toml:"max_answer_bytes" validate:"min=1,max=67108864"`
-	MaxRetainedBytes int      `toml:"max_retained_bytes" validate:"min=0,max=1048576"`
-	MaxInFlight      int64    `toml:"max_in_flight" validate:"min=1,max=100000"`
-	MaxBufferedBytes int64    `toml:"max_buffered_bytes" validate:"min=1,max=8589934592"`
-	DefaultTimeout   Duration `toml:"default_timeout" validate:"mindur=10ms,maxdur=10m"`
-	MaxTimeout       Duration `toml:"max_timeout" validate:"mindur=10ms,maxdur=10m"`
-	MaxQueue         int      `toml:"max_queue" validate:"min=1,max=100000"`
+	// MaxBodyBytes limits the body of a request.
+	MaxBodyBytes int64 `toml:"max_body_bytes" validate:"min=1,max=67108864"`
+	// MaxAnswerBytes limits the body of an answer of a backend server.
+	MaxAnswerBytes int64 `toml:"max_answer_bytes" validate:"min=1,max=67108864"`
+	// MaxRetainedBytes limits the body of an answer that is retained for resent
+	// requests.
+	MaxRetainedBytes int `toml:"max_retained_bytes" validate:"min=0,max=1048576"`
+	// MaxInFlight limits the number of concurrent requests.
+	MaxInFlight int64 `toml:"max_in_flight" validate:"min=1,max=100000"`
+	// MaxBufferedBytes limits the total size of buffered request bodies.
+	MaxBufferedBytes int64 `toml:"max_buffered_bytes" validate:"min=1,max=8589934592"`
+	// DefaultTimeout applies to requests without a deadline header, unless the route
+	// sets its own. MaxTimeout limits both.
+	DefaultTimeout Duration `toml:"default_timeout" validate:"mindur=10ms,maxdur=10m"`
+	MaxTimeout     Duration `toml:"max_timeout" validate:"mindur=10ms,maxdur=10m"`
+	// MaxQueue limits the number of waiting requests per class.
+	MaxQueue int `toml:"max_queue" validate:"min=1,max=100000"`
 }
 
 // Control holds the times of the reconcile loops.
 type Control struct {
-	Tick              Duration `toml:"tick" validate:"mindur=10ms,maxdur=10s"`
-	ListInterval      Duration `toml:"list_interval" validate:"mindur=50ms,maxdur=60s"`
-	TaskLease         Duration `toml:"task_lease" validate:"mindur=500ms,maxdur=10m"`
-	RebootTimeout     Duration `toml:"reboot_timeout" validate:"mindur=1s,maxdur=2h"`
-	WaveMaxConcurrent int      `toml:"wave_width" validate:"min=0,max=10000"`
+	// Tick is the longest pause between two rounds of the reconcile loop.
+	Tick Duration `toml:"tick" validate:"mindur=10ms,maxdur=10s"`
+	// ListInterval is the interval between reads of the platform's instance list.
+	ListInterval Duration `toml:"list_interval" validate:"mindur=50ms,maxdur=60s"`
+	// TaskLease is how long a task may run without renewal.
+	TaskLease Duration `toml:"task_lease" validate:"mindur=500ms,maxdur=10m"`
+	// RebootTimeout is how long a reboot may take before a wave skips the instance.
+	RebootTimeout Duration `toml:"reboot_timeout" validate:"mindur=1s,maxdur=2h"`
+	// WaveMaxConcurrent limits how many instances a wave takes out of one pool at
+	// once; 0 leaves it to the budget.
+	WaveMaxConcurrent int `toml:"wave_width" validate:"min=0,max=10000"`
 }
 
 // Stop holds the times of a graceful stop.
@@ -99,8 +122,8 @@
 	Format string `toml:"format" validate:"oneof=json console"`
 }
 
-// Policies select algorithms. The second value of each is the baseline for
-// measurements.
+// Policies select algorithms. The second value of each is the baseline that
+// measurements compare with.
 type Policies struct {
 	Admit string `toml:"admit" validate:"oneof=weighted fifo"`
 	Pick  string `toml:"pick" validate:"oneof=least-loaded random"`
--- a/requests/settings/settings_test.go
+++ b/requests/settings/settings_test.go
@@ -56,7 +56,7 @@
 			{Line: 0, Key: "limits.max_queue", Text: "is 0: want at least 1"},
 			{Line: 0, Key: "limits.default_timeout", Text: "is longer than limits.max_timeout"},
 		}},
-		{"host name", minimalFile + "[peers2]\n[limits]\n", []Problem{{Line: 15, Key: "peers2", Text: "unknown key"}}},
+		{"unknown section", minimalFile + "[peers2]\n[limits]\n", []Problem{{Line: 15, Key: "peers2", Text: "unknown key"}}},
 		{"bad duration", minimalFile + "[stop]\ntimeout = \"soon\"\n[log]\nlevel = 3\n", []Problem{
 			{Line: 16, Key: "stop.timeout", Text: "\"soon\" is not a duration: want for example \"500ms\" or \"10s\""},
 			{Line: 18, Key: "log.level", Text: "is of type integer: want string"},
