--- a/requests/slo/slo.go
+++ b/requests/slo/slo.go
@@ -15,13 +15,14 @@
 // 30 min are the usual pairs for fast and slow burn alerts.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
-// Alert thresholds: a fast burn spends 2% of a 30-day error budget in one hour, a
-// slow burn 5% in six hours.
+// Alert thresholds: burn rates at which a 30-day error budget loses 2% in one hour
+// (fast) or 5% in six hours (slow).
 const (
-	FastBurnRate = 14.4
-	SlowBurnRate = 6.0
+	FastBurnThreshold = 14.4
+	SlowBurnThreshold = 6.0
 )
 
+// Requests are counted in a ring of buckets that spans the longest window.
 const (
 	bucketDuration = 30 * time.Second
 	bucketCount    = int(6 * time.Hour / bucketDuration)
@@ -29,8 +30,8 @@
 
 type bucket struct {
 	number int64 // Unix time divided by bucketDuration
-	total  int64
-	bad    int64
+	total  int64 // requests
+	bad    int64 // requests that missed the objective
 }
 
 // Key identifies a class of a service.
@@ -49,7 +50,8 @@
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{series: map[Key]*[bucketCount]bucket{}} }
 
-// Record counts a request that ended at time now.
+// Record counts a request that ended at time now. good tells whether it met the
+// objective.
 func (r *Recorder) Record(now time.Time, k Key, good bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,14 +71,15 @@
 	}
 }
 
-// Count is the number of requests of one key in one window.
+// Count holds the numbers of requests of one key in one window.
 type Count struct {
 	Key
 	Window     time.Duration
 	Total, Bad int64
 }
 
-// Counts returns the counts of every key and window at time now.
+// Counts returns the counts of every key and window at time now, sorted by service,
+// class and window. A window includes the current, incomplete bucket.
 func (r *Recorder) Counts(now time.Time) []Count {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,23 +114,23 @@
 	return float64(bad) / float64(total) / (1 - objective)
 }
 
-// Alert is the active burn rate alert.
+// Alert is the active burn rate alert of one class.
 type Alert string
 
 // Alerts.
 const (
 	AlertNone Alert = ""
-	AlertFast Alert = "fast"
-	AlertSlow Alert = "slow"
+	AlertFast Alert = "fast" // at least FastBurnThreshold over 1 h and 5 min
+	AlertSlow Alert = "slow" // at least SlowBurnThreshold over 6 h and 30 min
 )
 
 // EvaluateAlert returns the alert for the burn rates by window. Both windows of a
-// pair must be above the threshold, so that the alert ends soon after its cause.
-func EvaluateAlert(rate map[time.Duration]float64) Alert {
+// pair must be at the threshold or above, so that the alert ends soon after its cause.
+func EvaluateAlert(rates map[time.Duration]float64) Alert {
 	switch {
-	case rate[time.Hour] >= FastBurnRate && rate[5*time.Minute] >= FastBurnRate:
+	case rates[time.Hour] >= FastBurnThreshold && rates[5*time.Minute] >= FastBurnThreshold:
 		return AlertFast
-	case rate[6*time.Hour] >= SlowBurnRate && rate[30*time.Minute] >= SlowBurnRate:
+	case rates[6*time.Hour] >= SlowBurnThreshold && rates[30*time.Minute] >= SlowBurnThreshold:
 		return AlertSlow
 	default:
 		return AlertNone
