--- a/requests/directory/directory.go
+++ b/requests/directory/directory.go
@@ -24,7 +24,8 @@
 	Name    fleet.ServiceName
 	Classes []fleet.Class
 	Workers []Worker // sorted by ID
-	// Total is the number of members of the service's pools, usable or not.
+	// Total is the number of members of the service's pools, whether they may get new
+	// requests or not.
 	Total int
 }
 
@@ -33,9 +34,10 @@
 	Revision fleet.Revision
 	Routes   *route.Table
 	Services map[fleet.ServiceName]*Service
-	// Slots is the number of slots of every worker of any pool, usable or not.
+	// Slots is the number of slots of every listed worker whose pool belongs to a
+	// service, whether it may get new requests or not.
 	Slots map[fleet.InstanceID]int
-	// Addrs is the address (IP:port) of every worker of any pool, usable or not.
+	// Addrs is the address (IP:port) of each worker in Slots.
 	Addrs map[fleet.InstanceID]string
 }
 
@@ -52,7 +54,7 @@
 // Build derives the directory from the records and the latest instance list.
 //
 // Invariant: a worker is in Service.Workers only if it has no recorded disruption
-// and the instance list shows it as serving. Either source alone excludes it.
+// and the instance list shows it as ready. Either source alone excludes it.
 func Build(s *fleet.State, instances map[fleet.InstanceID]fleet.Instance) *Directory {
 	d := Empty()
 	d.Revision = s.Revision
@@ -60,7 +62,7 @@
 	for _, svc := range s.Config.Value.Services {
 		d.Services[svc.Name] = &Service{Name: svc.Name, Classes: svc.Classes}
 	}
-	disrupted := disruptions(s)
+	disrupted := disruptedInstances(s)
 	for _, shard := range s.Shards {
 		for _, m := range shard.Value.Members {
 			d.add(s, m, instances[m.Instance], disrupted[m.Instance])
@@ -72,7 +74,8 @@
 	return d
 }
 
-func disruptions(s *fleet.State) map[fleet.InstanceID]bool {
+// disruptedInstances returns the instances with a recorded disruption in any pool.
+func disruptedInstances(s *fleet.State) map[fleet.InstanceID]bool {
 	out := map[fleet.InstanceID]bool{}
 	for _, p := range s.Pools {
 		for _, d := range p.Value.Disruptions {
@@ -82,6 +85,8 @@
 	return out
 }
 
+// add adds the member m of a pool. inst is its entry in the instance list, the zero
+// value if it is not listed.
 func (d *Directory) add(s *fleet.State, m fleet.Membership, inst fleet.Instance, disrupted bool) {
 	pool, ok := s.Pools[m.Pool]
 	if !ok {
