--- a/requests/rendezvous/rendezvous.go
+++ b/requests/rendezvous/rendezvous.go
@@ -1,5 +1,5 @@
-// Package rendezvous implements rendezvous hashing (highest random weight): when
-// members change, only the keys of the changed members move.
+// Package rendezvous implements rendezvous hashing (highest random weight): when a
+// member is added or removed, only the keys that it owns change their owner.
 package rendezvous
 
 import (
@@ -8,7 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weight returns the score of a member for a key.
+// weight returns the weight of a member for a key. The zero byte separates the two
+// strings in the hash.
 func weight(member, key string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -45,7 +46,7 @@
 	return rank
 }
 
-// Hash returns a 64-bit hash of s that is the same in every process.
+// Hash returns the 64-bit hash of s (xxHash), which is the same in every process.
 func Hash(s string) uint64 { return xxhash.Sum64String(s) }
 
 // Sorted returns the members ordered by weight for key, the owner first.
