--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -393,9 +393,9 @@
 	return h.Claims.Reachable(key)
 }
 
-func (h *stepClaims) Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error) {
+func (h *stepClaims) RequestClaim(ctx context.Context, key once.Key, fp once.Fingerprint) (once.AttemptID, once.Reply, error) {
 	h.d.reachStep(stepClaim)
-	attempt, reply, err := h.Claims.Ask(ctx, key, fp)
+	attempt, reply, err := h.Claims.RequestClaim(ctx, key, fp)
 	h.d.reachStep(stepClaimed)
 	return attempt, reply, err
 }
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -25,7 +25,7 @@
 	table *once.Table
 	// attempts holds this daemon's own attempts until the owner of the key has
 	// recorded how they ended.
-	attempts map[once.Attempt]*localAttempt
+	attempts map[once.AttemptID]*localAttempt
 
 	// background counts the goroutines that send to other daemons. None is started
 	// once closed is set, so that wait returns.
@@ -47,7 +47,7 @@
 	return &Claims{
 		node:     n,
 		table:    once.NewTable(n.opts.Self.Incarnation, n.opts.Once),
-		attempts: map[once.Attempt]*localAttempt{},
+		attempts: map[once.AttemptID]*localAttempt{},
 	}
 }
 
@@ -204,9 +204,9 @@
 // claim now, because it is unreachable or not ready.
 const CodeKeyOwnerUnavailable verdict.Code = "key-owner-unavailable"
 
-// askTimeout bounds a request for a claim. A planned view change takes much less;
+// claimTimeout bounds a request for a claim. A planned view change takes much less;
 // a caller must not wait for an owner that is down.
-const askTimeout = 400 * time.Millisecond
+const claimTimeout = 400 * time.Millisecond
 
 // unreachableHeartbeats is the number of heartbeat intervals of silence after which
 // an owner counts as unreachable.
@@ -224,13 +224,14 @@
 	return !known || time.Since(heard) < unreachableHeartbeats*c.node.opts.Heartbeat
 }
 
-// Ask requests a claim from the owner of a key, and retries for up to askTimeout
-// until the owner decides. If the result is Granted, the caller must end the
-// returned attempt with End. An error has verdict NotRun: the attempt must not run.
-func (c *Claims) Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+// RequestClaim requests a claim from the owner of a key, and retries for up to
+// claimTimeout until the owner decides. If the result is Granted, the caller must
+// end the returned attempt with EndAttempt. An error has verdict NotRun: the attempt
+// must not run.
+func (c *Claims) RequestClaim(ctx context.Context, key once.Key, fp once.Fingerprint) (once.AttemptID, once.Reply, error) {
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	attempt := once.Attempt(uuid.NewString())
+	attempt := once.AttemptID(uuid.NewString())
 	cl := once.Claim{Key: key, Fingerprint: fp, Attempt: attempt, Claimer: c.node.opts.Self.Incarnation}
 	c.mu.Lock()
 	c.attempts[attempt] = &localAttempt{claim: cl}
@@ -238,7 +239,7 @@
 	uncertain := false
 	for {
 		asked := c.node.View()
-		reply, mayBeGranted := c.askOnce(ctx, asked, cl)
+		reply, mayBeGranted := c.requestClaimOnce(ctx, asked, cl)
 		uncertain = uncertain || mayBeGranted
 		if reply.Result == once.Granted && c.node.View().Epoch != asked.Epoch {
 			// The view changed during the request, so the claim is requested again:
@@ -262,7 +263,7 @@
 	}
 }
 
-func (c *Claims) markGranted(attempt once.Attempt) {
+func (c *Claims) markGranted(attempt once.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if o := c.attempts[attempt]; o != nil {
@@ -272,9 +273,9 @@
 
 // abandon gives up an attempt that was not granted. If the owner may have granted
 // it in an answer that was lost, it is told that the attempt never ran.
-func (c *Claims) abandon(attempt once.Attempt, uncertain bool) {
+func (c *Claims) abandon(attempt once.AttemptID, uncertain bool) {
 	if uncertain {
-		c.End(attempt, once.Abandoned, nil)
+		c.EndAttempt(attempt, once.Abandoned, nil)
 		return
 	}
 	c.mu.Lock()
@@ -282,9 +283,9 @@
 	c.mu.Unlock()
 }
 
-// askOnce sends one request to the owner under view v. mayBeGranted is true if the
+// requestClaimOnce sends one request to the owner under view v. mayBeGranted is true if the
 // owner may have granted the claim although its answer did not arrive.
-func (c *Claims) askOnce(ctx context.Context, v *fleet.View, cl once.Claim) (reply once.Reply, mayBeGranted bool) {
+func (c *Claims) requestClaimOnce(ctx context.Context, v *fleet.View, cl once.Claim) (reply once.Reply, mayBeGranted bool) {
 	r := once.Request{Epoch: v.Epoch, Key: cl.Key, Fingerprint: cl.Fingerprint, Attempt: cl.Attempt, Claimer: cl.Claimer}
 	owner := v.Member(once.Owner(v, cl.Key.Partition()))
 	if owner == nil {
@@ -300,9 +301,9 @@
 	return reply, false
 }
 
-// End records how an attempt ended and reports it to the key's owner in the
+// EndAttempt records how an attempt ended and reports it to the key's owner in the
 // background. It retries until the owner has recorded it, for up to reportTimeout.
-func (c *Claims) End(attempt once.Attempt, status once.Status, answer *once.Answer) {
+func (c *Claims) EndAttempt(attempt once.AttemptID, status once.Status, answer *once.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	o := c.attempts[attempt]
--- a/requests/cluster/claims_test.go
+++ b/requests/cluster/claims_test.go
@@ -45,9 +45,9 @@
 		n := New(Options{Self: fleet.Entry{Incarnation: "self"}}, Deps{Peers: peers, Log: zap.NewNop()})
 		n.progress.Store(&MemberProgress{View: &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "owner", PeerAddr: "owner:1"}}}})
 		for i := range attempts {
-			a := once.Attempt(fmt.Sprintf("a%d", i))
+			a := once.AttemptID(fmt.Sprintf("a%d", i))
 			n.Claims.attempts[a] = &localAttempt{claim: once.Claim{Key: once.Key(fmt.Sprintf("k%d", i)), Attempt: a}, granted: true}
-			n.Claims.End(a, once.Abandoned, nil)
+			n.Claims.EndAttempt(a, once.Abandoned, nil)
 		}
 		time.Sleep(outage)
 		assert.LessOrEqual(t, peers.tries.Load(), int64(12*attempts), "reports sent while the owner is unreachable")
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -54,11 +54,11 @@
 type Claims interface {
 	// Reachable reports whether the owner of a key has been in contact recently.
 	Reachable(key once.Key) bool
-	// Ask asks the owner of a key whether the request may run. If the result is
-	// once.Granted, End must be called. Errors have verdict NotRun.
-	Ask(ctx context.Context, key once.Key, fp once.Fingerprint) (once.Attempt, once.Reply, error)
-	// End reports how a granted attempt ended. answer may be nil.
-	End(attempt once.Attempt, status once.Status, answer *once.Answer)
+	// RequestClaim asks the owner of a key whether the request may run. If the
+	// result is once.Granted, EndAttempt must be called. Errors have verdict NotRun.
+	RequestClaim(ctx context.Context, key once.Key, fp once.Fingerprint) (once.AttemptID, once.Reply, error)
+	// EndAttempt reports how a granted attempt ended. answer may be nil.
+	EndAttempt(attempt once.AttemptID, status once.Status, answer *once.Answer)
 }
 
 // Limits limits the requests that one daemon serves.
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -27,10 +27,10 @@
 type fakeClaims struct{ reply once.Reply }
 
 func (f *fakeClaims) Reachable(once.Key) bool { return true }
-func (f *fakeClaims) Ask(context.Context, once.Key, once.Fingerprint) (once.Attempt, once.Reply, error) {
+func (f *fakeClaims) RequestClaim(context.Context, once.Key, once.Fingerprint) (once.AttemptID, once.Reply, error) {
 	return "attempt", f.reply, nil
 }
-func (f *fakeClaims) End(once.Attempt, once.Status, *once.Answer) {}
+func (f *fakeClaims) EndAttempt(once.AttemptID, once.Status, *once.Answer) {}
 
 type fakeBackend struct {
 	sent []port.BackendRequest
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -20,7 +20,7 @@
 // earlier attempt holds the key, it waits for that attempt and returns its answer.
 func (h *Handler) sendKeyed(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
 	fp := fingerprint(c)
-	id, reply, err := h.Claims.Ask(ctx, c.key, fp)
+	id, reply, err := h.Claims.RequestClaim(ctx, c.key, fp)
 	if err != nil || reply.Result != once.Granted {
 		h.Dispatcher.ReleaseUnsent(grant)
 	}
@@ -32,12 +32,12 @@
 			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key is still running")
 		}
 		// The earlier attempt may have been abandoned and this one granted now.
-		if id, reply, err = h.Claims.Ask(ctx, c.key, fp); err != nil {
+		if id, reply, err = h.Claims.RequestClaim(ctx, c.key, fp); err != nil {
 			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running, and asking the key's owner again failed")
 		}
 		if reply.Result == once.Granted {
 			if grant, err = h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline); err != nil {
-				h.Claims.End(id, once.Abandoned, nil)
+				h.Claims.EndAttempt(id, once.Abandoned, nil)
 				return nil, err
 			}
 		}
@@ -53,15 +53,15 @@
 }
 
 // sendClaimed sends a request whose key is claimed and records the result.
-func (h *Handler) sendClaimed(ctx context.Context, c *call, grant *Grant, id once.Attempt, attempt int) (*port.BackendAnswer, error) {
+func (h *Handler) sendClaimed(ctx context.Context, c *call, grant *Grant, id once.AttemptID, attempt int) (*port.BackendAnswer, error) {
 	answer, err := h.send(ctx, c, grant, attempt)
 	switch {
 	case err == nil:
-		h.Claims.End(id, once.Finished, h.retainedAnswer(answer))
+		h.Claims.EndAttempt(id, once.Finished, h.retainedAnswer(answer))
 	case verdict.Of(err) == verdict.NotRun:
-		h.Claims.End(id, once.Abandoned, nil)
+		h.Claims.EndAttempt(id, once.Abandoned, nil)
 	default:
-		h.Claims.End(id, once.Unknown, nil)
+		h.Claims.EndAttempt(id, once.Unknown, nil)
 	}
 	return answer, err
 }
--- a/requests/once/once.go
+++ b/requests/once/once.go
@@ -16,8 +16,8 @@
 // a different request.
 type Fingerprint [sha256.Size]byte
 
-// Attempt identifies one attempt of an entry daemon to run a keyed request.
-type Attempt string
+// AttemptID identifies one attempt of an entry daemon to run a keyed request.
+type AttemptID string
 
 // Answer is a complete answer of a backend server.
 type Answer struct {
@@ -52,7 +52,7 @@
 type Claim struct {
 	Key         Key
 	Fingerprint Fingerprint
-	Attempt     Attempt
+	Attempt     AttemptID
 	Claimer     fleet.Incarnation
 	Status      Status
 	Answer      *Answer // nil unless Finished and retained
@@ -178,7 +178,7 @@
 	Epoch       fleet.Epoch
 	Key         Key
 	Fingerprint Fingerprint
-	Attempt     Attempt
+	Attempt     AttemptID
 	Claimer     fleet.Incarnation
 }
 
--- a/requests/once/once_test.go
+++ b/requests/once/once_test.go
@@ -42,7 +42,7 @@
 
 var confirmedAndRetired = ViewStatus{Confirmed: true, Retired: true}
 
-func ask(v *fleet.View, k Key, attempt Attempt) Request {
+func ask(v *fleet.View, k Key, attempt AttemptID) Request {
 	return Request{Epoch: v.Epoch, Key: k, Fingerprint: Fingerprint{1}, Attempt: attempt, Claimer: "a"}
 }
 
