--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -331,7 +331,7 @@
 	if s == nil {
 		return 0, false
 	}
-	return s.budget.Next(a, d.rnd)
+	return s.budget.AllowRetry(a, d.rnd)
 }
 
 func overloadedError(r admit.Refusal) error {
--- a/requests/retry/retry.go
+++ b/requests/retry/retry.go
@@ -12,7 +12,7 @@
 // Policy selects what limits retries.
 type Policy string
 
-// Policies. PolicyUnbudgeted is the baseline of the measurements.
+// Policies. PolicyUnbudgeted is the baseline for performance comparisons.
 const (
 	PolicyBudgeted   Policy = "budgeted"   // MaxAttempts and the retry budget
 	PolicyUnbudgeted Policy = "unbudgeted" // only MaxAttempts
@@ -47,7 +47,7 @@
 // It is not safe for concurrent use.
 type Budget struct {
 	opts   Options
-	tokens float64
+	tokens float64 // retries that the budget still allows
 }
 
 // NewBudget returns a full budget.
@@ -65,29 +65,31 @@
 	Remaining  time.Duration // time until the request's deadline
 }
 
-// Next reports whether a failed attempt is retried, and after which pause. A
-// request that may have run is retried only if it is idempotent, and one refused
-// by an overloaded worker never is.
-func (b *Budget) Next(a Attempt, rnd *rand.Rand) (pause time.Duration, retry bool) {
-	repeatable := a.Verdict == verdict.NotRun || a.Idempotent
-	if !repeatable || a.Overloaded || a.Number >= b.opts.MaxAttempts {
+// AllowRetry reports whether a failed attempt is retried, and after which delay. A
+// request that may have run is retried only if it is idempotent, and one refused by
+// an overloaded worker never is. Under PolicyBudgeted each retry is taken from the
+// budget.
+func (b *Budget) AllowRetry(a Attempt, rnd *rand.Rand) (delay time.Duration, retry bool) {
+	safeToRetry := a.Verdict == verdict.NotRun || a.Idempotent
+	if !safeToRetry || a.Overloaded || a.Number >= b.opts.MaxAttempts {
 		return 0, false
 	}
-	pause = b.backoff(a.Number, rnd)
-	if pause >= a.Remaining {
+	delay = b.backoff(a.Number, rnd)
+	if delay >= a.Remaining {
 		return 0, false
 	}
 	if b.opts.Policy == PolicyUnbudgeted {
-		return pause, true
+		return delay, true
 	}
 	if b.tokens < 1 {
 		return 0, false
 	}
 	b.tokens--
-	return pause, true
+	return delay, true
 }
 
+// backoff returns a random delay before the attempt after the given one.
 func (b *Budget) backoff(attempt int, rnd *rand.Rand) time.Duration {
-	bound := min(b.opts.InitialBackoff<<(attempt-1), b.opts.MaxBackoff)
-	return time.Duration(rnd.Int64N(int64(bound) + 1))
+	maxDelay := min(b.opts.InitialBackoff<<(attempt-1), b.opts.MaxBackoff)
+	return time.Duration(rnd.Int64N(int64(maxDelay) + 1))
 }
--- a/requests/retry/retry_test.go
+++ b/requests/retry/retry_test.go
@@ -11,7 +11,7 @@
 )
 
 func TestRetriesOnlyRepeatableAttempts(t *testing.T) {
-	ok := Attempt{Number: 1, Verdict: verdict.NotRun, Remaining: time.Minute}
+	retryable := Attempt{Number: 1, Verdict: verdict.NotRun, Remaining: time.Minute}
 	for _, tc := range []struct {
 		name   string
 		change func(*Attempt)
@@ -24,10 +24,10 @@
 		{"last attempt", func(a *Attempt) { a.Number = 3 }, false},
 		{"no time left", func(a *Attempt) { a.Remaining = 0 }, false},
 	} {
-		a := ok
+		a := retryable
 		tc.change(&a)
-		_, again := NewBudget(DefaultOptions).Next(a, rand.New(rand.NewPCG(1, 1)))
-		assert.Equal(t, tc.want, again, tc.name)
+		_, retry := NewBudget(DefaultOptions).AllowRetry(a, rand.New(rand.NewPCG(1, 1)))
+		assert.Equal(t, tc.want, retry, tc.name)
 	}
 }
 
@@ -35,20 +35,20 @@
 // to the initial budget.
 func TestRetryAmplificationIsLimited(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(1, 1))
-	tries := func(p Policy) (n int) {
+	countAttempts := func(p Policy) (n int) {
 		o := DefaultOptions
 		o.Policy = p
 		b := NewBudget(o)
 		for range 1000 {
 			for attempt := 1; ; attempt++ {
 				n++
-				if _, again := b.Next(Attempt{Number: attempt, Verdict: verdict.NotRun, Remaining: time.Minute}, rnd); !again {
+				if _, retry := b.AllowRetry(Attempt{Number: attempt, Verdict: verdict.NotRun, Remaining: time.Minute}, rnd); !retry {
 					break
 				}
 			}
 		}
 		return n
 	}
-	assert.Equal(t, 1000+int(DefaultOptions.Burst), tries(PolicyBudgeted))
-	assert.Equal(t, 3000, tries(PolicyUnbudgeted), "without a budget, retries triple the load")
+	assert.Equal(t, 1000+int(DefaultOptions.Burst), countAttempts(PolicyBudgeted))
+	assert.Equal(t, 3000, countAttempts(PolicyUnbudgeted), "without a budget, retries triple the load")
 }
