--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -113,7 +113,7 @@
 		Self: d.self, Seeds: in.seedPeers, Heartbeat: 300 * time.Millisecond, LeaseTTL: 2 * time.Second, Grace: 2 * time.Second,
 		Member: member.DefaultOptions, Once: once.DefaultOptions,
 	}, cluster.Deps{
-		Store: d.store, Peers: &peerClient{in, d}, Mirror: d.mirror, Shares: d.dispatcher, Log: zap.NewNop(), Seed: uint64(n),
+		Store: d.store, Peers: &peerClient{in, d}, Mirror: d.mirror, Shares: d.dispatcher, Log: zap.NewNop(), JitterSeed: uint64(n),
 		Connected: d.syncer.Connected.Load, Burn: func() port.BurnCounts { return port.BurnCounts{} },
 		Instances: func() []fleet.Instance { return nil }, SeedInstances: func([]fleet.Instance) {},
 	})
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -47,12 +47,12 @@
 
 // Deps are the dependencies of a Node.
 type Deps struct {
-	Store  port.Store
-	Peers  port.Peers
-	Mirror *mirror.Mirror
-	Shares SlotShares
-	Log    *zap.Logger
-	Seed   uint64 // of the jitter
+	Store      port.Store
+	Peers      port.Peers
+	Mirror     *mirror.Mirror
+	Shares     SlotShares
+	Log        *zap.Logger
+	JitterSeed uint64 // of the jitter
 	// Connected reports whether the store's watch is alive.
 	Connected func() bool
 	Burn      func() port.BurnCounts
@@ -116,7 +116,7 @@
 		events:       make(chan func(time.Time)),
 		heartbeatNow: make(chan struct{}, 1),
 		done:         make(chan struct{}),
-		rand:         rand.New(rand.NewPCG(deps.Seed, 1)),
+		rand:         rand.New(rand.NewPCG(deps.JitterSeed, 1)),
 		tracker:      member.New(opts.Self.Incarnation, opts.Member),
 		peers:        map[fleet.Incarnation]*peerState{},
 		missingSince: map[fleet.Incarnation]time.Time{},
--- a/requests/cluster/register.go
+++ b/requests/cluster/register.go
@@ -16,7 +16,7 @@
 // lease is detected at the next renewal and replaced.
 func (n *Node) registerLoop(ctx context.Context) {
 	var lease port.LeaseID
-	rnd := rand.New(rand.NewPCG(n.deps.Seed, 2))
+	rnd := rand.New(rand.NewPCG(n.deps.JitterSeed, 2))
 	for ctx.Err() == nil {
 		lease = n.renew(ctx, lease)
 		pause := n.opts.LeaseTTL / 3
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -172,7 +172,7 @@
 		Self: d.self, Seeds: s.Peers.Seeds, Heartbeat: s.Peers.Heartbeat.D(), LeaseTTL: s.Peers.LeaseTTL.D(), Grace: s.Peers.Grace.D(),
 		Member: member.DefaultOptions, Once: once.DefaultOptions,
 	}, cluster.Deps{
-		Store: d.store, Peers: d.peers, Mirror: d.mirror, Shares: d.dispatcher, Log: d.log, Seed: rand.Uint64(),
+		Store: d.store, Peers: d.peers, Mirror: d.mirror, Shares: d.dispatcher, Log: d.log, JitterSeed: rand.Uint64(),
 		Connected: d.syncer.Connected.Load, Burn: d.burnCounts, Instances: d.instances, SeedInstances: d.seedInstances,
 	})
 	opts := control.DefaultOptions
