--- a/internal/matrix/control_test.go
+++ b/internal/matrix/control_test.go
@@ -160,7 +160,7 @@
 		return
 	}
 	a := budget.Compute(next, c.membersOf(next.Name), c.instances)
-	if a.Out() > a.Allowed {
+	if a.OutOfService() > a.Allowed {
 		t.Fatalf("granted beyond the budget: %s", a.Explain())
 	}
 }
--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -54,7 +54,7 @@
 		v := p.state.Pools[name]
 		a := budget.Compute(v.Value, members[name], p.Snapshot.Instances)
 		t.Rows = append(t.Rows, []string{
-			string(name), string(v.Value.Service), strconv.Itoa(a.Size), strconv.Itoa(a.Allowed), strconv.Itoa(a.Out()),
+			string(name), string(v.Value.Service), strconv.Itoa(a.Size), strconv.Itoa(a.Allowed), strconv.Itoa(a.OutOfService()),
 			strconv.Itoa(len(a.Failed)), v.Value.Budget.String(), formatRevision(v.Revision),
 		})
 	}
--- a/requests/budget/budget.go
+++ b/requests/budget/budget.go
@@ -14,37 +14,38 @@
 type Status struct {
 	Pool    fleet.PoolName
 	Size    int // number of members without those that are joining
-	Allowed int // maximum number of members out of service
-	// Claimed are the members with a recorded disruption; Failed are those out of
-	// service without one. Both are sorted and use up the budget.
-	Claimed, Failed []fleet.InstanceID
+	Allowed int // maximum number of members out of service at a time
+	// Disrupted are the members with a recorded disruption, such as maintenance;
+	// Failed are those out of service without one. Both are sorted and use up the
+	// budget.
+	Disrupted, Failed []fleet.InstanceID
 	// ZoneReserve is the part of the budget reserved for the loss of the zone with
 	// the most members in service; 0 unless the budget asks for it.
 	ZoneReserve int
-	// available is the number of members in service by zone.
+	// available is the number of members in service in each zone.
 	available map[fleet.AvailabilityZone]int
 	budget    fleet.AvailabilityBudget
 }
 
-// Out returns the number of members out of service.
-func (s Status) Out() int { return len(s.Claimed) + len(s.Failed) }
+// OutOfService returns the number of members out of service.
+func (s Status) OutOfService() int { return len(s.Disrupted) + len(s.Failed) }
 
 // Headroom returns how many more members may be taken out of service. It is
 // negative while the budget is exceeded.
-func (s Status) Headroom() int { return s.Allowed - s.Out() - s.ZoneReserve }
+func (s Status) Headroom() int { return s.Allowed - s.OutOfService() - s.ZoneReserve }
 
 // HeadroomAfterRemoval returns the headroom if one member in service is removed
-// from the pool: the pool shrinks by one, and the member also counts as out until
-// its record has changed.
+// from the pool: the pool shrinks by one, and the member also counts as out of
+// service until its record has changed.
 func (s Status) HeadroomAfterRemoval() int {
-	return min(s.budget.Allowed(s.Size-1), s.Allowed) - s.Out() - s.ZoneReserve - 1
+	return min(s.budget.Allowed(s.Size-1), s.Allowed) - s.OutOfService() - s.ZoneReserve - 1
 }
 
 // Explain describes in one line what uses the budget.
 func (s Status) Explain() string {
 	var parts []string
-	if len(s.Claimed) > 0 {
-		parts = append(parts, "in maintenance: "+joinIDs(s.Claimed))
+	if len(s.Disrupted) > 0 {
+		parts = append(parts, "in maintenance: "+joinIDs(s.Disrupted))
 	}
 	if len(s.Failed) > 0 {
 		parts = append(parts, "failed: "+joinIDs(s.Failed))
@@ -52,7 +53,7 @@
 	if s.ZoneReserve > 0 {
 		parts = append(parts, fmt.Sprintf("%d reserved for the loss of a zone", s.ZoneReserve))
 	}
-	text := fmt.Sprintf("pool %s has %d of %d out", s.Pool, s.Out(), s.Allowed)
+	text := fmt.Sprintf("pool %s has %d of %d out", s.Pool, s.OutOfService(), s.Allowed)
 	if len(parts) > 0 {
 		text += " (" + strings.Join(parts, "; ") + ")"
 	}
@@ -79,7 +80,7 @@
 		inst := instances[m.Instance]
 		switch {
 		case p.Disruption(m.Instance) != nil:
-			s.Claimed = append(s.Claimed, m.Instance)
+			s.Disrupted = append(s.Disrupted, m.Instance)
 		case !inst.Serving():
 			s.Failed = append(s.Failed, m.Instance)
 		default:
@@ -88,14 +89,16 @@
 	}
 	s.Allowed = p.Budget.Allowed(s.Size)
 	if p.Budget.SurviveZone {
-		s.ZoneReserve = s.largestZoneSize()
+		s.ZoneReserve = s.largestAvailableZone()
 	}
-	slices.Sort(s.Claimed)
+	slices.Sort(s.Disrupted)
 	slices.Sort(s.Failed)
 	return s
 }
 
-func (s Status) largestZoneSize() int {
+// largestAvailableZone returns the number of members in service in the zone that has
+// the most of them.
+func (s Status) largestAvailableZone() int {
 	most := 0
 	for _, n := range s.available {
 		most = max(most, n)
--- a/requests/control/history.go
+++ b/requests/control/history.go
@@ -35,7 +35,7 @@
 func (h *History) add(now time.Time, status budget.Status) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := Sample{At: now, Size: status.Size, Allowed: status.Allowed, Out: status.Out()}
+	s := Sample{At: now, Size: status.Size, Allowed: status.Allowed, Out: status.OutOfService()}
 	old := h.pools[status.Pool]
 	if n := len(old); n > 0 && old[n-1].Size == s.Size && old[n-1].Allowed == s.Allowed && old[n-1].Out == s.Out {
 		return
