--- a/requests/port/backend.go
+++ b/requests/port/backend.go
@@ -8,7 +8,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Codes of a request to a worker that failed.
+// Error codes of failed requests to a worker.
 const (
 	CodeBackendUnreachable      verdict.Code = "backend-unreachable"
 	CodeBackendConnectionBroken verdict.Code = "backend-connection-broken"
@@ -27,7 +27,7 @@
 	Method    string
 	URI       string // path and query, as received
 	Host      string
-	Header    http.Header // the callee may change it
+	Header    http.Header // Send may modify it
 	Body      []byte
 }
 
@@ -38,8 +38,10 @@
 	Body   []byte
 }
 
-// Backend sends requests to workers. Its errors carry a verdict.
+// Backend sends requests to workers.
 type Backend interface {
+	// Send sends one request and returns the worker's complete answer, which may have
+	// an error status. Errors carry a verdict and one of the codes above.
 	Send(ctx context.Context, r BackendRequest) (*BackendAnswer, error)
 	// RetainConnections closes idle connections to workers that are not in live,
 	// which maps each worker in use to its address.
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -8,15 +8,15 @@
 	"github.com/postmount/postmount/requests/slots"
 )
 
-// Heartbeat is sent by one member to another. It asks the receiver to confirm
-// that it knows of no view newer than Epoch.
+// Heartbeat is sent by one entry daemon to another. It reports the sender's state
+// and asks the receiver to confirm that it knows of no view newer than Epoch.
 type Heartbeat struct {
 	From     fleet.Incarnation
 	ID       fleet.EntryID
 	Epoch    fleet.Epoch    // of the view in force at the sender
 	Highest  fleet.Epoch    // newest epoch the sender knows
 	Revision fleet.Revision // up to which the sender's records are complete
-	Settled  bool           // the sender's slot shares are settled under Epoch
+	Settled  bool           // the sender uses no more than its slot shares under Epoch
 	Stopping bool           // the sender is leaving the view and has nothing in flight
 }
 
@@ -55,31 +55,40 @@
 
 // Peers reaches the other entry daemons by the address of their peer listener.
 type Peers interface {
-	Heartbeat(ctx context.Context, addr string, b Heartbeat) (HeartbeatReply, error)
+	// Heartbeat sends a heartbeat and returns the peer's state.
+	Heartbeat(ctx context.Context, addr string, hb Heartbeat) (HeartbeatReply, error)
+	// Changes fetches the peer's records that are newer than revision since.
 	Changes(ctx context.Context, addr string, since fleet.Revision) (Changes, error)
+	// Claim asks the owner of an idempotency key whether a request may run.
 	Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error)
 	// ReportAttempt reports the state of an attempt to the owner of its key. recorded
 	// is false if the peer does not own the key's partition.
-	ReportAttempt(ctx context.Context, addr string, n once.Claim) (recorded bool, err error)
+	ReportAttempt(ctx context.Context, addr string, claim once.Claim) (recorded bool, err error)
+	// Transfer hands a partition of the idempotency keys over. accepted is false if
+	// the peer does not own the partition.
 	Transfer(ctx context.Context, addr string, t once.Transfer) (accepted bool, err error)
+	// Borrow asks for the loan of a slot.
 	Borrow(ctx context.Context, addr string, r BorrowRequest) (BorrowReply, error)
+	// Return ends loans granted by the peer.
 	Return(ctx context.Context, addr string, loans []slots.LoanID) error
+	// Burn fetches the peer's request counts against its objectives.
 	Burn(ctx context.Context, addr string) (BurnCounts, error)
 }
 
-// PeerServer handles the calls of peers.
+// PeerServer handles the calls of peers; see the methods of Peers.
 type PeerServer interface {
-	OnHeartbeat(b Heartbeat) HeartbeatReply
+	OnHeartbeat(hb Heartbeat) HeartbeatReply
 	OnChanges(since fleet.Revision) Changes
 	OnClaim(r once.Request) once.Reply
-	OnAttemptReport(n once.Claim) bool
-	OnTransfer(t once.Transfer) bool
+	OnAttemptReport(claim once.Claim) (recorded bool)
+	OnTransfer(t once.Transfer) (accepted bool)
 	OnBorrow(r BorrowRequest) BorrowReply
 	OnReturn(loans []slots.LoanID)
 	OnBurn() BurnCounts
 }
 
-// BurnCounts are one daemon's request counts against its objectives.
+// BurnCounts are one daemon's request counts against its service level objectives,
+// from which the burn rates of the error budgets are computed.
 type BurnCounts struct {
 	Entry fleet.EntryID
 	Rows  []BurnRow
--- a/requests/port/port.go
+++ b/requests/port/port.go
@@ -49,13 +49,15 @@
 	// ctx ends or the stream breaks; it always returns an error. fn is also
 	// called without events when the stream is known to be alive.
 	Watch(ctx context.Context, prefix string, from fleet.Revision, fn func([]Event)) error
+	// GrantLease creates a lease that expires ttl after its last renewal. Keys
+	// written with the lease are deleted when it expires or is revoked.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
 	// KeepAlive renews a lease; alive is false if it had expired.
 	KeepAlive(ctx context.Context, id LeaseID) (alive bool, err error)
 	RevokeLease(ctx context.Context, id LeaseID) error
 }
 
-// Codes of store errors.
+// Error codes of a Store.
 const (
 	CodeStoreUnavailable verdict.Code = "store-unavailable"
 	CodeStoreRateLimited verdict.Code = "store-rate-limited"
