--- a/requests/route/pick.go
+++ b/requests/route/pick.go
@@ -10,7 +10,7 @@
 // Policy selects how a worker is chosen for a request.
 type Policy string
 
-// Policies. PolicyRandom is the baseline of the measurements.
+// Policies. PolicyRandom is the baseline for performance comparisons.
 const (
 	PolicyLeastLoaded Policy = "least-loaded" // local zone preferred, then lowest load
 	PolicyRandom      Policy = "random"
@@ -27,12 +27,12 @@
 	Latency time.Duration
 }
 
-// maxLocalZoneUse is the share of used slots in the local zone from which on it is
-// no longer preferred, so that the preference doesn't overload a zone.
+// maxLocalZoneUse is the share of slots in use, from 0 to 1, at which the local zone
+// is no longer preferred, so that the preference doesn't overload a zone.
 const maxLocalZoneUse = 0.8
 
-// localLoadFactor is how many times the load of the best candidate a worker in
-// the local zone may have and still be preferred.
+// localLoadFactor limits the preference for the local zone: its least loaded worker
+// is chosen if its load is at most this many times the lowest load of all candidates.
 const localLoadFactor = 8
 
 // Pick chooses one of the candidates; it returns false if there are none. Under
@@ -51,7 +51,7 @@
 		}
 	}
 	best := leastLoaded(candidates, rnd)
-	if local := inZone(candidates, zone); len(local) > 0 && usedShare(local) < maxLocalZoneUse {
+	if local := inZone(candidates, zone); len(local) > 0 && shareInUse(local) < maxLocalZoneUse {
 		if bestLocal := leastLoaded(local, rnd); load(bestLocal) <= localLoadFactor*load(best) {
 			best = bestLocal
 		}
@@ -69,7 +69,8 @@
 	return out
 }
 
-func usedShare(candidates []Candidate) float64 {
+// shareInUse returns the share of the candidates' slots that are in use.
+func shareInUse(candidates []Candidate) float64 {
 	free, capacity := 0, 0
 	for _, c := range candidates {
 		free += c.Free
