--- a/requests/health/health.go
+++ b/requests/health/health.go
@@ -11,31 +11,38 @@
 
 // Options configure an OutlierDetector.
 type Options struct {
-	// ConsecutiveFailures is the number of failures in a row that eject a worker.
+	// ConsecutiveFailures is the number of failures in a row after which a worker is
+	// ejected.
 	ConsecutiveFailures int
 	// InitialProbeInterval is the time from ejection to the first probe. It doubles
 	// with each failed probe up to MaxProbeInterval.
 	InitialProbeInterval, MaxProbeInterval time.Duration
-	// MinUsableShare is the share of a service's workers that is never ejected.
+	// MinUsableShare is the minimum share of a service's workers, from 0 to 1, that
+	// stays usable: no worker is ejected if fewer would remain.
 	MinUsableShare float64
 }
 
-// DefaultOptions keep at least half of the workers usable.
-var DefaultOptions = Options{ConsecutiveFailures: 3, InitialProbeInterval: 500 * time.Millisecond, MaxProbeInterval: 30 * time.Second, MinUsableShare: 0.5}
+// DefaultOptions are the production settings.
+var DefaultOptions = Options{
+	ConsecutiveFailures:  3,
+	InitialProbeInterval: 500 * time.Millisecond,
+	MaxProbeInterval:     30 * time.Second,
+	MinUsableShare:       0.5,
+}
 
 // ejectionState is the state of a worker with a failure since its last success.
 type ejectionState struct {
-	failures      int
+	failures      int // in a row
 	ejected       bool
 	probeInterval time.Duration
 	probeAt       time.Time
-	probing       bool
+	probing       bool // a probe has been sent and has no result yet
 }
 
-// latencyAverage is the moving average of a worker's latency.
-type latencyAverage struct {
-	mean time.Duration
-	at   time.Time // time of the last sample
+// workerLatency is the latency state of one worker.
+type workerLatency struct {
+	mean time.Duration // moving average
+	at   time.Time     // time of the last sample
 	// waitingSince is when the first request after the last answer was sent; zero
 	// if there is none.
 	waitingSince time.Time
@@ -46,13 +53,13 @@
 type OutlierDetector struct {
 	opts      Options
 	workers   map[fleet.InstanceID]*ejectionState
-	latencies map[fleet.InstanceID]latencyAverage
+	latencies map[fleet.InstanceID]workerLatency
 	ejected   int
 }
 
 // New returns a detector with no ejected workers.
 func New(opts Options) *OutlierDetector {
-	return &OutlierDetector{opts: opts, workers: map[fleet.InstanceID]*ejectionState{}, latencies: map[fleet.InstanceID]latencyAverage{}}
+	return &OutlierDetector{opts: opts, workers: map[fleet.InstanceID]*ejectionState{}, latencies: map[fleet.InstanceID]workerLatency{}}
 }
 
 // RecordFailure records a failed request on worker id. total is the number of the
