--- a/requests/once/bounds.go
+++ b/requests/once/bounds.go
@@ -14,10 +14,13 @@
 		t.answeredKeys = t.answeredKeys[1:]
 	}
 	if t.claimCount > t.opts.MaxClaims {
+		// A tenth of the limit is dropped at a time, because dropOldestClaims sorts
+		// all claims.
 		t.dropOldestClaims(t.opts.MaxClaims / 10)
 	}
 }
 
+// dropAnswer drops the answer of a claim but keeps the claim.
 func (t *Table) dropAnswer(k Key) {
 	p := t.partitions[k.Partition()]
 	if p == nil {
@@ -50,11 +53,11 @@
 	}
 }
 
-// Tick stops waiting for tables for which HandoverWait has passed, and drops the
-// claims whose keys have expired.
+// Tick stops waiting for previous owners' tables once HandoverWait has passed, and
+// drops the claims whose keys have expired. It is called periodically.
 func (t *Table) Tick(now time.Time) {
 	for _, p := range t.partitions {
-		t.ready(now, p)
+		t.updateReady(now, p)
 		for k, c := range p.claims {
 			if now.Sub(k.Time()) > t.opts.Retention+t.opts.MaxSkew {
 				t.uncount(c)
--- a/requests/once/handover.go
+++ b/requests/once/handover.go
@@ -32,17 +32,17 @@
 	var out []Transfer
 	for p := range Partition(PartitionCount) {
 		owner := Owner(v, p)
-		own := t.partitions[p]
+		part := t.partitions[p]
 		switch {
-		case owner == t.self && own == nil:
+		case owner == t.self && part == nil:
 			t.partitions[p] = t.newPartition(old, v, p)
 		case owner == t.self:
-			t.revalidate(old, v, p, own)
-		case owner != t.self && own != nil:
+			t.revalidate(old, v, p, part)
+		case owner != t.self && part != nil:
 			out = append(out, t.export(p, owner))
 		}
-		if own = t.partitions[p]; own != nil {
-			own.soleOwner = t.soleOwner(v, p)
+		if part = t.partitions[p]; part != nil {
+			part.soleOwner = t.soleOwner(v, p)
 		}
 	}
 	return out
@@ -58,22 +58,22 @@
 	return true
 }
 
-// newPartition returns a partition that this daemon owns from view v on. Under
-// the first view ever there is no previous owner to wait for.
+// newPartition returns a partition that this daemon owns from view v on. The first
+// view has no previous owner to wait for.
 func (t *Table) newPartition(old, v *fleet.View, p Partition) *partition {
-	n := &partition{claims: map[Key]*Claim{}, ownedSince: v.Epoch}
+	part := &partition{claims: map[Key]*Claim{}, ownedSince: v.Epoch}
 	if v.Epoch == 1 {
-		n.ready = true
-		return n
+		part.ready = true
+		return part
 	}
-	n.previousOwner = previousOwner(old, v, p)
-	return n
+	part.previousOwner = previousOwner(old, v, p)
+	return part
 }
 
 // revalidate updates a partition that this daemon owned under its last view and
 // owns under v. If it missed views in between, another daemon may have owned the
 // partition under them; then it is complete only with that daemon's table.
-func (t *Table) revalidate(old, v *fleet.View, p Partition, own *partition) {
+func (t *Table) revalidate(old, v *fleet.View, p Partition, part *partition) {
 	missed := v.Epoch - old.Epoch - 1
 	if missed == 0 {
 		return
@@ -82,9 +82,9 @@
 	if missed == 1 && prev == t.self {
 		return
 	}
-	own.ready = false
-	own.previousOwner = prev
-	own.ownedSince = v.Epoch
+	part.ready = false
+	part.previousOwner = prev
+	part.ownedSince = v.Epoch
 }
 
 // previousOwner returns the owner of p under the view before v. A daemon that
@@ -97,8 +97,10 @@
 	return rendezvous.Owner(prev, partitionKey(p))
 }
 
+// partitionKey returns the key of p for rendezvous hashing.
 func partitionKey(p Partition) string { return "partition/" + strconv.Itoa(int(p)) }
 
+// lastUnretired returns the members of the newest unretired view before v.
 func lastUnretired(v *fleet.View) []fleet.Incarnation {
 	if len(v.Unretired) == 0 {
 		return nil
@@ -106,11 +108,13 @@
 	return v.Unretired[len(v.Unretired)-1].Members
 }
 
+// export removes partition p from the table and returns its transfer to the new
+// owner.
 func (t *Table) export(p Partition, to fleet.Incarnation) Transfer {
-	own := t.partitions[p]
+	part := t.partitions[p]
 	delete(t.partitions, p)
-	tr := Transfer{Epoch: t.view.Epoch, From: t.self, To: to, Partition: p, Complete: own.ready, Since: own.completeSince}
-	for _, c := range own.claims {
+	tr := Transfer{Epoch: t.view.Epoch, From: t.self, To: to, Partition: p, Complete: part.ready, Since: part.completeSince}
+	for _, c := range part.claims {
 		tr.Claims = append(tr.Claims, *c)
 		t.uncount(c)
 	}
@@ -140,19 +144,19 @@
 // Claims are merged from any sender. Completeness is accepted only from the
 // immediately preceding owner.
 func (t *Table) Receive(tr Transfer) bool {
-	own := t.partitions[tr.Partition]
-	if own == nil {
+	part := t.partitions[tr.Partition]
+	if part == nil {
 		return false
 	}
 	for _, c := range tr.Claims {
-		t.merge(own, c)
+		t.merge(part, c)
 	}
-	if tr.Complete && tr.Epoch >= own.ownedSince && tr.From == own.previousOwner {
-		// A table that arrives after HandoverWait is still accepted: until then
-		// keys in doubt were refused and not granted.
-		own.completeSince = tr.Since
-		own.ready = true
-		own.previousOwner = ""
+	if tr.Complete && tr.Epoch >= part.ownedSince && tr.From == part.previousOwner {
+		// A table that arrives after HandoverWait is still accepted: until then the
+		// keys that it may contain were refused, not granted.
+		part.completeSince = tr.Since
+		part.ready = true
+		part.previousOwner = ""
 	}
 	return true
 }
--- a/requests/once/key.go
+++ b/requests/once/key.go
@@ -29,9 +29,9 @@
 	if err != nil {
 		return time.Time{}
 	}
-	const bitsAfterTime = 80 // a UUIDv7 starts with 48 bits of Unix milliseconds
+	const timestampBytes = 6 // a UUIDv7 starts with 48 bits of Unix milliseconds (RFC 9562)
 	ms := int64(0)
-	for _, b := range id[:(128-bitsAfterTime)/8] {
+	for _, b := range id[:timestampBytes] {
 		ms = ms<<8 | int64(b)
 	}
 	return time.UnixMilli(ms)
--- a/requests/once/once.go
+++ b/requests/once/once.go
@@ -156,9 +156,9 @@
 	t.enforceLimits()
 }
 
-// ready reports whether p can decide on claims. Once HandoverWait has passed, it
-// stops waiting for the previous owner's table.
-func (t *Table) ready(now time.Time, p *partition) bool {
+// updateReady reports whether p can decide on claims. Once HandoverWait has passed,
+// it marks p as ready without the previous owner's table.
+func (t *Table) updateReady(now time.Time, p *partition) bool {
 	if p.ready {
 		return true
 	}
@@ -227,19 +227,19 @@
 // refuseUnknown refuses a key that has no claim, or only an abandoned one, if its
 // timestamp is out of range or the table can't rule out that it was granted.
 func (t *Table) refuseUnknown(now time.Time, p *partition, k Key) (Reply, bool) {
-	made := k.Time()
+	keyTime := k.Time()
 	switch {
-	case now.Sub(made) > t.opts.Retention:
+	case now.Sub(keyTime) > t.opts.Retention:
 		return Reply{Result: Expired}, true
-	case made.Sub(now) > t.opts.MaxSkew:
+	case keyTime.Sub(now) > t.opts.MaxSkew:
 		return Reply{Result: FromFuture}, true
-	case !t.ready(now, p):
+	case !t.updateReady(now, p):
 		return Reply{Result: NotReady}, true
-	case made.Before(p.completeSince) && now.Before(p.completeSince):
-		// At this time even new keys are in doubt. NotReady lets their callers
-		// retry with a later key.
+	case keyTime.Before(p.completeSince) && now.Before(p.completeSince):
+		// Even a key made now is older than completeSince. NotReady lets its caller
+		// retry with a newer key.
 		return Reply{Result: NotReady}, true
-	case made.Before(p.completeSince):
+	case keyTime.Before(p.completeSince):
 		return Reply{Result: MayHaveRun}, true
 	}
 	return Reply{}, false
@@ -269,34 +269,35 @@
 // RecordAttempt records the status of an attempt as reported by its claimer. This
 // is also how a new owner learns of a running attempt if the previous owner's
 // table is lost. It returns false if this daemon doesn't own the partition.
-func (t *Table) RecordAttempt(n Claim) bool {
-	p := t.partitions[n.Key.Partition()]
+func (t *Table) RecordAttempt(report Claim) bool {
+	p := t.partitions[report.Key.Partition()]
 	if p == nil {
 		return false
 	}
-	t.merge(p, n)
+	t.merge(p, report)
 	return true
 }
 
-// merge adds a claim to the partition. A claim of a granted attempt replaces an
-// abandoned one; of two claims of the same attempt, the one with its end is kept.
-func (t *Table) merge(p *partition, n Claim) {
-	c, known := p.claims[n.Key]
+// merge adds a claim to the partition. A claim of an attempt that was not abandoned
+// replaces an abandoned one; if both are of the same attempt, the end of a running
+// one is recorded.
+func (t *Table) merge(p *partition, incoming Claim) {
+	c, known := p.claims[incoming.Key]
 	switch {
 	case !known:
-		t.insert(p, &n)
-	case c.Status == Abandoned && n.Status != Abandoned:
+		t.insert(p, &incoming)
+	case c.Status == Abandoned && incoming.Status != Abandoned:
 		t.uncount(c)
-		t.insert(p, &n)
-	case c.Attempt == n.Attempt && c.Status == Running:
-		t.end(c, n)
+		t.insert(p, &incoming)
+	case c.Attempt == incoming.Attempt && c.Status == Running:
+		t.recordEnd(c, incoming)
 	}
 }
 
-// end records how a running attempt ended.
-func (t *Table) end(c *Claim, n Claim) {
-	c.Status = n.Status
-	c.Answer = n.Answer
+// recordEnd records in c how its running attempt ended.
+func (t *Table) recordEnd(c *Claim, ended Claim) {
+	c.Status = ended.Status
+	c.Answer = ended.Answer
 	if c.Answer != nil {
 		t.answerBytes += c.Answer.size()
 		t.answeredKeys = append(t.answeredKeys, c.Key)
--- a/requests/once/once_test.go
+++ b/requests/once/once_test.go
@@ -112,18 +112,18 @@
 func TestHandOver(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, []fleet.Incarnation{"a", "b"}, "b")
 	k := keyAt(t0, v1, "a")
-	oldOwner, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
+	oldOwner, newOwner := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
 	oldOwner.SetView(t0, v1)
-	to.SetView(t0, v1)
+	newOwner.SetView(t0, v1)
 	require.Equal(t, Granted, oldOwner.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
 	oldOwner.RecordAttempt(Claim{Key: k, Attempt: "1", Status: Finished, Answer: &Answer{Status: 201}})
-	to.SetView(t0, v2)
+	newOwner.SetView(t0, v2)
 	for _, tr := range oldOwner.SetView(t0, v2) {
-		assert.True(t, to.Receive(tr))
+		assert.True(t, newOwner.Receive(tr))
 	}
 	assert.Equal(t, NotOwner, oldOwner.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
-	assert.Equal(t, Answered, to.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
-	assert.Equal(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, keyAt(t0.Add(time.Millisecond), v1, "a"), "3")).Result, "a complete table grants keys older than the handover")
+	assert.Equal(t, Answered, newOwner.Claim(t0, confirmedAndRetired, ask(v2, k, "2")).Result)
+	assert.Equal(t, Granted, newOwner.Claim(t0, confirmedAndRetired, ask(v2, keyAt(t0.Add(time.Millisecond), v1, "a"), "3")).Result, "a complete table grants keys older than the handover")
 }
 
 // TestAbandonedAttemptDoesNotAllowOthers: a new owner without the previous owner's
@@ -147,16 +147,16 @@
 func TestTransferReplacesAbandonedAttempt(t *testing.T) {
 	v1, v2 := view(1, nil, "a", "b"), view(2, []fleet.Incarnation{"a", "b"}, "b")
 	k := keyAt(t0, v1, "a")
-	from, to := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
-	from.SetView(t0, v1)
-	to.SetView(t0, v1)
-	require.Equal(t, Granted, from.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
-	to.SetView(t0, v2)
-	require.True(t, to.RecordAttempt(Claim{Key: k, Attempt: "2", Status: Abandoned}))
-	for _, tr := range from.SetView(t0, v2) {
-		require.True(t, to.Receive(tr))
+	oldOwner, newOwner := NewTable("a", DefaultOptions), NewTable("b", DefaultOptions)
+	oldOwner.SetView(t0, v1)
+	newOwner.SetView(t0, v1)
+	require.Equal(t, Granted, oldOwner.Claim(t0, confirmedAndRetired, ask(v1, k, "1")).Result)
+	newOwner.SetView(t0, v2)
+	require.True(t, newOwner.RecordAttempt(Claim{Key: k, Attempt: "2", Status: Abandoned}))
+	for _, tr := range oldOwner.SetView(t0, v2) {
+		require.True(t, newOwner.Receive(tr))
 	}
-	assert.NotEqual(t, Granted, to.Claim(t0, confirmedAndRetired, ask(v2, k, "3")).Result)
+	assert.NotEqual(t, Granted, newOwner.Claim(t0, confirmedAndRetired, ask(v2, k, "3")).Result)
 }
 
 func TestAbandonArrivesBeforeItsClaim(t *testing.T) {
