--- a/requests/cluster/heartbeat.go
+++ b/requests/cluster/heartbeat.go
@@ -174,9 +174,9 @@
 	if state.View.Value.Epoch != n.tracker.View().Epoch {
 		return
 	}
-	ev := n.observations(now, state)
+	obs := n.observations(now, state)
 	serving := n.tracker.ServingStatus(now).Serving(now)
-	next, ok := member.Propose(now, state.View.Value, ev, n.opts.Grace, serving)
+	next, ok := member.Propose(now, state.View.Value, obs, n.opts.Grace, serving)
 	if !ok {
 		return
 	}
@@ -191,7 +191,7 @@
 }
 
 func (n *Node) observations(now time.Time, state *fleet.State) member.Observations {
-	ev := member.Observations{
+	obs := member.Observations{
 		MissingSince: n.missingSince,
 		HeardAt:      map[fleet.Incarnation]time.Time{n.opts.Self.Incarnation: now},
 		Ended:        n.ended,
@@ -199,12 +199,12 @@
 	}
 	registered := map[fleet.Incarnation]bool{}
 	for _, e := range state.Entries {
-		ev.Registered = append(ev.Registered, *e.Value)
+		obs.Registered = append(obs.Registered, *e.Value)
 		registered[e.Value.Incarnation] = true
 	}
 	for i, p := range n.peers {
-		ev.HeardAt[i] = p.heardAt
-		ev.Stopping[i] = p.stopping
+		obs.HeardAt[i] = p.heardAt
+		obs.Stopping[i] = p.stopping
 	}
 	for _, m := range state.View.Value.Members {
 		if registered[m.Incarnation] {
@@ -213,7 +213,7 @@
 			n.missingSince[m.Incarnation] = now
 		}
 	}
-	return ev
+	return obs
 }
 
 // writeTimeout bounds one write to the store.
--- a/requests/member/member.go
+++ b/requests/member/member.go
@@ -40,11 +40,13 @@
 	confirmedAt map[fleet.Incarnation]time.Time
 	// knownEpoch is the newest epoch that each peer reported.
 	knownEpoch map[fleet.Incarnation]fleet.Epoch
-	ended      map[fleet.Incarnation]bool
+	// ended holds the members whose process has ended.
+	ended map[fleet.Incarnation]bool
 	// retiredAt is when it was first known that no earlier view can reach a quorum
-	// again; zero before. allStopped is true once every member of every earlier
-	// view is known to have stopped serving it.
-	retiredAt  time.Time
+	// again; zero before.
+	retiredAt time.Time
+	// allStopped is true once every member of every earlier view is known to have
+	// stopped serving it.
 	allStopped bool
 	// previousViewUntil is until when the confirmations of the previous view still
 	// permit the use of slots under the current one.
--- a/requests/member/member_test.go
+++ b/requests/member/member_test.go
@@ -29,32 +29,32 @@
 }
 
 func TestServesOnlyWithAQuorumOfRecentConfirmations(t *testing.T) {
-	c := New("a", DefaultOptions)
-	require.True(t, c.Adopt(t0, view(1, nil, "a", "b", "c", "d", "e")))
-	assert.False(t, c.ServingStatus(t0).Serving(t0))
-	c.RecordConfirmation(t0, t0, "b", 1, 1)
-	assert.Equal(t, ReasonNoQuorum, c.ServingStatus(t0).Reason)
-	c.RecordConfirmation(t0, t0, "c", 1, 1)
-	assert.True(t, c.ServingStatus(t0).Serving(t0))
+	tracker := New("a", DefaultOptions)
+	require.True(t, tracker.Adopt(t0, view(1, nil, "a", "b", "c", "d", "e")))
+	assert.False(t, tracker.ServingStatus(t0).Serving(t0))
+	tracker.RecordConfirmation(t0, t0, "b", 1, 1)
+	assert.Equal(t, ReasonNoQuorum, tracker.ServingStatus(t0).Reason)
+	tracker.RecordConfirmation(t0, t0, "c", 1, 1)
+	assert.True(t, tracker.ServingStatus(t0).Serving(t0))
 	later := t0.Add(DefaultOptions.ConfirmWindow)
-	assert.False(t, c.ServingStatus(t0).Serving(later), "a status that is not renewed expires")
-	assert.False(t, c.ServingStatus(later).Serving(later))
+	assert.False(t, tracker.ServingStatus(t0).Serving(later), "a status that is not renewed expires")
+	assert.False(t, tracker.ServingStatus(later).Serving(later))
 }
 
 func TestConfirmationIsValidFromWhenTheHeartbeatWasSent(t *testing.T) {
-	c := New("a", DefaultOptions)
-	c.Adopt(t0, view(1, nil, "a", "b", "c"))
+	tracker := New("a", DefaultOptions)
+	tracker.Adopt(t0, view(1, nil, "a", "b", "c"))
 	answered := t0.Add(DefaultOptions.ConfirmWindow)
-	c.RecordConfirmation(answered, t0, "b", 1, 1)
-	assert.False(t, c.ServingStatus(answered).Serving(answered))
+	tracker.RecordConfirmation(answered, t0, "b", 1, 1)
+	assert.False(t, tracker.ServingStatus(answered).Serving(answered))
 }
 
 func TestStopsServingOnHearingOfANewerEpoch(t *testing.T) {
-	c := New("a", DefaultOptions)
-	c.Adopt(t0, view(1, nil, "a", "b", "c"))
-	c.RecordConfirmation(t0, t0, "b", 1, 1)
-	c.RecordEpoch(t0, "c", 2)
-	s := c.ServingStatus(t0)
+	tracker := New("a", DefaultOptions)
+	tracker.Adopt(t0, view(1, nil, "a", "b", "c"))
+	tracker.RecordConfirmation(t0, t0, "b", 1, 1)
+	tracker.RecordEpoch(t0, "c", 2)
+	s := tracker.ServingStatus(t0)
 	assert.False(t, s.Serving(t0))
 	assert.True(t, s.MayUseSlots(t0), "slots may be used until the confirmations expire")
 }
@@ -65,50 +65,50 @@
 		with fleet.Incarnation
 		want bool
 	}{{"a", "b", true}, {"c", "d", false}} {
-		c := New(fleet.Incarnation(tc.self), DefaultOptions)
-		c.Adopt(t0, view(1, nil, "a", "b", "c", "d"))
-		c.RecordConfirmation(t0, t0, tc.with, 1, 1)
-		assert.Equal(t, tc.want, c.ServingStatus(t0).Serving(t0))
+		tracker := New(fleet.Incarnation(tc.self), DefaultOptions)
+		tracker.Adopt(t0, view(1, nil, "a", "b", "c", "d"))
+		tracker.RecordConfirmation(t0, t0, tc.with, 1, 1)
+		assert.Equal(t, tc.want, tracker.ServingStatus(t0).Serving(t0))
 	}
 }
 
 func TestWaitsForTheEarlierViewToStop(t *testing.T) {
-	c := New("a", DefaultOptions)
-	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
-	c.RecordConfirmation(t0, t0, "b", 2, 2)
-	assert.Equal(t, ReasonEarlierView, c.ServingStatus(t0).Reason, "c may still serve epoch 1")
+	tracker := New("a", DefaultOptions)
+	tracker.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
+	tracker.RecordConfirmation(t0, t0, "b", 2, 2)
+	assert.Equal(t, ReasonEarlierView, tracker.ServingStatus(t0).Reason, "c may still serve epoch 1")
 	wait := t0.Add(DefaultOptions.ConfirmWindow + DefaultOptions.DriftMargin)
-	c.RecordConfirmation(wait, wait, "b", 2, 2)
-	assert.True(t, c.ServingStatus(wait).Serving(wait))
+	tracker.RecordConfirmation(wait, wait, "b", 2, 2)
+	assert.True(t, tracker.ServingStatus(wait).Serving(wait))
 }
 
 func TestServesAtOnceWhenWholeEarlierViewKnowsTheNewOne(t *testing.T) {
-	c := New("a", DefaultOptions)
-	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
-	c.RecordConfirmation(t0, t0, "b", 2, 2)
-	c.RecordEpoch(t0, "c", 2)
-	assert.True(t, c.ServingStatus(t0).Serving(t0))
+	tracker := New("a", DefaultOptions)
+	tracker.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "a", "b"))
+	tracker.RecordConfirmation(t0, t0, "b", 2, 2)
+	tracker.RecordEpoch(t0, "c", 2)
+	assert.True(t, tracker.ServingStatus(t0).Serving(t0))
 }
 
 func TestServesOnceAllEarlierMembersHaveEnded(t *testing.T) {
-	c := New("x", DefaultOptions)
-	c.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "x", "y"))
-	c.RecordConfirmation(t0, t0, "y", 2, 2)
-	assert.False(t, c.ServingStatus(t0).Serving(t0))
+	tracker := New("x", DefaultOptions)
+	tracker.Adopt(t0, view(2, []fleet.RetiringView{retiring(1, "a", "b", "c")}, "x", "y"))
+	tracker.RecordConfirmation(t0, t0, "y", 2, 2)
+	assert.False(t, tracker.ServingStatus(t0).Serving(t0))
 	for _, m := range []fleet.Incarnation{"a", "b", "c"} {
-		c.MarkEnded(t0, m)
+		tracker.MarkEnded(t0, m)
 	}
-	assert.True(t, c.ServingStatus(t0).Serving(t0))
+	assert.True(t, tracker.ServingStatus(t0).Serving(t0))
 }
 
 func TestProposeKeepsAnsweringMembersWithExpiredLease(t *testing.T) {
 	cur := view(3, nil, "a", "b", "c")
-	ev := Observations{
+	obs := Observations{
 		Registered:   entries("a"),
 		MissingSince: map[fleet.Incarnation]time.Time{"b": t0, "c": t0},
 		HeardAt:      map[fleet.Incarnation]time.Time{"b": t0.Add(9 * time.Second)},
 	}
-	next, ok := Propose(t0.Add(10*time.Second), cur, ev, 3*time.Second, true)
+	next, ok := Propose(t0.Add(10*time.Second), cur, obs, 3*time.Second, true)
 	require.True(t, ok)
 	assert.Equal(t, []fleet.Incarnation{"a", "b"}, next.Incarnations())
 	assert.Equal(t, []fleet.RetiringView{retiring(3, "a", "b", "c")}, next.Unretired)
@@ -116,8 +116,8 @@
 
 func TestProposeListsDepartedMembers(t *testing.T) {
 	cur := view(3, []fleet.RetiringView{retiring(2, "a")}, "a", "b")
-	ev := Observations{Registered: entries("a", "b"), Stopping: map[fleet.Incarnation]bool{"b": true}}
-	next, ok := Propose(t0, cur, ev, time.Second, false)
+	obs := Observations{Registered: entries("a", "b"), Stopping: map[fleet.Incarnation]bool{"b": true}}
+	next, ok := Propose(t0, cur, obs, time.Second, false)
 	require.True(t, ok)
 	assert.Equal(t, []fleet.Incarnation{"b"}, next.Departed)
 	assert.Equal(t, []fleet.RetiringView{retiring(2, "a"), retiring(3, "a", "b")}, next.Unretired, "earlier views that may still be served are kept")
--- a/requests/member/propose.go
+++ b/requests/member/propose.go
@@ -8,8 +8,9 @@
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-// MaxMembers bounds the members of a view. Each entry daemon's share of a worker's
-// connections is computed for this number, so that it suffices for every view.
+// MaxMembers is the maximum number of members of a view. Each entry daemon may use
+// 1/MaxMembers of the connections that a worker accepts, so that they suffice for
+// every view.
 const MaxMembers = 8
 
 // Observations are what a daemon knows about the entry daemons.
@@ -28,8 +29,8 @@
 	Stopping map[fleet.Incarnation]bool
 }
 
-// minMissing is how long a registration must have been missing for a member to be
-// removed, so that a daemon that registers again meanwhile stays.
+// minMissing is how long a member's registration must have been missing before the
+// member is removed, so that a daemon that registers again in the meantime stays.
 const minMissing = 500 * time.Millisecond
 
 // Propose returns the view that should follow cur, or false if cur need not change.
@@ -39,20 +40,20 @@
 // reports that it ended, if it is leaving, or if it has no registration and has
 // been silent for grace. An expired lease alone removes no member, because after a
 // store outage every lease may have expired.
-func Propose(now time.Time, cur *fleet.View, ev Observations, grace time.Duration, serving bool) (*fleet.View, bool) {
+func Propose(now time.Time, cur *fleet.View, obs Observations, grace time.Duration, serving bool) (*fleet.View, bool) {
 	var members []fleet.Entry
 	var departed []fleet.Incarnation
 	for _, m := range cur.Members {
 		switch {
-		case !mustLeave(now, m, ev, grace):
+		case !mustLeave(now, m, obs, grace):
 			members = append(members, m)
-		case ev.Stopping[m.Incarnation]:
+		case obs.Stopping[m.Incarnation]:
 			departed = append(departed, m.Incarnation)
 		}
 	}
-	for _, e := range ev.Registered {
+	for _, e := range obs.Registered {
 		known := slices.ContainsFunc(members, func(m fleet.Entry) bool { return m.Incarnation == e.Incarnation })
-		if !known && !ev.Ended[e.Incarnation] && !ev.Stopping[e.Incarnation] && len(members) < MaxMembers {
+		if !known && !obs.Ended[e.Incarnation] && !obs.Stopping[e.Incarnation] && len(members) < MaxMembers {
 			members = append(members, e)
 		}
 	}
@@ -64,19 +65,23 @@
 	return next, true
 }
 
-func mustLeave(now time.Time, m fleet.Entry, ev Observations, grace time.Duration) bool {
-	if ev.Ended[m.Incarnation] || ev.Stopping[m.Incarnation] {
+// mustLeave reports whether member m of the current view is to be removed; see
+// Propose.
+func mustLeave(now time.Time, m fleet.Entry, obs Observations, grace time.Duration) bool {
+	if obs.Ended[m.Incarnation] || obs.Stopping[m.Incarnation] {
 		return true
 	}
-	for _, e := range ev.Registered {
+	for _, e := range obs.Registered {
 		if e.ID == m.ID {
 			return e.Incarnation != m.Incarnation
 		}
 	}
-	missing, ok := ev.MissingSince[m.Incarnation]
-	return ok && now.Sub(missing) >= minMissing && now.Sub(ev.HeardAt[m.Incarnation]) >= grace
+	missing, ok := obs.MissingSince[m.Incarnation]
+	return ok && now.Sub(missing) >= minMissing && now.Sub(obs.HeardAt[m.Incarnation]) >= grace
 }
 
+// unretired returns the unretired views of the view after cur: cur itself and, unless
+// cur is being served, the ones that cur lists.
 func unretired(cur *fleet.View, serving bool) []fleet.RetiringView {
 	if cur.Epoch == 0 {
 		return nil
