--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -32,9 +32,9 @@
 	total    int
 	base     int // usable base share: the minimum over all unsettled views
 	nextBase int // base share under the current view
-	lent     int
-	borrowed int
-	inUse    int
+	lent     int // lent to peers, from the base share
+	borrowed int // borrowed from peers
+	inUse    int // taken by requests of this daemon
 }
 
 func (w *workerSlots) capacity() int { return max(w.base-w.lent, 0) + w.borrowed }
@@ -50,11 +50,12 @@
 	// the current view.
 	settledPeers map[fleet.Incarnation]bool
 	// memberLost is true if a member of an earlier view is gone without having
-	// left; its requests may still run on workers. drainStart is when every
-	// member of the current view had settled and every earlier view had retired.
-	memberLost    bool
+	// left; its requests may still run on workers.
+	memberLost bool
+	// drainStart is when it was first seen that every member of the current view
+	// had settled and every earlier view had retired; zero before.
 	drainStart    time.Time
-	settled       bool // every member settled: base == nextBase
+	settled       bool // the base shares of the current view are in use: base == nextBase
 	lent          map[LoanID]Loan
 	borrowed      map[LoanID]Loan
 	returnedEarly map[LoanID]bool // loans returned before their request arrived
@@ -131,7 +132,7 @@
 func (a *Allocator) SetView(v *fleet.View) {
 	a.memberLost = a.memberLost || a.anyMemberLost(v)
 	a.drainStart = time.Time{}
-	first := v.Epoch == 1
+	firstView := v.Epoch == 1
 	a.view = v
 	clear(a.settledPeers)
 	clear(a.borrowed)
@@ -139,13 +140,13 @@
 	a.settled = false
 	for id, w := range a.workers {
 		w.nextBase = BaseShare(v, a.self, id, w.total)
-		if first {
+		if firstView {
 			w.base = w.nextBase
 		}
 		w.base = min(w.base, w.nextBase)
 		w.borrowed = 0
 	}
-	a.settled = first
+	a.settled = firstView
 }
 
 // anyMemberLost reports whether a member of an unretired earlier view is missing
@@ -216,6 +217,8 @@
 	return now.Sub(a.drainStart) >= a.drainTime
 }
 
+// allSettled reports whether every member of the current view, including this one,
+// has settled under it; see SelfSettled.
 func (a *Allocator) allSettled() bool {
 	for _, m := range a.view.Members {
 		if m.Incarnation != a.self && !a.settledPeers[m.Incarnation] {
--- a/requests/slots/slots_test.go
+++ b/requests/slots/slots_test.go
@@ -48,10 +48,10 @@
 }
 
 func newAllocator(self fleet.Incarnation, v *fleet.View) *Allocator {
-	c := New(self, drain)
-	c.SetView(v)
-	c.SetWorkers(map[fleet.InstanceID]int{"w": 8})
-	return c
+	a := New(self, drain)
+	a.SetView(v)
+	a.SetWorkers(map[fleet.InstanceID]int{"w": 8})
+	return a
 }
 
 func keepNone(fleet.InstanceID) int { return 0 }
@@ -128,20 +128,20 @@
 // use than the worker has.
 func TestSlotsNeverExceedTheWorker(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := &simulation{allocators: map[fleet.Incarnation]*Allocator{}, inUse: map[fleet.Incarnation]int{}, now: t0, removedAt: map[fleet.Incarnation]time.Time{}}
-		f.view = view(1, nil, "a", "b", "c")
-		for _, id := range f.view.Incarnations() {
-			f.allocators[id] = newAllocator(id, f.view)
+		sim := &simulation{allocators: map[fleet.Incarnation]*Allocator{}, inUse: map[fleet.Incarnation]int{}, now: t0, removedAt: map[fleet.Incarnation]time.Time{}}
+		sim.view = view(1, nil, "a", "b", "c")
+		for _, id := range sim.view.Incarnations() {
+			sim.allocators[id] = newAllocator(id, sim.view)
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"":        f.check,
-			"acquire": f.acquire,
-			"release": f.release,
-			"borrow":  f.borrow,
-			"deliver": f.deliver,
-			"return":  f.giveBack,
-			"tick":    f.tick,
-			"change":  f.replaceMember,
+			"":        sim.check,
+			"acquire": sim.acquire,
+			"release": sim.release,
+			"borrow":  sim.borrow,
+			"deliver": sim.deliver,
+			"return":  sim.returnIdle,
+			"tick":    sim.tick,
+			"change":  sim.replaceMember,
 		})
 	})
 }
@@ -191,8 +191,8 @@
 		return
 	}
 	l := rapid.SampledFrom(sim.loans).Draw(t, "loan")
-	if c := sim.allocators[l.Borrower]; c != nil && !sim.returned(l) {
-		c.AddBorrowed(l)
+	if a := sim.allocators[l.Borrower]; a != nil && !sim.returned(l) {
+		a.AddBorrowed(l)
 	}
 }
 
@@ -205,11 +205,12 @@
 	return false
 }
 
-func (sim *simulation) giveBack(t *rapid.T) {
+// returnIdle returns a member's idle loans. The message to the lender may be lost.
+func (sim *simulation) returnIdle(t *rapid.T) {
 	for _, l := range sim.allocators[sim.pick(t)].ReleaseIdle(sim.now.Add(time.Second)) {
 		sim.returnedLoans = append(sim.returnedLoans, l)
-		if c := sim.allocators[l.Lender]; c != nil && rapid.Bool().Draw(t, "arrives") {
-			c.TakeBack(l.ID)
+		if a := sim.allocators[l.Lender]; a != nil && rapid.Bool().Draw(t, "arrives") {
+			a.TakeBack(l.ID)
 		}
 	}
 }
@@ -252,11 +253,11 @@
 	delete(sim.allocators, old)
 	sim.removedAt[old] = sim.now
 	sim.view = next
-	for _, c := range sim.allocators {
-		c.SetView(next)
+	for _, a := range sim.allocators {
+		a.SetView(next)
 	}
-	c := New(fresh, drain)
-	c.SetWorkers(map[fleet.InstanceID]int{"w": 8})
-	c.SetView(next)
-	sim.allocators[fresh] = c
+	added := New(fresh, drain)
+	added.SetWorkers(map[fleet.InstanceID]int{"w": 8})
+	added.SetView(next)
+	sim.allocators[fresh] = added
 }
