--- a/requests/admit/admit.go
+++ b/requests/admit/admit.go
@@ -29,7 +29,7 @@
 // Policy selects the order in which waiting requests run.
 type Policy string
 
-// Policies. FIFO is the baseline of the measurements.
+// Policies. PolicyFIFO is the baseline for performance comparisons.
 const (
 	PolicyWeighted Policy = "weighted" // by class weight, then earliest deadline
 	PolicyFIFO     Policy = "fifo"     // by arrival over all classes; refuses only at a full queue
@@ -54,7 +54,7 @@
 	RetryAfter time.Duration
 }
 
-// Refusal reasons.
+// Values of Refusal.Reason.
 const (
 	ReasonQueueFull           = "queue-full"
 	ReasonDeadlineUnreachable = "deadline-cannot-be-met"
@@ -69,9 +69,10 @@
 	// the lowest value is served next.
 	virtualTime float64
 	// lastDispatch is the time of the last dispatch that left requests waiting,
-	// zero if the queue was emptied; dispatchInterval is the moving average of
-	// the time between dispatches.
-	lastDispatch     time.Time
+	// zero if the queue was emptied.
+	lastDispatch time.Time
+	// dispatchInterval is the moving average of the time between dispatches while
+	// requests were waiting; 0 until the first sample.
 	dispatchInterval time.Duration
 }
 
@@ -190,14 +191,14 @@
 // may leave part of their share unused, so the recent dispatch rate of the class
 // is used if it is higher.
 func (c *Controller) expectedWait(k *class) time.Duration {
-	weights := k.weight
+	totalWeight := k.weight
 	for _, other := range c.classes {
 		if other != k && other.queue.Len() > 0 {
-			weights += other.weight
+			totalWeight += other.weight
 		}
 	}
-	ahead := float64(k.queue.Len()+1) * float64(weights) / float64(k.weight)
-	wait := time.Duration(ahead / float64(c.slots) * float64(c.serviceTime))
+	dispatches := float64(k.queue.Len()+1) * float64(totalWeight) / float64(k.weight) // of all classes
+	wait := time.Duration(dispatches / float64(c.slots) * float64(c.serviceTime))
 	if k.dispatchInterval > 0 {
 		wait = min(wait, time.Duration(k.queue.Len()+1)*k.dispatchInterval)
 	}
@@ -253,6 +254,7 @@
 	return !now.Add(c.serviceTime).Before(req.Deadline)
 }
 
+// nextClass returns the class whose first request runs next, nil if none is waiting.
 func (c *Controller) nextClass() *class {
 	var best *class
 	for _, name := range c.classOrder {
@@ -267,6 +269,8 @@
 	return best
 }
 
+// dispatchedBefore reports whether class a is served before class b. Both have
+// requests waiting.
 func (c *Controller) dispatchedBefore(a, b *class) bool {
 	if c.opts.Policy == PolicyFIFO {
 		return a.queue.items[0].enqueuedAt.Before(b.queue.items[0].enqueuedAt)
