--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -16,15 +16,15 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Codes of refusals by the dispatcher. All have verdict NotRun.
+// Error codes of requests refused by the dispatcher. All have verdict NotRun.
 const (
 	CodeNoWorkers  verdict.Code = "no-workers"
 	CodeOverloaded verdict.Code = "overloaded"
 	CodeCallerGone verdict.Code = "caller-gone"
 )
 
-// Policies selects the production algorithm or the baseline of the measurements
-// for each decision.
+// Policies selects for each decision the production algorithm or the baseline for
+// performance comparisons.
 type Policies struct {
 	Admit admit.Options
 	Pick  route.Policy
@@ -51,7 +51,7 @@
 	view     *fleet.View
 	nextID   admit.ID
 
-	borrowNeeded chan fleet.ServiceName // services with requests waiting for a slot
+	borrowNeeded chan fleet.ServiceName // services that RunLoans is to borrow slots for
 }
 
 // service is the dispatcher's state of one service.
@@ -60,7 +60,7 @@
 	health  *health.OutlierDetector
 	budget  *retry.Budget
 	waiting map[admit.ID]chan outcome
-	inUse   int
+	inUse   int // slots in use by requests of this daemon
 	// recentPeak is the decaying peak of inUse; that many slots are not lent.
 	recentPeak float64
 }
@@ -183,6 +183,8 @@
 	}
 }
 
+// capacity returns the number of slots that this daemon may use on all workers of a
+// service.
 func (d *Dispatcher) capacity(svc *directory.Service) int {
 	n := 0
 	for _, w := range svc.Workers {
@@ -243,6 +245,7 @@
 	}
 }
 
+// deliver sends the result to the goroutine that waits in Acquire.
 func (s *service) deliver(id admit.ID, out outcome) {
 	if ch := s.waiting[id]; ch != nil {
 		delete(s.waiting, id)
@@ -285,16 +288,16 @@
 	d.release(g)
 }
 
-// Release releases the slot of a request that was sent and records its result. It
-// reports whether the worker was ejected or restored because of it.
-func (d *Dispatcher) Release(g *Grant, good bool) (ejected, restored bool) {
+// Release releases the slot of a request that was sent and records whether it
+// succeeded. It reports whether the worker was ejected or restored because of it.
+func (d *Dispatcher) Release(g *Grant, success bool) (ejected, restored bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	if s := d.services[g.service]; s != nil {
 		s.queue.ObserveServiceTime(now.Sub(g.grantedAt))
 		s.health.ObserveLatency(now, g.Worker.ID, now.Sub(g.grantedAt))
-		if good {
+		if success {
 			restored = s.health.RecordSuccess(g.Worker.ID)
 			s.budget.RecordSuccess()
 		} else {
@@ -312,6 +315,7 @@
 	return 0
 }
 
+// release frees the slot and grants it to a waiting request. d.mu must be held.
 func (d *Dispatcher) release(g *Grant) {
 	d.slots.Release(g.Worker.ID)
 	s := d.services[g.service]
@@ -322,7 +326,7 @@
 	d.grantWaiting(time.Now(), g.service, s)
 }
 
-// Retry reports whether a failed attempt of a service's request is repeated, and
+// Retry reports whether a failed attempt of a service's request is retried, and
 // after which delay.
 func (d *Dispatcher) Retry(name fleet.ServiceName, a retry.Attempt) (time.Duration, bool) {
 	d.mu.Lock()
@@ -334,6 +338,7 @@
 	return s.budget.AllowRetry(a, d.rnd)
 }
 
+// overloadedError returns the error for a request that admission control refused.
 func overloadedError(r admit.Refusal) error {
 	return newRefusal(CodeOverloaded, r.Reason, r.RetryAfter)
 }
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -33,7 +33,7 @@
 	HeaderKey = "Idempotency-Key"
 )
 
-// Codes of errors returned by the handler.
+// Error codes of the handler.
 const (
 	CodeNoRoute               verdict.Code = "no-route"
 	CodeBadRequest            verdict.Code = "bad-request"
@@ -50,7 +50,7 @@
 	CodeStopping              verdict.Code = "stopping"
 )
 
-// Claims claims idempotency keys at their owners.
+// Claims requests claims of idempotency keys from the daemons that own them.
 type Claims interface {
 	// Reachable reports whether the owner of a key has been in contact recently.
 	Reachable(key once.Key) bool
@@ -122,7 +122,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	n := h.inFlight.Add(1)
+	inFlight := h.inFlight.Add(1)
 	defer h.inFlight.Add(-1)
 	started := time.Now()
 	if h.closing.Load() {
@@ -130,14 +130,14 @@
 	}
 	reserved := h.reserveBody(r)
 	defer h.reservedBody.Add(-reserved)
-	c, status, err := h.accept(w, r, started, n)
+	c, status, err := h.accept(w, r, started, inFlight)
 	if err != nil {
 		h.writeFailure(w, fleet.Route{}, started, status, err)
 		return
 	}
 	answer, err := h.serve(c)
 	if err != nil {
-		h.writeFailure(w, c.route, started, h.status(err), err)
+		h.writeFailure(w, c.route, started, errorStatus(err), err)
 		return
 	}
 	h.Observer.Answered(c.route.Service, c.route.Class, verdict.Done, "", answer.Status, time.Since(started))
@@ -155,13 +155,14 @@
 	return size
 }
 
+// writeFailure reports the failed request to the observer and writes its response.
 func (h *Handler) writeFailure(w http.ResponseWriter, route fleet.Route, started time.Time, status int, err error) {
 	h.Observer.Answered(route.Service, route.Class, verdict.Of(err), verdict.CodeOf(err), status, time.Since(started))
 	writeProblem(w, status, err)
 }
 
-// status maps an error of an accepted request to an HTTP status.
-func (h *Handler) status(err error) int {
+// errorStatus maps an error of an accepted request to an HTTP status.
+func errorStatus(err error) int {
 	switch verdict.CodeOf(err) {
 	case CodeKeyReused:
 		return http.StatusUnprocessableEntity
@@ -170,7 +171,7 @@
 	case CodeKeyFromFuture:
 		return http.StatusBadRequest
 	}
-	return statusOf(err)
+	return verdictStatus(err)
 }
 
 // accept validates a request and reads its body. On failure it returns an HTTP
@@ -211,19 +212,21 @@
 	return m == http.MethodGet || m == http.MethodHead || m == http.MethodOptions
 }
 
+// readDeadline sets the deadline from the caller's header, the route or the default,
+// limited by MaxTimeout.
 func (h *Handler) readDeadline(c *call) error {
-	allowed := h.Limits.DefaultTimeout
+	timeout := h.Limits.DefaultTimeout
 	if c.route.Timeout > 0 {
-		allowed = c.route.Timeout
+		timeout = c.route.Timeout
 	}
 	if text := c.req.Header.Get(HeaderDeadline); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms <= 0 {
 			return verdict.New(verdict.NotRun, CodeBadRequest, "%s %q: want a number of milliseconds above 0", HeaderDeadline, text)
 		}
-		allowed = time.Duration(min(ms, h.Limits.MaxTimeout.Milliseconds())) * time.Millisecond
+		timeout = time.Duration(min(ms, h.Limits.MaxTimeout.Milliseconds())) * time.Millisecond
 	}
-	c.deadline = c.started.Add(min(allowed, h.Limits.MaxTimeout))
+	c.deadline = c.started.Add(min(timeout, h.Limits.MaxTimeout))
 	return nil
 }
 
@@ -252,7 +255,7 @@
 	defer cancel()
 	for attempt := 1; ; attempt++ {
 		answer, err := h.attempt(ctx, c, attempt)
-		if err == nil && !h.failedAnswerRetryable(c, answer) {
+		if err == nil && !h.isRetryableAnswer(c, answer) {
 			return answer, nil
 		}
 		delay, ok := h.shouldRetry(ctx, c, attempt, err)
@@ -262,9 +265,9 @@
 	}
 }
 
-// failedAnswerRetryable reports whether the worker answered with a server error to
+// isRetryableAnswer reports whether the worker answered with a server error to
 // an idempotent request, so that another worker may be tried.
-func (h *Handler) failedAnswerRetryable(c *call, answer *port.BackendAnswer) bool {
+func (h *Handler) isRetryableAnswer(c *call, answer *port.BackendAnswer) bool {
 	return c.idempotent && answer.Status >= http.StatusInternalServerError
 }
 
@@ -321,8 +324,8 @@
 		h.Dispatcher.ReleaseUnsent(grant)
 		return
 	}
-	good := err == nil && answer.Status < http.StatusInternalServerError
-	ejected, restored := h.Dispatcher.Release(grant, good)
+	success := err == nil && answer.Status < http.StatusInternalServerError
+	ejected, restored := h.Dispatcher.Release(grant, success)
 	if ejected || restored {
 		h.Observer.HealthChanged(c.route.Service, grant.Worker.ID, ejected)
 	}
@@ -347,6 +350,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Expect", HeaderDeadline,
 }
 
+// writeAnswer writes a worker's answer with its verdict to the caller.
 func writeAnswer(w http.ResponseWriter, a *port.BackendAnswer) {
 	header := w.Header()
 	for name, values := range forwardedHeader(a.Header) {
@@ -366,8 +370,9 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// fingerprint hashes a request's content and its caller's credentials. The parts
-// before the body are prefixed by their length, so that their boundaries count.
+// fingerprint hashes a request's content and its caller's credentials. Each part
+// before the body is prefixed by its length, so that different requests can't yield
+// the same bytes.
 func fingerprint(c *call) once.Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{c.req.Method, c.req.Host, c.req.URL.RequestURI(), c.req.Header.Get("Authorization"), c.req.Header.Get("Content-Type")} {
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -48,6 +48,7 @@
 	return h.sendClaimed(ctx, c, grant, id, attempt)
 }
 
+// claimError adds context to an error of Claims and keeps its verdict and code.
 func claimError(err error) *verdict.Error {
 	return verdict.Wrap(err, verdict.Of(err), verdict.CodeOf(err), "claim the idempotency key")
 }
@@ -102,8 +103,8 @@
 	}
 }
 
-// shouldRetry reports whether a failed attempt is repeated, and after which delay.
-// A keyed request that may have run is never repeated: its key stays claimed.
+// shouldRetry reports whether a failed attempt is retried, and after which delay.
+// A keyed request that may have run is never retried: its key stays claimed.
 func (h *Handler) shouldRetry(ctx context.Context, c *call, attempt int, err error) (time.Duration, bool) {
 	if ctx.Err() != nil || (err != nil && h.isFinal(err)) {
 		return 0, false
@@ -117,8 +118,9 @@
 	})
 }
 
-// isFinal reports whether an error was postmount's own decision rather than a
-// failure of the backend. It is returned without a retry.
+// isFinal reports whether an error is returned without a retry. Only an unreachable
+// worker, a broken connection, a timeout and an answer that is truncated or belongs
+// to another request may be retried.
 func (h *Handler) isFinal(err error) bool {
 	switch verdict.CodeOf(err) {
 	case port.CodeBackendUnreachable, port.CodeBackendConnectionBroken, port.CodeBackendAnswerTruncated, port.CodeBackendAnswerForeign, port.CodeBackendTimeout:
--- a/requests/entry/loans.go
+++ b/requests/entry/loans.go
@@ -15,16 +15,16 @@
 
 // Timing of slot loans.
 const (
-	// loanIdleTimeout is the age from which a borrowed slot is returned when free,
+	// loanIdleTimeout is the age from which a loan is returned once its slot is free,
 	// and the interval between attempts to return it.
 	loanIdleTimeout = 300 * time.Millisecond
 	// loanTickInterval is the interval between calls of loanTick.
 	loanTickInterval = 100 * time.Millisecond
-	// peakDecay is the factor applied to recentPeak at each tick.
+	// peakDecay is the factor applied to recentPeak at each call of loanTick.
 	peakDecay = 0.97
 	// borrowRetryDelay is the delay after all peers have refused.
 	borrowRetryDelay = 20 * time.Millisecond
-	// returnTimeout limits the attempts to return a loan.
+	// returnTimeout is how long returning a loan is attempted.
 	returnTimeout = 30 * time.Second
 )
 
@@ -69,9 +69,9 @@
 	return port.BorrowReply{Granted: ok, Loan: l}
 }
 
-// keepIdle returns the number of idle slots of a worker that are not lent: all of
-// them while requests of its service wait, none while the service has more idle
-// slots than it needs to return to its recent peak.
+// keepIdle returns the number of idle slots of a worker that are not lent: none if no
+// request of its service waits and the service has more idle slots than it needs to
+// reach its recent peak again, otherwise all of them.
 func (d *Dispatcher) keepIdle(id fleet.InstanceID) int {
 	for name, svc := range d.dir.Services {
 		for _, w := range svc.Workers {
@@ -163,7 +163,7 @@
 // borrowFor asks random peers for slots until no requests wait or as many peers
 // in a row have refused as there are.
 func (d *Dispatcher) borrowFor(ctx context.Context, name fleet.ServiceName, self fleet.Incarnation, peers port.Peers) {
-	refused := 0
+	refusals := 0
 	for ctx.Err() == nil {
 		lender, req, ok := d.borrowRequest(name, self)
 		if !ok {
@@ -174,26 +174,30 @@
 		case err != nil:
 			// The loan may have been granted and the reply lost.
 			go returnLoans(ctx, peers, lender.PeerAddr, []slots.LoanID{req.Loan})
-			refused++
+			refusals++
 		case reply.Granted:
 			d.addLoan(ctx, name, reply.Loan, peers, lender.PeerAddr)
-			refused = 0
+			refusals = 0
 		default:
-			refused++
+			refusals++
 		}
-		if refused >= d.peerCount() {
+		if refusals >= d.peerCount() {
 			sleep.For(ctx, borrowRetryDelay)
 			return
 		}
 	}
 }
 
+// peerCount returns the number of other members of the view.
 func (d *Dispatcher) peerCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return len(d.view.Members) - 1
 }
 
+// borrowRequest returns a random peer and a request to it for a slot on any usable
+// worker of the service. It returns false if no request of the service waits or
+// there is no peer or no usable worker.
 func (d *Dispatcher) borrowRequest(name fleet.ServiceName, self fleet.Incarnation) (fleet.Entry, port.BorrowRequest, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -220,6 +224,8 @@
 	return others[d.rnd.IntN(len(others))], req, len(req.Workers) > 0
 }
 
+// addLoan grants a borrowed slot to a waiting request. It returns a loan that can't be
+// used, because the view has changed, to its lender.
 func (d *Dispatcher) addLoan(ctx context.Context, name fleet.ServiceName, l slots.Loan, peers port.Peers, addr string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/requests/entry/problem.go
+++ b/requests/entry/problem.go
@@ -56,9 +56,9 @@
 	_ = json.NewEncoder(w).Encode(p)
 }
 
-// statusOf maps an error to an HTTP status: 503 if the request did not run, 504
-// or 502 if it may have run.
-func statusOf(err error) int {
+// verdictStatus maps the verdict of an error to an HTTP status: 503 if the request
+// did not run, 504 after a timeout and 502 otherwise if it may have run.
+func verdictStatus(err error) int {
 	switch {
 	case verdict.Of(err) == verdict.NotRun:
 		return http.StatusServiceUnavailable
@@ -70,8 +70,8 @@
 }
 
 // newRefusal returns an error of verdict NotRun with a retry delay.
-func newRefusal(code verdict.Code, text string, after time.Duration) error {
-	return &refusal{verdict.New(verdict.NotRun, code, "%s", text), after}
+func newRefusal(code verdict.Code, text string, retryAfter time.Duration) error {
+	return &refusal{verdict.New(verdict.NotRun, code, "%s", text), retryAfter}
 }
 
 // refusal is an error with a retry delay.
