--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -61,15 +61,16 @@
 		c.pendingTransfers++
 		c.startLocked(func() { c.sendTransfer(ctx, tr) })
 	}
-	for _, o := range c.attempts {
-		if o.granted && o.claim.Status == once.Running {
-			cl := o.claim
+	for _, a := range c.attempts {
+		if a.granted && a.claim.Status == once.Running {
+			cl := a.claim
 			c.startLocked(func() { _ = c.reportAttempt(ctx, cl) })
 		}
 	}
 }
 
-// startLocked runs fn on a goroutine that wait waits for.
+// startLocked runs fn on a goroutine that wait waits for, or not at all once closed is
+// set. c.mu must be held.
 func (c *Claims) startLocked(fn func()) {
 	if c.closed {
 		return
@@ -81,19 +82,20 @@
 	}()
 }
 
-// Retries of requests to an owner.
+// Timing of retried requests to the owner of a key or partition.
 const (
 	minRetryPause = 25 * time.Millisecond
-	reportTimeout = 30 * time.Second
-	// maxRetryPause bounds the pause for what no caller waits for: reports of ended
-	// attempts and transfers of partitions. It takes seconds until a view without a
-	// lost owner is in force.
+	// deliveryTimeout is how long a report of an ended attempt or a transfer is retried.
+	deliveryTimeout = 30 * time.Second
+	// maxRetryPause limits the pause between retries that no caller waits for: reports
+	// of ended attempts and transfers of partitions. If the owner is lost, it takes
+	// seconds until a view without it is in force.
 	maxRetryPause = 400 * time.Millisecond
 )
 
 // backoff computes exponentially growing pauses with jitter: each is twice the one
 // before, less a random part of up to half. Hundreds of reports may wait for one
-// owner; retried in step every 25 ms they took a fifth of a core.
+// owner; when all were retried together every 25 ms, they took a fifth of a core.
 type backoff struct{ last time.Duration }
 
 func (b *backoff) next() time.Duration {
@@ -101,13 +103,15 @@
 	return b.last - rand.N(b.last/2)
 }
 
+// sendTransfer hands a partition over to its new owner, with retries for up to
+// deliveryTimeout.
 func (c *Claims) sendTransfer(ctx context.Context, tr once.Transfer) {
 	defer func() {
 		c.mu.Lock()
 		c.pendingTransfers--
 		c.mu.Unlock()
 	}()
-	deadline := time.Now().Add(reportTimeout)
+	deadline := time.Now().Add(deliveryTimeout)
 	var pause backoff
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		if c.tryTransfer(ctx, tr) {
@@ -152,6 +156,7 @@
 	c.background.Wait()
 }
 
+// tick is called by the control goroutine at every heartbeat interval.
 func (c *Claims) tick(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -178,10 +183,10 @@
 }
 
 // RecordAttempt records the state of a peer's attempt.
-func (c *Claims) RecordAttempt(n once.Claim) bool {
+func (c *Claims) RecordAttempt(report once.Claim) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.table.RecordAttempt(n)
+	return c.table.RecordAttempt(report)
 }
 
 // OnTransfer receives a partition from its old owner.
@@ -204,8 +209,8 @@
 // claim now, because it is unreachable or not ready.
 const CodeKeyOwnerUnavailable verdict.Code = "key-owner-unavailable"
 
-// claimTimeout bounds a request for a claim. A planned view change takes much less;
-// a caller must not wait for an owner that is down.
+// claimTimeout limits how long a claim is requested. A planned view change takes much
+// less, and a caller must not wait for an owner that is down.
 const claimTimeout = 400 * time.Millisecond
 
 // unreachableHeartbeats is the number of heartbeat intervals of silence after which
@@ -258,16 +263,17 @@
 		}
 		if !sleep.For(ctx, minRetryPause) {
 			c.abandon(attempt, uncertain)
-			return "", once.Reply{}, verdict.New(verdict.NotRun, CodeKeyOwnerUnavailable, "the owner of the key cannot grant it now")
+			return "", once.Reply{}, verdict.New(verdict.NotRun, CodeKeyOwnerUnavailable, "the entry daemon that owns this idempotency key can't decide on it now")
 		}
 	}
 }
 
+// markGranted records that the owner granted the attempt.
 func (c *Claims) markGranted(attempt once.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if o := c.attempts[attempt]; o != nil {
-		o.granted = true
+	if a := c.attempts[attempt]; a != nil {
+		a.granted = true
 	}
 }
 
@@ -302,22 +308,24 @@
 }
 
 // EndAttempt records how an attempt ended and reports it to the key's owner in the
-// background. It retries until the owner has recorded it, for up to reportTimeout.
+// background. It retries until the owner has recorded it, for up to deliveryTimeout.
 func (c *Claims) EndAttempt(attempt once.AttemptID, status once.Status, answer *once.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	o := c.attempts[attempt]
-	if o == nil {
+	a := c.attempts[attempt]
+	if a == nil {
 		return
 	}
-	o.claim.Status = status
-	o.claim.Answer = answer
-	cl := o.claim
+	a.claim.Status = status
+	a.claim.Answer = answer
+	cl := a.claim
 	c.startLocked(func() { c.reportEnd(cl) })
 }
 
+// reportEnd reports an ended attempt to the owner of its key until the owner has
+// recorded it, deliveryTimeout has passed or the node has stopped.
 func (c *Claims) reportEnd(cl once.Claim) {
-	ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 	defer cancel()
 	var pause backoff
 	for !c.reportAttempt(ctx, cl) {
@@ -330,6 +338,7 @@
 	c.mu.Unlock()
 }
 
+// stopped reports whether the control goroutine has ended.
 func (n *Node) stopped() bool {
 	select {
 	case <-n.done:
--- a/requests/cluster/claims_test.go
+++ b/requests/cluster/claims_test.go
@@ -33,10 +33,10 @@
 	return true, nil
 }
 
-// TestReportsBackOffWhileTheOwnerIsUnreachable guards against reports that are retried
-// every 25 ms and in step while the owner of their keys is down. With 300 attempts that
-// made 24,000 refused connections in the two seconds until the view changed: a fifth of a
-// core, at 16 µs each. Retries must back off, and all reports must arrive soon after the
+// TestReportsBackOffWhileTheOwnerIsUnreachable guards against reports that are all
+// retried every 25 ms while the owner of their keys is down. With 300 attempts that made
+// 24,000 refused connections of 16 µs each, a fifth of a core, in the two seconds until
+// the view changed. Retries must back off, and all reports must arrive soon after the
 // owner is back.
 func TestReportsBackOffWhileTheOwnerIsUnreachable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/requests/cluster/heartbeat.go
+++ b/requests/cluster/heartbeat.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// peer returns the state of a peer, which is created when first needed.
 func (n *Node) peer(i fleet.Incarnation) *peerState {
 	p := n.peers[i]
 	if p == nil {
@@ -49,19 +50,21 @@
 	return p
 }
 
+// sendHeartbeat sends a heartbeat in the background, unless one to the same peer is in
+// progress. inc is "" for a seed address, to which heartbeats may overlap.
 func (n *Node) sendHeartbeat(ctx context.Context, now time.Time, addr string, inc fleet.Incarnation) {
 	p := n.peer(inc)
 	if p.heartbeatPending && inc != "" {
 		return
 	}
 	p.heartbeatPending = true
-	b := n.newHeartbeat()
+	hb := n.newHeartbeat()
 	n.background(func() {
-		reply, err := n.deps.Peers.Heartbeat(ctx, addr, b)
+		reply, err := n.deps.Peers.Heartbeat(ctx, addr, hb)
 		n.postToLoop(func(answered time.Time) {
 			p.heartbeatPending = false
 			if err == nil {
-				n.handleHeartbeatReply(ctx, answered, now, addr, b, reply)
+				n.handleHeartbeatReply(ctx, answered, now, addr, hb, reply)
 			}
 		})
 	})
@@ -79,6 +82,7 @@
 	}
 }
 
+// handleHeartbeatReply processes the reply to the heartbeat asked, sent at sentAt.
 func (n *Node) handleHeartbeatReply(ctx context.Context, now, sentAt time.Time, addr string, asked port.Heartbeat, r port.HeartbeatReply) {
 	n.tracker.RecordConfirmation(now, sentAt, r.From, asked.Epoch, r.Highest)
 	n.recordPeerState(now, r.From, r.Epoch, r.Revision, r.Settled, r.Stopping)
@@ -160,13 +164,13 @@
 // OnBurn implements port.PeerServer.
 func (n *Node) OnBurn() port.BurnCounts { return n.deps.Burn() }
 
-// proposalInterval is the mean pause between one daemon's changes of the view, so
-// that one proposal includes several changes.
+// proposalInterval is the mean pause between one daemon's proposals of a view, so that
+// one proposal includes several changes.
 const proposalInterval = 500 * time.Millisecond
 
-// propose writes a new view if the current one does not match the observations. Any
-// member may try; the store's compare-and-swap accepts one of them.
-func (n *Node) propose(ctx context.Context, now time.Time) {
+// proposeView writes a new view to the store if the current one does not match the
+// observations. Any member may try; the store's compare-and-swap accepts one of them.
+func (n *Node) proposeView(ctx context.Context, now time.Time) {
 	if n.proposing || now.Before(n.nextProposalAt) || !n.deps.Connected() {
 		return
 	}
@@ -190,6 +194,8 @@
 	})
 }
 
+// observations returns what this daemon knows about the entry daemons. It also updates
+// missingSince.
 func (n *Node) observations(now time.Time, state *fleet.State) member.Observations {
 	obs := member.Observations{
 		MissingSince: n.missingSince,
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -2,8 +2,8 @@
 // exchanges heartbeats, changes the view through the store, copies records between
 // peers and owns claims on idempotency keys.
 //
-// One goroutine owns the membership state and publishes the serving status for the
-// others.
+// The membership state belongs to one goroutine, the control goroutine (see Node.loop),
+// which publishes the serving status for the others.
 package cluster
 
 import (
@@ -55,7 +55,8 @@
 	JitterSeed uint64 // of the jitter
 	// Connected reports whether the store's watch is alive.
 	Connected func() bool
-	Burn      func() port.BurnCounts
+	// Burn returns this daemon's request counts against its objectives.
+	Burn func() port.BurnCounts
 	// Instances returns the newest instance list. SeedInstances uses a peer's list,
 	// for a daemon that starts while the platform is unavailable.
 	Instances     func() []fleet.Instance
@@ -69,7 +70,7 @@
 	writer *record.Writer
 	Claims *Claims
 
-	events        chan func(now time.Time)
+	loopCalls     chan func(now time.Time) // functions to run on the control goroutine
 	servingStatus atomic.Pointer[member.ServingStatus]
 	progress      atomic.Pointer[MemberProgress]
 	heartbeatNow  chan struct{} // requests heartbeats to all peers now
@@ -80,25 +81,25 @@
 	rand           *rand.Rand
 	tracker        *member.Tracker
 	peers          map[fleet.Incarnation]*peerState
-	missingSince   map[fleet.Incarnation]time.Time
-	ended          map[fleet.Incarnation]bool
-	stopping       bool
-	proposing      bool
-	fetching       bool
-	nextProposalAt time.Time // of the next proposal
-	lastReason     string
+	missingSince   map[fleet.Incarnation]time.Time // see member.Observations
+	ended          map[fleet.Incarnation]bool      // daemons that the platform knows to have ended
+	stopping       bool                            // Leave has been called
+	proposing      bool                            // a new view is being written to the store
+	fetching       bool                            // records are being fetched from a peer
+	nextProposalAt time.Time                       // earliest time of the next proposal
+	lastReason     string                          // ServingStatus.Reason last logged
 }
 
 // peerState is what the control goroutine knows about one peer.
 type peerState struct {
-	heardAt          time.Time
-	revision         fleet.Revision
-	stopping         bool
-	heartbeatPending bool // a heartbeat is in progress
+	heardAt          time.Time      // of its last heartbeat or reply
+	revision         fleet.Revision // up to which it has applied the records
+	stopping         bool           // it is leaving the view
+	heartbeatPending bool           // a heartbeat to it is in progress
 }
 
 // MemberProgress says up to which revision the members of the view have applied the
-// records, and when they last answered.
+// records, and when they were last heard from.
 type MemberProgress struct {
 	View     *fleet.View
 	Revision map[fleet.Incarnation]fleet.Revision
@@ -113,7 +114,7 @@
 		opts:         opts,
 		deps:         deps,
 		writer:       record.NewWriter(deps.Store),
-		events:       make(chan func(time.Time)),
+		loopCalls:    make(chan func(time.Time)),
 		heartbeatNow: make(chan struct{}, 1),
 		done:         make(chan struct{}),
 		rand:         rand.New(rand.NewPCG(deps.JitterSeed, 1)),
@@ -153,23 +154,25 @@
 	n.Claims.wait()
 }
 
+// loop is the control goroutine. It adopts views, sends heartbeats, proposes views and
+// runs the functions that runOnLoop and postToLoop pass to it, until ctx ends.
 func (n *Node) loop(ctx context.Context) {
 	tick := time.NewTicker(n.opts.Heartbeat)
 	defer tick.Stop()
 	for {
 		changed := n.deps.Mirror.Changed()
-		n.adopt(ctx, time.Now())
+		n.adoptNewestView(ctx, time.Now())
 		select {
 		case <-ctx.Done():
 			return
-		case fn := <-n.events:
+		case fn := <-n.loopCalls:
 			fn(time.Now())
 		case <-changed:
 		case <-n.heartbeatNow:
 			n.sendHeartbeats(ctx, time.Now())
 		case <-tick.C:
 			n.sendHeartbeats(ctx, time.Now())
-			n.propose(ctx, time.Now())
+			n.proposeView(ctx, time.Now())
 			n.Claims.tick(time.Now())
 		}
 		n.publish(time.Now())
@@ -185,7 +188,7 @@
 		close(finished)
 	}
 	select {
-	case n.events <- wrapped:
+	case n.loopCalls <- wrapped:
 		<-finished
 		return true
 	case <-n.done:
@@ -197,7 +200,7 @@
 // is called from the node's own goroutines.
 func (n *Node) postToLoop(fn func(now time.Time)) {
 	select {
-	case n.events <- fn:
+	case n.loopCalls <- fn:
 	case <-n.done:
 	}
 }
@@ -220,8 +223,8 @@
 	}
 }
 
-// adopt makes the mirror's newest view the current one.
-func (n *Node) adopt(ctx context.Context, now time.Time) {
+// adoptNewestView makes the mirror's newest view the current one.
+func (n *Node) adoptNewestView(ctx context.Context, now time.Time) {
 	v := n.deps.Mirror.State().View.Value
 	if !n.tracker.Adopt(now, v) {
 		return
@@ -298,7 +301,7 @@
 	defer t.Stop()
 	for {
 		n.RequestHeartbeats()
-		behind := n.behind(rev)
+		behind := n.membersBehind(rev)
 		if len(behind) == 0 {
 			return nil
 		}
@@ -310,10 +313,10 @@
 	}
 }
 
-// behind lists the members of the view that have not applied revision rev. It
+// membersBehind lists the members of the view that have not applied revision rev. It
 // includes members that have been silent for the grace time and are about to be
 // removed.
-func (n *Node) behind(rev fleet.Revision) []fleet.EntryID {
+func (n *Node) membersBehind(rev fleet.Revision) []fleet.EntryID {
 	p := n.Progress()
 	var out []fleet.EntryID
 	for _, m := range p.View.Members {
--- a/requests/cluster/register.go
+++ b/requests/cluster/register.go
@@ -18,7 +18,7 @@
 	var lease port.LeaseID
 	rnd := rand.New(rand.NewPCG(n.deps.JitterSeed, 2))
 	for ctx.Err() == nil {
-		lease = n.renew(ctx, lease)
+		lease = n.renewRegistration(ctx, lease)
 		pause := n.opts.LeaseTTL / 3
 		if lease == 0 {
 			pause = n.opts.LeaseTTL/10 + time.Duration(rnd.Int64N(int64(n.opts.LeaseTTL/5)))
@@ -32,10 +32,10 @@
 	}
 }
 
-// renew renews the lease, or registers again if there is none or it has expired. It
-// returns 0 if that failed.
-func (n *Node) renew(ctx context.Context, lease port.LeaseID) port.LeaseID {
-	if n.leaving(ctx, lease) {
+// renewRegistration renews the lease of the registration, or registers again if there is
+// none or it has expired. It returns the current lease, 0 if there is none.
+func (n *Node) renewRegistration(ctx context.Context, lease port.LeaseID) port.LeaseID {
+	if n.revokeIfStopping(ctx, lease) {
 		return lease
 	}
 	if lease != 0 {
@@ -43,7 +43,7 @@
 		if err != nil || alive {
 			return lease
 		}
-		n.deps.Log.Info("registration expired")
+		n.deps.Log.Info("lease of the registration expired, registering again")
 	}
 	lease, err := n.deps.Store.GrantLease(ctx, n.opts.LeaseTTL)
 	if err != nil {
@@ -55,8 +55,9 @@
 	return lease
 }
 
-// leaving reports whether the daemon is about to leave, and if so revokes its lease.
-func (n *Node) leaving(ctx context.Context, lease port.LeaseID) bool {
+// revokeIfStopping revokes the lease if the daemon is leaving. It reports whether the
+// daemon is leaving.
+func (n *Node) revokeIfStopping(ctx context.Context, lease port.LeaseID) bool {
 	stopping := false
 	if !n.runOnLoop(func(time.Time) { stopping = n.stopping }) || !stopping {
 		return stopping
@@ -67,6 +68,7 @@
 	return true
 }
 
+// register writes the registration under the lease. It returns false if that failed.
 func (n *Node) register(ctx context.Context, lease port.LeaseID) bool {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
@@ -102,10 +104,10 @@
 	t := time.NewTicker(n.opts.Heartbeat / 4)
 	defer t.Stop()
 	for {
-		if n.left() && n.Claims.idle() {
+		if n.hasLeft() && n.Claims.idle() {
 			return nil
 		}
-		n.runOnLoop(func(now time.Time) { n.propose(ctx, now) })
+		n.runOnLoop(func(now time.Time) { n.proposeView(ctx, now) })
 		n.RequestHeartbeats()
 		select {
 		case <-t.C:
@@ -115,9 +117,9 @@
 	}
 }
 
-// left reports whether this daemon is not in the view, or every member is leaving,
-// so that no daemon is left to transfer claims to.
-func (n *Node) left() bool {
+// hasLeft reports whether this daemon is not in the view, or every member is leaving,
+// so that no daemon remains to transfer claims to.
+func (n *Node) hasLeft() bool {
 	p := n.Progress()
 	if p.View.Member(n.opts.Self.Incarnation) == nil {
 		return true
