--- a/internal/jobmatrix/burst_test.go
+++ b/internal/jobmatrix/burst_test.go
@@ -35,21 +35,22 @@
 	cost      time.Duration
 }
 
-// chargeCall makes a call and charges its cost. It returns late if ctx ended while the call
+// chargeCall makes a call and charges its cost. It returns onTimeout if ctx ended while the call
 // waited for the processor.
-func chargeCall[A any](b cpuLimitedWorkers, ctx context.Context, late A, call func() A) A {
+func chargeCall[A any](b cpuLimitedWorkers, ctx context.Context, onTimeout A, call func() A) A {
 	b.processor.use(b.cost / 2)
 	if ctx.Err() != nil {
-		return late
+		return onTimeout
 	}
 	a := call()
 	b.processor.use(b.cost / 2)
 	if ctx.Err() != nil {
-		return late
+		return onTimeout
 	}
 	return a
 }
 
+// timeoutAnswer is the answer to a call that timed out.
 var timeoutAnswer = owner.Answer{Outcome: owner.Unanswered, Err: context.DeadlineExceeded}
 
 func (b cpuLimitedWorkers) Start(ctx context.Context, o owner.Start) owner.Answer {
@@ -70,13 +71,13 @@
 	weakCallCost   = 1300 * time.Microsecond
 )
 
-// simulateCPULimited runs f, in virtual time, on an installation whose daemons need the given
+// simulateCPULimited runs f, in virtual time, on an installation whose daemons need callCost of
 // CPU time for each call to a worker.
-func simulateCPULimited(t *testing.T, instances int, call time.Duration, f func(in *jobfleet.Installation)) {
+func simulateCPULimited(t *testing.T, instances int, callCost time.Duration, f func(in *jobfleet.Installation)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		in := jobfleet.NewInstallation(ctx, zap.NewNop())
-		in.WrapWorkers = func(w owner.WorkerClient) owner.WorkerClient { return cpuLimitedWorkers{w, newProcessor(), call} }
+		in.WrapWorkers = func(w owner.WorkerClient) owner.WorkerClient { return cpuLimitedWorkers{w, newProcessor(), callCost} }
 		for i := range instances {
 			in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "orders", "r1", job.Resources{CPUMilli: 32000, MemMB: 64000})
 		}
@@ -90,7 +91,7 @@
 	})
 }
 
-// submitBurst submits jobs whose tasks all become ready at the same time, in 2 s.
+// submitBurst submits jobs of width tasks each. All tasks become ready at the same time, in 2 s.
 func submitBurst(t *testing.T, in *jobfleet.Installation, jobs, width int) {
 	due := time.Now().Add(2 * time.Second)
 	caller := in.Caller()
@@ -104,12 +105,12 @@
 	}
 }
 
-// TestABurstOfStartsIsNotGivenUp starts 4,800 tasks at the same time. It guards against starts
-// that time out although their workers accepted them, so that tasks are restarted elsewhere:
-// the wait for the owner's CPU (0.3 ms a call at 0.8 of a core) counted towards the call's
-// timeout of 400 ms. 293 of the 1,144 starts in an owner's first 5 s went unanswered; in
-// another run 488 did, all by timeout.
-func TestABurstOfStartsIsNotGivenUp(t *testing.T) {
+// TestABurstOfStartsDoesNotTimeOut starts 4,800 tasks at the same time. It guards against starts
+// that time out although their workers accepted them, so that the tasks are restarted elsewhere.
+// The wait for the owner's CPU (0.3 ms a call at 0.8 of a core) counted towards the call's
+// timeout of 400 ms: of the 1,144 starts in an owner's first 5 s, 293 timed out, in another run
+// 488.
+func TestABurstOfStartsDoesNotTimeOut(t *testing.T) {
 	const instances, jobs, width = 240, 200, 24
 	simulateCPULimited(t, instances, strongCallCost, func(in *jobfleet.Installation) {
 		in.Start("d1")
@@ -123,8 +124,8 @@
 }
 
 // TestAWeakOwnerKeepsLeases: a daemon with a fifth of a core takes over 350 workers after a
-// planned stop of the owner, and can't call them all within one call's timeout. It has never
-// failed so far, since half of the first calls succeed in any case.
+// planned stop of the owner, and can't call them all within one call's timeout. The test has
+// never failed so far, since half of the first calls succeed in any case.
 func TestAWeakOwnerKeepsLeases(t *testing.T) {
 	const instances, jobs, width = 350, 10, 24
 	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
--- a/internal/jobmatrix/calls_test.go
+++ b/internal/jobmatrix/calls_test.go
@@ -69,9 +69,9 @@
 	callsPerJob        = 8.0
 )
 
-// TestListsAreReadOnce: reading a whole list costs more the larger the fleet is. After the
-// start of its term the owner reads only changes of the workers' entries; the remaining range
-// reads are each daemon's reads of the member list, every 2 s.
+// TestListsAreReadOnce: the cost of reading a whole list grows with the fleet. After the start
+// of its term the owner reads only changes of the workers' entries; the remaining range reads
+// are those of the member list, by each daemon every 2 s.
 func TestListsAreReadOnce(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		time.Sleep(10 * time.Second)
--- a/internal/jobmatrix/config_test.go
+++ b/internal/jobmatrix/config_test.go
@@ -9,7 +9,7 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// Bounds that the users' platform sets.
+// Bounds that the platform sets.
 const (
 	configureBound = 2 * time.Second // from writing a configuration until all daemons use it
 	settleTime     = 3 * time.Second // after a disturbance
@@ -40,8 +40,8 @@
 	}
 }
 
-// checkInForce checks that every daemon uses the version.
-func (v *versionTracker) checkInForce(version int64) {
+// checkAllUse checks that every daemon uses the version.
+func (v *versionTracker) checkAllUse(version int64) {
 	for _, dm := range v.d.in.Daemons() {
 		c := dm.Node.Catalog()
 		if assert.NotNil(v.d.t, c, "%s has no configuration", dm.Name) {
@@ -50,13 +50,13 @@
 	}
 }
 
-// TestConfigurationIsInForceInTime: settleTime after a disturbance, a new configuration is in
+// TestConfigurationTakesEffectInTime: settleTime after a disturbance, a new configuration is in
 // use on every daemon within configureBound, and no daemon goes back to an older one.
-func TestConfigurationIsInForceInTime(t *testing.T) {
+func TestConfigurationTakesEffectInTime(t *testing.T) {
 	for _, c := range []struct {
-		name    string
-		disturb func(d *deployment)
-		lasts   time.Duration
+		name     string
+		disturb  func(d *deployment)
+		duration time.Duration // of the disturbance, after disturb has returned
 	}{
 		{"no disturbance", func(*deployment) {}, 0},
 		{"many versions in quick succession", func(d *deployment) {
@@ -82,13 +82,13 @@
 			simulate(t, func(d *deployment) {
 				v := &versionTracker{d, map[*jobfleet.Daemon]int64{}}
 				c.disturb(d)
-				v.checkFor(c.lasts + settleTime - configureBound)
+				v.checkFor(c.duration + settleTime - configureBound)
 				d.in.Configure(catalog(10))
 				v.checkFor(configureBound)
-				v.checkInForce(10)
+				v.checkAllUse(10)
 				d.in.Configure(catalog(9)) // an older version must be ignored
 				v.checkFor(time.Second)
-				v.checkInForce(10)
+				v.checkAllUse(10)
 			})
 		})
 	}
--- a/internal/jobmatrix/counts_test.go
+++ b/internal/jobmatrix/counts_test.go
@@ -30,43 +30,45 @@
 	}
 }
 
-// waitingJobs is the number of jobs submitted during a fault.
-const waitingJobs = 30
+// jobsDuringFault is the number of jobs submitted during a fault.
+const jobsDuringFault = 30
 
-// ownerFaults are faults of an owner that last so long that jobs it does not know of wait
-// longer than the checker allows to leave out of a count.
+// ownerFaults are faults of an owner. They last long enough that a job which the owner does not
+// know of must be included in a count.
 var ownerFaults = []struct {
 	name   string
-	strike func(d *deployment, o *jobfleet.Daemon, lasts time.Duration)
+	inject func(d *deployment, o *jobfleet.Daemon, duration time.Duration)
 }{
-	{"it is cut off from the store and its peers", func(_ *deployment, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreAndPeers(lasts) }},
-	{"it is cut off from the store only", func(_ *deployment, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.CutStoreOnly(lasts) }},
-	{"it is frozen", func(_ *deployment, o *jobfleet.Daemon, lasts time.Duration) { o.Gate.Freeze(lasts) }},
-	{"its watches get no answer", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) { d.dropCalls(o, lasts, "watch") }},
-	{"its watches get no answer, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) {
-		d.dropCalls(o, lasts, "watch")
+	{"it is cut off from the store and its peers", func(_ *deployment, o *jobfleet.Daemon, duration time.Duration) { o.Gate.CutStoreAndPeers(duration) }},
+	{"it is cut off from the store only", func(_ *deployment, o *jobfleet.Daemon, duration time.Duration) { o.Gate.CutStoreOnly(duration) }},
+	{"it is frozen", func(_ *deployment, o *jobfleet.Daemon, duration time.Duration) { o.Gate.Freeze(duration) }},
+	{"its watches get no answer", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) { d.dropCalls(o, duration, "watch") }},
+	{"its watches get no answer, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) {
+		d.dropCalls(o, duration, "watch")
 		d.in.Store.RevokeAll()
 	}},
-	{"its watches and reads get no answer, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) {
-		d.dropCalls(o, lasts, "watch", "get", "range")
+	{"its watches and reads get no answer, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) {
+		d.dropCalls(o, duration, "watch", "get", "range")
 		d.in.Store.RevokeAll()
 	}},
-	{"its renewals and commits get no answer", func(d *deployment, o *jobfleet.Daemon, lasts time.Duration) { d.dropCalls(o, lasts, "keep", "commit") }},
-	{"its lease is revoked repeatedly", func(d *deployment, _ *jobfleet.Daemon, lasts time.Duration) {
-		for at := time.Duration(0); at < lasts; at += 700 * time.Millisecond {
+	{"its renewals and commits get no answer", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) {
+		d.dropCalls(o, duration, "keep", "commit")
+	}},
+	{"its lease is revoked repeatedly", func(d *deployment, _ *jobfleet.Daemon, duration time.Duration) {
+		for at := time.Duration(0); at < duration; at += 700 * time.Millisecond {
 			time.AfterFunc(at, d.in.Store.RevokeAll)
 		}
 	}},
-	{"the store compacts its history repeatedly", func(d *deployment, _ *jobfleet.Daemon, lasts time.Duration) {
-		for at := time.Duration(0); at < lasts; at += 300 * time.Millisecond {
+	{"the store compacts its history repeatedly", func(d *deployment, _ *jobfleet.Daemon, duration time.Duration) {
+		for at := time.Duration(0); at < duration; at += 300 * time.Millisecond {
 			time.AfterFunc(at, d.in.Store.CompactHistory)
 		}
 	}},
 }
 
 // dropCalls loses a daemon's own store calls of the given kinds for a while.
-func (d *deployment) dropCalls(o *jobfleet.Daemon, lasts time.Duration, ops ...string) {
-	end := time.Now().Add(lasts)
+func (d *deployment) dropCalls(o *jobfleet.Daemon, duration time.Duration, ops ...string) {
+	end := time.Now().Add(duration)
 	d.in.SetHook(func(daemon, op string) jobfleet.Failure {
 		if daemon == o.Name && time.Now().Before(end) && slices.Contains(ops, op) {
 			return jobfleet.RequestLost
@@ -75,9 +77,9 @@
 	})
 }
 
-// TestCountWhileTheOwnerIsInTrouble: a daemon that is no longer the owner, or that may not
-// know of all jobs, gives no count.
-func TestCountWhileTheOwnerIsInTrouble(t *testing.T) {
+// TestPendingCountUnderOwnerFaults: a daemon that is no longer the owner, or that may not
+// know of all jobs, gives no count of pending jobs.
+func TestPendingCountUnderOwnerFaults(t *testing.T) {
 	for _, f := range ownerFaults {
 		t.Run(f.name, func(t *testing.T) {
 			simulate(t, func(d *deployment) {
@@ -87,8 +89,8 @@
 				go d.pollCounts(ctx)
 				o := d.in.Owner()
 				require.NotNil(t, o)
-				f.strike(d, o, 12*time.Second)
-				for i := range waitingJobs {
+				f.inject(d, o, 12*time.Second)
+				for i := range jobsDuringFault {
 					j := batchJob(i)
 					j.Steps[0].Need.CPUMilli = 9000 // more than any worker has
 					d.submit(ordersPrefix, j)
@@ -101,9 +103,9 @@
 	}
 }
 
-// TestCountWhileDaemonsAreStoppedInTurn: each owner is stopped shortly after its workers,
-// which answer slowly, have reported to it.
-func TestCountWhileDaemonsAreStoppedInTurn(t *testing.T) {
+// TestPendingCountDuringRollingStops: owners are stopped one after another, each shortly after
+// its workers, which answer slowly, have reported to it.
+func TestPendingCountDuringRollingStops(t *testing.T) {
 	for seed := range uint64(rollingStopSeeds) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			simulate(t, func(d *deployment) {
@@ -116,7 +118,7 @@
 				for _, i := range []owner.InstanceID{"i0", "i1", "i2", "i3"} {
 					d.in.Fleet.Cut(i, 7*time.Second)
 				}
-				for i := range waitingJobs {
+				for i := range jobsDuringFault {
 					j := batchJob(i)
 					j.Steps[0].Need.CPUMilli = 100
 					d.submit(ordersPrefix, j)
@@ -130,18 +132,18 @@
 	}
 }
 
-// rollingStopSeeds is the number of seeds of TestCountWhileDaemonsAreStoppedInTurn.
+// rollingStopSeeds is the number of seeds of TestPendingCountDuringRollingStops.
 const rollingStopSeeds = 12
 
-// delayWorkerCalls delays each start and hold by up to slowest, drawn from the seed.
+// delayWorkerCalls delays each start and hold by less than maxDelay, drawn from the seed.
 func (d *deployment) delayWorkerCalls(seed uint64) {
-	const slowest = 600 * time.Millisecond
+	const maxDelay = 600 * time.Millisecond
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 2))
 	d.in.SetHook(func(_, op string) jobfleet.Failure {
 		if op == "start" || op == "hold" {
 			mu.Lock()
-			wait := time.Duration(r.Int64N(int64(slowest)))
+			wait := time.Duration(r.Int64N(int64(maxDelay)))
 			mu.Unlock()
 			time.Sleep(wait)
 		}
--- a/internal/jobmatrix/crash_test.go
+++ b/internal/jobmatrix/crash_test.go
@@ -52,7 +52,7 @@
 		{name: "crashes after a while", jobs: one(908, func(s *job.Step) { s.Estimate = 2 * time.Second }), crashDelay: 900 * time.Millisecond},
 		{name: "the owner is killed after each crash", jobs: one(909, nil), onCrash: killOwner},
 		{name: "the owner is killed after each crash of copies", jobs: one(910, func(s *job.Step) { s.Speculative = true }), onCrash: killOwner},
-		{name: "the store is away", jobs: one(911, nil), onCrash: func(d *deployment, crashes int) {
+		{name: "the store is unavailable", jobs: one(911, nil), onCrash: func(d *deployment, crashes int) {
 			if crashes == 1 {
 				failStoreFor(d, jobfleet.Refused, 5*time.Second)
 			}
@@ -70,10 +70,10 @@
 }
 
 // TestTasksThatCrashTheirWorkers: such a task is given up after three crashes at most, or two
-// starts more, its job fails, and all others complete. It guards against endless restarts: a
-// run lost with its worker left no record in memory or store, and a copy started elsewhere
-// within 8 to 60 ms or the task was queued again at once; such tasks ran dozens of times, also
-// across a change of owner, and ended 90 worker processes in 10 s.
+// starts more, its job fails, and all other jobs complete. It guards against endless restarts:
+// a run lost with its worker left no record in memory or in the store, so that a copy started
+// elsewhere within 8 to 60 ms or the task was queued again at once. Such tasks ran dozens of
+// times, also across a change of owner, and ended 90 worker processes in 10 s.
 func TestTasksThatCrashTheirWorkers(t *testing.T) {
 	for _, c := range crashCases() {
 		t.Run(c.name, func(t *testing.T) {
@@ -141,9 +141,9 @@
 	assert.Empty(d.t, d.in.Checker.Violations())
 }
 
-// TestOtherLossesAreNoCrashOfATask: runs lost by repeated crashes of a rack or an instance, by
+// TestOtherLossesAreNotAttributedToTasks: runs lost by repeated crashes of a rack or an instance, by
 // maintenance waves or by moves are not attributed to the task, and no job fails.
-func TestOtherLossesAreNoCrashOfATask(t *testing.T) {
+func TestOtherLossesAreNotAttributedToTasks(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		long := batchJob(1)
 		long.Steps[0].Estimate = 3 * time.Second
--- a/internal/jobmatrix/crashburst_test.go
+++ b/internal/jobmatrix/crashburst_test.go
@@ -25,9 +25,9 @@
 	burstCrashEvery = 20 // one in burstCrashEvery jobs has a task that crashes its workers
 )
 
-// TestABurstWithTasksThatCrashTheirWorkers: each of these tasks is given up after few crashes,
-// although many are suspected at the same time, every other job completes, and no worker
-// crashes any more once the last such task is given up.
+// TestABurstWithTasksThatCrashTheirWorkers: each of these tasks is given up after a few crashes,
+// although many are suspected at the same time. Every other job completes, and no worker crashes
+// any more once the last such task is given up.
 func TestABurstWithTasksThatCrashTheirWorkers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -67,6 +67,6 @@
 		for _, dm := range d.in.Daemons() {
 			d.in.Kill(dm.Name)
 		}
-		time.Sleep(20 * time.Second)
+		time.Sleep(20 * time.Second) // calls and timers of the stand-ins end
 	})
 }
--- a/internal/jobmatrix/cutowner_test.go
+++ b/internal/jobmatrix/cutowner_test.go
@@ -8,15 +8,16 @@
 	"github.com/stretchr/testify/require"
 )
 
-// replacementBound limits the replacement of an owner that is alive but cut off. As after a loss
-// of power it consists of the lease of 2 s, the rest of its last renewal, and the election.
+// replacementBound is the maximum time until an owner that is alive but cut off is replaced. As
+// after a loss of power it consists of the lease of 2 s, the rest of its last renewal, and the
+// election.
 const replacementBound = 3 * time.Second
 
 // TestAnOwnerCutOffFromTheStoreHandsOver guards against an owner that keeps its role by relaying
 // store calls through peers while a third of the daemons are cut off from the store for 12 s.
-// Each relay through a peer that was cut off too blocked for 1 s, without commits or instance
-// orders; orders reached the platform 1.6 s old. The score of the run was 0.39, 0.61 without the
-// fault.
+// Each relay through a peer that was cut off as well blocked commits and instance orders for 1 s,
+// and orders were 1.6 s old when they reached the platform. The score of the run was 0.39, without
+// the fault 0.61.
 func TestAnOwnerCutOffFromTheStoreHandsOver(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.submitBatchJobs(0, 2)
@@ -48,9 +49,9 @@
 	})
 }
 
-// TestNobodyHandsOverWhileTheStoreIsAway: if no daemon reaches the store, the owner keeps its
-// role, since no other daemon would do better.
-func TestNobodyHandsOverWhileTheStoreIsAway(t *testing.T) {
+// TestOwnerKeepsRoleWhileTheStoreIsUnavailable: if no daemon can reach the store, the owner keeps
+// its role, since no other daemon could do more.
+func TestOwnerKeepsRoleWhileTheStoreIsUnavailable(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.submitBatchJobs(0, 2)
 		time.Sleep(3 * time.Second)
--- a/internal/jobmatrix/deployment_test.go
+++ b/internal/jobmatrix/deployment_test.go
@@ -37,8 +37,8 @@
 	in          *jobfleet.Installation
 	caller      *jobfleet.Caller
 	jobs        []*job.Job
-	queuePrefix map[job.ID]string // prefix
-	accepted    map[job.ID]bool   // accepted
+	queuePrefix map[job.ID]string // path prefix of the queue that each job was submitted to
+	accepted    map[job.ID]bool   // jobs whose submission was accepted
 }
 
 // logWriter returns the destination of the daemons' logs: standard error if
@@ -83,7 +83,7 @@
 			{Name: "orders", Host: "jobs.example", Prefix: ordersPrefix, Service: "orders", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second},
 			{Name: "reports", Host: "jobs.example", Prefix: reportsPrefix, Service: "reports", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second},
 		},
-		Services: []job.Service{{Name: "orders", EnforcesCapacity: true}, {Name: "reports"}, // workers of reports start more than they have room for
+		Services: []job.Service{{Name: "orders", EnforcesCapacity: true}, {Name: "reports"}, // workers of reports start tasks beyond their capacity
 			{Name: "spare", Spare: true}},
 	}
 }
@@ -186,9 +186,9 @@
 	})
 }
 
-// TestWaveThinsOutWorkers maintains workers that have more tasks of a
-// long-running step than maintenance may stop at once.
-func TestWaveThinsOutWorkers(t *testing.T) {
+// TestWaveMaintainsWorkersOfALongRunningStep: a wave completes although its workers run more
+// tasks of a long-running step than maintenance may stop at once.
+func TestWaveMaintainsWorkersOfALongRunningStep(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		j := longRunningJob(1)
 		j.Steps[0].Count = 6 // on four instances
@@ -205,9 +205,9 @@
 	})
 }
 
-// TestTheStrongestDaemonIsTheOwner: a daemon with the largest CPU share becomes the owner,
-// at the start and after the owner was killed.
-func TestTheStrongestDaemonIsTheOwner(t *testing.T) {
+// TestTheDaemonWithTheLargestCPUShareIsTheOwner: one of the daemons with the largest CPU share
+// becomes the owner, at the start and after the owner was killed.
+func TestTheDaemonWithTheLargestCPUShareIsTheOwner(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.in.StartWith("strong1", 0.8)
 		d.in.StartWith("strong2", 0.8)
@@ -244,9 +244,9 @@
 	})
 }
 
-// TestAnOwnerThatStopsWhileTheStoreIsAway: the owner keeps working, since no daemon can take
-// over, and retries the release of its lock a few times a second only.
-func TestAnOwnerThatStopsWhileTheStoreIsAway(t *testing.T) {
+// TestAnOwnerThatStopsWhileTheStoreIsUnavailable: the owner keeps working, since no daemon can
+// take over, and retries the release of its lock only a few times a second.
+func TestAnOwnerThatStopsWhileTheStoreIsUnavailable(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.submitBatchJobs(0, 1)
 		time.Sleep(time.Second)
@@ -276,12 +276,12 @@
 	})
 }
 
-// TestAnOwnerThatStopsAsTheStoreGoesAway guards against calls that are marked as sent but
-// dropped. A stopping owner sends no orders while it releases its lock and resumes work once
-// the store is away. Orders decided in between were dropped: a worker whose hold counts as in
-// flight is never called again, so its task ends go unseen and its leases expire. Found by
-// reading the code; the symptom is that the step after a task that ends does not start.
-func TestAnOwnerThatStopsAsTheStoreGoesAway(t *testing.T) {
+// TestAnOwnerThatStopsJustBeforeAStoreOutage guards against calls that are marked as sent but
+// dropped. A stopping owner sends no orders while it releases its lock, and resumes work once
+// the store is unavailable. Orders decided in between were dropped: a worker whose hold counts
+// as in flight is never called again, so the owner does not learn of ended tasks there and the
+// leases expire. The visible effect is that the step after a task that ends does not start.
+func TestAnOwnerThatStopsJustBeforeAStoreOutage(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.submitBatchJobs(0, 1)
 		time.Sleep(time.Second)
@@ -293,7 +293,7 @@
 		time.Sleep(700 * time.Millisecond)
 		started := d.in.Checker.Starts()
 		stopped := time.Now()
-		const outageDelay = 950 * time.Millisecond // every hold returns within it; only then does the store count as away
+		const outageDelay = 950 * time.Millisecond // every hold returns within it; only then does the store count as unavailable
 		d.in.SetHook(func(_, op string) jobfleet.Failure {
 			if op == "commit" || storeOps[op] && time.Since(stopped) > outageDelay {
 				return jobfleet.Refused
@@ -315,8 +315,8 @@
 
 // TestAnOwnerThatStopsRenewsLeases: while the lock is being released, which may take 1.8 s, the
 // owner sends no new orders but keeps renewing task leases, since these must also outlast the
-// next owner's takeover. Found in the review of an incident in which leases expired after a
-// change of owner; a refused release reproduces it.
+// next owner's takeover. It guards against leases that expire after a change of owner, as in an
+// incident; a refused release of the lock reproduces it.
 func TestAnOwnerThatStopsRenewsLeases(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.submit(ordersPrefix, longRunningJob(0))
--- a/internal/jobmatrix/entries_test.go
+++ b/internal/jobmatrix/entries_test.go
@@ -28,35 +28,35 @@
 	"owner/something":           `{}`,
 }
 
-// TestBadEntriesAtEachKey: jobs complete despite a malformed entry, before and after a change
-// of owner.
-func TestBadEntriesAtEachKey(t *testing.T) {
+// TestMalformedEntryAtEachKey: jobs complete despite a malformed entry at any key, before and after
+// a change of owner.
+func TestMalformedEntryAtEachKey(t *testing.T) {
 	for key, value := range malformedEntries {
 		t.Run(key, func(t *testing.T) {
 			simulate(t, func(d *deployment) {
-				lasting := longRunningJob(100)
-				d.submit(ordersPrefix, lasting)
+				longRunning := longRunningJob(100)
+				d.submit(ordersPrefix, longRunning)
 				d.submitBatchJobs(0, 4)
 				d.in.Store.Put(key, []byte(value))
 				d.submitBatchJobs(4, 4)
 				if o := d.in.Owner(); o != nil {
 					d.in.Kill(o.Name)
-					if key != "operator/catalog" { // without a configuration a daemon is not ready and gets no callers
+					if key != "operator/catalog" { // without a configuration a daemon is not ready and receives no calls
 						restartLater(d, o.Name)
 					}
 				}
 				d.submitBatchJobs(8, 4)
 				d.awaitCompletion(30 * time.Second)
-				d.checkAllRunning(lasting)
+				d.checkAllRunning(longRunning)
 				assert.NotNil(t, d.in.Owner())
 			})
 		})
 	}
 }
 
-// TestABadEntryIsNoProofOfDeath: the entry of a busy worker is overwritten. Its tasks continue,
+// TestMalformedWorkerEntryDoesNotEndTasks: the entry of a busy worker is overwritten. Its tasks continue,
 // no new task starts there, and the worker is used again once its entry is valid.
-func TestABadEntryIsNoProofOfDeath(t *testing.T) {
+func TestMalformedWorkerEntryDoesNotEndTasks(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		j := batchJob(0)
 		j.Steps = []job.Step{{Count: 4, Need: job.Resources{CPUMilli: 8000, MemMB: 100}, Estimate: 4 * time.Second}}
--- a/internal/jobmatrix/evacuation_test.go
+++ b/internal/jobmatrix/evacuation_test.go
@@ -27,8 +27,8 @@
 func TestAnEvacuatedZoneGetsNoTasks(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.assignZones()
-		lasting := longRunningJob(900)
-		d.submit(ordersPrefix, lasting)
+		longRunning := longRunningJob(900)
+		d.submit(ordersPrefix, longRunning)
 		d.submitBatchJobs(0, 4)
 		d.in.Evacuate("z1")
 		d.in.Evacuate("nowhere")
@@ -39,7 +39,7 @@
 		d.in.Kill(first.Name)
 		d.submitBatchJobs(10, 6)
 		d.awaitCompletion(20 * time.Second)
-		d.checkAllRunning(lasting)
+		d.checkAllRunning(longRunning)
 		assert.Less(t, d.in.Checker.LastStartInEvacuatedZone(), time.Second)
 
 		d.in.EndEvacuation("z1")
@@ -67,9 +67,9 @@
 	})
 }
 
-// TestAnEvacuationThatIsTakenBackAtOnce: evacuations that are requested twice and ended at once
+// TestEvacuationsEndedAtOnce: evacuations that are requested twice and ended at once
 // have no lasting effect.
-func TestAnEvacuationThatIsTakenBackAtOnce(t *testing.T) {
+func TestEvacuationsEndedAtOnce(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.assignZones()
 		for range 3 {
@@ -90,8 +90,8 @@
 // fails meanwhile.
 const storeOutageExtension = 5 * time.Second
 
-// TestEvacuationsUnderFaults evacuates two zones in turn and ends the evacuations, with each
-// kind of fault at some steps.
+// TestEvacuationsUnderFaults evacuates two zones one after the other and ends the evacuations,
+// with each kind of fault at some steps.
 func TestEvacuationsUnderFaults(t *testing.T) {
 	for _, f := range allFaults() {
 		for _, s := range []struct {
@@ -102,9 +102,9 @@
 				simulate(t, func(d *deployment) {
 					d.assignZones()
 					d.in.Checker.ExtendEvacuationBound(storeOutageExtension)
-					lasting := longRunningJob(900)
-					d.submit(ordersPrefix, lasting)
-					d.strikeAt(s.op, s.n, f)
+					longRunning := longRunningJob(900)
+					d.submit(ordersPrefix, longRunning)
+					d.injectAt(s.op, s.n, f)
 					d.submitBatchJobs(0, 3)
 					d.in.Evacuate("z1")
 					d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{"i0", "i3"}, Within: 20 * time.Second, MaxDown: 2})
@@ -117,7 +117,7 @@
 					d.submitBatchJobs(9, 3)
 					d.in.EndEvacuation("z2")
 					d.awaitCompletion(30 * time.Second)
-					d.checkAllRunning(lasting)
+					d.checkAllRunning(longRunning)
 				})
 			})
 		}
--- a/internal/jobmatrix/faults_test.go
+++ b/internal/jobmatrix/faults_test.go
@@ -17,11 +17,11 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// fault is one kind of fault. strike is called when the named daemon makes the call at
-// which the fault is injected, and returns how that call fails.
+// fault is one kind of fault. inject is called when the named daemon makes the call at
+// which the fault occurs, and returns how that call fails.
 type fault struct {
 	name   string
-	strike func(d *deployment, daemon string) jobfleet.Failure
+	inject func(d *deployment, daemon string) jobfleet.Failure
 }
 
 // callFault returns a fault that affects only the call.
@@ -48,8 +48,8 @@
 }
 
 // failStoreFor makes all store calls fail in the given way for a while.
-func failStoreFor(d *deployment, f jobfleet.Failure, lasts time.Duration) {
-	end := time.Now().Add(lasts)
+func failStoreFor(d *deployment, f jobfleet.Failure, duration time.Duration) {
+	end := time.Now().Add(duration)
 	d.in.SetHook(func(_, op string) jobfleet.Failure {
 		if time.Now().Before(end) && storeOps[op] {
 			return f
@@ -58,8 +58,8 @@
 	})
 }
 
-// dropFirstCalls loses the next call of each kind from each daemon, as open connections
-// that no longer deliver anything do.
+// dropFirstCalls loses the next call of each kind from each daemon, as happens on open
+// connections that no longer deliver data.
 func dropFirstCalls(d *deployment) {
 	var mu sync.Mutex
 	tried := map[string]bool{}
@@ -74,6 +74,7 @@
 	})
 }
 
+// storeOps are the kinds of calls to the store.
 var storeOps = map[string]bool{"get": true, "range": true, "watch": true, "commit": true, "grant": true, "keep": true, "end": true}
 
 // restartLater starts a daemon again after 1 s, under the same name.
@@ -81,6 +82,7 @@
 	time.AfterFunc(time.Second, func() { d.in.Start(daemon) })
 }
 
+// faults are the kinds of faults that failedPairs draw from by index.
 var faults = []fault{
 	callFault("the call is refused", jobfleet.Refused),
 	callFault("the call is lost", jobfleet.RequestLost),
@@ -121,7 +123,8 @@
 	sideFault("an instance drains", func(d *deployment, _ string) { go d.in.Fleet.Drain("i1") }),
 }
 
-// addedFaults are kept apart from faults, since failedPairs draw from faults alone.
+// addedFaults are kept apart from faults, so that the seeds in failedPairs draw the same faults
+// as when they failed.
 var addedFaults = []fault{
 	sideFault("the daemon is suspended for 1 s", func(d *deployment, dm string) { gateOf(d, dm).Suspend(time.Second) }),
 	sideFault("the daemon is suspended for 6 s", func(d *deployment, dm string) { gateOf(d, dm).Suspend(6 * time.Second) }),
@@ -152,8 +155,8 @@
 	{"start", 1}, {"start", 12}, {"hold", 6}, {"hold", 40}, {"stop", 1}, {"maintain", 1}, {"maintain", 2},
 }
 
-// strikeAt injects f at the n-th call of kind op from now on.
-func (d *deployment) strikeAt(op string, n int, f fault) *sync.Once {
+// injectAt injects f at the n-th call of kind op from now on.
+func (d *deployment) injectAt(op string, n int, f fault) *sync.Once {
 	var mu sync.Mutex
 	var once sync.Once
 	seen := 0
@@ -169,7 +172,7 @@
 			return jobfleet.NoFailure
 		}
 		out := jobfleet.NoFailure
-		once.Do(func() { out = f.strike(d, daemon) })
+		once.Do(func() { out = f.inject(d, daemon) })
 		return out
 	})
 	return &once
@@ -178,8 +181,8 @@
 // runMixedWorkload submits and cancels jobs, runs a maintenance wave and changes the
 // configuration, and checks that all of it completes.
 func (d *deployment) runMixedWorkload() {
-	lasting := longRunningJob(900)
-	d.submit(ordersPrefix, lasting)
+	longRunning := longRunningJob(900)
+	d.submit(ordersPrefix, longRunning)
 	d.submitBatchJobs(0, 4)
 	d.in.RequestWave(owner.WaveRequest{Wave: 1, Instances: []owner.InstanceID{"i0", "i4", "spare0"}, Within: 20 * time.Second, MaxDown: 2})
 	d.submitBatchJobs(4, 4)
@@ -196,7 +199,7 @@
 	d.in.Configure(catalog(2))
 	d.submitBatchJobs(8, 4)
 	d.awaitCompletion(30 * time.Second)
-	d.checkAllRunning(lasting)
+	d.checkAllRunning(longRunning)
 	for i := 0; i < 60 && !d.in.WaveDone(1); i++ {
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -224,7 +227,7 @@
 		for _, s := range steps {
 			t.Run(fmt.Sprintf("%s at %s %d", f.name, s.op, s.n), func(t *testing.T) {
 				simulate(t, func(d *deployment) {
-					d.strikeAt(s.op, s.n, f)
+					d.injectAt(s.op, s.n, f)
 					d.runMixedWorkload()
 				})
 			})
@@ -264,8 +267,8 @@
 	gap := time.Duration(r.IntN(4000)) * time.Millisecond
 	t.Logf("%s at %s %d, then after %s %s at %s %d", first.name, a.op, a.n, gap, second.name, b.op, b.n)
 	simulate(t, func(d *deployment) {
-		d.strikeAt(a.op, a.n, first)
-		timer := time.AfterFunc(gap+time.Second, func() { d.strikeAt(b.op, b.n, second) })
+		d.injectAt(a.op, a.n, first)
+		timer := time.AfterFunc(gap+time.Second, func() { d.injectAt(b.op, b.n, second) })
 		defer timer.Stop()
 		d.runMixedWorkload()
 	})
--- a/internal/jobmatrix/manystops_test.go
+++ b/internal/jobmatrix/manystops_test.go
@@ -12,19 +12,20 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestStopsLeaveTimeForLeases: each stop is sent about once, and no other lease expires. It
-// guards against stops that are sent again 0.5 s after the decision although they still wait for
-// a call slot: the holds queue for the same slots. After 1,440 tasks were cancelled by an owner
-// with a fifth of a core, the leases of the 240 others expired within 10 s on healthy workers,
-// beyond their budget, and over twice as many stops as runs reached the workers.
-func TestStopsLeaveTimeForLeases(t *testing.T) {
-	const instances, width, lasting, cancelled = 240, 24, 10, 60
+// TestStopsDoNotDelayLeaseRenewals: when many tasks are cancelled, each stop is sent about once,
+// and no lease of another task expires. It guards against stops that are sent again 0.5 s after
+// the decision although they still wait for a call slot, and so delay the holds, which queue for
+// the same slots. After an owner with a fifth of a core had cancelled 1,440 tasks, the leases of
+// the 240 others expired within 10 s on healthy workers, beyond their budget, and the workers
+// received over twice as many stops as there were runs.
+func TestStopsDoNotDelayLeaseRenewals(t *testing.T) {
+	const instances, width, kept, cancelled = 240, 24, 10, 60
 	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
 		in.Start("d1")
 		time.Sleep(3 * time.Second)
 		caller := in.Caller()
 		var ids []job.ID
-		for n := range lasting + cancelled {
+		for n := range kept + cancelled {
 			j := longRunningJob(n)
 			j.Steps[0].Count = width
 			accepted, _ := caller.Submit(ordersPrefix, j)
@@ -33,7 +34,7 @@
 			time.Sleep(50 * time.Millisecond)
 		}
 		time.Sleep(8 * time.Second)
-		require.Equal(t, (lasting+cancelled)*width, in.Checker.Starts())
+		require.Equal(t, (kept+cancelled)*width, in.Checker.Starts())
 		in.Checker.FaultsEnded()
 		var stops atomic.Int64
 		in.SetHook(func(_, op string) jobfleet.Failure {
@@ -42,15 +43,15 @@
 			}
 			return jobfleet.NoFailure
 		})
-		for _, id := range ids[lasting:] {
+		for _, id := range ids[kept:] {
 			require.True(t, caller.Cancel(ordersPrefix, id))
 		}
 		time.Sleep(10 * time.Second)
-		atWork := 0
-		for _, id := range ids[:lasting] {
-			atWork += in.Checker.Running(id)
+		running := 0
+		for _, id := range ids[:kept] {
+			running += in.Checker.Running(id)
 		}
-		assert.Equal(t, lasting*width, atWork, "running tasks of the other jobs")
+		assert.Equal(t, kept*width, running, "running tasks of the other jobs")
 		assert.LessOrEqual(t, stops.Load(), int64(cancelled*width*5/4), "stops that reached a worker")
 		assert.Empty(t, in.Checker.Violations())
 	})
--- a/internal/jobmatrix/refusal_test.go
+++ b/internal/jobmatrix/refusal_test.go
@@ -10,11 +10,11 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestAnOverloadedOwnerRefuses: a weak daemon gets several times as many jobs as it can start
-// for 12 s. Jobs that would be late are refused at once and never run; accepted jobs complete.
-// Without refusals all would be late, since the queue grows by thirty jobs a second.
+// TestAnOverloadedOwnerRefuses: for 12 s an owner with a small CPU share gets several times as
+// many jobs as it can start. Jobs that would be late are refused at once and never run; accepted
+// jobs complete. Without refusals all would be late, since the queue grows by thirty jobs a second.
 func TestAnOverloadedOwnerRefuses(t *testing.T) {
-	const instances, jobs, width, every = 200, 600, 24, 20 * time.Millisecond
+	const instances, jobs, width, interval = 200, 600, 24, 20 * time.Millisecond
 	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
 		in.StartWith("d1", 0.12)
 		time.Sleep(3 * time.Second)
@@ -26,16 +26,16 @@
 			j := batchJob(n)
 			j.Steps = j.Steps[:1]
 			j.Steps[0].Count = width
-			asked := time.Now()
+			submitted := time.Now()
 			wasAccepted, wasRefused := caller.Submit(ordersPrefix, j)
 			require.True(t, wasAccepted || wasRefused)
 			if wasAccepted {
 				accepted++
 			} else {
 				refused++
-				slowest = max(slowest, time.Since(asked))
+				slowest = max(slowest, time.Since(submitted))
 			}
-			time.Sleep(every)
+			time.Sleep(interval)
 		}
 		time.Sleep(30 * time.Second)
 		t.Logf("accepted %d, refused %d, slowest refusal %s", accepted, refused, slowest)
--- a/internal/jobmatrix/shrink_test.go
+++ b/internal/jobmatrix/shrink_test.go
@@ -12,12 +12,12 @@
 )
 
 // TestWorkersThatShrink: a reduced capacity announced by a worker applies to all later starts,
-// also for an owner that takes over and finds workers with more tasks than that. Some workers
-// change their capacity quickly. Running tasks are not affected.
+// also for an owner that takes over and finds workers whose tasks exceed it. Some workers change
+// their capacity in quick succession. Running tasks are not affected.
 func TestWorkersThatShrink(t *testing.T) {
 	simulate(t, func(d *deployment) {
-		lasting := longRunningJob(100)
-		d.submit(reportsPrefix, lasting)
+		longRunning := longRunningJob(100)
+		d.submit(reportsPrefix, longRunning)
 		time.Sleep(time.Second)
 		for i, share := range []float64{0.5, 0.1, 0, 0.3, 0.05, 0.6} {
 			d.in.Fleet.Shrink("i4", share, 1500*time.Millisecond)
@@ -31,7 +31,7 @@
 			}
 		}
 		d.awaitCompletion(40 * time.Second)
-		d.checkAllRunning(lasting)
+		d.checkAllRunning(longRunning)
 	})
 }
 
--- a/internal/jobmatrix/takeovercount_test.go
+++ b/internal/jobmatrix/takeovercount_test.go
@@ -12,12 +12,12 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestCountWhileInheritedTasksGo guards against a count of pending jobs that is too low because
-// a job counts as begun when its starts are sent. Jobs that arrive around a change of owner wait
-// until all workers have answered the new owner or the previous owner's leases have expired; then
-// all starts are sent at once. A connected daemon reported 0 right after 8 jobs had waited for
+// TestPendingCountWhileStartsAreInFlight guards against a count of pending jobs that is too low
+// because a job counts as begun when its starts are sent. Jobs that arrive around a change of owner
+// wait until all workers have answered the new owner or the previous owner's leases have expired;
+// then all starts are sent at once. A connected daemon reported 0 right after 8 jobs had waited for
 // 5 s. Here the count is requested while all starts are in flight.
-func TestCountWhileInheritedTasksGo(t *testing.T) {
+func TestPendingCountWhileStartsAreInFlight(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		time.Sleep(3 * time.Second) // until the daemons have read the member list
 		old := d.in.Owner()
@@ -31,7 +31,7 @@
 		const jobs = 8
 		other := d.otherDaemon(old)
 		caller := d.in.CallerTo(other)
-		waitsSince := time.Now()
+		submitted := time.Now()
 		for i := range jobs {
 			j := batchJob(i)
 			j.Steps[0].Need.CPUMilli = 300 // one worker has room for all of them
@@ -39,23 +39,23 @@
 			require.True(t, accepted)
 		}
 
-		const startTakes = 20 * time.Millisecond // longer than the request for the count
+		const startDelay = 20 * time.Millisecond // longer than the request for the count
 		var asked atomic.Bool
-		count, startsBy, waited := -1, -1, time.Duration(0)
+		count, startsAtCount, waited := -1, -1, time.Duration(0)
 		d.in.SetHook(func(_, op string) jobfleet.Failure {
 			if op != "start" {
 				return jobfleet.NoFailure
 			}
 			if asked.CompareAndSwap(false, true) {
-				count, waited = caller.Pending(ordersPrefix), time.Since(waitsSince)
-				startsBy = d.in.Checker.Starts()
+				count, waited = caller.Pending(ordersPrefix), time.Since(submitted)
+				startsAtCount = d.in.Checker.Starts()
 			}
-			time.Sleep(startTakes)
+			time.Sleep(startDelay)
 			return jobfleet.NoFailure
 		})
 		time.Sleep(10 * time.Second)
 		assert.NotZero(t, d.in.Checker.Starts())
-		assert.Zero(t, startsBy)
+		assert.Zero(t, startsAtCount)
 		assert.Greater(t, waited, 5*time.Second)
 		assert.Equal(t, jobs, count, "no job had a started task")
 	})
--- a/internal/jobmatrix/watchlimit_test.go
+++ b/internal/jobmatrix/watchlimit_test.go
@@ -11,23 +11,23 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestEntriesThatOutgrowAWatch guards against an owner that falls behind its watch: 6,000 workers
-// that write every 2 s make 3,000 changes a second, but a watch returned at most 500 (502 revisions,
-// while the store advanced by 1,250) and the owner paused 0.4 s after each, so it read 1,200 a second;
-// tasks started on workers 5 to 8 s after these had announced that they leave. Here the numbers of
-// workers are similar multiples of the watch's limit.
-func TestEntriesThatOutgrowAWatch(t *testing.T) {
-	for _, c := range []struct{ instances, most int }{{40, 4}, {120, 10}, {400, 33}} {
+// TestWatchKeepsUpWithManyWorkers guards against an owner that falls behind its watch. 6,000 workers
+// that write every 2 s make 3,000 changes a second, but each watch call returned at most 500 (502
+// revisions, while the store advanced by 1,250) and the owner paused for 0.4 s after each call, so it
+// read 1,200 changes a second. Tasks were started on workers 5 to 8 s after these had announced that
+// they leave. Here the ratios of workers to the limit of a watch call are similar.
+func TestWatchKeepsUpWithManyWorkers(t *testing.T) {
+	for _, c := range []struct{ instances, maxEvents int }{{40, 4}, {120, 10}, {400, 33}} {
 		t.Run(fmt.Sprintf("%d instances", c.instances), func(t *testing.T) {
 			simulate(t, func(d *deployment) {
 				for i := range c.instances {
 					d.in.Fleet.Add(owner.InstanceID(fmt.Sprintf("m%03d", i)), "orders", fmt.Sprintf("r%d", i/8), job.Resources{CPUMilli: 8000, MemMB: 16000})
 				}
-				lasting := longRunningJob(900) // one task per worker keeps the pool from shrinking
-				lasting.Steps[0].Count = c.instances + 4
-				lasting.Steps[0].MayMiss = c.instances
-				d.submit(ordersPrefix, lasting)
-				d.in.Store.LimitWatches(c.most)
+				longRunning := longRunningJob(900) // one task per worker keeps the pool from shrinking
+				longRunning.Steps[0].Count = c.instances + 4
+				longRunning.Steps[0].MayMiss = c.instances
+				d.submit(ordersPrefix, longRunning)
+				d.in.Store.LimitWatches(c.maxEvents)
 				ended := make(chan struct{})
 				go func() {
 					for {
