--- a/internal/matrix/mutations.sh
+++ b/internal/matrix/mutations.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Breaks one mechanism after another in a scratch copy and runs the tests that
-# are meant to notice. Prints a table for docs/FAULTS.md. Not part of CI: it
-# takes minutes.
+# Mutation testing: breaks one mechanism after another in a scratch copy of the
+# source and runs the tests that should detect it. Prints a Markdown table for
+# docs/FAULTS.md. Not part of CI, since it takes minutes.
+#
+# Usage: mutations.sh [TEXT]    runs only the mutations whose name contains TEXT
 set -u
 top=$(cd "$(dirname "$0")/../.." && pwd)
 copy=$(mktemp -d)
@@ -10,10 +12,12 @@
 echo "| mechanism broken | where | noticed by |"
 echo "|---|---|---|"
 
-only=${1:-} # run just those whose name contains this
+only=${1:-}
 
-# broken NAME FILE PERL-SUBSTITUTION PACKAGES
-broken() {
+# mutate NAME FILE PERL-SUBSTITUTION PACKAGES
+# runs the tests of the packages with the substitution applied to the file, and
+# prints a row with the tests that failed.
+mutate() {
   [[ "$1" == *"$only"* ]] || return 0
   rm -rf "$copy/src"
   mkdir "$copy/src"
@@ -33,29 +37,29 @@
 }
 
 M=./internal/matrix
-broken "nothing (a comment is changed)" requests/once/once.go 's/Package once makes/Package once lets/' "$M ./requests/once"
-broken "a lost owner's keys are granted" requests/once/once.go 's/case made\.Before\(p\.completeSince\):/case false:/' "$M ./requests/once"
-broken "a new owner does not wait for the old table" requests/once/once.go 's/if t\.servingSince\.IsZero\(\) \|\| now\.Sub\(t\.viewSetAt\) < t\.opts\.HandoverWait/if false/' "$M ./requests/once"
-broken "a grant is not noted" requests/once/once.go 's/\tt\.insert\(p, &Claim\{Key: r\.Key[^\n]*\n//' "$M ./requests/once"
-broken "an abandoned attempt vouches for others" requests/once/once.go 's/if refusal, ok := t\.refuseUnknown\(now, p, r\.Key\); ok \{/if refusal, ok := t.refuseUnknown(now, p, r.Key); ok && !found {/' "$M ./requests/once"
-broken "a table handed over does not outweigh" requests/once/once.go 's/case c\.Status == Abandoned && n\.Status != Abandoned:/case false:/' "$M ./requests/once"
-broken "missed views are not noticed" requests/once/handover.go 's/if missed == 0 \{/if true {/' "$M ./requests/once"
-broken "a view serves before the earlier one stopped" requests/member/member.go 's/return \w+\.allStopped\n/return true\n/' "$M ./requests/member"
-broken "a minority serves" requests/member/member.go 's/return 2\*n > total[^\n]*/return true/' "$M ./requests/member"
-broken "a newer epoch is ignored" requests/member/member.go 's/if \w+\.highestEpoch == \w+\.view\.Epoch \{/if true {/' "$M ./requests/member"
-broken "what may have run is noted as not run" requests/entry/keyed.go 's/case verdict\.Of\(err\) == verdict\.NotRun:\n\t\th\.Claims/case true:\n\t\th.Claims/' "$M"
-broken "the request is sent without a claim" requests/entry/handler.go 's/if c\.key == "" \{\n\t\treturn h\.send/if true {\n\t\treturn h.send/' "$M"
-broken "a cut-off daemon goes on sending" requests/entry/handler.go 's/if !h\.ServingStatus\(\)\.MayUseSlots\(time\.Now\(\)\) \{/if false {/g' "$M ./requests/entry"
-broken "a keyed request that may have run is retried" requests/retry/retry.go 's/repeatable := a\.Verdict == verdict\.NotRun \|\| a\.Idempotent/repeatable := true/' "$M ./requests/retry"
-broken "net/http may replay" adapter/backendhttp/client.go 's/req\.Body = opaqueBody\{bytes\.NewReader\(r\.Body\)\}/req.Body = io.NopCloser(bytes.NewReader(r.Body))\n\treq.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(r.Body)), nil }/' "./adapter/backendhttp"
-broken "a late write is let through" adapter/backendhttp/client.go 's/\tc\.sealed = true\n//' "./adapter/backendhttp"
-broken "shares are taken up at once" requests/slots/slots.go 's/\tif !a\.memberLost \{\n\t\treturn true/\tif true {\n\t\treturn true/' "./requests/slots"
-broken "loans outlive their view" requests/slots/slots.go 's/if l\.Epoch != a\.view\.Epoch \|\| w == nil/if w == nil/' "./requests/slots"
-broken "a lost answer counts as not written" requests/record/record.go 's/\t\tuncertain = true\n/\t\treturn Written{}, verdict.New(verdict.NotRun, CodeConflict, "x")\n/' "./requests/record"
-broken "an overwritten record counts as lost race" requests/record/record.go 's/if slices\.Contains\(env\.Tokens, p\.token\)/if false/' "./requests/record"
-broken "failures do not count against the budget" requests/budget/budget.go 's/s\.Failed = append\(s\.Failed, m\.Instance\)/_ = 0/' "$M ./requests/wave"
-broken "a wave ignores the budget" requests/wave/grant.go 's/if account\.Headroom\(\) <= 0 \{/if false {/' "$M ./requests/wave"
-broken "a claim is dropped before the instance is back" requests/wave/advance.go 's/done = inst\.State == fleet\.InstanceReady/done = true/' "$M ./requests/wave"
-broken "an outdated command counts as carried out" requests/wave/advance.go 's/inst\.Generation == d\.Command\.Generation\+1:/inst.Generation > d.Command.Generation:/' "$M ./requests/wave"
-broken "a moved instance keeps its claim in no pool" requests/wave/advance.go 's/p\.enterPhase\(d, fleet\.PhaseReturn, inst\)\n\t\treturn\n\t\}\n\tp\.plan\.MembershipChanges/p.complete(d)\n\t\treturn\n\t}\n\tp.plan.MembershipChanges/' "$M ./requests/wave"
-broken "a refused worker is retried into its overload" requests/retry/retry.go 's/!repeatable \|\| a\.Overloaded/!repeatable/' "./requests/retry"
+mutate "nothing (a comment is changed)" requests/once/once.go 's/Package once makes/Package once lets/' "$M ./requests/once"
+mutate "a lost owner's keys are granted" requests/once/once.go 's/case made\.Before\(p\.completeSince\):/case false:/' "$M ./requests/once"
+mutate "a new owner does not wait for the old table" requests/once/once.go 's/if t\.servingSince\.IsZero\(\) \|\| now\.Sub\(t\.viewSetAt\) < t\.opts\.HandoverWait/if false/' "$M ./requests/once"
+mutate "a grant is not recorded" requests/once/once.go 's/\tt\.insert\(p, &Claim\{Key: r\.Key[^\n]*\n//' "$M ./requests/once"
+mutate "an abandoned attempt allows others" requests/once/once.go 's/if refusal, ok := t\.refuseUnknown\(now, p, r\.Key\); ok \{/if refusal, ok := t.refuseUnknown(now, p, r.Key); ok && !found {/' "$M ./requests/once"
+mutate "a transferred claim does not replace an abandoned one" requests/once/once.go 's/case c\.Status == Abandoned && n\.Status != Abandoned:/case false:/' "$M ./requests/once"
+mutate "missed views are not noticed" requests/once/handover.go 's/if missed == 0 \{/if true {/' "$M ./requests/once"
+mutate "a view serves before the earlier one stopped" requests/member/member.go 's/return \w+\.allStopped\n/return true\n/' "$M ./requests/member"
+mutate "a minority serves" requests/member/member.go 's/return 2\*n > total[^\n]*/return true/' "$M ./requests/member"
+mutate "a newer epoch is ignored" requests/member/member.go 's/if \w+\.highestEpoch == \w+\.view\.Epoch \{/if true {/' "$M ./requests/member"
+mutate "a request that may have run is recorded as not run" requests/entry/keyed.go 's/case verdict\.Of\(err\) == verdict\.NotRun:\n\t\th\.Claims/case true:\n\t\th.Claims/' "$M"
+mutate "the request is sent without a claim" requests/entry/handler.go 's/if c\.key == "" \{\n\t\treturn h\.send/if true {\n\t\treturn h.send/' "$M"
+mutate "a cut-off daemon goes on sending" requests/entry/handler.go 's/if !h\.ServingStatus\(\)\.MayUseSlots\(time\.Now\(\)\) \{/if false {/g' "$M ./requests/entry"
+mutate "a keyed request that may have run is retried" requests/retry/retry.go 's/repeatable := a\.Verdict == verdict\.NotRun \|\| a\.Idempotent/repeatable := true/' "$M ./requests/retry"
+mutate "net/http may replay" adapter/backendhttp/client.go 's/req\.Body = opaqueBody\{bytes\.NewReader\(r\.Body\)\}/req.Body = io.NopCloser(bytes.NewReader(r.Body))\n\treq.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(r.Body)), nil }/' "./adapter/backendhttp"
+mutate "a write after the connection was sealed is allowed" adapter/backendhttp/client.go 's/\tc\.sealed = true\n//' "./adapter/backendhttp"
+mutate "slot shares are used before requests of lost members have ended" requests/slots/slots.go 's/\tif !a\.memberLost \{\n\t\treturn true/\tif true {\n\t\treturn true/' "./requests/slots"
+mutate "loans outlive their view" requests/slots/slots.go 's/if l\.Epoch != a\.view\.Epoch \|\| w == nil/if w == nil/' "./requests/slots"
+mutate "a lost answer counts as not written" requests/record/record.go 's/\t\tuncertain = true\n/\t\treturn Written{}, verdict.New(verdict.NotRun, CodeConflict, "x")\n/' "./requests/record"
+mutate "a successful write that was overwritten counts as a conflict" requests/record/record.go 's/if slices\.Contains\(env\.Tokens, p\.token\)/if false/' "./requests/record"
+mutate "failed instances do not count against the budget" requests/budget/budget.go 's/s\.Failed = append\(s\.Failed, m\.Instance\)/_ = 0/' "$M ./requests/wave"
+mutate "a wave ignores the budget" requests/wave/grant.go 's/if account\.Headroom\(\) <= 0 \{/if false {/' "$M ./requests/wave"
+mutate "a claim is dropped before the instance is back" requests/wave/advance.go 's/done = inst\.State == fleet\.InstanceReady/done = true/' "$M ./requests/wave"
+mutate "an outdated command counts as carried out" requests/wave/advance.go 's/inst\.Generation == d\.Command\.Generation\+1:/inst.Generation > d.Command.Generation:/' "$M ./requests/wave"
+mutate "a move removes the claim before the instance is back in service" requests/wave/advance.go 's/p\.enterPhase\(d, fleet\.PhaseReturn, inst\)\n\t\treturn\n\t\}\n\tp\.plan\.MembershipChanges/p.complete(d)\n\t\treturn\n\t}\n\tp.plan.MembershipChanges/' "$M ./requests/wave"
+mutate "a request refused by an overloaded worker is retried" requests/retry/retry.go 's/!repeatable \|\| a\.Overloaded/!repeatable/' "./requests/retry"
