--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -15,11 +15,11 @@
 
 // show returns the table of the rows that meet every condition.
 func (p *planner) show(s *query.Show) (Plan, error) {
-	t := p.table(s.What)
+	t := p.table(s.Kind)
 	for _, c := range s.Where {
 		col := slices.Index(t.Columns, c.Field)
 		if col < 0 {
-			return Plan{}, refuse(CodeUnknownName, "%s have no field %q; they have %s", s.What, c.Field, strings.Join(t.Columns, ", "))
+			return Plan{}, refuse(CodeUnknownName, "%s have no field %q; they have %s", s.Kind, c.Field, strings.Join(t.Columns, ", "))
 		}
 		t.Rows = slices.DeleteFunc(t.Rows, func(row []string) bool { return (row[col] == string(c.Value)) == c.Negated })
 	}
--- a/operators/query/grammar.go
+++ b/operators/query/grammar.go
@@ -42,7 +42,7 @@
 
 // Show lists the objects of one kind that meet every condition.
 type Show struct {
-	What  string       `parser:"@( 'pools' | 'instances' | 'jobs' | 'waves' | 'revisions' | 'services' | 'routes' | 'teams' )"`
+	Kind  string       `parser:"@( 'pools' | 'instances' | 'jobs' | 'waves' | 'revisions' | 'services' | 'routes' | 'teams' )"`
 	Where []*Condition `parser:"( 'where' @@ ( 'and' @@ )* )?"`
 }
 
