--- a/operators/api/server.go
+++ b/operators/api/server.go
@@ -21,12 +21,12 @@
 
 // Server serves the operators' HTTP API.
 type Server struct {
-	Exec    *Executor
-	Status  func() Status
-	Burn    func(r *http.Request) BurnReport
-	Wave    func(name string) (WaveReport, bool)
-	Ready   func() error
-	Metrics http.Handler
+	Executor *Executor
+	Status   func() Status
+	Burn     func(r *http.Request) BurnReport
+	Wave     func(name string) (WaveReport, bool)
+	Ready    func() error
+	Metrics  http.Handler
 }
 
 // maxRequestBytes bounds the body of a request: a program and the JSON around it.
@@ -80,7 +80,7 @@
 		writeJSON(w, http.StatusBadRequest, answer)
 		return
 	}
-	writeJSON(w, http.StatusOK, ExecResponse{Results: s.Exec.Exec(r.Context(), req.ID, program)})
+	writeJSON(w, http.StatusOK, ExecResponse{Results: s.Executor.Exec(r.Context(), req.ID, program)})
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -212,7 +212,7 @@
 func (d *Daemon) initServers() {
 	errorLog, _ := zap.NewStdLogAt(d.log, zap.DebugLevel)
 	operators := &api.Server{
-		Exec: &api.Executor{
+		Executor: &api.Executor{
 			Store: d.store, Writer: record.NewWriter(d.store), Mirror: d.mirror,
 			Snapshot: d.controller.Snapshot, WaitInForce: d.node.WaitInForce,
 		},
