--- a/adapter/etcdkv/client.go
+++ b/adapter/etcdkv/client.go
@@ -36,7 +36,8 @@
 	Counters Counters
 }
 
-// Counters count the calls and the bytes of bodies since the start.
+// Counters count calls, failed calls, and the bytes of request and response bodies,
+// since the client was created.
 type Counters struct {
 	Reads, Writes, Watches, Errors, BytesIn, BytesOut atomic.Int64
 }
@@ -63,7 +64,8 @@
 // maxResponseBytes bounds the response of one call except a watch.
 const maxResponseBytes = 64 << 20
 
-// call makes one call whose response is one JSON message.
+// call makes one call and decodes the JSON response into resp. write tells whether a
+// call that fails without a complete response may have changed the store.
 func (c *Client) call(ctx context.Context, path string, write bool, req, resp any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.Timeout)
 	defer cancel()
@@ -95,6 +97,7 @@
 	c.Counters.Reads.Add(1)
 }
 
+// post sends req as JSON and returns the response, whose body the caller closes.
 func (c *Client) post(ctx context.Context, path string, req any) (*http.Response, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
@@ -117,12 +120,12 @@
 func (c *Client) transportError(err error, write bool) error {
 	c.Counters.Errors.Add(1)
 	v := verdict.NotRun
-	var op *net.OpError
-	dialFailed := errors.As(err, &op) && op.Op == "dial"
+	var opErr *net.OpError
+	dialFailed := errors.As(err, &opErr) && opErr.Op == "dial"
 	if write && !dialFailed {
 		v = verdict.MayHaveRun
 	}
-	return verdict.Wrap(err, v, port.CodeStoreUnavailable, "store call")
+	return verdict.Wrap(err, v, port.CodeStoreUnavailable, "store call failed")
 }
 
 // statusError converts a response with an error status.
@@ -130,7 +133,7 @@
 	c.Counters.Errors.Add(1)
 	switch status {
 	case http.StatusTooManyRequests:
-		return verdict.New(verdict.NotRun, port.CodeStoreRateLimited, "store: too many requests")
+		return verdict.New(verdict.NotRun, port.CodeStoreRateLimited, "store refused the call: too many requests")
 	case http.StatusServiceUnavailable:
 		// The service also responds with 503 when a proposal timed out, which may
 		// still take effect. Only "no leader" means that nothing was proposed.
@@ -139,7 +142,7 @@
 		}
 		return verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "store unavailable: %s", bytes.TrimSpace(body))
 	default:
-		return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store answered %d: %s", status, bytes.TrimSpace(body))
+		return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store returned status %d: %s", status, bytes.TrimSpace(body))
 	}
 }
 
@@ -152,7 +155,7 @@
 	if len(resp.KVs) == 0 {
 		return port.KV{Revision: fleet.Revision(resp.Header.Revision)}, false, nil
 	}
-	return resp.KVs[0].port(), true, nil
+	return resp.KVs[0].toPort(), true, nil
 }
 
 // List implements port.Store.
@@ -164,7 +167,7 @@
 	}
 	out := port.Listing{Revision: fleet.Revision(resp.Header.Revision)}
 	for _, kv := range resp.KVs {
-		out.KVs = append(out.KVs, kv.port())
+		out.KVs = append(out.KVs, kv.toPort())
 	}
 	return out, nil
 }
@@ -181,6 +184,8 @@
 	return ok, err
 }
 
+// txn executes op if key is at revision expect, and reports whether it did. It also
+// returns the store's revision, which is that of the change if op was executed.
 func (c *Client) txn(ctx context.Context, key string, expect fleet.Revision, op requestOp) (fleet.Revision, bool, error) {
 	req := txnRequest{
 		Compare: []compare{{Key: []byte(key), Target: "MOD", Result: "EQUAL", ModRevision: decimalInt64(expect)}},
@@ -221,8 +226,8 @@
 func (c *Client) Watch(ctx context.Context, prefix string, from fleet.Revision, fn func([]port.Event)) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	idle := time.AfterFunc(c.opts.WatchIdleTimeout, cancel)
-	defer idle.Stop()
+	idleTimer := time.AfterFunc(c.opts.WatchIdleTimeout, cancel)
+	defer idleTimer.Stop()
 	c.Counters.Watches.Add(1)
 	resp, err := c.post(ctx, "/v3/watch", watchRequest{Create: watchCreate{
 		Key: []byte(prefix), RangeEnd: prefixEnd(prefix), StartRevision: decimalInt64(from + 1), ProgressNotify: true,
@@ -235,18 +240,20 @@
 		body, _ := io.ReadAll(io.LimitReader(resp.Body, 1024))
 		return c.statusError(resp.StatusCode, body)
 	}
-	return c.readWatch(json.NewDecoder(countingReader{resp.Body, &c.Counters.BytesIn}), idle, fn)
+	return c.readWatch(json.NewDecoder(countingReader{resp.Body, &c.Counters.BytesIn}), idleTimer, fn)
 }
 
-func (c *Client) readWatch(dec *json.Decoder, idle *time.Timer, fn func([]port.Event)) error {
+// readWatch passes the events of a watch to fn until the stream breaks or the store
+// cancels the watch. Every message, also one without events, restarts idleTimer.
+func (c *Client) readWatch(dec *json.Decoder, idleTimer *time.Timer, fn func([]port.Event)) error {
 	for {
 		var m streamMessage[watchResponse]
 		if err := dec.Decode(&m); err != nil {
 			return c.transportError(err, false)
 		}
-		idle.Reset(c.opts.WatchIdleTimeout)
+		idleTimer.Reset(c.opts.WatchIdleTimeout)
 		if m.Result.Canceled {
-			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "watch cancelled: history before revision %d is gone", m.Result.CompactRevision)
+			return verdict.New(verdict.NotRun, port.CodeStoreCompacted, "store cancelled the watch: revisions before %d have been compacted", m.Result.CompactRevision)
 		}
 		fn(m.Result.events())
 	}
@@ -258,13 +265,15 @@
 	n *atomic.Int64
 }
 
+// Read implements io.Reader.
 func (r countingReader) Read(p []byte) (int, error) {
 	n, err := r.Reader.Read(p)
 	r.n.Add(int64(n))
 	return n, err
 }
 
-// prefixEnd returns the first key after all keys that start with prefix.
+// prefixEnd returns the first key after all keys that start with prefix, as the end
+// of a range. If there is none, it returns a zero byte, which means no upper bound.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/adapter/etcdkv/messages.go
+++ b/adapter/etcdkv/messages.go
@@ -12,16 +12,19 @@
 	Revision decimalInt64 `json:"revision"`
 }
 
+// keyValue is one key with its value and the revision of its last change.
 type keyValue struct {
 	Key         []byte       `json:"key"`
 	ModRevision decimalInt64 `json:"mod_revision"`
 	Value       []byte       `json:"value"`
 }
 
-func (kv keyValue) port() port.KV {
+func (kv keyValue) toPort() port.KV {
 	return port.KV{Key: string(kv.Key), Value: kv.Value, Revision: fleet.Revision(kv.ModRevision)}
 }
 
+// rangeRequest reads the keys from Key up to but excluding RangeEnd, or Key alone if
+// RangeEnd is empty.
 type rangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
@@ -32,6 +35,8 @@
 	KVs    []keyValue `json:"kvs"`
 }
 
+// compare is a condition of a transaction: Result relates the Target of Key, here its
+// modification revision, to ModRevision.
 type compare struct {
 	Key         []byte       `json:"key"`
 	Target      string       `json:"target"`
@@ -49,11 +54,13 @@
 	Key []byte `json:"key"`
 }
 
+// requestOp is one operation of a transaction; exactly one field is set.
 type requestOp struct {
 	Put    *putRequest    `json:"request_put,omitempty"`
 	Delete *deleteRequest `json:"request_delete_range,omitempty"`
 }
 
+// txnRequest executes Success if every condition in Compare is met.
 type txnRequest struct {
 	Compare []compare   `json:"compare"`
 	Success []requestOp `json:"success"`
@@ -64,9 +71,10 @@
 	Succeeded bool   `json:"succeeded"`
 }
 
+// leaseMessage is the request and the response of the lease calls.
 type leaseMessage struct {
 	ID  decimalInt64 `json:"ID"`
-	TTL decimalInt64 `json:"TTL"`
+	TTL decimalInt64 `json:"TTL"` // seconds; in a response to a keepalive, 0 if the lease has expired
 }
 
 // streamMessage wraps one message of a streaming call.
@@ -74,6 +82,9 @@
 	Result T `json:"result"`
 }
 
+// watchCreate starts a watch of a key range. StartRevision is the first revision
+// whose changes are sent; ProgressNotify asks for messages without events while
+// nothing changes.
 type watchCreate struct {
 	Key            []byte       `json:"key"`
 	RangeEnd       []byte       `json:"range_end"`
@@ -93,14 +104,14 @@
 type watchResponse struct {
 	Header          header       `json:"header"`
 	Canceled        bool         `json:"canceled"`
-	CompactRevision decimalInt64 `json:"compact_revision"`
+	CompactRevision decimalInt64 `json:"compact_revision"` // oldest revision that can still be watched; 0 unless an older one was asked for
 	Events          []watchEvent `json:"events"`
 }
 
 func (r watchResponse) events() []port.Event {
 	out := make([]port.Event, 0, len(r.Events))
 	for _, e := range r.Events {
-		out = append(out, port.Event{KV: e.KV.port(), Deleted: e.Type == "DELETE"})
+		out = append(out, port.Event{KV: e.KV.toPort(), Deleted: e.Type == "DELETE"})
 	}
 	return out
 }
