--- a/adapter/backendhttp/client.go
+++ b/adapter/backendhttp/client.go
@@ -32,8 +32,8 @@
 	// MaxConnections bounds this daemon's connections to one worker.
 	MaxConnections int
 	ConnectTimeout time.Duration
-	IdleTimeout    time.Duration
-	MaxAnswerBytes int64
+	IdleTimeout    time.Duration // after which an unused connection is closed
+	MaxAnswerBytes int64         // of a response's body
 }
 
 // Client implements port.Backend with one pool of connections per worker.
@@ -45,6 +45,7 @@
 	transports map[workerAddr]*http.Transport
 }
 
+// workerAddr is a worker and the address (IP:port) at which it is called.
 type workerAddr struct {
 	id   fleet.InstanceID
 	addr string
@@ -79,6 +80,7 @@
 	}
 }
 
+// transport returns the worker's transport and creates it on first use.
 func (c *Client) transport(w workerAddr) *http.Transport {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,13 +113,15 @@
 // Close implements io.Closer.
 func (opaqueBody) Close() error { return nil }
 
-// Send implements port.Backend.
+// Send implements port.Backend. The verdict of an error is NotRun only if no byte was
+// written to a connection, or if the backend server reported that it did not run the
+// request.
 func (c *Client) Send(ctx context.Context, r port.BackendRequest) (*port.BackendAnswer, error) {
 	conns := &requestConns{}
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: conns.gotConn})
 	req, err := http.NewRequestWithContext(ctx, r.Method, "http://"+r.Addr+r.URI, nil)
 	if err != nil {
-		return nil, verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "request to %s", r.Worker)
+		return nil, verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "invalid request to worker %s", r.Worker)
 	}
 	req.Body = opaqueBody{bytes.NewReader(r.Body)}
 	req.ContentLength = int64(len(r.Body))
@@ -133,15 +137,15 @@
 }
 
 // classifyError converts the error of a failed round trip. unsent means that no
-// byte was written to a connection, so that nothing ran.
+// byte was written to a connection, so that the request did not run.
 func classifyError(ctx context.Context, err error, unsent bool, w fleet.InstanceID) error {
 	if unsent {
-		return verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "worker %s", w)
+		return verdict.Wrap(err, verdict.NotRun, port.CodeBackendUnreachable, "request to worker %s failed", w)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-		return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendTimeout, "worker %s", w)
+		return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendTimeout, "request to worker %s failed", w)
 	}
-	return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendConnectionBroken, "worker %s", w)
+	return verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendConnectionBroken, "request to worker %s failed", w)
 }
 
 // readResponse reads the whole response. One that is truncated, too large, for another
@@ -150,23 +154,23 @@
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.opts.MaxAnswerBytes+1))
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendTimeout, "answer of worker %s", r.Worker)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendTimeout, "read the response of worker %s", r.Worker)
 	case err != nil:
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendAnswerTruncated, "answer of worker %s", r.Worker)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, port.CodeBackendAnswerTruncated, "read the response of worker %s", r.Worker)
 	case int64(len(body)) > c.opts.MaxAnswerBytes:
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerTooLarge, "answer of worker %s exceeds %d bytes", r.Worker, c.opts.MaxAnswerBytes)
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerTooLarge, "response of worker %s exceeds %d bytes", r.Worker, c.opts.MaxAnswerBytes)
 	}
 	if echo := resp.Header.Get(HeaderRequestID); echo != "" && echo != r.RequestID {
-		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerForeign, "worker %s answered request %q", r.Worker, echo)
+		return nil, verdict.New(verdict.MayHaveRun, port.CodeBackendAnswerForeign, "response of worker %s is for request %q instead of %q", r.Worker, echo, r.RequestID)
 	}
 	if resp.Header.Get(HeaderNotRun) == "true" {
-		return nil, verdict.New(verdict.NotRun, port.CodeBackendRefused, "worker %s refused with status %d", r.Worker, resp.StatusCode)
+		return nil, verdict.New(verdict.NotRun, port.CodeBackendRefused, "worker %s refused the request with status %d", r.Worker, resp.StatusCode)
 	}
 	return &port.BackendAnswer{Status: resp.StatusCode, Header: resp.Header, Body: body}, nil
 }
 
-// trackedConn counts attempted writes. It can be sealed against further writes if
-// there were none since an earlier count.
+// trackedConn counts attempted writes. It can be sealed, so that further writes fail,
+// if there were none since an earlier count.
 type trackedConn struct {
 	net.Conn
 	mu     sync.Mutex
@@ -210,9 +214,10 @@
 	mu           sync.Mutex
 	conns        []*trackedConn
 	writesBefore []int
-	closed       bool
+	closed       bool // set by sealUnwritten: later connections are sealed at once
 }
 
+// gotConn is the httptrace hook that is called before a request is written to conn.
 func (t *requestConns) gotConn(info httptrace.GotConnInfo) {
 	conn, ok := info.Conn.(*trackedConn)
 	if !ok {
--- a/adapter/backendhttp/client_test.go
+++ b/adapter/backendhttp/client_test.go
@@ -21,6 +21,7 @@
 	return New(Options{MaxConnections: 8, ConnectTimeout: time.Second, IdleTimeout: time.Minute, MaxAnswerBytes: 1 << 10})
 }
 
+// request returns a request with an idempotency key.
 func request(addr string, body string) port.BackendRequest {
 	return port.BackendRequest{
 		Worker: "w", Addr: addr, RequestID: "id-1", Method: http.MethodPost, URI: "/orders?x=1", Host: "desk.example",
@@ -59,16 +60,16 @@
 		want   verdict.Verdict
 		code   verdict.Code
 	}{
-		{"cut answer", func(w http.ResponseWriter, _ *http.Request) {
+		{"truncated response", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "10")
 			_, _ = w.Write([]byte("half"))
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
 		}, verdict.MayHaveRun, port.CodeBackendAnswerTruncated},
 		{"connection closed", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }, verdict.MayHaveRun, port.CodeBackendConnectionBroken},
-		{"foreign answer", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRequestID, "id-2") }, verdict.MayHaveRun, port.CodeBackendAnswerForeign},
+		{"response to another request", func(w http.ResponseWriter, _ *http.Request) { w.Header().Set(HeaderRequestID, "id-2") }, verdict.MayHaveRun, port.CodeBackendAnswerForeign},
 		{"too large", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write(make([]byte, 2<<10)) }, verdict.MayHaveRun, port.CodeBackendAnswerTooLarge},
-		{"says that it did not run", func(w http.ResponseWriter, _ *http.Request) {
+		{"marked as not run", func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(HeaderNotRun, "true")
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, verdict.NotRun, port.CodeBackendRefused},
