--- a/adapter/platformhttp/client.go
+++ b/adapter/platformhttp/client.go
@@ -29,7 +29,7 @@
 	addr    string
 	timeout time.Duration
 	http    *http.Client
-	// BytesIn and BytesOut count the bytes of bodies.
+	// BytesIn and BytesOut count the bytes of response and request bodies.
 	BytesIn, BytesOut atomic.Int64
 }
 
@@ -67,15 +67,17 @@
 	Accelerators int    `json:"accelerators"`
 }
 
-// ListMessage is the response to GET /v1/instances?since=VERSION.
+// ListMessage is the response to GET /v1/instances?since=VERSION: the instances that
+// changed after VERSION, or all if Full is set.
 type ListMessage struct {
-	Version     int64             `json:"version"`
+	Version     int64             `json:"version"` // to send as VERSION next time
 	Full        bool              `json:"full"`
 	Instances   []InstanceMessage `json:"instances,omitempty"`
-	GoneEntries []string          `json:"gone_entries,omitempty"`
+	GoneEntries []string          `json:"gone_entries,omitempty"` // incarnations of entry daemons that have ended
 }
 
-// CommandMessage is the body of POST /v1/instances/{id}/commands.
+// CommandMessage is the body of POST /v1/instances/{id}/commands. The platform refuses
+// it with status 409 unless Generation is the instance's current one.
 type CommandMessage struct {
 	ID         string `json:"id"`
 	Action     string `json:"action"`
@@ -86,7 +88,7 @@
 const maxResponseBytes = 32 << 20
 
 // call makes one call and decodes the response into out unless that is nil. Status
-// 409 means that the generation did not match.
+// 409 means that the command's generation did not match the instance's.
 func (c *Client) call(ctx context.Context, method, path string, body, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -100,24 +102,24 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
+		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "call to the platform failed")
 	}
 	defer resp.Body.Close()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
+	respBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	c.BytesOut.Add(int64(len(data)))
-	c.BytesIn.Add(int64(len(answer)))
+	c.BytesIn.Add(int64(len(respBody)))
 	switch {
 	case err != nil:
-		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
+		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "call to the platform failed")
 	case resp.StatusCode == http.StatusConflict:
-		return verdict.New(verdict.NotRun, CodeGenerationMismatch, "platform: %s", bytes.TrimSpace(answer))
+		return verdict.New(verdict.NotRun, CodeGenerationMismatch, "platform refused the command: %s", bytes.TrimSpace(respBody))
 	case resp.StatusCode != http.StatusOK:
-		return verdict.New(verdict.MayHaveRun, CodePlatformUnavailable, "platform answered %d", resp.StatusCode)
+		return verdict.New(verdict.MayHaveRun, CodePlatformUnavailable, "platform returned status %d", resp.StatusCode)
 	case out == nil:
 		return nil
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
-		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "platform")
+	if err := json.Unmarshal(respBody, out); err != nil {
+		return verdict.Wrap(err, verdict.MayHaveRun, CodePlatformUnavailable, "call to the platform failed")
 	}
 	return nil
 }
