--- a/adapter/workerhttp/client.go
+++ b/adapter/workerhttp/client.go
@@ -24,7 +24,7 @@
 
 // Client implements port.Tasks.
 type Client struct {
-	timeout time.Duration
+	timeout time.Duration // of one call
 	http    *http.Client
 }
 
@@ -58,11 +58,11 @@
 
 // SyncMessage lists the tasks that a worker is to start, keep and stop.
 type SyncMessage struct {
-	LeaseMS    int64         `json:"lease_ms"`
+	LeaseMS    int64         `json:"lease_ms"` // how long a task may run without renewal
 	Start      []TaskMessage `json:"start,omitempty"`
 	Keep       []TaskMessage `json:"keep,omitempty"`
 	Stop       []TaskMessage `json:"stop,omitempty"`
-	Checkpoint bool          `json:"checkpoint,omitempty"`
+	Checkpoint bool          `json:"checkpoint,omitempty"` // stopped tasks save their state first
 }
 
 // SyncResponse lists all tasks of the worker.
@@ -87,18 +87,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s", addr)
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "task call to worker %s failed", addr)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil || resp.StatusCode != http.StatusOK {
-		return nil, verdict.New(verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s answered %d", addr, resp.StatusCode)
+		return nil, verdict.New(verdict.MayHaveRun, CodeWorkerUnavailable, "task call to worker %s failed: status %d or incomplete response", addr, resp.StatusCode)
 	}
-	var answer SyncResponse
-	if err := json.Unmarshal(data, &answer); err != nil {
-		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "worker %s", addr)
+	var m SyncResponse
+	if err := json.Unmarshal(data, &m); err != nil {
+		return nil, verdict.Wrap(err, verdict.MayHaveRun, CodeWorkerUnavailable, "task call to worker %s failed", addr)
 	}
-	return tasksFromResponse(answer), nil
+	return tasksFromResponse(m), nil
 }
 
 func syncMessage(r port.TaskSyncRequest) SyncMessage {
@@ -120,9 +120,9 @@
 	return out
 }
 
-func tasksFromResponse(a SyncResponse) []fleet.Task {
-	out := make([]fleet.Task, 0, len(a.Tasks))
-	for _, t := range a.Tasks {
+func tasksFromResponse(m SyncResponse) []fleet.Task {
+	out := make([]fleet.Task, 0, len(m.Tasks))
+	for _, t := range m.Tasks {
 		out = append(out, fleet.Task{
 			Pool: fleet.PoolName(t.Pool), Job: fleet.JobName(t.Job), Attempt: t.Attempt, State: fleet.TaskState(t.State),
 			Used: fleet.Resources{Slots: t.Slots, CPUMilli: t.CPUMilli, MemoryMB: t.MemoryMB, Accelerators: t.Accelerators},
