--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -23,8 +23,8 @@
 // Client implements port.Peers with one connection per peer, opened on demand.
 type Client struct {
 	token          string
-	connectTimeout time.Duration
-	callTimeout    time.Duration
+	connectTimeout time.Duration // also of sending the handshake
+	callTimeout    time.Duration // of one call and of one write
 
 	conns rpcconn.Pool
 	// Bytes counts the bytes sent and received, including those of a Server that
@@ -35,12 +35,12 @@
 	Blocked func(addr string) bool
 }
 
-// ByteCounts counts the traffic between daemons.
+// ByteCounts counts the bytes received (In) and sent (Out) between daemons.
 type ByteCounts struct{ In, Out atomic.Int64 }
 
 var _ port.Peers = (*Client)(nil)
 
-// NewClient returns a client without connections.
+// NewClient returns a client without connections. token is the fleet's shared token.
 func NewClient(token string, connectTimeout, callTimeout time.Duration) *Client {
 	return &Client{
 		token:          token,
@@ -55,17 +55,17 @@
 // dial opens a connection to addr and sends the handshake.
 func (c *Client) dial(ctx context.Context, addr string) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: c.connectTimeout}
-	tcp, err := dialer.DialContext(ctx, "tcp", addr)
+	conn, err := dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	_ = tcp.SetWriteDeadline(time.Now().Add(c.connectTimeout))
-	if _, err := fmt.Fprintf(tcp, "%s%s\n", handshakePrefix, c.token); err != nil {
-		tcp.Close()
+	_ = conn.SetWriteDeadline(time.Now().Add(c.connectTimeout))
+	if _, err := fmt.Fprintf(conn, "%s%s\n", handshakePrefix, c.token); err != nil {
+		conn.Close()
 		return nil, err
 	}
-	_ = tcp.SetWriteDeadline(time.Time{})
-	return &writeDeadlineConn{tcp, c.callTimeout, &c.Bytes}, nil
+	_ = conn.SetWriteDeadline(time.Time{})
+	return &writeDeadlineConn{conn, c.callTimeout, &c.Bytes}, nil
 }
 
 // call makes one call, bounded by ctx and the call timeout. After a call that timed
@@ -76,13 +76,13 @@
 func call[R any](ctx context.Context, c *Client, addr, method string, args any) (R, error) {
 	var zero R
 	if c.Blocked != nil && c.Blocked(addr) {
-		return zero, verdict.New(verdict.NotRun, CodePeerUnreachable, "peer %s: blocked by a simulated partition", addr)
+		return zero, verdict.New(verdict.NotRun, CodePeerUnreachable, "call to peer %s blocked by a simulated partition", addr)
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.callTimeout)
 	defer cancel()
 	conn, err := c.conns.Get(addr, func() (net.Conn, error) { return c.dial(ctx, addr) })
 	if err != nil {
-		return zero, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "peer %s", addr)
+		return zero, verdict.Wrap(err, verdict.NotRun, CodePeerUnreachable, "call to peer %s failed", addr)
 	}
 	defer c.conns.Release(conn)
 	reply := new(R)
@@ -97,12 +97,12 @@
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 			c.conns.Retire(conn)
 		}
-		return zero, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
+		return zero, verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodePeerUnreachable, "call to peer %s failed", addr)
 	}
 }
 
 // callError converts the error of a completed call, and discards the connection
-// unless the error is the peer's answer.
+// unless the peer returned the error, which leaves the connection usable.
 func (c *Client) callError(addr string, conn *rpcconn.Conn, err error) error {
 	if err == nil {
 		return nil
@@ -111,7 +111,7 @@
 	if !errors.As(err, &serverErr) {
 		c.conns.Discard(conn)
 	}
-	return verdict.Wrap(err, verdict.MayHaveRun, CodePeerUnreachable, "peer %s", addr)
+	return verdict.Wrap(err, verdict.MayHaveRun, CodePeerUnreachable, "call to peer %s failed", addr)
 }
 
 // writeDeadlineConn bounds every write, so that a peer that does not read cannot
--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -17,26 +17,27 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// echo answers heartbeats and blocks claims until released.
-type echo struct {
+// stubHandler answers heartbeats at once and claims after release is closed.
+type stubHandler struct {
 	port.PeerServer
 	release chan struct{}
 }
 
-func (e *echo) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
-	return port.HeartbeatReply{From: "echo", Epoch: b.Epoch, Revision: b.Revision}
+func (h *stubHandler) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
+	return port.HeartbeatReply{From: "stub", Epoch: b.Epoch, Revision: b.Revision}
 }
-func (e *echo) OnClaim(once.Request) once.Reply {
-	<-e.release
+func (h *stubHandler) OnClaim(once.Request) once.Reply {
+	<-h.release
 	return once.Reply{Result: once.Granted}
 }
-func (e *echo) OnReturn([]slots.LoanID) {}
+func (h *stubHandler) OnReturn([]slots.LoanID) {}
 
 const token = "a-token-of-the-tests"
 
-func startServer(t *testing.T) (addr string, s *Server, e *echo) {
-	e = &echo{release: make(chan struct{})}
-	s = NewServer(token, e, &ByteCounts{})
+// startServer starts a server whose handler is a stubHandler.
+func startServer(t *testing.T) (addr string, s *Server, h *stubHandler) {
+	h = &stubHandler{release: make(chan struct{})}
+	s = NewServer(token, h, &ByteCounts{})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	go s.Serve(l)
@@ -44,17 +45,17 @@
 		l.Close()
 		s.Close()
 	})
-	return l.Addr().String(), s, e
+	return l.Addr().String(), s, h
 }
 
 func TestCallsReturnReplies(t *testing.T) {
-	addr, _, e := startServer(t)
-	close(e.release)
+	addr, _, h := startServer(t)
+	close(h.release)
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
 	r, err := c.Heartbeat(context.Background(), addr, port.Heartbeat{Epoch: 7, Revision: fleet.Revision(9)})
 	require.NoError(t, err)
-	assert.Equal(t, port.HeartbeatReply{From: "echo", Epoch: 7, Revision: 9}, r)
+	assert.Equal(t, port.HeartbeatReply{From: "stub", Epoch: 7, Revision: 9}, r)
 	require.NoError(t, c.Return(context.Background(), addr, []slots.LoanID{"l"}))
 	reply, err := c.Claim(context.Background(), addr, once.Request{})
 	require.NoError(t, err)
@@ -63,14 +64,14 @@
 }
 
 func TestCancelledCallFails(t *testing.T) {
-	addr, _, e := startServer(t)
+	addr, _, h := startServer(t)
 	c := NewClient(token, time.Second, 10*time.Second)
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err := c.Claim(ctx, addr, once.Request{})
 	require.Error(t, err)
-	close(e.release)
+	close(h.release)
 }
 
 // TestCallTimeoutKeepsOtherCalls guards against a timed-out call that closes the connection
@@ -79,8 +80,8 @@
 func TestCallTimeoutKeepsOtherCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	e := &slowEcho{echo: &echo{release: make(chan struct{})}, claimed: make(chan struct{}, 1)}
-	s := NewServer(token, e, &ByteCounts{})
+	h := &slowHandler{stubHandler: &stubHandler{release: make(chan struct{})}, claimed: make(chan struct{}, 1)}
+	s := NewServer(token, h, &ByteCounts{})
 	go s.Serve(l)
 	t.Cleanup(func() {
 		l.Close()
@@ -94,31 +95,32 @@
 		_, err := c.Claim(context.Background(), addr, once.Request{})
 		claimed <- err
 	}()
-	<-e.claimed
+	<-h.claimed
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	_, err = c.Heartbeat(ctx, addr, port.Heartbeat{})
 	require.Error(t, err)
-	close(e.release)
+	close(h.release)
 	assert.NoError(t, <-claimed)
 	_, err = c.Heartbeat(context.Background(), addr, port.Heartbeat{})
 	assert.NoError(t, err, "the next call uses another connection")
 }
 
-// slowEcho signals claims on claimed, and blocks heartbeats as well until released.
-type slowEcho struct {
-	*echo
+// slowHandler also delays heartbeats until release is closed, and signals each claim on
+// claimed.
+type slowHandler struct {
+	*stubHandler
 	claimed chan struct{}
 }
 
-func (e *slowEcho) OnClaim(r once.Request) once.Reply {
-	e.claimed <- struct{}{}
-	return e.echo.OnClaim(r)
+func (h *slowHandler) OnClaim(r once.Request) once.Reply {
+	h.claimed <- struct{}{}
+	return h.stubHandler.OnClaim(r)
 }
 
-func (e *slowEcho) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
-	<-e.release
-	return e.echo.OnHeartbeat(b)
+func (h *slowHandler) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
+	<-h.release
+	return h.stubHandler.OnHeartbeat(b)
 }
 
 func TestDialFailureIsNotRun(t *testing.T) {
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -1,4 +1,5 @@
-// Package peerrpc carries the messages between entry daemons over net/rpc.
+// Package peerrpc is the client and server for calls between entry daemons over
+// net/rpc.
 //
 // A connection starts with a handshake line that holds the fleet's shared token.
 // Without a valid handshake the server closes it before decoding anything.
@@ -36,21 +37,23 @@
 
 // Server serves a port.PeerServer.
 type Server struct {
-	token    string
-	bytes    *ByteCounts
-	rpc      *rpc.Server
-	mu       sync.Mutex
-	conns    map[net.Conn]bool
-	closed   bool
-	wg       sync.WaitGroup
-	Rejected atomic.Int64 // connections closed for an invalid handshake or over maxConnections
+	token  string
+	bytes  *ByteCounts
+	rpc    *rpc.Server
+	mu     sync.Mutex
+	conns  map[net.Conn]bool
+	closed bool
+	wg     sync.WaitGroup
+	// Rejected counts connections closed because the handshake was invalid, there were
+	// maxConnections already, or the server was closed.
+	Rejected atomic.Int64
 }
 
-// NewServer returns a server that accepts peers with the given token and adds its
-// traffic to bytes.
+// NewServer returns a server that passes the calls of peers with the given token to
+// handler and adds its traffic to bytes.
 func NewServer(token string, handler port.PeerServer, bytes *ByteCounts) *Server {
 	s := &Server{token: token, bytes: bytes, rpc: rpc.NewServer(), conns: map[net.Conn]bool{}}
-	// It fails only for a receiver without suitable methods.
+	// RegisterName fails only for a receiver without suitable methods.
 	if err := s.rpc.RegisterName(serviceName, &service{handler}); err != nil {
 		panic(err)
 	}
@@ -90,6 +93,8 @@
 	return true
 }
 
+// serveConn checks the handshake of a connection and serves its calls until it is
+// closed.
 func (s *Server) serveConn(conn net.Conn) {
 	defer s.wg.Done()
 	defer s.removeConn(conn)
@@ -102,7 +107,8 @@
 	s.rpc.ServeConn(&readDeadlineConn{Conn: conn, r: r, bytes: s.bytes})
 }
 
-// readHandshake reads the handshake line and reports whether its token is valid.
+// readHandshake reads the handshake line and reports whether its token is valid. The
+// comparison takes the same time wherever the tokens differ.
 func (s *Server) readHandshake(r *bufio.Reader) bool {
 	line, err := bufio.NewReader(io.LimitReader(oneByteReader{r}, maxHandshakeBytes)).ReadString('\n')
 	if err != nil {
@@ -165,43 +171,47 @@
 	return n, err
 }
 
+// serviceName is the prefix of the RPC methods' names.
 const serviceName = "Peer"
 
-// service adapts a port.PeerServer to the method form of net/rpc.
+// service adapts a port.PeerServer to net/rpc. The names of its methods are part of
+// the protocol between daemons.
 type service struct{ h port.PeerServer }
 
-// Void is the reply of calls that return nothing.
+// Void is the argument of calls that take none and the reply of calls that return
+// nothing.
 type Void struct{}
 
-// Beat is an RPC method.
+// Beat handles a heartbeat.
 func (s *service) Beat(b port.Heartbeat, out *port.HeartbeatReply) error {
 	*out = s.h.OnHeartbeat(b)
 	return nil
 }
 
-// Changes is an RPC method.
+// Changes returns the records that changed after revision since.
 func (s *service) Changes(since fleet.Revision, out *port.Changes) error {
 	*out = s.h.OnChanges(since)
 	return nil
 }
 
-// Claim is an RPC method.
+// Claim handles a peer's claim of an idempotency key.
 func (s *service) Claim(r once.Request, out *once.Reply) error { *out = s.h.OnClaim(r); return nil }
 
-// Note is an RPC method.
+// Note records the state of an attempt; out is false if this daemon does not own the
+// partition of its key.
 func (s *service) Note(n once.Claim, out *bool) error { *out = s.h.OnAttemptReport(n); return nil }
 
-// Transfer is an RPC method.
+// Transfer takes over the claims of a partition; out reports whether it did.
 func (s *service) Transfer(t once.Transfer, out *bool) error { *out = s.h.OnTransfer(t); return nil }
 
-// Borrow is an RPC method.
+// Borrow lends a slot of a worker to a peer.
 func (s *service) Borrow(r port.BorrowRequest, out *port.BorrowReply) error {
 	*out = s.h.OnBorrow(r)
 	return nil
 }
 
-// Return is an RPC method.
+// Return takes back lent slots.
 func (s *service) Return(loans []slots.LoanID, _ *Void) error { s.h.OnReturn(loans); return nil }
 
-// Burn is an RPC method.
+// Burn returns this daemon's request counts against its objectives.
 func (s *service) Burn(_ Void, out *port.BurnCounts) error { *out = s.h.OnBurn(); return nil }
