--- a/operators/api/exec.go
+++ b/operators/api/exec.go
@@ -15,11 +15,14 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Executor executes statements.
+// Executor executes statements: it plans each statement, writes the records that the
+// plan changes, and waits until the live members have applied the change.
 type Executor struct {
-	Store    port.Store
-	Writer   *record.Writer
-	Mirror   *mirror.Mirror
+	Store  port.Store
+	Writer *record.Writer
+	Mirror *mirror.Mirror
+	// Snapshot returns what the daemon knows of the fleet. Its records are replaced
+	// by the newest ones of Mirror.
 	Snapshot func() *control.Snapshot
 	// WaitInForce waits until every live member has applied revision rev and
 	// returns those that have not when ctx ends.
@@ -30,7 +33,7 @@
 const (
 	// writeTimeout bounds all writes of one statement, retries included.
 	writeTimeout = 8 * time.Second
-	// inForceTimeout bounds the wait for the other daemons to apply a change.
+	// inForceTimeout bounds the wait until every live member has applied a change.
 	inForceTimeout = 4 * time.Second
 	// maxPlans bounds how often a statement is planned: it is planned again
 	// after each write and each write conflict.
@@ -38,19 +41,19 @@
 )
 
 // Exec executes the statements of p in order and stops at the first that fails.
-// A repeat with the same id does not write again.
+// If it is called again with the same id, what was written is not written again.
 func (e *Executor) Exec(ctx context.Context, id string, p *query.Program) []Result {
-	var out []Result
+	var results []Result
 	for i, s := range p.Statements {
 		commandID := fleet.CommandID(fmt.Sprintf("%s/%d", id, i+1))
 		r := e.execStatement(ctx, commandID, s)
 		r.Statement = i + 1
-		out = append(out, r)
+		results = append(results, r)
 		if r.Verdict != verdict.Done {
 			break
 		}
 	}
-	return out
+	return results
 }
 
 func (e *Executor) execStatement(ctx context.Context, id fleet.CommandID, s *query.Statement) Result {
@@ -62,14 +65,14 @@
 		return Result{Verdict: verdict.Done, Table: plan.Table, InForce: true}
 	}
 	r := Result{Verdict: verdict.Done, Message: plan.Summary, Revision: int64(plan.Revision)}
-	recorded := time.Now()
-	wait, cancel := context.WithTimeout(ctx, inForceTimeout)
+	recordedAt := time.Now()
+	waitCtx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	for _, m := range e.WaitInForce(wait, plan.Revision) {
-		r.Behind = append(r.Behind, string(m))
+	for _, member := range e.WaitInForce(waitCtx, plan.Revision) {
+		r.Behind = append(r.Behind, string(member))
 	}
 	r.InForce = len(r.Behind) == 0
-	r.InForceMillis = time.Since(recorded).Milliseconds()
+	r.InForceMillis = time.Since(recordedAt).Milliseconds()
 	return r
 }
 
@@ -79,13 +82,13 @@
 func (e *Executor) planAndWrite(ctx context.Context, id fleet.CommandID, s *query.Statement) (command.Plan, error) {
 	ctx, cancel := context.WithTimeout(ctx, writeTimeout)
 	defer cancel()
-	written, noReload := false, s.ReadOnly()
+	written, skipReload := false, s.ReadOnly()
 	for range maxPlans {
 		plan, err := command.PlanStep(s, command.Input{ID: id, Now: time.Now(), Snapshot: e.latestSnapshot()})
-		if err != nil && !noReload {
+		if err != nil && !skipReload {
 			// The mirror may lag behind the store, where another daemon may already
-			// have executed the same command.
-			noReload = true
+			// have executed the same command. Reload once before reporting the error.
+			skipReload = true
 			if listErr := e.reloadAll(ctx); listErr != nil {
 				return plan, mayHaveRunIfWritten(listErr, written)
 			}
@@ -110,7 +113,7 @@
 			return plan, mayHaveRunIfWritten(err, written)
 		}
 	}
-	return command.Plan{}, mayHaveRunIfWritten(verdict.New(verdict.NotRun, record.CodeConflict, "gave up: the statement is still incomplete after the maximum number of writes and write conflicts"), written)
+	return command.Plan{}, mayHaveRunIfWritten(verdict.New(verdict.NotRun, record.CodeConflict, "statement still incomplete after %d writes and write conflicts", maxPlans), written)
 }
 
 // mayHaveRunIfWritten changes the verdict NotRun of err to MayHaveRun if a part of the
@@ -119,7 +122,7 @@
 	if !written || verdict.Of(err) != verdict.NotRun {
 		return err
 	}
-	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeOf(err), "partly executed")
+	return verdict.Wrap(err, verdict.MayHaveRun, verdict.CodeOf(err), "statement partly executed")
 }
 
 // latestSnapshot returns the current snapshot with the newest records.
@@ -133,7 +136,7 @@
 func (e *Executor) reloadAll(ctx context.Context) error {
 	l, err := e.Store.List(ctx, record.Root)
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read all records")
+		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read all records from the store")
 	}
 	e.Mirror.Replace(l)
 	return nil
@@ -143,7 +146,7 @@
 func (e *Executor) reloadKey(ctx context.Context, key string) error {
 	kv, found, err := e.Store.Get(ctx, key)
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read %s", key)
+		return verdict.Wrap(err, verdict.NotRun, port.CodeStoreUnavailable, "read record %s from the store", key)
 	}
 	if !found {
 		kv = port.KV{Key: key, Revision: kv.Revision}
--- a/operators/api/messages.go
+++ b/operators/api/messages.go
@@ -39,23 +39,23 @@
 	InForceMillis int64 `json:"in_force_ms,omitempty"`
 }
 
-// Status is the status of one daemon.
+// Status is the status of one daemon. Counts of calls and bytes are since its start.
 type Status struct {
 	Entry         string    `json:"entry"`
 	Zone          string    `json:"zone"`
 	Version       string    `json:"version"`
-	Epoch         int64     `json:"epoch"`
-	Members       []string  `json:"members"`
+	Epoch         int64     `json:"epoch"`   // of the membership view
+	Members       []string  `json:"members"` // of the membership view
 	Serving       bool      `json:"serving"`
-	Reason        string    `json:"reason,omitempty"`
+	Reason        string    `json:"reason,omitempty"` // why it does not serve
 	StoreUp       bool      `json:"store_up"`
-	Revision      int64     `json:"revision"`
-	ListedAt      time.Time `json:"instances_listed_at"`
+	Revision      int64     `json:"revision"`            // newest store revision applied
+	ListedAt      time.Time `json:"instances_listed_at"` // when the instance list was read
 	Instances     int       `json:"instances"`
 	InFlight      int64     `json:"requests_in_flight"`
-	Claims        int       `json:"claims"`
-	ClaimBytes    int       `json:"claim_bytes"`
-	SlotsSettled  bool      `json:"slots_settled"`
+	Claims        int       `json:"claims"`        // idempotency keys that it keeps as their owner
+	ClaimBytes    int       `json:"claim_bytes"`   // size of the answers kept for them
+	SlotsSettled  bool      `json:"slots_settled"` // the slot shares of this view are in use
 	StoreReads    int64     `json:"store_reads"`
 	StoreWrites   int64     `json:"store_writes"`
 	StoreWatches  int64     `json:"store_watches"`
@@ -81,15 +81,15 @@
 	Objective float64 `json:"objective"` // fraction, 0 if none is set
 	// Windows are in the order of slo.Windows.
 	Windows []BurnWindow `json:"windows"`
-	Alert   string       `json:"alert,omitempty"`
+	Alert   string       `json:"alert,omitempty"` // a slo.Alert
 }
 
 // BurnWindow holds the request counts and the burn rate of one window.
 type BurnWindow struct {
 	Seconds int     `json:"seconds"`
 	Total   int64   `json:"total"`
-	Bad     int64   `json:"bad"`
-	Rate    float64 `json:"rate"`
+	Bad     int64   `json:"bad"`  // failed or later than the latency objective
+	Rate    float64 `json:"rate"` // see slo.BurnRate
 }
 
 // WaveReport describes a wave as observed by the answering daemon. It has no
@@ -119,7 +119,7 @@
 	Available int       `json:"available"`
 	Floor     int       `json:"floor"` // minimum available that the budget allows
 	Out       int       `json:"out"`
-	Allowed   int       `json:"allowed"`
+	Allowed   int       `json:"allowed"` // to be out at once
 }
 
 // ErrorResponse is the body of the response to a request refused as a whole.
@@ -127,6 +127,6 @@
 	Verdict verdict.Verdict `json:"verdict"`
 	Code    verdict.Code    `json:"code"`
 	Message string          `json:"message"`
-	Line    int             `json:"line,omitempty"`
-	Column  int             `json:"column,omitempty"`
+	Line    int             `json:"line,omitempty"`   // of a syntax error, from 1
+	Column  int             `json:"column,omitempty"` // of a syntax error, from 1
 }
--- a/operators/api/server.go
+++ b/operators/api/server.go
@@ -24,8 +24,8 @@
 	Executor *Executor
 	Status   func() Status
 	Burn     func(r *http.Request) BurnReport
-	Wave     func(name string) (WaveReport, bool)
-	Ready    func() error
+	Wave     func(name string) (WaveReport, bool) // false if there is no such wave
+	Ready    func() error                         // nil if the daemon can take requests
 	Metrics  http.Handler
 }
 
@@ -72,12 +72,12 @@
 	}
 	program, err := query.Parse(req.Text)
 	if err != nil {
-		answer := ErrorResponse{Verdict: verdict.NotRun, Code: CodeSyntax, Message: err.Error()}
-		var at *query.Error
-		if errors.As(err, &at) {
-			answer.Line, answer.Column = at.Line, at.Column
+		resp := ErrorResponse{Verdict: verdict.NotRun, Code: CodeSyntax, Message: err.Error()}
+		var syntaxErr *query.Error
+		if errors.As(err, &syntaxErr) {
+			resp.Line, resp.Column = syntaxErr.Line, syntaxErr.Column
 		}
-		writeJSON(w, http.StatusBadRequest, answer)
+		writeJSON(w, http.StatusBadRequest, resp)
 		return
 	}
 	writeJSON(w, http.StatusOK, ExecResponse{Results: s.Executor.Exec(r.Context(), req.ID, program)})
