--- a/operators/client/client.go
+++ b/operators/client/client.go
@@ -30,9 +30,12 @@
 	http    *http.Client
 }
 
+// dialTimeout bounds connecting to one server.
+const dialTimeout = 2 * time.Second
+
 // New returns a client of the given servers (IP:port). timeout bounds one call.
 func New(servers []string, timeout time.Duration) *Client {
-	dialer := &net.Dialer{Timeout: 2 * time.Second}
+	dialer := &net.Dialer{Timeout: dialTimeout}
 	return &Client{
 		servers: servers,
 		http:    &http.Client{Timeout: timeout, Transport: &http.Transport{DialContext: dialer.DialContext}},
@@ -53,8 +56,8 @@
 		return api.ExecResponse{}, err
 	}
 	var out api.ExecResponse
-	uncertain, err := c.tryServers(ctx, http.MethodPost, "/v1/exec", body, &out)
-	if uncertain {
+	mayHaveRun, err := c.tryServers(ctx, http.MethodPost, "/v1/exec", body, &out)
+	if mayHaveRun {
 		notRunToMayHaveRun(out.Results)
 	}
 	return out, err
@@ -91,39 +94,42 @@
 	return out, err
 }
 
-// tryServers calls one server after another until one answers. uncertain reports
-// that an earlier server may have executed the request or still may. The verdict
-// of the error covers all attempts.
-func (c *Client) tryServers(ctx context.Context, method, path string, body []byte, out any) (uncertain bool, err error) {
-	var last error
+// tryServers calls one server after another until one answers. mayHaveRun reports
+// that a server whose call failed may have executed the request or still may. The
+// verdict of the error covers all attempts.
+func (c *Client) tryServers(ctx context.Context, method, path string, body []byte, out any) (mayHaveRun bool, err error) {
+	var lastErr error
 	for _, server := range c.servers {
 		err := c.call(ctx, server, method, path, body, out)
 		if err == nil {
-			return uncertain, nil
+			return mayHaveRun, nil
 		}
-		last = err
+		lastErr = err
 		if verdict.CodeOf(err) == CodeRefused {
 			break
 		}
-		uncertain = uncertain || verdict.Of(err) != verdict.NotRun
+		mayHaveRun = mayHaveRun || verdict.Of(err) != verdict.NotRun
 	}
 	switch {
-	case last == nil:
+	case lastErr == nil:
 		return false, verdict.New(verdict.NotRun, CodeUnreachable, "no server address given")
-	case uncertain:
-		return true, verdict.Wrap(last, verdict.MayHaveRun, verdict.CodeOf(last), "an earlier server may have executed it")
+	case mayHaveRun:
+		return true, verdict.Wrap(lastErr, verdict.MayHaveRun, verdict.CodeOf(lastErr), "a server may have executed the request")
 	default:
-		return false, last
+		return false, lastErr
 	}
 }
 
 // maxResponseBytes bounds the body of a response.
 const maxResponseBytes = 16 << 20
 
+// call makes one call to one server and decodes the response into out.
 func (c *Client) call(ctx context.Context, server, method, path string, body []byte, out any) error {
+	// net/http sets no GetBody for a reader of an unknown type, so the transport does
+	// not replay the request.
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+server+path, struct{ io.Reader }{bytes.NewReader(body)})
 	if err != nil {
-		return verdict.Wrap(err, verdict.NotRun, CodeUnreachable, "%s", server)
+		return verdict.Wrap(err, verdict.NotRun, CodeUnreachable, "call to server %s failed", server)
 	}
 	req.ContentLength = int64(len(body))
 	if len(body) == 0 {
@@ -131,18 +137,18 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return verdict.Wrap(err, transportVerdict(err), CodeUnreachable, "%s", server)
+		return verdict.Wrap(err, transportVerdict(err), CodeUnreachable, "call to server %s failed", server)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return verdict.Wrap(err, verdict.MayHaveRun, CodeUnreachable, "%s", server)
+		return verdict.Wrap(err, verdict.MayHaveRun, CodeUnreachable, "call to server %s failed", server)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return decodeError(server, resp.StatusCode, data)
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return verdict.Wrap(err, verdict.MayHaveRun, CodeUnreachable, "%s", server)
+		return verdict.Wrap(err, verdict.MayHaveRun, CodeUnreachable, "call to server %s failed", server)
 	}
 	return nil
 }
@@ -150,18 +156,19 @@
 // transportVerdict returns NotRun for a failed dial. After any other error the
 // server may have received the request.
 func transportVerdict(err error) verdict.Verdict {
-	var op *net.OpError
-	if errors.As(err, &op) && op.Op == "dial" {
+	var opErr *net.OpError
+	if errors.As(err, &opErr) && opErr.Op == "dial" {
 		return verdict.NotRun
 	}
 	return verdict.MayHaveRun
 }
 
-// decodeError converts a response with an error status to an error.
+// decodeError converts a response with an error status to an error. The verdict is the
+// response's own, or MayHaveRun if its body is not an error message of the API.
 func decodeError(server string, status int, data []byte) error {
 	var e api.ErrorResponse
 	if err := json.Unmarshal(data, &e); err != nil || e.Code == "" {
-		return verdict.New(verdict.MayHaveRun, CodeUnreachable, "%s answered %d", server, status)
+		return verdict.New(verdict.MayHaveRun, CodeUnreachable, "server %s returned status %d", server, status)
 	}
 	return verdict.New(e.Verdict, CodeRefused, "%s", e.Message)
 }
