--- a/operators/query/grammar.go
+++ b/operators/query/grammar.go
@@ -57,7 +57,7 @@
 type Why struct {
 	Kind string `parser:"@( 'instance' | 'job' | 'wave' | 'pool' )"`
 	Name string `parser:"@Ident"`
-	Pool string `parser:"( 'in' 'pool' @Ident )?"`
+	Pool string `parser:"( 'in' 'pool' @Ident )?"` // of a job; "" for the jobs of this name in every pool
 }
 
 // Drain takes an instance out of service until it is returned.
@@ -128,7 +128,7 @@
 
 // Budget is an availability budget.
 type Budget struct {
-	MaxUnavailable string `parser:"'max-unavailable' @Number"`
+	MaxUnavailable string `parser:"'max-unavailable' @Number"` // a number or a percentage of the pool
 	MinAvailable   int    `parser:"( 'min-available' @Number )?"`
 	SurviveZone    bool   `parser:"( @'survive-zone' )?"`
 }
@@ -156,11 +156,12 @@
 type SetObjective struct {
 	Service      string   `parser:"'service' @Ident"`
 	Class        string   `parser:"'class' @Ident"`
-	Availability Number   `parser:"'availability' @Number"`
+	Availability Number   `parser:"'availability' @Number"` // percent
 	Latency      Duration `parser:"( 'latency' @Number )?"`
 }
 
-// SetWeights sets the weights of the planner's three objectives.
+// SetWeights sets the weights of the three costs that planning minimises; see
+// fleet.Weights.
 type SetWeights struct {
 	RollOut Number `parser:"'rollout' @Number"`
 	Buffer  Number `parser:"'buffer' @Number"`
@@ -172,7 +173,7 @@
 	Name   string   `parser:"@Ident"`
 	All    bool     `parser:"'on' ( @'all' 'pools'"`
 	Pools  []string `parser:"| 'pools' @Ident ( ',' @Ident )* )"`
-	Within Duration `parser:"( 'within' @Number )?"`
+	Within Duration `parser:"( 'within' @Number )?"` // from the start to the deadline
 }
 
 // ChangeWave pauses, resumes or cancels a wave.
@@ -188,8 +189,8 @@
 	Team   string            `parser:"( 'team' @Ident )?"`
 	Count  int               `parser:"( 'count' @Number )?"`
 	Needs  []*ResourceAmount `parser:"@@*"`
-	Run    Duration          `parser:"( 'run' @Number )?"`
-	Within Duration          `parser:"( 'within' @Number )?"`
+	Run    Duration          `parser:"( 'run' @Number )?"`    // how long the task runs
+	Within Duration          `parser:"( 'within' @Number )?"` // from the submission to the deadline
 	Urgent bool              `parser:"( @'urgent' )?"`
 }
 
@@ -235,7 +236,8 @@
 	return nil
 }
 
-// Memory is an amount of memory in MB; the text may carry the unit MB or GB.
+// Memory is an amount of memory in MB. In a statement it has the unit MB, GB, or none
+// for MB.
 type Memory int
 
 // Capture implements participle.Capture.
@@ -282,7 +284,7 @@
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Message)
 }
 
-// MaxProgramBytes is the maximum size of a program's text.
+// MaxProgramBytes is the maximum size of a program's text, in bytes.
 const MaxProgramBytes = 256 << 10
 
 // Parse parses a program. A syntax error is returned as an *Error with its
@@ -295,9 +297,9 @@
 	if err == nil {
 		return p, nil
 	}
-	var at participle.Error
-	if errors.As(err, &at) {
-		return nil, &Error{Line: at.Position().Line, Column: at.Position().Column, Message: readableMessage(at.Message())}
+	var syntaxErr participle.Error
+	if errors.As(err, &syntaxErr) {
+		return nil, &Error{Line: syntaxErr.Position().Line, Column: syntaxErr.Position().Column, Message: readableMessage(syntaxErr.Message())}
 	}
 	return nil, &Error{Line: 1, Column: 1, Message: err.Error()}
 }
@@ -328,8 +330,8 @@
 
 // readableMessage rewords a message of participle for operators.
 func readableMessage(message string) string {
-	if unlexed, found := strings.CutPrefix(message, "lexer: "); found {
-		return unlexed
+	if lexerMessage, found := strings.CutPrefix(message, "lexer: "); found {
+		return lexerMessage
 	}
 	if before, _, found := strings.Cut(message, " (expected"); !found {
 		return before + " (expected " + statementKeywords + ")"
