--- a/operators/command/command_test.go
+++ b/operators/command/command_test.go
@@ -30,7 +30,7 @@
 	mirror    *mirror.Mirror
 	instances map[fleet.InstanceID]fleet.Instance
 	now       time.Time
-	ids       int
+	commands  int // number of command ids used by run
 	out       strings.Builder
 }
 
@@ -53,8 +53,8 @@
 
 // run executes statements under a new command id.
 func (s *session) run(text string) {
-	s.ids++
-	s.runAs(fmt.Sprint("id", s.ids), text)
+	s.commands++
+	s.runAs(fmt.Sprint("id", s.commands), text)
 }
 
 func (s *session) runAs(id, text string) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// reconcile runs one reconciliation of a pool, as a daemon would.
+// reconcile reconciles a pool once, as a daemon would.
 func (s *session) reconcile(name fleet.PoolName) {
 	state := s.mirror.State()
 	base := state.Pools[name]
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -10,6 +10,7 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
+// create changes the configuration, or creates a pool.
 func (p *planner) create(s *query.Create) (Plan, error) {
 	if s.Pool != nil {
 		return p.createPool(s.Pool)
@@ -32,20 +33,20 @@
 		return Plan{}, err
 	}
 	next.Applied = next.Applied.Append(p.ID)
-	return write(p, record.ConfigKey, cfg, next)
+	return planWrite(p, record.ConfigKey, cfg, next)
 }
 
 func addService(c *fleet.Config, s *query.CreateService) error {
 	name := fleet.ServiceName(s.Name)
 	if c.Service(name) != nil {
-		return refuse(CodeExists, "there is a service %q already", name)
+		return refuse(CodeExists, "service %q already exists", name)
 	}
 	svc := fleet.Service{Name: name}
-	for _, k := range s.Classes {
-		if svc.Class(fleet.ClassName(k.Name)) != nil || k.Weight < 1 {
-			return refuse(CodeNotAllowed, "class %q: each class must be named once, with a weight of at least 1", k.Name)
+	for _, class := range s.Classes {
+		if svc.Class(fleet.ClassName(class.Name)) != nil || class.Weight < 1 {
+			return refuse(CodeNotAllowed, "class %q: each class must be named once, with a weight of at least 1", class.Name)
 		}
-		svc.Classes = append(svc.Classes, fleet.Class{Name: fleet.ClassName(k.Name), Weight: k.Weight})
+		svc.Classes = append(svc.Classes, fleet.Class{Name: fleet.ClassName(class.Name), Weight: class.Weight})
 	}
 	c.Services = append(c.Services, svc)
 	return nil
@@ -69,7 +70,7 @@
 	}
 	for _, old := range c.Routes {
 		if old.Host == r.Host && old.Prefix == r.Prefix {
-			return refuse(CodeExists, "there is a route for %q already", s.Match)
+			return refuse(CodeExists, "a route for %q already exists", s.Match)
 		}
 	}
 	c.Routes = append(c.Routes, r)
@@ -78,7 +79,7 @@
 
 func addTeam(c *fleet.Config, s *query.CreateTeam) error {
 	if c.Team(s.Name) != nil {
-		return refuse(CodeExists, "there is a team %q already", s.Name)
+		return refuse(CodeExists, "team %q already exists", s.Name)
 	}
 	c.Teams = append(c.Teams, fleet.Team{Name: s.Name, Quota: resources(s.Quota)})
 	return nil
@@ -89,23 +90,24 @@
 
 // resources converts the amounts of a statement. If a resource is given twice, the
 // last amount counts.
-func resources(needs []*query.ResourceAmount) fleet.Resources {
+func resources(amounts []*query.ResourceAmount) fleet.Resources {
 	var r fleet.Resources
-	for _, n := range needs {
+	for _, a := range amounts {
 		switch {
-		case n.CPU != nil:
-			r.CPUMilli = int(*n.CPU * milliPerCore)
-		case n.Memory != nil:
-			r.MemoryMB = int(*n.Memory)
-		case n.Accelerators != nil:
-			r.Accelerators = *n.Accelerators
-		case n.Slots != nil:
-			r.Slots = *n.Slots
+		case a.CPU != nil:
+			r.CPUMilli = int(*a.CPU * milliPerCore)
+		case a.Memory != nil:
+			r.MemoryMB = int(*a.Memory)
+		case a.Accelerators != nil:
+			r.Accelerators = *a.Accelerators
+		case a.Slots != nil:
+			r.Slots = *a.Slots
 		}
 	}
 	return r
 }
 
+// availabilityBudget converts and checks the budget of a statement.
 func availabilityBudget(b query.Budget) (fleet.AvailabilityBudget, error) {
 	out, err := fleet.ParseMaxUnavailable(b.MaxUnavailable)
 	if err != nil {
@@ -122,7 +124,7 @@
 		if old.Value.Applied.Contains(p.ID) {
 			return completed(old.Revision, "pool %s created", name)
 		}
-		return Plan{}, refuse(CodeExists, "there is a pool %q already", name)
+		return Plan{}, refuse(CodeExists, "pool %q already exists", name)
 	}
 	if p.state.Config.Value.Service(fleet.ServiceName(s.Service)) == nil {
 		return Plan{}, refuse(CodeUnknownName, "there is no service %q", s.Service)
@@ -132,9 +134,10 @@
 		return Plan{}, err
 	}
 	pool := &fleet.Pool{Name: name, Service: fleet.ServiceName(s.Service), Budget: b, Applied: fleet.CommandLog{p.ID}}
-	return write(p, record.PoolKey(name), fleet.Versioned[fleet.Pool]{}, pool)
+	return planWrite(p, record.PoolKey(name), fleet.Versioned[fleet.Pool]{}, pool)
 }
 
+// set changes the configuration, or the budget of a pool.
 func (p *planner) set(s *query.Set) (Plan, error) {
 	if s.Budget != nil {
 		return p.setBudget(s.Budget)
@@ -150,7 +153,7 @@
 		return Plan{}, err
 	}
 	next.Applied = next.Applied.Append(p.ID)
-	return write(p, record.ConfigKey, cfg, next)
+	return planWrite(p, record.ConfigKey, cfg, next)
 }
 
 func setObjective(c *fleet.Config, s *query.SetObjective) error {
@@ -188,5 +191,5 @@
 	next := v.Value.Clone()
 	next.Budget = b
 	next.Applied = next.Applied.Append(p.ID)
-	return write(p, record.PoolKey(v.Value.Name), v, next)
+	return planWrite(p, record.PoolKey(v.Value.Name), v, next)
 }
--- a/operators/command/instance.go
+++ b/operators/command/instance.go
@@ -21,13 +21,13 @@
 		return completed(v.Revision, "move of instance %s to pool %s recorded", id, target)
 	}
 	if m := p.state.Membership(id); m != nil && m.Pool == target {
-		return Plan{}, refuse(CodeNotAllowed, "instance %s is in pool %s already", id, target)
+		return Plan{}, refuse(CodeNotAllowed, "instance %s is already in pool %s", id, target)
 	}
 	return p.recordRequest(fleet.Request{Instance: id, Kind: fleet.DisruptByMove, Target: target, At: p.Now})
 }
 
-// poolWithCommand returns the pool whose record already includes the command. After
-// the move that is no longer the instance's pool.
+// poolWithCommand returns the pool whose record already includes the command. Once the
+// move is over, the instance no longer belongs to that pool.
 func (p *planner) poolWithCommand() (fleet.Versioned[fleet.Pool], bool) {
 	for _, v := range p.state.Pools {
 		if v.Value.Applied.Contains(p.ID) {
@@ -47,16 +47,16 @@
 		return completed(v.Revision, "%s of instance %s recorded; %s", r.Kind, r.Instance, p.budgetStatus(v.Value).Explain())
 	}
 	if other, d := p.disruptionOf(r.Instance); d != nil && d.Kind != fleet.DisruptByWave {
-		return Plan{}, refuse(CodeNotAllowed, "instance %s is already out: pool %s has it in %s for a %s since %s",
+		return Plan{}, refuse(CodeNotAllowed, "instance %s is already out of service: pool %s has it in phase %s for a %s since %s",
 			r.Instance, other.Value.Name, d.Phase, d.Kind, d.Since.Format("15:04:05"))
 	}
 	if old := v.Value.Request(r.Instance); old != nil {
-		return Plan{}, refuse(CodeNotAllowed, "a %s of instance %s waits already, since %s", old.Kind, r.Instance, old.At.Format("15:04:05"))
+		return Plan{}, refuse(CodeNotAllowed, "a %s of instance %s is already waiting for the budget, since %s", old.Kind, r.Instance, old.At.Format("15:04:05"))
 	}
 	next := v.Value.Clone()
 	next.Applied = next.Applied.Append(p.ID)
 	next.Requests = append(next.Requests, r)
-	return write(p, record.PoolKey(v.Value.Name), v, next)
+	return planWrite(p, record.PoolKey(v.Value.Name), v, next)
 }
 
 // returnInstance ends an operator's drain of an instance, or withdraws a request
@@ -73,19 +73,19 @@
 	next.Applied = next.Applied.Append(p.ID)
 	if v.Value.Request(id) != nil {
 		next.RemoveRequest(id)
-		return write(p, record.PoolKey(v.Value.Name), v, next)
+		return planWrite(p, record.PoolKey(v.Value.Name), v, next)
 	}
 	poolRecord, d := p.disruptionOf(id)
 	switch {
 	case d == nil:
-		return Plan{}, refuse(CodeNotAllowed, "instance %s is not out", id)
+		return Plan{}, refuse(CodeNotAllowed, "instance %s is not out of service", id)
 	case d.Kind != fleet.DisruptByDrain:
-		return Plan{}, refuse(CodeNotAllowed, "instance %s is out for a %s, which brings it back by itself", id, d.Kind)
+		return Plan{}, refuse(CodeNotAllowed, "instance %s is out of service for a %s, which returns it automatically", id, d.Kind)
 	case poolRecord.Value.Name != v.Value.Name:
-		return Plan{}, refuse(CodeNotAllowed, "instance %s is out of pool %s", id, poolRecord.Value.Name)
+		return Plan{}, refuse(CodeNotAllowed, "the drain of instance %s is recorded in pool %s, but the instance belongs to pool %s", id, poolRecord.Value.Name, v.Value.Name)
 	}
 	next.Disruption(id).LeaveWanted = true
-	return write(p, record.PoolKey(v.Value.Name), v, next)
+	return planWrite(p, record.PoolKey(v.Value.Name), v, next)
 }
 
 // addInstances adds instances to a pool. Each plan writes one membership shard.
@@ -123,5 +123,5 @@
 			next.Members = append(next.Members, fleet.Membership{Instance: id, Pool: pool})
 		}
 	}
-	return write(p, record.ShardKey(shard), base, next)
+	return planWrite(p, record.ShardKey(shard), base, next)
 }
--- a/operators/command/job.go
+++ b/operators/command/job.go
@@ -15,6 +15,7 @@
 // defaultRunTime is the run time of a job submitted without one.
 const defaultRunTime = 10 * time.Second
 
+// submit adds jobs to a pool, and removes those that are no longer kept.
 func (p *planner) submit(s *query.Submit) (Plan, error) {
 	pool := fleet.PoolName(s.Pool)
 	if _, err := p.pool(pool); err != nil {
@@ -31,15 +32,15 @@
 	next.Jobs = dropExpiredJobs(next.Jobs, p.Now)
 	for _, name := range jobNames(s) {
 		if next.Job(name) != nil {
-			return Plan{}, refuse(CodeExists, "pool %s has a job %q already", pool, name)
+			return Plan{}, refuse(CodeExists, "pool %s already has a job %q", pool, name)
 		}
 		next.Jobs = append(next.Jobs, p.newJob(name, s))
 	}
 	if len(next.Jobs) > maxJobsPerPool {
-		return Plan{}, refuse(CodeNotAllowed, "pool %s would have %d jobs; at most %d are kept", pool, len(next.Jobs), maxJobsPerPool)
+		return Plan{}, refuse(CodeNotAllowed, "pool %s would have %d jobs; at most %d are allowed", pool, len(next.Jobs), maxJobsPerPool)
 	}
 	next.Applied = next.Applied.Append(p.ID)
-	return write(p, record.JobsKey(pool), base, next)
+	return planWrite(p, record.JobsKey(pool), base, next)
 }
 
 // jobNames returns the names of the submitted jobs: NAME, or NAME-1 to NAME-COUNT.
@@ -68,7 +69,8 @@
 	return j
 }
 
-// endedJobRetention is how long after its submission an ended job is kept at least.
+// endedJobRetention is the minimum time, from its submission, that an ended job is
+// kept.
 const endedJobRetention = time.Hour
 
 // dropExpiredJobs returns the jobs without those that ended and were submitted at
@@ -104,8 +106,8 @@
 		}
 	}
 	if cancelled == 0 && !s.All {
-		return Plan{}, refuse(CodeUnknownName, "pool %s has no job %q that goes on", pool, s.Name)
+		return Plan{}, refuse(CodeUnknownName, "pool %s has no unfinished job %q", pool, s.Name)
 	}
 	next.Applied = next.Applied.Append(p.ID)
-	return write(p, record.JobsKey(pool), base, next)
+	return planWrite(p, record.JobsKey(pool), base, next)
 }
--- a/operators/command/plan.go
+++ b/operators/command/plan.go
@@ -33,8 +33,9 @@
 // Plan is the next step of a statement.
 type Plan struct {
 	Table *Table       // set for a statement that reads
-	Write *RecordWrite // set while something is left to write
-	// Summary describes the effect of the statement, once nothing is left to write.
+	Write *RecordWrite // set while a record is left to write
+	// Summary describes the effect of the statement. It is set once nothing is left
+	// to write.
 	Summary  string
 	Revision fleet.Revision // of the record that holds the effect
 }
@@ -91,15 +92,16 @@
 	return Plan{}, refuse(CodeNotAllowed, "empty statement")
 }
 
+// planner plans one statement.
 type planner struct {
 	Input
 	state      *fleet.State
 	atRevision fleet.Revision // the operator's "at revision", 0 if not given
 }
 
-// write plans to replace base by value. It refuses if the record has changed since
-// the operator's "at revision".
-func write[T any](p *planner, key string, base fleet.Versioned[T], value *T) (Plan, error) {
+// planWrite returns a plan that replaces base by value. It refuses if the record has
+// changed since the operator's "at revision".
+func planWrite[T any](p *planner, key string, base fleet.Versioned[T], value *T) (Plan, error) {
 	if p.atRevision != 0 && base.Revision > p.atRevision {
 		return Plan{}, refuse(CodeChanged, "%s was changed at revision %d, after revision %d", key, base.Revision, p.atRevision)
 	}
@@ -123,7 +125,7 @@
 	return v, nil
 }
 
-// poolOfInstance returns the pool that an instance belongs to.
+// poolOfInstance returns the record of the pool that an instance belongs to.
 func (p *planner) poolOfInstance(id fleet.InstanceID) (fleet.Versioned[fleet.Pool], error) {
 	m := p.state.Membership(id)
 	if m == nil {
@@ -132,8 +134,8 @@
 	return p.pool(m.Pool)
 }
 
-// disruptionOf returns the disruption of an instance and the pool that records it.
-// During a move that is still the old pool.
+// disruptionOf returns the disruption of an instance and the pool that records it, or
+// nil if it has none. During a move that is still the old pool.
 func (p *planner) disruptionOf(id fleet.InstanceID) (fleet.Versioned[fleet.Pool], *fleet.Disruption) {
 	for _, name := range p.state.SortedPools() {
 		v := p.state.Pools[name]
--- a/operators/command/show.go
+++ b/operators/command/show.go
@@ -26,8 +26,8 @@
 	return Plan{Table: t}, nil
 }
 
-func (p *planner) table(what string) *Table {
-	switch what {
+func (p *planner) table(kind string) *Table {
+	switch kind {
 	case "pools":
 		return p.pools()
 	case "instances":
@@ -52,10 +52,10 @@
 	members := p.state.MembersByPool()
 	for _, name := range p.state.SortedPools() {
 		v := p.state.Pools[name]
-		a := budget.Compute(v.Value, members[name], p.Snapshot.Instances)
+		status := budget.Compute(v.Value, members[name], p.Snapshot.Instances)
 		t.Rows = append(t.Rows, []string{
-			string(name), string(v.Value.Service), strconv.Itoa(a.Size), strconv.Itoa(a.Allowed), strconv.Itoa(a.OutOfService()),
-			strconv.Itoa(len(a.Failed)), v.Value.Budget.String(), formatRevision(v.Revision),
+			string(name), string(v.Value.Service), strconv.Itoa(status.Size), strconv.Itoa(status.Allowed), strconv.Itoa(status.OutOfService()),
+			strconv.Itoa(len(status.Failed)), v.Value.Budget.String(), formatRevision(v.Revision),
 		})
 	}
 	return t
@@ -110,14 +110,14 @@
 	members := p.state.MembersByPool()
 	for _, name := range p.state.SortedWaves() {
 		v := p.state.Waves[name]
-		c := control.ComputeWaveProgress(p.Snapshot, members, v.Value)
+		progress := control.ComputeWaveProgress(p.Snapshot, members, v.Value)
 		var pools []string
 		for _, n := range v.Value.Pools {
 			pools = append(pools, string(n))
 		}
 		t.Rows = append(t.Rows, []string{
-			string(name), string(v.Value.State), strings.Join(pools, " "), strconv.Itoa(c.Remaining), strconv.Itoa(c.Finished), strconv.Itoa(c.Failed),
-			formatTime(v.Value.StartedAt), formatTime(v.Value.Deadline), formatTime(c.EstimatedEnd), v.Value.Reason, formatRevision(v.Revision),
+			string(name), string(v.Value.State), strings.Join(pools, " "), strconv.Itoa(progress.Remaining), strconv.Itoa(progress.Finished), strconv.Itoa(progress.Failed),
+			formatTime(v.Value.StartedAt), formatTime(v.Value.Deadline), formatTime(progress.EstimatedEnd), v.Value.Reason, formatRevision(v.Revision),
 		})
 	}
 	return t
@@ -134,10 +134,10 @@
 func (p *planner) services() *Table {
 	t := &Table{Columns: []string{"service", "class", "weight", "availability", "latency"}}
 	for _, s := range p.state.Config.Value.Services {
-		for _, k := range s.Classes {
+		for _, class := range s.Classes {
 			t.Rows = append(t.Rows, []string{
-				string(s.Name), string(k.Name), strconv.Itoa(k.Weight),
-				strconv.FormatFloat(k.Objective.Availability*100, 'f', -1, 64), k.Objective.Latency.String(),
+				string(s.Name), string(class.Name), strconv.Itoa(class.Weight),
+				strconv.FormatFloat(class.Objective.Availability*100, 'f', -1, 64), class.Objective.Latency.String(),
 			})
 		}
 	}
@@ -156,14 +156,16 @@
 
 func (p *planner) teams() *Table {
 	t := &Table{Columns: []string{"team", "cpu", "memory", "accelerators"}}
-	for _, x := range p.state.Config.Value.Teams {
+	for _, team := range p.state.Config.Value.Teams {
 		t.Rows = append(t.Rows, []string{
-			x.Name, strconv.FormatFloat(float64(x.Quota.CPUMilli)/milliPerCore, 'f', -1, 64), strconv.Itoa(x.Quota.MemoryMB), strconv.Itoa(x.Quota.Accelerators),
+			team.Name, strconv.FormatFloat(float64(team.Quota.CPUMilli)/milliPerCore, 'f', -1, 64), strconv.Itoa(team.Quota.MemoryMB), strconv.Itoa(team.Quota.Accelerators),
 		})
 	}
 	return t
 }
 
+// revisions lists the revision of each record. Row "known" is the newest revision that
+// the snapshot includes.
 func (p *planner) revisions() *Table {
 	t := &Table{Columns: []string{"record", "revision"}}
 	t.Rows = append(t.Rows, []string{"known", formatRevision(p.state.Revision)})
--- a/operators/command/wave.go
+++ b/operators/command/wave.go
@@ -9,13 +9,14 @@
 	"github.com/postmount/postmount/requests/record"
 )
 
+// startWave records a new wave. The reconcile loop starts to maintain its pools.
 func (p *planner) startWave(s *query.StartWave) (Plan, error) {
 	name := fleet.WaveName(s.Name)
 	if old, ok := p.state.Waves[name]; ok {
 		if old.Value.Applied.Contains(p.ID) {
 			return completed(old.Revision, "wave %s started on %d pools", name, len(old.Value.Pools))
 		}
-		return Plan{}, refuse(CodeExists, "there was a wave %q already", name)
+		return Plan{}, refuse(CodeExists, "wave %q already exists and is %s", name, old.Value.State)
 	}
 	w := &fleet.Wave{Name: name, State: fleet.WaveRunning, StartedAt: p.Now, Applied: fleet.CommandLog{p.ID}}
 	if s.Within > 0 {
@@ -36,9 +37,10 @@
 	if len(w.Pools) == 0 {
 		return Plan{}, refuse(CodeNotAllowed, "there are no pools to maintain")
 	}
-	return write(p, record.WaveKey(name), fleet.Versioned[fleet.Wave]{}, w)
+	return planWrite(p, record.WaveKey(name), fleet.Versioned[fleet.Wave]{}, w)
 }
 
+// changeWave pauses, resumes or cancels a wave that has not ended.
 func (p *planner) changeWave(s *query.ChangeWave) (Plan, error) {
 	v, ok := p.state.Waves[fleet.WaveName(s.Name)]
 	if !ok {
@@ -57,13 +59,14 @@
 	case "resume":
 		next.State = fleet.WaveRunning
 		next.Reason = ""
+		// The failures so far do not halt the wave again.
 		next.Forgiven = control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), v.Value).Failed
 	case "cancel":
-		t := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), v.Value)
-		next.Finished, next.Failed = t.Finished, t.Failed
+		progress := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), v.Value)
+		next.Finished, next.Failed = progress.Finished, progress.Failed
 		next.State = fleet.WaveCancelled
 		next.EndedAt = p.Now
 	}
 	next.Applied = next.Applied.Append(p.ID)
-	return write(p, record.WaveKey(v.Value.Name), v, next)
+	return planWrite(p, record.WaveKey(v.Value.Name), v, next)
 }
--- a/operators/command/why.go
+++ b/operators/command/why.go
@@ -31,10 +31,10 @@
 	return Plan{Table: t}, nil
 }
 
-// addLineFunc adds a row to an explanation.
-type addLineFunc func(format string, args ...any)
+// addRowFunc adds a row to an explanation.
+type addRowFunc func(format string, args ...any)
 
-func (p *planner) whyInstance(id fleet.InstanceID, add addLineFunc) error {
+func (p *planner) whyInstance(id fleet.InstanceID, add addRowFunc) error {
 	m := p.state.Membership(id)
 	inst, listed := p.Snapshot.Instances[id]
 	if m == nil && !listed {
@@ -61,21 +61,21 @@
 	}
 	poolRecord, d := p.disruptionOf(id)
 	if d == nil {
-		add("nothing takes it out")
+		add("no drain, move or wave has it out of service")
 		p.whyNotDrained(id, m.Pool, add)
 		return nil
 	}
-	add("pool %s has it out for %s since %s, in phase %s since %s", poolRecord.Value.Name, describeDisruption(d), formatTime(d.Since), d.Phase, formatTime(d.PhaseAt))
+	add("pool %s has it out of service for %s since %s, in phase %s since %s", poolRecord.Value.Name, describeDisruption(d), formatTime(d.Since), d.Phase, formatTime(d.PhaseAt))
 	if d.Command.ID != "" {
-		add("command %s %s for generation %d is sent until the platform shows its effect", d.Command.Action, d.Command.ID, d.Command.Generation)
+		add("command %s %s for generation %d is repeated until the platform's instance list shows its effect", d.Command.Action, d.Command.ID, d.Command.Generation)
 	}
 	p.addNotes(poolRecord.Value.Name, id, add)
 	return nil
 }
 
 // whyNotDrained explains, for each wave in progress on the pool, whether it has
-// finished with the instance, or else why it has not drained it.
-func (p *planner) whyNotDrained(id fleet.InstanceID, pool fleet.PoolName, add addLineFunc) {
+// already maintained the instance, or else why it has not drained it.
+func (p *planner) whyNotDrained(id fleet.InstanceID, pool fleet.PoolName, add addRowFunc) {
 	v, ok := p.state.Pools[pool]
 	if !ok {
 		return
@@ -85,7 +85,7 @@
 		switch {
 		case w.Ended() || !w.Covers(pool):
 		case v.Value.MaintainedBy(name, id):
-			add("wave %s has finished with it", name)
+			add("wave %s has already maintained it", name)
 		case w.State != fleet.WaveRunning:
 			add("wave %s has not drained it: the wave is %s %s", name, w.State, w.Reason)
 		default:
@@ -99,7 +99,7 @@
 }
 
 // addNotes adds the reconcile loop's notes about an instance.
-func (p *planner) addNotes(pool fleet.PoolName, id fleet.InstanceID, add addLineFunc) {
+func (p *planner) addNotes(pool fleet.PoolName, id fleet.InstanceID, add addRowFunc) {
 	for _, n := range p.Snapshot.Notes[pool] {
 		if n.Instance == id {
 			add("%s", n.Text)
@@ -107,21 +107,21 @@
 	}
 }
 
-func (p *planner) whyPool(name fleet.PoolName, add addLineFunc) error {
+func (p *planner) whyPool(name fleet.PoolName, add addRowFunc) error {
 	v, err := p.pool(name)
 	if err != nil {
 		return err
 	}
-	a := p.budgetStatus(v.Value)
-	add("%s", a.Explain())
-	add("budget %s of %d members allows %d out, so %d more may go", v.Value.Budget, a.Size, a.Allowed, max(a.Headroom(), 0))
-	if a.Headroom() < 0 {
-		add("more is out than allowed: nothing is taken out until enough has returned")
+	status := p.budgetStatus(v.Value)
+	add("%s", status.Explain())
+	add("budget %s for %d members allows %d out, so %d more may be taken out", v.Value.Budget, status.Size, status.Allowed, max(status.Headroom(), 0))
+	if status.Headroom() < 0 {
+		add("more instances are out than allowed: no more are taken out until enough have returned")
 	}
 	for _, d := range v.Value.Disruptions {
 		add("%s: %s, in phase %s since %s", d.Instance, describeDisruption(&d), d.Phase, formatTime(d.PhaseAt))
 	}
-	for _, id := range a.Failed {
+	for _, id := range status.Failed {
 		add("%s: out because the platform reports it as %q", id, p.Snapshot.Instances[id].State)
 	}
 	for _, n := range p.Snapshot.Notes[name] {
@@ -130,23 +130,23 @@
 	return nil
 }
 
-func (p *planner) whyWave(name fleet.WaveName, add addLineFunc) error {
+func (p *planner) whyWave(name fleet.WaveName, add addRowFunc) error {
 	v, ok := p.state.Waves[name]
 	if !ok {
 		return refuse(CodeUnknownName, "there is no wave %q", name)
 	}
 	w := v.Value
-	c := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), w)
+	progress := control.ComputeWaveProgress(p.Snapshot, p.state.MembersByPool(), w)
 	add("wave %s is %s %s", name, w.State, w.Reason)
 	if w.Ended() {
 		add("it ran from %s to %s", formatTime(w.StartedAt), formatTime(w.EndedAt))
 		return nil
 	}
-	add("%d instances are finished, %d given up, %d remain", c.Finished, c.Failed, c.Remaining)
-	if !c.EstimatedEnd.IsZero() {
-		add("it is forecast to end at %s", formatTime(c.EstimatedEnd))
+	add("%d instances are finished, %d given up, %d remain", progress.Finished, progress.Failed, progress.Remaining)
+	if !progress.EstimatedEnd.IsZero() {
+		add("it is forecast to end at %s", formatTime(progress.EstimatedEnd))
 	}
-	if !w.Deadline.IsZero() && c.EstimatedEnd.After(w.Deadline) {
+	if !w.Deadline.IsZero() && progress.EstimatedEnd.After(w.Deadline) {
 		add("it will not meet its deadline %s", formatTime(w.Deadline))
 	}
 	for _, pool := range w.Pools {
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (p *planner) whyJob(name fleet.JobName, pool fleet.PoolName, add addLineFunc) error {
+func (p *planner) whyJob(name fleet.JobName, pool fleet.PoolName, add addRowFunc) error {
 	found := false
 	for _, n := range p.state.SortedPools() {
 		js, ok := p.state.Jobs[n]
@@ -180,12 +180,12 @@
 	return nil
 }
 
-func (p *planner) explainJob(pool fleet.PoolName, j *fleet.Job, add addLineFunc) {
+func (p *planner) explainJob(pool fleet.PoolName, j *fleet.Job, add addRowFunc) {
 	add("job %s of pool %s is %s", j.Name, pool, j.State)
 	if j.Reason != "" {
 		add("%s", j.Reason)
 	}
-	add("it asks for %d thousandths of a core, %d MB, %d accelerators; submitted at %s", j.Need.CPUMilli, j.Need.MemoryMB, j.Need.Accelerators, formatTime(j.Submitted))
+	add("it requests %d millicores, %d MB, %d accelerators; submitted at %s", j.Need.CPUMilli, j.Need.MemoryMB, j.Need.Accelerators, formatTime(j.Submitted))
 	if j.Worker != "" {
 		add("attempt %d was placed on %s at %s", j.Attempt, j.Worker, formatTime(j.PlacedAt))
 	}
