--- a/cmd/postmount/exec.go
+++ b/cmd/postmount/exec.go
@@ -35,7 +35,7 @@
 func readProgram(text, file string) (string, error) {
 	switch {
 	case file != "" && text != "":
-		return "", fmt.Errorf("statements and --file exclude each other")
+		return "", fmt.Errorf("statements and --file are mutually exclusive")
 	case file == "-":
 		data, err := io.ReadAll(io.LimitReader(os.Stdin, query.MaxProgramBytes+1))
 		return string(data), err
@@ -50,26 +50,26 @@
 }
 
 // exec executes the statements in text and returns the exit status. Syntax errors
-// are found before anything is sent.
+// are reported before anything is sent.
 func exec(ctx context.Context, o *options, id, text string) int {
 	if _, err := query.Parse(text); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitUsage
 	}
 	c := o.client()
-	var answer api.ExecResponse
+	var resp api.ExecResponse
 	var err error
 	if id != "" {
-		answer, err = c.ExecWithID(ctx, id, text)
+		resp, err = c.ExecWithID(ctx, id, text)
 	} else {
-		answer, err = c.Exec(ctx, text)
+		resp, err = c.Exec(ctx, text)
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitStatus(verdict.Of(err))
 	}
-	printResults(o.output, answer)
-	for _, r := range answer.Results {
+	printResults(o.output, resp)
+	for _, r := range resp.Results {
 		if r.Verdict != verdict.Done {
 			return exitStatus(r.Verdict)
 		}
@@ -77,12 +77,14 @@
 	return exitDone
 }
 
-func printResults(output string, a api.ExecResponse) {
+// printResults prints the results of the statements: to standard error those of
+// statements that failed, to standard output all others.
+func printResults(output string, resp api.ExecResponse) {
 	if output == "json" {
-		printJSON(a)
+		printJSON(resp)
 		return
 	}
-	for _, r := range a.Results {
+	for _, r := range resp.Results {
 		switch {
 		case r.Verdict != verdict.Done:
 			fmt.Fprintf(os.Stderr, "statement %d: %s (%s): %s\n", r.Statement, r.Verdict, r.Code, r.Message)
--- a/cmd/postmount/explain.go
+++ b/cmd/postmount/explain.go
@@ -41,33 +41,35 @@
 	}
 }
 
+// explainFiles reconstructs the history of job id from log files.
 func explainFiles(id string, files []string) (explain.Timeline, error) {
-	all, unreadable, err := readLogs(files)
+	lines, unreadable, err := readLogs(files)
 	if err != nil {
 		return explain.Timeline{}, err
 	}
-	t := explain.Explain(id, all)
+	t := explain.Explain(id, lines)
 	if unreadable > 0 {
 		t.Findings = append(t.Findings, fmt.Sprintf("%d lines of the files could not be read", unreadable))
 	}
 	return t, nil
 }
 
-// readLogs returns the lines of log files, and how many could not be read.
-func readLogs(files []string) (all []explain.Line, unreadable int, err error) {
+// readLogs returns the lines of log files, and how many could not be read. The source
+// of a line is the file's name without its extension.
+func readLogs(files []string) (lines []explain.Line, unreadable int, err error) {
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
 			return nil, 0, err
 		}
 		source := strings.TrimSuffix(filepath.Base(name), filepath.Ext(name))
-		lines, skipped, err := explain.Read(source, f)
+		fileLines, skipped, err := explain.Read(source, f)
 		f.Close()
 		if err != nil {
 			return nil, 0, fmt.Errorf("%s: %w", name, err)
 		}
-		all = append(all, lines...)
+		lines = append(lines, fileLines...)
 		unreadable += skipped
 	}
-	return all, unreadable, nil
+	return lines, unreadable, nil
 }
--- a/cmd/postmount/report.go
+++ b/cmd/postmount/report.go
@@ -37,6 +37,8 @@
 	reportEvacuationsCommand(cmd, runners)
 }
 
+// printBurn prints the burn rates with one column per window, and the members whose
+// counts are not included.
 func printBurn(r api.BurnReport) {
 	columns := []string{"service", "class", "objective"}
 	if len(r.Rows) > 0 {
--- a/cmd/postmount/report_entries.go
+++ b/cmd/postmount/report_entries.go
@@ -12,7 +12,8 @@
 	"github.com/postmount/postmount/jobs/explain"
 )
 
-// reportEntriesCommand adds "report entries".
+// reportEntriesCommand adds "report entries", which lists refused store entries from
+// log files.
 func reportEntriesCommand(report *kingpin.CmdClause, runners map[string]runner) {
 	cmd := report.Command("entries", "List the store entries that daemons refuse, and why, from their log files.")
 	files := cmd.Arg("files", "Log files, one or more for each daemon.").Required().ExistingFiles()
--- a/cmd/postmount/report_evacuations.go
+++ b/cmd/postmount/report_evacuations.go
@@ -11,7 +11,8 @@
 	"github.com/postmount/postmount/jobs/explain"
 )
 
-// reportEvacuationsCommand adds "report evacuations".
+// reportEvacuationsCommand adds "report evacuations", which lists evacuations of
+// availability zones from log files.
 func reportEvacuationsCommand(report *kingpin.CmdClause, runners map[string]runner) {
 	cmd := report.Command("evacuations", "List when availability zones were evacuated and got no new tasks, from the daemons' log files.")
 	files := cmd.Arg("files", "Log files, one or more for each daemon.").Required().ExistingFiles()
--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -18,7 +18,8 @@
 	"github.com/postmount/postmount/jobs/late"
 )
 
-// reportLateCommand adds "report late", which works on log files.
+// reportLateCommand adds "report late", which breaks down the delays of jobs by cause
+// from log files.
 func reportLateCommand(report *kingpin.CmdClause, runners map[string]runner) {
 	cmd := report.Command("late", "Break down the delays of late and unserved jobs by cause, from the daemons' log files.")
 	slice := cmd.Flag("slice", "Length of one time slice.").Default("2s").Duration()
@@ -57,6 +58,7 @@
 	return nil
 }
 
+// printLate prints the causes for all jobs, by queue, and by time slice.
 func printLate(r *late.Report, slice time.Duration) {
 	all := r.All()
 	fmt.Printf("%d jobs accepted; not in time: %d late, %d never accepted, %d failed\n\n",
@@ -68,30 +70,30 @@
 	printTable([]string{"from", "jobs", "late", "never accepted", "failed", "causes"}, groupRows(r.BySecond(slice)))
 }
 
-func causeRows(sums []late.CauseTotal) [][]string {
-	var out [][]string
-	for _, s := range sums {
-		out = append(out, []string{s.Cause, strconv.Itoa(s.Jobs), strconv.FormatFloat(s.Seconds, 'f', 1, 64)})
+func causeRows(totals []late.CauseTotal) [][]string {
+	var rows [][]string
+	for _, t := range totals {
+		rows = append(rows, []string{t.Cause, strconv.Itoa(t.Jobs), strconv.FormatFloat(t.Seconds, 'f', 1, 64)})
 	}
-	return out
+	return rows
 }
 
-// shownCauses is the number of causes that a table row names.
-const shownCauses = 3
+// maxCausesPerRow limits the causes that one table row names.
+const maxCausesPerRow = 3
 
 func groupRows(groups []late.Group) [][]string {
-	var out [][]string
+	var rows [][]string
 	for _, g := range groups {
 		var causes []string
-		for _, s := range g.Causes[:min(shownCauses, len(g.Causes))] {
-			if s.Jobs > 0 {
-				causes = append(causes, fmt.Sprintf("%s %d", s.Cause, s.Jobs))
+		for _, t := range g.Causes[:min(maxCausesPerRow, len(g.Causes))] {
+			if t.Jobs > 0 {
+				causes = append(causes, fmt.Sprintf("%s %d", t.Cause, t.Jobs))
 			}
 		}
-		out = append(out, []string{g.Name, strconv.Itoa(g.Jobs), strconv.Itoa(g.Outcomes[late.Late]),
+		rows = append(rows, []string{g.Name, strconv.Itoa(g.Jobs), strconv.Itoa(g.Outcomes[late.Late]),
 			strconv.Itoa(g.Outcomes[late.Refused]), strconv.Itoa(g.Outcomes[late.Failed]), strings.Join(causes, ", ")})
 	}
-	return out
+	return rows
 }
 
 // causeColors are the colors of the causes in a plot, as RGB hex.
@@ -157,13 +159,14 @@
 	return float64(highest)
 }
 
-// sortedCauses returns the causes that delayed a job most in any group.
+// sortedCauses returns, sorted by name, the causes that delayed a job most in any
+// group.
 func sortedCauses(groups []late.Group) []string {
 	var out []string
 	for _, g := range groups {
-		for _, s := range g.Causes {
-			if s.Jobs > 0 && !slices.Contains(out, s.Cause) {
-				out = append(out, s.Cause)
+		for _, t := range g.Causes {
+			if t.Jobs > 0 && !slices.Contains(out, t.Cause) {
+				out = append(out, t.Cause)
 			}
 		}
 	}
@@ -173,9 +176,9 @@
 
 // jobsDelayedBy returns the number of a group's jobs that cause delayed most.
 func jobsDelayedBy(g late.Group, cause string) float64 {
-	for _, s := range g.Causes {
-		if s.Cause == cause {
-			return float64(s.Jobs)
+	for _, t := range g.Causes {
+		if t.Cause == cause {
+			return float64(t.Jobs)
 		}
 	}
 	return 0
--- a/cmd/postmount/report_wave.go
+++ b/cmd/postmount/report_wave.go
@@ -15,7 +15,8 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// reportWaveCommand adds "report wave".
+// reportWaveCommand adds "report wave", which prints or plots the availability of a
+// wave's pools.
 func reportWaveCommand(report *kingpin.CmdClause, runners map[string]runner) {
 	cmd := report.Command("wave", "Availability of a wave's pools against their budgets.")
 	name := cmd.Arg("wave", "Name of the wave.").Required().String()
@@ -42,6 +43,8 @@
 	}
 }
 
+// printWave prints the progress of a wave and, for each pool, the sample with the
+// fewest available instances.
 func printWave(r api.WaveReport) {
 	took := "still running"
 	if !r.Ended.IsZero() {
@@ -100,6 +103,8 @@
 	return os.WriteFile(file, out.Bytes(), plotMode)
 }
 
+// maxInstances returns the largest number of instances, available or out, that a pool
+// had in any sample.
 func maxInstances(r api.WaveReport) float64 {
 	highest := 0
 	for _, p := range r.Pools {
--- a/cmd/postmount/wait.go
+++ b/cmd/postmount/wait.go
@@ -67,11 +67,11 @@
 
 // waveProgress returns the state of a wave and a line that describes its progress.
 func waveProgress(ctx context.Context, c *client.Client, name string) (state, line string, err error) {
-	answer, err := c.Exec(ctx, "show waves where wave = "+name)
+	resp, err := c.Exec(ctx, "show waves where wave = "+name)
 	if err != nil {
 		return "", "", err
 	}
-	r := answer.Results[0]
+	r := resp.Results[0]
 	if r.Verdict != verdict.Done || r.Table == nil || len(r.Table.Rows) == 0 {
 		return "", "", fmt.Errorf("no wave %q found %s", name, r.Message)
 	}
