--- a/cmd/postmountd/main.go
+++ b/cmd/postmountd/main.go
@@ -19,7 +19,7 @@
 // Exit statuses.
 const (
 	exitFailed   = 1
-	exitSettings = 2
+	exitSettings = 2 // the command line or the settings are invalid
 )
 
 func main() {
@@ -28,14 +28,14 @@
 	app.HelpFlag.Short('h')
 	file := app.Flag("settings", "Settings file (TOML).").String()
 	onPlatform := app.Flag("platform", "Serve jobs on the users' platform, with the settings file that the platform provides.").Bool()
-	policies := app.Flag("policy", "Scheduler policy file (TOML), for --platform.").String()
+	policyFile := app.Flag("policy", "Scheduler policy file (TOML), for --platform.").String()
 	check := app.Flag("check", "Check the settings and exit.").Bool()
 	if _, err := app.Parse(os.Args[1:]); err != nil {
 		fmt.Fprintf(os.Stderr, "postmountd: %v, try --help\n", err)
 		os.Exit(exitSettings)
 	}
 	if *onPlatform {
-		os.Exit(runOnPlatform(*policies, *check))
+		os.Exit(runOnPlatform(*policyFile, *check))
 	}
 	if *file == "" {
 		fmt.Fprintln(os.Stderr, "postmountd: --settings FILE or --platform is required, try --help")
--- a/cmd/postmountd/platform.go
+++ b/cmd/postmountd/platform.go
@@ -19,40 +19,41 @@
 
 // Memory settings of the Go runtime.
 const (
-	// memoryLimitShare is the share of the process's memory limit that becomes the
+	// memoryLimitShare is the fraction of the process's memory limit that becomes the
 	// runtime's soft limit.
 	memoryLimitShare = 0.6
-	// gcPercent lets the heap grow by 300% between collections: it takes only
+	// gcPercent lets the heap grow by 300% between collections: the heap takes only
 	// some megabytes, and CPU time matters more.
 	gcPercent = 300
 )
 
-// loadSettings reads the platform's settings and the policies. With checkOnly and no
-// settings file of the platform it reads the policies alone.
-func loadSettings(policies string, checkOnly bool) (set node.Settings, err error) {
-	chosen := policy.Default()
-	if policies != "" {
-		if chosen, err = policy.Load(policies); err != nil {
+// loadSettings reads the platform's settings and the policies in policyFile, or the
+// default policies if policyFile is empty. With checkOnly and no settings file of the
+// platform it reads the policies alone.
+func loadSettings(policyFile string, checkOnly bool) (set node.Settings, err error) {
+	policies := policy.Default()
+	if policyFile != "" {
+		if policies, err = policy.Load(policyFile); err != nil {
 			return set, err
 		}
 	}
 	if checkOnly && !platform.HasSettings() {
-		return node.Settings{Policy: chosen}, nil
+		return node.Settings{Policy: policies}, nil
 	}
 	set, err = platform.LoadSettings()
-	set.Policy = chosen
+	set.Policy = policies
 	return set, err
 }
 
 // runOnPlatform serves jobs on the users' platform and returns the exit status.
-func runOnPlatform(policies string, checkOnly bool) int {
-	set, err := loadSettings(policies, checkOnly)
+func runOnPlatform(policyFile string, checkOnly bool) int {
+	set, err := loadSettings(policyFile, checkOnly)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitSettings
 	}
 	if checkOnly {
-		return printPolicy(set)
+		return printPolicies(set)
 	}
 	debug.SetGCPercent(gcPercent)
 	if set.MemoryMB > 0 {
@@ -77,7 +78,7 @@
 	n := node.New(set, adapters, log, node.NewMetrics(m.Scope, m.Handler))
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	go logReloads(log)
+	go checkSettingsOnSIGHUP(log)
 	if err := n.Run(ctx); err != nil {
 		log.Error("daemon-failed", zap.Error(err))
 		return exitFailed
@@ -85,8 +86,8 @@
 	return 0
 }
 
-// printPolicy prints the policies in effect, defaults included.
-func printPolicy(set node.Settings) int {
+// printPolicies prints the policies in effect, defaults included.
+func printPolicies(set node.Settings) int {
 	if err := toml.NewEncoder(os.Stdout).Encode(set.Policy); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return exitFailed
@@ -94,10 +95,10 @@
 	return 0
 }
 
-// logReloads checks the settings file at each SIGHUP and logs the result. It
-// applies nothing: settings are read only at start, and the operators'
+// checkSettingsOnSIGHUP checks the settings file at each SIGHUP and logs the result.
+// It applies nothing: settings are read only at start, and the operators'
 // configuration comes from the store.
-func logReloads(log *zap.Logger) {
+func checkSettingsOnSIGHUP(log *zap.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	for range hup {
