--- a/cmd/postmount-lab/demo.go
+++ b/cmd/postmount-lab/demo.go
@@ -49,23 +49,23 @@
 
 // runDemo runs the chosen parts and prints their reports.
 func runDemo(ctx context.Context, o lab.DemoOptions, only, output string) error {
-	var rep demoReport
+	var report demoReport
 	var wg sync.WaitGroup
 	if only != "requests" {
 		wg.Go(func() {
 			r := jobsdemo.Run(ctx, o.Progress)
-			rep.Jobs = &r
+			report.Jobs = &r
 		})
 	}
 	var err error
 	if only != "jobs" {
-		rep.Requests, err = lab.Demo(ctx, o)
+		report.Requests, err = lab.Demo(ctx, o)
 	}
 	wg.Wait()
 	if err != nil {
 		return err
 	}
-	return rep.print(output)
+	return report.print(output)
 }
 
 // print prints the reports. It returns errInvariantViolated if one lists a violation.
@@ -75,23 +75,23 @@
 			return err
 		}
 	}
-	broken := false
+	violated := false
 	if r.Requests != nil {
 		if output == "table" {
 			r.Requests.Print(os.Stdout)
 		}
-		broken = len(r.Requests.Broken) > 0
+		violated = len(r.Requests.Broken) > 0
 	}
 	if r.Jobs != nil {
 		if output == "table" {
 			r.Jobs.Print(os.Stdout)
-			for _, b := range r.Jobs.Broken {
-				fmt.Fprintln(os.Stdout, "BROKEN", b)
+			for _, violation := range r.Jobs.Broken {
+				fmt.Fprintln(os.Stdout, "BROKEN", violation)
 			}
 		}
-		broken = broken || len(r.Jobs.Broken) > 0
+		violated = violated || len(r.Jobs.Broken) > 0
 	}
-	if broken {
+	if violated {
 		return errInvariantViolated
 	}
 	return nil
--- a/cmd/postmount-lab/load.go
+++ b/cmd/postmount-lab/load.go
@@ -15,7 +15,7 @@
 )
 
 // errLoadCheckFailed is returned if an answer was wrong or a request ran twice.
-var errLoadCheckFailed = errors.New("some answers were truncated, for another request or differed, or a request ran twice")
+var errLoadCheckFailed = errors.New("load check failed: an answer was truncated, belonged to another request or differed from the answer to the first send, or a request ran twice")
 
 // loadCommand adds "load", the open-loop load generator.
 func loadCommand(app *kingpin.Application, runners map[string]runner) {
@@ -47,6 +47,9 @@
 	}
 }
 
+// reportTimeout bounds the call for the workers' report.
+const reportTimeout = 5 * time.Second
+
 // checkSummaries returns errLoadCheckFailed if an answer was wrong or, according to
 // the workers, a request ran twice.
 func checkSummaries(summaries []lab.Summary, workers string) error {
@@ -55,7 +58,7 @@
 			return errLoadCheckFailed
 		}
 	}
-	c := &http.Client{Timeout: 5 * time.Second}
+	c := &http.Client{Timeout: reportTimeout}
 	resp, err := c.Get("http://" + workers + "/standin/report")
 	if err != nil {
 		return err
--- a/cmd/postmount-lab/workers.go
+++ b/cmd/postmount-lab/workers.go
@@ -12,6 +12,10 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
+// slowWorkerDelayMS is the additional delay of a worker given to --slow, in
+// milliseconds.
+const slowWorkerDelayMS = 500
+
 // workersCommand adds "workers", the stand-in for a user's workers.
 func workersCommand(app *kingpin.Application, runners map[string]runner) {
 	cmd := app.Command("workers", "Stand-in for all workers of a user's fleet.")
@@ -37,15 +41,15 @@
 			ids    []string
 			faults worker.Faults
 		}{
-			{*fail, worker.Faults{Fail: true}}, {*slow, worker.Faults{SlowMS: 500}},
+			{*fail, worker.Faults{Fail: true}}, {*slow, worker.Faults{SlowMS: slowWorkerDelayMS}},
 			{*hang, worker.Faults{Hang: true}}, {*cut, worker.Faults{Cut: true}},
 		} {
 			for _, id := range set.ids {
 				faults[id] = set.faults
 			}
 		}
-		for id, x := range faults {
-			if err := f.SetFaults(id, x); err != nil {
+		for id, workerFaults := range faults {
+			if err := f.SetFaults(id, workerFaults); err != nil {
 				return err
 			}
 		}
@@ -54,13 +58,17 @@
 	}
 }
 
-// register registers the workers with the platform; it retries until that succeeds.
+// registerInterval is the pause between attempts to register the workers.
+const registerInterval = 200 * time.Millisecond
+
+// register registers the workers with the platform stand-in at addr. It retries until
+// that succeeds or ctx ends.
 func register(ctx context.Context, addr string, specs []worker.Spec) {
 	for ctx.Err() == nil {
 		if platform.RegisterWorkers(addr, specs) == nil {
 			fmt.Println("registered", len(specs), "workers")
 			return
 		}
-		time.Sleep(200 * time.Millisecond)
+		time.Sleep(registerInterval)
 	}
 }
