--- a/jobs/node/metrics_test.go
+++ b/jobs/node/metrics_test.go
@@ -20,7 +20,7 @@
 	m := telemetry.NewMetrics()
 	n := NewMetrics(m.Scope, m.Handler)
 	n.ObserveResponse("POST", 200, 3*time.Millisecond)
-	n.order("start", owner.NoRoom)
+	n.order("start", owner.NoCapacity)
 	n.commit(nil, 5*time.Millisecond)
 	n.ownerStats(owner.Stats{
 		OpenJobs: 7, Counts: owner.Counts{Starts: 42, LongRunningLapsed: 5, JobsConsidered: 1400},
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -49,7 +49,7 @@
 
 func (w *countingWorkers) Start(context.Context, owner.Start) owner.Answer {
 	w.starts++
-	return owner.Answer{Outcome: owner.Taken}
+	return owner.Answer{Outcome: owner.Accepted}
 }
 
 // TestStartDecidedBeforeSuspensionIsNotSent: the state behind the decision may be outdated after a
--- a/jobs/owner/backoff_test.go
+++ b/jobs/owner/backoff_test.go
@@ -42,7 +42,7 @@
 		starts := 0
 		for range 60 * 40 {
 			r.tick(25 * time.Millisecond)
-			for _, s := range r.answerStarts(Answer{Outcome: Taken}) {
+			for _, s := range r.answerStarts(Answer{Outcome: Accepted}) {
 				starts++
 				longest, last = max(longest, r.now.Sub(last)), r.now
 				ends[s.Worker]++
@@ -108,7 +108,7 @@
 			}
 			r.core.React(r.now)
 			r.collectEffects()
-			n += len(r.answerStarts(Answer{Outcome: BadTicket}))
+			n += len(r.answerStarts(Answer{Outcome: InvalidTicket}))
 		}
 		assert.Positive(t, n)
 		assert.LessOrEqual(t, n, 80, "starts in a minute")
@@ -120,7 +120,7 @@
 		n := 0
 		for range 600 {
 			r.answerHolds(100*time.Millisecond, nil)
-			n += len(r.answerStarts(Answer{Outcome: NoRoom}))
+			n += len(r.answerStarts(Answer{Outcome: NoCapacity}))
 		}
 		assert.LessOrEqual(t, n, 70, "starts in a minute")
 		r.answerHolds(2*time.Second, nil)
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -79,7 +79,7 @@
 
 // answerHold answers the worker's pending hold.
 func (r *rig) answerHold(id WorkerID, active []ActiveRun, ends ...RunEnd) {
-	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clockMs()}, Active: active, Ends: ends}, r.now)
+	r.core.OnHoldAnswer(Target{Worker: id}, HoldAnswer{Answer: Answer{Outcome: Accepted, ClockMs: r.clockMs()}, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
 }
@@ -110,7 +110,7 @@
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+		r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	}
 	r.collectEffects()
 	return out
@@ -215,12 +215,12 @@
 	second := r.out.Starts[0]
 	assert.Equal(t, first.Run, second.Run, "with the same run number")
 	r.out.Starts = nil
-	r.core.OnStarted(second, Answer{Outcome: NoRoom, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStarted(second, Answer{Outcome: NoCapacity, ClockMs: r.clockMs()}, r.now)
 	r.collectEffects()
 	require.Len(t, r.out.Stops, 1, "the first start may still arrive")
 	r.tick(300 * time.Millisecond)
 	assert.Empty(t, r.out.Starts, "the task waits for the stop")
-	r.core.OnStopped(r.out.Stops[0], Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopped(r.out.Stops[0], Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	r.tick(25 * time.Millisecond)
 	r.answerHold(a, nil) // the hold that was pending
 	r.tick(25 * time.Millisecond)
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -23,7 +23,7 @@
 
 // answerHoldAs answers a hold of target with the run list of the incarnation started at startedMs.
 func (r *rig) answerHoldAs(target Target, startedMs int64, active []ActiveRun, ends ...RunEnd) {
-	r.core.OnHoldAnswer(target, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: r.clockMs()}, StartedMs: startedMs, Active: active, Ends: ends}, r.now)
+	r.core.OnHoldAnswer(target, HoldAnswer{Answer: Answer{Outcome: Accepted, ClockMs: r.clockMs()}, StartedMs: startedMs, Active: active, Ends: ends}, r.now)
 	r.core.React(r.now)
 	r.collectEffects()
 }
@@ -75,7 +75,7 @@
 	clock := r.core.workers[a].lease.clockMs
 	r.answerHoldAs(first, 500, nil, RunEnd{Seq: 3, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
 	r.answerHoldAs(second, 500, nil)
-	r.core.OnStarted(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Taken, ClockMs: 9 * rigClockMs}, r.now)
+	r.core.OnStarted(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Accepted, ClockMs: 9 * rigClockMs}, r.now)
 	r.setIncarnation(a, 500)
 	r.tick(time.Second)
 	w := r.core.workers[a]
--- a/jobs/owner/latestart_test.go
+++ b/jobs/owner/latestart_test.go
@@ -58,7 +58,7 @@
 	r.tick(time.Second)
 	require.NotEmpty(t, r.takeStops(start.Task))
 	stop := Stop{Target: start.Target, Task: start.Task, Run: start.Run}
-	r.core.OnStopped(stop, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopped(stop, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: start.Task, Run: start.Run, Kind: EndStopped})
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.takeStops(start.Task), "no stop after the run has ended")
@@ -73,7 +73,7 @@
 	j, start := r.unansweredStart(1)
 	r.core.Cancel(j.ID, r.now)
 	r.collectEffects()
-	r.core.OnStopped(Stop{Target: start.Target, Task: start.Task, Run: start.Run}, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopped(Stop{Target: start.Target, Task: start.Task, Run: start.Run}, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	for range 4 {
 		r.tick(500 * time.Millisecond)
 		r.answerHold(a, nil)
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -44,7 +44,7 @@
 		return
 	}
 	switch a.Outcome {
-	case Taken:
+	case Accepted:
 		r.resetRefusals()
 		if r.phase == starting {
 			r.phase = running
@@ -57,7 +57,7 @@
 	case Fenced:
 		c.markFenced(w)
 		return
-	case OtherBoot:
+	case OtherIncarnation:
 		c.endIncarnation(w, "another incarnation answers at its address", now)
 		return
 	case Unanswered:
@@ -73,10 +73,10 @@
 		return
 	}
 	switch a.Outcome {
-	case NoRoom:
+	case NoCapacity:
 		w.consecutiveNoRoom++
 		c.avoidWorkerUntil(w, now.Add(capacityBackoff.delay(w.consecutiveNoRoom)))
-	case BadTicket:
+	case InvalidTicket:
 		r.task.step.dropTicket(w, now)
 	case Unhealthy:
 		c.avoidWorkerUntil(w, now.Add(unhealthyPause))
@@ -102,7 +102,7 @@
 
 // logLateStartAnswer logs that a worker accepted a start whose run was already released.
 func (c *Core) logLateStartAnswer(w *worker, o Start, a Answer, now time.Time) {
-	if a.Outcome == Taken {
+	if a.Outcome == Accepted {
 		// The next hold lists the run, and decides on it.
 		c.logDecision(Decision{Event: "late-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
 	}
@@ -175,7 +175,7 @@
 	case Fenced:
 		c.markFenced(w)
 		return
-	case OtherBoot:
+	case OtherIncarnation:
 		c.endIncarnation(w, "another incarnation answers at its address", now)
 		return
 	}
@@ -186,7 +186,7 @@
 	if a.Outcome == Unanswered {
 		c.markOrderUnanswered(w, r.sentAt)
 	}
-	if a.Outcome == Taken || a.Outcome == RunTooOld {
+	if a.Outcome == Accepted || a.Outcome == RunTooOld {
 		r.confirmedAt = now
 		return
 	}
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -27,13 +27,13 @@
 	}{
 		{"the start order is in transit", func(*rig, Start) {}},
 		{"the start order is not answered", answer(Unanswered)},
-		{"the worker has no free capacity", answer(NoRoom)},
+		{"the worker has no free capacity", answer(NoCapacity)},
 		{"the worker is unhealthy", answer(Unhealthy)},
-		{"the worker's lease has expired", answer(LeaseOver)},
+		{"the worker's lease has expired", answer(LeaseExpired)},
 		{"the run number is too old", answer(RunTooOld)},
-		{"the ticket is invalid", answer(BadTicket)},
+		{"the ticket is invalid", answer(InvalidTicket)},
 		{"the order is invalid", answer(Invalid)},
-		{"another incarnation answers", answer(OtherBoot)},
+		{"another incarnation answers", answer(OtherIncarnation)},
 		{"the worker has seen a newer owner", answer(Fenced)},
 		{"the instance list shows that the worker ended", func(r *rig, _ Start) {
 			r.inst[0].State = InstanceDown
@@ -74,7 +74,7 @@
 		then func(r *rig, s Start)
 	}{
 		{"it accepts the start order", func(r *rig, s Start) {
-			r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+			r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 		}},
 		{"it lists the run", func(r *rig, s Start) { r.answerHold(s.Worker, []ActiveRun{{Task: s.Task, Run: s.Run}}) }},
 		{"it lists the failed run as ended", func(r *rig, s Start) {
@@ -116,10 +116,10 @@
 	r.collectEffects()
 	require.Len(t, r.out.Starts, 2)
 	first, second := r.out.Starts[0], r.out.Starts[1]
-	r.core.OnStarted(first, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStarted(first, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	assert.Equal(t, 1, r.core.PendingJobs("q"), "the first member waits for the second")
 	r.answerHold(first.Worker, nil, RunEnd{Seq: 1, Task: first.Task, Run: first.Run, Kind: EndGangIncomplete})
 	assert.Equal(t, 1, r.core.PendingJobs("q"), "the first member gave up waiting")
-	r.core.OnStarted(second, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStarted(second, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	assert.Equal(t, 1, r.core.PendingJobs("q"), "the second member started too late")
 }
--- a/jobs/owner/saturatedlink_test.go
+++ b/jobs/owner/saturatedlink_test.go
@@ -23,7 +23,7 @@
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs(), Latency: saturatedLinkLatency}, r.now)
+		r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs(), Latency: saturatedLinkLatency}, r.now)
 	}
 	r.collectEffects()
 	return out
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -64,12 +64,12 @@
 		out := r.out.Starts
 		r.out.Starts = nil
 		for i, s := range out {
-			a := Answer{Outcome: Taken, ClockMs: r.clockMs()}
+			a := Answer{Outcome: Accepted, ClockMs: r.clockMs()}
 			switch {
 			case n%5 == 1 && i == 0:
 				a = Answer{Outcome: NotSent}
 			case n%5 == 2 && i == 0:
-				a = Answer{Outcome: NoRoom, ClockMs: r.clockMs()}
+				a = Answer{Outcome: NoCapacity, ClockMs: r.clockMs()}
 			default:
 				started[s.Task] = true
 			}
@@ -147,7 +147,7 @@
 		out := r.out.Starts
 		r.out.Starts = nil
 		for _, s := range out[:min(1, len(out))] { // one per 25 ms
-			r.core.OnStarted(s, Answer{Outcome: Taken, ClockMs: r.clockMs()}, r.now)
+			r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 		}
 		r.out.Starts = append(r.out.Starts, out[min(1, len(out)):]...)
 		r.core.React(r.now)
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -186,7 +186,7 @@
 	for _, o := range e.Starts {
 		f.freeAt = f.freeAt.Add(callCost)
 		f.pending = append(f.pending, busyEvent{at: f.freeAt.Add(roundTrip), handle: func(now time.Time, _ bool) {
-			f.core.OnStarted(o, Answer{Outcome: Taken, ClockMs: f.clockMs(now)}, now)
+			f.core.OnStarted(o, Answer{Outcome: Accepted, ClockMs: f.clockMs(now)}, now)
 		}})
 	}
 }
@@ -207,7 +207,7 @@
 			f.core.OnHoldAnswer(h.Target, HoldAnswer{Answer: Answer{Outcome: Unanswered}}, now)
 			return
 		}
-		f.core.OnHoldAnswer(h.Target, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clockMs(answered)}, Active: w.runs, Ends: w.ends}, now)
+		f.core.OnHoldAnswer(h.Target, HoldAnswer{Answer: Answer{Outcome: Accepted, ClockMs: f.clockMs(answered)}, Active: w.runs, Ends: w.ends}, now)
 	}})
 	f.expireLease(w, at)
 	until := f.startedAt.Add(time.Duration(h.LeaseUntilMs-rigClockMs) * time.Millisecond)
@@ -248,7 +248,7 @@
 	now := f.startedAt
 	for n := range busyWorkers - 1 { // one does not answer
 		now = now.Add(time.Millisecond)
-		f.core.OnHoldAnswer(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Taken, ClockMs: f.clockMs(now)}}, now)
+		f.core.OnHoldAnswer(Target{Worker: busyID(n)}, HoldAnswer{Answer: Answer{Outcome: Accepted, ClockMs: f.clockMs(now)}}, now)
 		f.core.React(now)
 	}
 	scans := f.core.counts.JobsConsidered / busyJobs
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -125,22 +125,23 @@
 // Outcome is a worker's response to an order.
 type Outcome int
 
-// The outcomes of an order. Only after Unanswered it is open whether the order was, or
-// will be, carried out.
+// The outcomes of an order. Only Unanswered leaves open whether the order was carried out or
+// still will be.
 const (
 	Unanswered Outcome = iota
-	Taken              // accepted
-	Fenced             // the worker has seen a higher fencing token
-	RunTooOld          // the worker has stopped or ended this run or a higher one of the task
-	LeaseOver          // the lease in the order had already expired
-	NoRoom
-	BadTicket
-	OtherBoot // another incarnation of the worker answered
-	Unhealthy // the worker refuses work at present
-	Invalid
-	NotSent // the order was queued for too long, and dropped
+	Accepted
+	Fenced           // the worker has seen a higher fencing token
+	RunTooOld        // the worker has already stopped or ended this run or a newer one of the task
+	LeaseExpired     // the lease in the order had expired when it arrived
+	NoCapacity       // the worker has too little free capacity for the task
+	InvalidTicket    // the worker rejected the advisor's ticket
+	OtherIncarnation // another incarnation of the worker answered
+	Unhealthy        // the worker accepts no work at present
+	Invalid          // the worker rejected the order as malformed
+	NotSent          // the order was dropped after waiting too long to be sent
 )
 
+// outcomeNames are part of the log and metrics format, and partly differ from the identifiers.
 var outcomeNames = [...]string{"unanswered", "taken", "fenced", "run-too-old", "lease-over", "no-room", "bad-ticket", "other-boot", "unhealthy", "invalid", "not-sent"}
 
 // String returns the outcome's name in logs and metrics.
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -169,7 +169,7 @@
 		c.onContactLost(w, a, now)
 		return
 	}
-	if a.Outcome == NotSent || a.Outcome == OtherBoot {
+	if a.Outcome == NotSent || a.Outcome == OtherIncarnation {
 		return // not an answer of this incarnation
 	}
 	w.lease.observeClock(a.ClockMs, now)
@@ -196,7 +196,7 @@
 		return
 	}
 	w.holdInFlight = false
-	if h.Outcome == Taken {
+	if h.Outcome == Accepted {
 		switch w.relationTo(h.StartedMs) {
 		case pastIncarnation:
 			c.scheduleHold(w, now.Add(holdRetryPause))
@@ -215,11 +215,11 @@
 		c.onAnswer(w, h.Answer, now)
 	}
 	switch h.Outcome {
-	case Taken:
+	case Accepted:
 	case Fenced:
 		c.markFenced(w)
 		return
-	case OtherBoot:
+	case OtherIncarnation:
 		c.endIncarnation(w, "another incarnation answers at its address", now)
 		return
 	case NotSent:
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -97,7 +97,7 @@
 // start applies a start order at a worker and returns its answer.
 func (s *sim) start(o owner.Start) owner.Answer {
 	w := s.workers[o.Worker]
-	a := owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: s.clock()}
 	switch {
 	case w == nil || w.dead:
 		return owner.Answer{Outcome: owner.Unanswered}
@@ -110,7 +110,7 @@
 		a.Outcome = owner.RunTooOld
 		return a
 	case o.LeaseUntilMs != 0 && o.LeaseUntilMs < s.clock():
-		a.Outcome = owner.LeaseOver
+		a.Outcome = owner.LeaseExpired
 		return a
 	}
 	w.token = o.Token
@@ -158,7 +158,7 @@
 		s.countWasted(e)
 		s.end(w, o.Task, e, owner.EndStopped)
 	}
-	return owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}
+	return owner.Answer{Outcome: owner.Accepted, ClockMs: s.clock()}
 }
 
 // beginHold carries out a hold without the costs of the owner's daemon.
@@ -216,7 +216,7 @@
 		h.answer(owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered}})
 		return
 	}
-	held := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Taken, ClockMs: s.clock()}, Ends: slices.Clone(w.ends)}
+	held := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Accepted, ClockMs: s.clock()}, Ends: slices.Clone(w.ends)}
 	for _, t := range w.startOrder {
 		e := w.active[t]
 		percent := min(99, int(100*s.engine.now.Sub(e.began)/e.duration))
--- a/standin/jobfleet/disruption_test.go
+++ b/standin/jobfleet/disruption_test.go
@@ -81,13 +81,13 @@
 	to, task := r.order(i)
 	until := r.fleet.workers[to.Worker].clock() + r.lease.Milliseconds()
 	a := r.client.Start(context.Background(), owner.Start{Target: to, Task: task, Run: run, LeaseUntilMs: until})
-	require.Equal(r.t, owner.Taken, a.Outcome)
+	require.Equal(r.t, owner.Accepted, a.Outcome)
 }
 
 func (r *longRunningJob) stop(i int) {
 	to, task := r.order(i)
 	a := r.client.Stop(context.Background(), owner.Stop{Target: to, Task: task, Run: 1})
-	require.Equal(r.t, owner.Taken, a.Outcome)
+	require.Equal(r.t, owner.Accepted, a.Outcome)
 }
 
 func (r *longRunningJob) move(i int) {
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -83,21 +83,21 @@
 // Throttle implements owner.WorkerClient.
 func (c *FleetClient) Throttle(ctx context.Context, o owner.Throttle) owner.Answer {
 	return c.order(ctx, o.Target, "throttle", func(w *worker) owner.Answer {
-		return owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
+		return owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
 	})
 }
 
 // Hold implements owner.WorkerClient.
 func (c *FleetClient) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
 	a := c.order(ctx, o.Target, "hold", func(w *worker) owner.Answer { return c.fleet.beginHold(w, o) })
-	if a.Outcome != owner.Taken {
+	if a.Outcome != owner.Accepted {
 		return owner.HoldAnswer{Answer: a}
 	}
 	end := time.NewTimer(o.Wait)
 	defer end.Stop()
 	for {
 		h, ended := c.holdAnswer(o.Worker)
-		if len(h.Ends) > 0 || h.Outcome != owner.Taken {
+		if len(h.Ends) > 0 || h.Outcome != owner.Accepted {
 			return c.deliverHold(ctx, h)
 		}
 		select {
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -290,14 +290,14 @@
 }
 
 func (f *Fleet) start(w *worker, o owner.Start) owner.Answer {
-	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
 	}
 	w.token = o.Token
 	if o.LeaseUntilMs <= w.clock() {
-		a.Outcome = owner.LeaseOver
+		a.Outcome = owner.LeaseExpired
 		return a
 	}
 	f.extend(w, o.LeaseUntilMs)
@@ -315,7 +315,7 @@
 	}
 	if !f.freeOf(w).Fits(spec.ReservedResources()) {
 		if !f.unenforced[w.reg.Service] {
-			a.Outcome = owner.NoRoom
+			a.Outcome = owner.NoCapacity
 			return a
 		}
 		f.checker.checkCapacity(o.Task, w)
@@ -368,7 +368,7 @@
 }
 
 func (f *Fleet) stop(w *worker, o owner.Stop) owner.Answer {
-	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
@@ -384,7 +384,7 @@
 // beginHold applies a hold: its token, lease and acknowledgements. The caller waits for ended
 // runs.
 func (f *Fleet) beginHold(w *worker, o owner.Hold) owner.Answer {
-	a := owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
@@ -406,7 +406,7 @@
 }
 
 func (f *Fleet) list(w *worker) owner.HoldAnswer {
-	h := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Taken, ClockMs: w.clock()}, StartedMs: w.reg.StartedMs}
+	h := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}, StartedMs: w.reg.StartedMs}
 	for _, e := range w.active {
 		h.Active = append(h.Active, owner.ActiveRun{Task: e.task, Run: e.run, Percent: e.percent()})
 	}
