--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -13,10 +13,10 @@
 )
 
 // runOwner runs an owner with the loaded job. It must not panic, whatever the job is.
-func runOwner(loaded owner.Loaded) {
+func runOwner(loaded owner.StoredJob) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{Queues: []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2}}, Services: []job.Service{{Name: "s"}}}
-	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, StatusRetention: time.Minute}, catalog, []owner.Loaded{loaded}, now)
+	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, StatusRetention: time.Minute}, catalog, []owner.StoredJob{loaded}, now)
 	for range 3 {
 		now = now.Add(10 * time.Second)
 		c.Tick(now)
@@ -38,7 +38,7 @@
 			return
 		}
 		require.Equal(t, job.ID(id), ch.Submitted.ID)
-		l := owner.Loaded{Job: ch.Submitted}
+		l := owner.StoredJob{Job: ch.Submitted}
 		if ch.Ended != nil {
 			require.True(t, ch.Ended.State.Final())
 			l.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
@@ -57,7 +57,7 @@
 		if json.Unmarshal(raw, &p) != nil || p.Validate(j) != nil {
 			return
 		}
-		runOwner(owner.Loaded{Job: j, Progress: &p})
+		runOwner(owner.StoredJob{Job: j, Progress: &p})
 	})
 }
 
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -281,7 +281,7 @@
 // Snapshot is the state that a new owner reads from the store.
 type Snapshot struct {
 	Refused  []RefusedEntry
-	Jobs     []owner.Loaded
+	Jobs     []owner.StoredJob
 	Waves    map[int]WaveProgress
 	Revision int64 // a watch of PrefixJobs from there misses no change
 }
@@ -363,7 +363,7 @@
 }
 
 func (s *Snapshot) addJob(ch *Change, progressByJob map[job.ID]Item) {
-	l := owner.Loaded{Job: ch.Submitted}
+	l := owner.StoredJob{Job: ch.Submitted}
 	if ch.Ended != nil {
 		l.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
 	} else if i, found := progressByJob[ch.Submitted.ID]; found {
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -88,7 +88,7 @@
 func (t *termRun) rejectInstanceOrders(c *owner.Core, orders []owner.InstanceOrder, now time.Time) {
 	for _, o := range orders {
 		t.orders.resolve(o.Instance, false, now)
-		c.OnInstanceOrder(o, owner.DutyRefused, now)
+		c.OnInstanceOrderAnswer(o, owner.DutyRefused, now)
 	}
 }
 
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -27,7 +27,7 @@
 			t.n.metrics.order("stop", a.Outcome)
 			return func(c *owner.Core, now time.Time) {
 				t.stopsInFlight.end(o)
-				c.OnStopped(o, a, now)
+				c.OnStopAnswer(o, a, now)
 			}
 		})
 	}
@@ -35,7 +35,7 @@
 		go t.callInSlot(t.otherCalls, owner.OrderTimeout, func(ctx context.Context) event {
 			a := t.n.platform.Workers.Throttle(ctx, o)
 			t.n.metrics.order("throttle", a.Outcome)
-			return func(c *owner.Core, now time.Time) { c.OnThrottled(o, a, now) }
+			return func(c *owner.Core, now time.Time) { c.OnThrottleAnswer(o, a, now) }
 		})
 	}
 	for _, o := range e.Holds {
@@ -76,7 +76,7 @@
 			a.Latency = t.n.clock.Now().Sub(sent)
 		}
 		t.n.metrics.order("start", a.Outcome)
-		return func(c *owner.Core, now time.Time) { c.OnStarted(o, a, now) }
+		return func(c *owner.Core, now time.Time) { c.OnStartAnswer(o, a, now) }
 	})
 }
 
@@ -122,7 +122,7 @@
 		if outcome != owner.DutyUnanswered {
 			t.orders.resolve(o.Instance, sent, now)
 		}
-		c.OnInstanceOrder(o, outcome, now)
+		c.OnInstanceOrderAnswer(o, outcome, now)
 	}
 }
 
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -99,7 +99,7 @@
 		return
 	}
 	t.startWaves(snap)
-	t.core.Evacuate(n.evacuations.list())
+	t.core.SetEvacuatedZones(n.evacuations.list())
 	t.core.Configure(n.catalog.Load())
 	go t.watchJobs(snap.Revision)
 	go t.watchRegistrations()
@@ -125,7 +125,7 @@
 // updateEvacuations passes the evacuated zones to the core, as they are when the event is
 // applied.
 func (t *termRun) updateEvacuations() {
-	t.enqueue(func(c *owner.Core, _ time.Time) { c.Evacuate(t.n.evacuations.list()) })
+	t.enqueue(func(c *owner.Core, _ time.Time) { c.SetEvacuatedZones(t.n.evacuations.list()) })
 }
 
 // enqueue sends an event to the core's goroutine. It drops the event if the term is over.
--- a/jobs/owner/backoff_test.go
+++ b/jobs/owner/backoff_test.go
@@ -22,7 +22,7 @@
 	r.out.Starts = nil
 	a.ClockMs = r.clockMs()
 	for _, s := range out {
-		r.core.OnStarted(s, a, r.now)
+		r.core.OnStartAnswer(s, a, r.now)
 	}
 	r.core.React(r.now)
 	r.collectEffects()
--- a/jobs/owner/checkpoint_test.go
+++ b/jobs/owner/checkpoint_test.go
@@ -31,7 +31,7 @@
 
 	records := r.core.PendingRecords(10)
 	require.Len(t, records, 1)
-	next := newRig(t, 2, Loaded{Job: j, Progress: &records[0].Progress})
+	next := newRig(t, 2, StoredJob{Job: j, Progress: &records[0].Progress})
 	b := next.worker("b")
 	next.answerHold(b, nil)
 	next.tick(100 * time.Millisecond)
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -27,7 +27,7 @@
 	rigClockMs = 100_000 // clock of every worker when the rig starts
 )
 
-func newRig(t *testing.T, term uint64, loaded ...Loaded) *rig {
+func newRig(t *testing.T, term uint64, loaded ...StoredJob) *rig {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{
 		Queues:   []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2, ObjectiveFactor: 2, ObjectiveOffset: time.Second}},
@@ -110,7 +110,7 @@
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+		r.core.OnStartAnswer(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	}
 	r.collectEffects()
 	return out
@@ -150,7 +150,7 @@
 
 func TestAnswerOfAWorkerThatIsGone(t *testing.T) {
 	j := simpleJob(1, 1)
-	r := newRig(t, 2, Loaded{Job: j})
+	r := newRig(t, 2, StoredJob{Job: j})
 	a := r.worker("a")
 	b := r.worker("b")
 	r.answerHold(b, nil)
@@ -165,7 +165,7 @@
 
 func TestInheritedTasksWaitForEveryWorker(t *testing.T) {
 	j := simpleJob(1, 1)
-	r := newRig(t, 2, Loaded{Job: j})
+	r := newRig(t, 2, StoredJob{Job: j})
 	r.worker("a")
 	b := r.worker("b")
 	r.answerHold(b, nil)
@@ -193,7 +193,7 @@
 // TestLeftOverRegistrationsDoNotDelayATakeover: the store still lists a worker whose instance
 // was moved. Inherited tasks must not wait for its answer.
 func TestLeftOverRegistrationsDoNotDelayATakeover(t *testing.T) {
-	r := newRig(t, 2, Loaded{Job: simpleJob(1, 1)})
+	r := newRig(t, 2, StoredJob{Job: simpleJob(1, 1)})
 	b := r.worker("b")
 	r.regs = append(r.regs, Registration{Worker: "ended", Service: "s", Addr: "ended"})
 	r.publishLists()
@@ -209,18 +209,18 @@
 	r.submit(1, 1)
 	first := r.out.Starts[0]
 	r.out.Starts = nil
-	r.core.OnStarted(first, Answer{Outcome: Unanswered}, r.now)
+	r.core.OnStartAnswer(first, Answer{Outcome: Unanswered}, r.now)
 	r.collectEffects()
 	require.Len(t, r.out.Starts, 1, "the start is sent again")
 	second := r.out.Starts[0]
 	assert.Equal(t, first.Run, second.Run, "with the same run number")
 	r.out.Starts = nil
-	r.core.OnStarted(second, Answer{Outcome: NoCapacity, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStartAnswer(second, Answer{Outcome: NoCapacity, ClockMs: r.clockMs()}, r.now)
 	r.collectEffects()
 	require.Len(t, r.out.Stops, 1, "the first start may still arrive")
 	r.tick(300 * time.Millisecond)
 	assert.Empty(t, r.out.Starts, "the task waits for the stop")
-	r.core.OnStopped(r.out.Stops[0], Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopAnswer(r.out.Stops[0], Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	r.tick(25 * time.Millisecond)
 	r.answerHold(a, nil) // the hold that was pending
 	r.tick(25 * time.Millisecond)
@@ -264,7 +264,7 @@
 // testAttemptsOverTerms has a task fail for the second time under a new owner.
 func testAttemptsOverTerms(t *testing.T, j *job.Job) {
 	p := &job.Progress{State: job.Running, Steps: []job.StepProgress{{Failed: map[int]job.Failures{0: {1_000_007}}}}}
-	r := newRig(t, 2, Loaded{Job: j, Progress: p})
+	r := newRig(t, 2, StoredJob{Job: j, Progress: p})
 	a := r.worker("a")
 	r.answerHold(a, nil)
 	s := r.confirmStarts()[0]
@@ -281,7 +281,7 @@
 func TestAFailureThatIsListedAgainCountsOnce(t *testing.T) {
 	j := simpleJob(1, 1)
 	p := &job.Progress{State: job.Running, Steps: []job.StepProgress{{Failed: map[int]job.Failures{0: {1_000_007}}}}}
-	r := newRig(t, 2, Loaded{Job: j, Progress: p})
+	r := newRig(t, 2, StoredJob{Job: j, Progress: p})
 	a := r.worker("a")
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_007, Kind: EndFailed})
 	r.tick(100 * time.Millisecond)
@@ -292,7 +292,7 @@
 // that of a newer one.
 func TestFailuresOfSeveralWorkersComeInAnyOrder(t *testing.T) {
 	j := simpleJob(1, 1)
-	r := newRig(t, 2, Loaded{Job: j})
+	r := newRig(t, 2, StoredJob{Job: j})
 	a, b := r.worker("a"), r.worker("b")
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_009, Kind: EndFailed})
 	r.answerHold(b, nil, RunEnd{Seq: 1, Task: job.TaskID{Job: j.ID}, Run: 1_000_008, Kind: EndFailed})
@@ -336,7 +336,7 @@
 	require.Len(t, r.maintenances(), 1)
 	r.inst[0].State = InstanceInMaintenance
 	r.publishLists()
-	r.core.OnInstanceOrder(r.maintenances()[0], DutyDone, r.now)
+	r.core.OnInstanceOrderAnswer(r.maintenances()[0], DutyDone, r.now)
 	r.tick(100 * time.Millisecond)
 	assert.True(t, r.out.WaveStatuses[len(r.out.WaveStatuses)-1].Done)
 }
@@ -358,7 +358,7 @@
 		r.answerHold(a, nil)
 	}
 	require.Len(t, r.maintenances(), 1)
-	r.core.OnInstanceOrder(r.maintenances()[0], DutyDone, r.now)
+	r.core.OnInstanceOrderAnswer(r.maintenances()[0], DutyDone, r.now)
 	r.answerHold(a, nil) // the hold that was pending
 	r.tick(50 * time.Millisecond)
 	r.answerHold(a, nil) // sent after the platform's answer, so the worker was not restarted
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -233,7 +233,7 @@
 	require.True(t, r.core.HasUrgentRecords())
 	records := r.core.PendingRecords(10)
 	require.Len(t, records, 1)
-	next := newRig(t, 2, Loaded{Job: j, Progress: &records[0].Progress})
+	next := newRig(t, 2, StoredJob{Job: j, Progress: &records[0].Progress})
 	next.addWorkers("x0", "x1", "x2")
 	second := next.awaitStarts(time.Second)
 	require.Len(t, second, 1)
@@ -282,7 +282,7 @@
 		j := r.submit(1, 1)
 		sent := r.out.Starts
 		require.Len(t, sent, 1)
-		r.core.OnStarted(sent[0], Answer{Outcome: Unanswered, Err: errors.New("lost"), ConnFailed: connFailed}, r.now)
+		r.core.OnStartAnswer(sent[0], Answer{Outcome: Unanswered, Err: errors.New("lost"), ConnFailed: connFailed}, r.now)
 		assert.Len(t, r.core.jobs[j.ID].steps[0].tasks[0].crashes, unconfirmed, "connection failed %t", connFailed)
 	}
 }
--- a/jobs/owner/evacuation.go
+++ b/jobs/owner/evacuation.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Evacuate sets the availability zones that get no new tasks. A zone left out by a later call
-// gets them again. Running tasks continue: one that ends by itself is done sooner than if it
-// restarted elsewhere, and a long-running one would be down for its startup although the
-// evacuation may be cancelled at once. Tasks that end there are restarted in other zones.
-func (c *Core) Evacuate(zones []string) {
+// SetEvacuatedZones sets the availability zones that get no new tasks; zones set by an earlier
+// call and missing from this one get them again. Running tasks continue: a task that ends by
+// itself completes sooner than after a restart elsewhere, and moving a long-running task costs
+// its startup time even if the evacuation is cancelled soon. Tasks that end in an evacuated
+// zone before they are done are restarted in other zones.
+func (c *Core) SetEvacuatedZones(zones []string) {
 	named := map[string]bool{}
 	for _, z := range zones {
 		named[z] = true
--- a/jobs/owner/evacuation_test.go
+++ b/jobs/owner/evacuation_test.go
@@ -36,7 +36,7 @@
 	first := r.confirmStarts()
 	require.Len(t, first, 1)
 	zone := map[WorkerID]string{"a": "z1", "b": "z2"}[first[0].Worker]
-	r.core.Evacuate([]string{zone, "nowhere"})
+	r.core.SetEvacuatedZones([]string{zone, "nowhere"})
 	supply := &r.core.pool("s").supply
 	assert.Equal(t, 1, supply.instances)
 	assert.Equal(t, 1, supply.evacuated)
@@ -47,13 +47,13 @@
 	}
 	assert.Empty(t, r.out.Stops, "runs there continue")
 
-	r.core.Evacuate([]string{"z1", "z2"})
+	r.core.SetEvacuatedZones([]string{"z1", "z2"})
 	r.submit(3, 1)
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.out.Starts)
 	assert.Empty(t, r.out.InstanceOrders, "spare instances there are not moved to the pool")
 	assert.Equal(t, CauseZoneEvacuated, r.core.waitCause("s"))
-	r.core.Evacuate(nil)
+	r.core.SetEvacuatedZones(nil)
 	r.answerHold("a", nil)
 	r.answerHold("b", nil)
 	r.tick(100 * time.Millisecond)
--- a/jobs/owner/handover_test.go
+++ b/jobs/owner/handover_test.go
@@ -37,7 +37,7 @@
 	require.Len(t, r.out.InstanceOrders, 1)
 	assert.Equal(t, InstanceID("y"), r.out.InstanceOrders[0].Instance)
 
-	r.core.OnInstanceOrder(r.out.InstanceOrders[0], DutyDone, r.now)
+	r.core.OnInstanceOrderAnswer(r.out.InstanceOrders[0], DutyDone, r.now)
 	for range 9 {
 		r.tick(400 * time.Millisecond)
 		r.publishLists()
@@ -53,11 +53,11 @@
 // TestNewOwnerKnowsTheArrivalRate: it is computed from the jobs in the store.
 func TestNewOwnerKnowsTheArrivalRate(t *testing.T) {
 	r := newRig(t, 1)
-	var loaded []Loaded
+	var loaded []StoredJob
 	for n := range 10 {
 		j := simpleJob(n, 8) // 8 core-seconds
 		j.AcceptedAt = r.now.Add(-time.Duration(10-n) * 100 * time.Millisecond)
-		loaded = append(loaded, Loaded{Job: j, Progress: &job.Progress{State: job.Completed}})
+		loaded = append(loaded, StoredJob{Job: j, Progress: &job.Progress{State: job.Completed}})
 	}
 	c := New(r.core.opt, r.core.catalog, loaded, r.now)
 	assert.InDelta(t, 80, c.pool("s").arrivalRate.WorkPerSecond(0, r.now), 10)
@@ -68,7 +68,7 @@
 func TestAnEndedJobsRunIsStopped(t *testing.T) {
 	j := simpleJob(1, 1)
 	j.Payload = ""
-	r := newRig(t, 2, Loaded{Job: j, Progress: &job.Progress{State: job.Cancelled}})
+	r := newRig(t, 2, StoredJob{Job: j, Progress: &job.Progress{State: job.Cancelled}})
 	w := r.worker("a")
 	r.answerHold(w, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: runsPerTerm + 5}})
 	require.Len(t, r.out.Stops, 1)
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -75,7 +75,7 @@
 	clock := r.core.workers[a].lease.clockMs
 	r.answerHoldAs(first, 500, nil, RunEnd{Seq: 3, Task: starts[0].Task, Run: starts[0].Run, Kind: EndDone})
 	r.answerHoldAs(second, 500, nil)
-	r.core.OnStarted(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Accepted, ClockMs: 9 * rigClockMs}, r.now)
+	r.core.OnStartAnswer(Start{Target: first, Task: starts[0].Task, Run: starts[0].Run}, Answer{Outcome: Accepted, ClockMs: 9 * rigClockMs}, r.now)
 	r.setIncarnation(a, 500)
 	r.tick(time.Second)
 	w := r.core.workers[a]
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -8,7 +8,7 @@
 )
 
 // loadJob adds a job that was in the store when this term began.
-func (c *Core) loadJob(l Loaded, now time.Time) {
+func (c *Core) loadJob(l StoredJob, now time.Time) {
 	j := c.addJob(l.Job, now)
 	j.inherited = true
 	j.loadedFromStore = true
@@ -55,9 +55,9 @@
 
 // replayArrivals replays the arrivals of the stored jobs in order of acceptance, so that a
 // new owner knows the pools' arrival rates and the use of tenants' shares from the start.
-func (c *Core) replayArrivals(loaded []Loaded, now time.Time) {
+func (c *Core) replayArrivals(loaded []StoredJob, now time.Time) {
 	list := slices.Clone(loaded)
-	slices.SortStableFunc(list, func(a, b Loaded) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
+	slices.SortStableFunc(list, func(a, b StoredJob) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
 	for _, l := range list {
 		c.chargeShare(c.jobs[l.Job.ID])
 		c.recordArrival(c.jobs[l.Job.ID], l.Job.AcceptedAt, now)
--- a/jobs/owner/latestart_test.go
+++ b/jobs/owner/latestart_test.go
@@ -29,7 +29,7 @@
 	first := r.out.Starts
 	require.Len(r.t, first, 1)
 	r.out.Starts = nil
-	r.core.OnStarted(first[0], Answer{Outcome: Unanswered}, r.now)
+	r.core.OnStartAnswer(first[0], Answer{Outcome: Unanswered}, r.now)
 	r.collectEffects()
 	require.Len(r.t, r.out.Starts, 1, "the start is retried with the same run number")
 	r.out.Starts = nil
@@ -58,7 +58,7 @@
 	r.tick(time.Second)
 	require.NotEmpty(t, r.takeStops(start.Task))
 	stop := Stop{Target: start.Target, Task: start.Task, Run: start.Run}
-	r.core.OnStopped(stop, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopAnswer(stop, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	r.answerHold(a, nil, RunEnd{Seq: 1, Task: start.Task, Run: start.Run, Kind: EndStopped})
 	r.tick(2 * time.Second)
 	assert.Empty(t, r.takeStops(start.Task), "no stop after the run has ended")
@@ -73,7 +73,7 @@
 	j, start := r.unansweredStart(1)
 	r.core.Cancel(j.ID, r.now)
 	r.collectEffects()
-	r.core.OnStopped(Stop{Target: start.Target, Task: start.Task, Run: start.Run}, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopAnswer(Stop{Target: start.Target, Task: start.Task, Run: start.Run}, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	for range 4 {
 		r.tick(500 * time.Millisecond)
 		r.answerHold(a, nil)
@@ -90,7 +90,7 @@
 // it has heard of the new owner, which knows the job as cancelled or ended. The worker then
 // lists the run to the new owner.
 func TestLateStartByPreviousOwnerIsStopped(t *testing.T) {
-	for name, loaded := range map[string]Loaded{
+	for name, loaded := range map[string]StoredJob{
 		"cancelled":          {Job: simpleJob(1, 1), Cancelled: true},
 		"stored as ended":    {Job: simpleJob(1, 1), Progress: &job.Progress{State: job.Cancelled}},
 		"of another service": {Job: &job.Job{ID: simpleJob(1, 1).ID, Queue: "removed", Service: "removed", Steps: simpleJob(1, 1).Steps}, Cancelled: true},
@@ -112,7 +112,7 @@
 // TestCancellationAcrossTakeover: a start of the previous owner arrives late, and the
 // cancellation reaches the new owner only after the worker has listed the run.
 func TestCancellationAcrossTakeover(t *testing.T) {
-	r := newRig(t, 2, Loaded{Job: simpleJob(1, 1)})
+	r := newRig(t, 2, StoredJob{Job: simpleJob(1, 1)})
 	a := r.worker("a")
 	task := job.TaskID{Job: simpleJob(1, 1).ID}
 	r.answerHold(a, []ActiveRun{{Task: task, Run: runsPerTerm + 1}})
--- a/jobs/owner/notsent_test.go
+++ b/jobs/owner/notsent_test.go
@@ -27,7 +27,7 @@
 		r.regs[i].Draining = r.regs[i].Worker == first.Worker
 	}
 	r.publishLists()
-	r.core.OnStarted(first, Answer{Outcome: NotSent}, r.now)
+	r.core.OnStartAnswer(first, Answer{Outcome: NotSent}, r.now)
 	r.tick(25 * time.Millisecond)
 	assert.Empty(t, r.takeStops(first.Task))
 	require.Len(t, r.out.Starts, 1)
@@ -44,7 +44,7 @@
 	r.answerHold(a, nil)
 	_, start := r.unansweredStart(1)
 	r.tick(OrderTimeout)
-	r.core.OnStarted(start, Answer{Outcome: NotSent}, r.now)
+	r.core.OnStartAnswer(start, Answer{Outcome: NotSent}, r.now)
 	r.tick(25 * time.Millisecond)
 	r.answerHold(a, []ActiveRun{{Task: start.Task, Run: start.Run, Percent: 10}}) // answer to a hold sent before
 	r.tick(25 * time.Millisecond)
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -27,8 +27,8 @@
 	})
 }
 
-// OnStarted handles the answer to a start, or that there was none.
-func (c *Core) OnStarted(o Start, a Answer, now time.Time) {
+// OnStartAnswer handles the outcome of a start, answered or not.
+func (c *Core) OnStartAnswer(o Start, a Answer, now time.Time) {
 	c.startWindow.onOutcome(o.Seq, now)
 	w := c.targetedWorker(o.Target)
 	if w == nil {
@@ -164,8 +164,8 @@
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(r.worker), Task: r.task.id(), Run: r.number, Timeout: c.callLossDetector.Timeout(OrderTimeout)})
 }
 
-// OnStopped handles the answer to a stop, or that there was none.
-func (c *Core) OnStopped(o Stop, a Answer, now time.Time) {
+// OnStopAnswer handles the outcome of a stop, answered or not.
+func (c *Core) OnStopAnswer(o Stop, a Answer, now time.Time) {
 	w := c.targetedWorker(o.Target)
 	if w == nil {
 		return
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -87,7 +87,7 @@
 // inherited tasks when the previous owner's leases have expired, as answers that it has not
 // read may report them as done.
 func overloadedOwnerKeepsInheritedTasks(t *testing.T) {
-	r := newRig(t, 2, Loaded{Job: simpleJob(1, 1)})
+	r := newRig(t, 2, StoredJob{Job: simpleJob(1, 1)})
 	var all []WorkerID
 	for i := range 20 {
 		all = append(all, r.worker(fmt.Sprint("w", i)))
@@ -168,7 +168,7 @@
 func TestLongRunningTasksOfAStarvedOwner(t *testing.T) {
 	longRunning, other := simpleJob(1, 1), simpleJob(2, 1)
 	longRunning.Steps[0].LongRunning = true
-	r := newRig(t, 2, Loaded{Job: longRunning}, Loaded{Job: other})
+	r := newRig(t, 2, StoredJob{Job: longRunning}, StoredJob{Job: other})
 	r.worker("silent")
 	r.answerHold(r.worker("a"), nil)
 	for r.now.Sub(r.core.startedAt) <= r.core.maxLeaseDuration() {
--- a/jobs/owner/partition_test.go
+++ b/jobs/owner/partition_test.go
@@ -18,7 +18,7 @@
 // answer. With four of seven workers silent the tasks started elsewhere after 4.3 s.
 
 // partitionedRig returns a rig with five partitioned and three idle workers.
-func partitionedRig(t *testing.T, term uint64, loaded ...Loaded) (r *rig, partitioned, healthy []WorkerID) {
+func partitionedRig(t *testing.T, term uint64, loaded ...StoredJob) (r *rig, partitioned, healthy []WorkerID) {
 	r = newRig(t, term, loaded...)
 	for i := range 5 {
 		partitioned = append(partitioned, r.worker(fmt.Sprint("cut", i)))
@@ -65,7 +65,7 @@
 		assert.Len(t, r.out.Starts, 5)
 	})
 	t.Run("what a new owner inherits", func(t *testing.T) {
-		r, partitioned, healthy := partitionedRig(t, 2, Loaded{Job: simpleJob(1, 5)})
+		r, partitioned, healthy := partitionedRig(t, 2, StoredJob{Job: simpleJob(1, 5)})
 		r.runPartitioned(longEnough, partitioned, healthy)
 		assert.Len(t, r.out.Starts, 5)
 	})
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -17,7 +17,7 @@
 func TestJobIsPendingUntilATaskIsKnownToHaveStarted(t *testing.T) {
 	answer := func(o Outcome) func(r *rig, s Start) {
 		return func(r *rig, s Start) {
-			r.core.OnStarted(s, Answer{Outcome: o, ClockMs: r.clockMs()}, r.now)
+			r.core.OnStartAnswer(s, Answer{Outcome: o, ClockMs: r.clockMs()}, r.now)
 			r.collectEffects()
 		}
 	}
@@ -46,7 +46,7 @@
 			}
 		}},
 		{"the worker reports that nothing runs", func(r *rig, s Start) {
-			r.core.OnStarted(s, Answer{Outcome: Unanswered}, r.now)
+			r.core.OnStartAnswer(s, Answer{Outcome: Unanswered}, r.now)
 			r.collectEffects()
 			r.tick(time.Second)
 			r.answerHold(s.Worker, nil)
@@ -74,7 +74,7 @@
 		then func(r *rig, s Start)
 	}{
 		{"it accepts the start order", func(r *rig, s Start) {
-			r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+			r.core.OnStartAnswer(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 		}},
 		{"it lists the run", func(r *rig, s Start) { r.answerHold(s.Worker, []ActiveRun{{Task: s.Task, Run: s.Run}}) }},
 		{"it lists the failed run as ended", func(r *rig, s Start) {
@@ -98,7 +98,7 @@
 // known to have started either.
 func TestInheritedJobIsPendingUntilARunIsReported(t *testing.T) {
 	j := simpleJob(1, 1)
-	r := newRig(t, 2, Loaded{Job: j})
+	r := newRig(t, 2, StoredJob{Job: j})
 	a := r.worker("a")
 	assert.Equal(t, 1, r.core.PendingJobs("q"))
 	r.answerHold(a, []ActiveRun{{Task: job.TaskID{Job: j.ID}, Run: runsPerTerm + 1}})
@@ -116,10 +116,10 @@
 	r.collectEffects()
 	require.Len(t, r.out.Starts, 2)
 	first, second := r.out.Starts[0], r.out.Starts[1]
-	r.core.OnStarted(first, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStartAnswer(first, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	assert.Equal(t, 1, r.core.PendingJobs("q"), "the first member waits for the second")
 	r.answerHold(first.Worker, nil, RunEnd{Seq: 1, Task: first.Task, Run: first.Run, Kind: EndGangIncomplete})
 	assert.Equal(t, 1, r.core.PendingJobs("q"), "the first member gave up waiting")
-	r.core.OnStarted(second, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStartAnswer(second, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	assert.Equal(t, 1, r.core.PendingJobs("q"), "the second member started too late")
 }
--- a/jobs/owner/preempt_test.go
+++ b/jobs/owner/preempt_test.go
@@ -66,7 +66,7 @@
 	r.advance(preemptDelayLongRunning, a, active)
 	require.Len(t, r.out.Stops, 1, "one task is enough")
 	stop := r.out.Stops[0]
-	r.core.OnStopped(stop, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+	r.core.OnStopAnswer(stop, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 	r.answerHold(a, withoutTask(active, stop.Task), RunEnd{Seq: 1, Task: stop.Task, Run: stop.Run, Kind: EndStopped})
 	r.tick(minScheduleInterval)
 	starts := r.confirmStarts()
--- a/jobs/owner/saturatedlink_test.go
+++ b/jobs/owner/saturatedlink_test.go
@@ -23,7 +23,7 @@
 	out := r.out.Starts
 	r.out.Starts = nil
 	for _, s := range out {
-		r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs(), Latency: saturatedLinkLatency}, r.now)
+		r.core.OnStartAnswer(s, Answer{Outcome: Accepted, ClockMs: r.clockMs(), Latency: saturatedLinkLatency}, r.now)
 	}
 	r.collectEffects()
 	return out
@@ -93,7 +93,7 @@
 	r.out.Starts = nil
 	r.tick(OrderTimeout)
 	for _, s := range lost {
-		r.core.OnStarted(s, Answer{Outcome: Unanswered}, r.now)
+		r.core.OnStartAnswer(s, Answer{Outcome: Unanswered}, r.now)
 	}
 	for _, w := range all[:silent] {
 		if r.core.workers[w].holdInFlight {
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -92,7 +92,7 @@
 func TestMaintenanceWaitsForTheWorkersAnswer(t *testing.T) {
 	j := simpleJob(1, 1)
 	j.Steps[0].LongRunning = true
-	r := newRig(t, 2, Loaded{Job: j})
+	r := newRig(t, 2, StoredJob{Job: j})
 	r.core.opt.TaskLease = 6 * time.Second // longer than instance orders pause after a change of owner
 	a, b := r.worker("a"), r.worker("b")
 	r.answerHold(b, nil)
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -73,7 +73,7 @@
 			default:
 				started[s.Task] = true
 			}
-			r.core.OnStarted(s, a, r.now)
+			r.core.OnStartAnswer(s, a, r.now)
 		}
 		r.core.React(r.now)
 		r.collectEffects()
@@ -147,7 +147,7 @@
 		out := r.out.Starts
 		r.out.Starts = nil
 		for _, s := range out[:min(1, len(out))] { // one per 25 ms
-			r.core.OnStarted(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+			r.core.OnStartAnswer(s, Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 		}
 		r.out.Starts = append(r.out.Starts, out[min(1, len(out)):]...)
 		r.core.React(r.now)
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -25,7 +25,7 @@
 	PriorOrders          []RecentOrder
 	ElectedAt            time.Time     // when this owner was elected; zero: now
 	PriorOrdersUnknown   bool          // the orders of other holders could not be determined
-	SucceedsSelf         bool          // the previous owner was this daemon before a restart
+	SucceedsSelf         bool          // the previous owner was this daemon, before it was restarted
 	StatusRetention      time.Duration // how long ended jobs are kept
 	MaxOutstandingStarts int           // limit of starts without an outcome; 0: no limit
 	Weights              capacity.Weights
@@ -348,12 +348,19 @@
 
 // Counts holds totals since the start of the term.
 type Counts struct {
-	Starts, Refused, Failed, Lapsed, Lost, Stopped, Done, Commits int64
-	LongRunningLapsed                                             int64 // long-running tasks among Lapsed
-	Crashes                                                       int64 // worker crashes that a task may have caused
-	IsolatedStarts                                                int64 // starts of risky tasks in isolation
-	GivenUp                                                       int64 // tasks given up because they crash their workers
-	JobsConsidered                                                int64 // jobs considered for placement
+	Starts            int64 // runs ordered; an order that is sent again does not count
+	Refused           int64 // starts that a worker refused
+	Failed            int64 // runs that failed
+	Lapsed            int64 // runs that their worker ended because their lease expired or their gang was incomplete
+	Lost              int64 // runs that ended with their worker or its lease, or vanished from its run list
+	Stopped           int64 // runs that were stopped by an order
+	Done              int64 // runs that completed their task
+	Commits           int64 // transactions that stored records
+	LongRunningLapsed int64 // long-running tasks among Lapsed
+	Crashes           int64 // worker crashes that a task may have caused
+	IsolatedStarts    int64 // starts of risky tasks in isolation
+	GivenUp           int64 // tasks given up because they crash their workers
+	JobsConsidered    int64 // jobs considered for placement
 }
 
 // Decision is a log line: what was decided about a job, a worker or an instance, and
@@ -397,7 +404,7 @@
 
 // New returns a core for a term that begins at now. loaded holds all jobs in the store
 // at that time.
-func New(opt Options, catalog *job.Catalog, loaded []Loaded, now time.Time) *Core {
+func New(opt Options, catalog *job.Catalog, loaded []StoredJob, now time.Time) *Core {
 	c := &Core{
 		opt:                    opt,
 		fencingToken:           opt.Term,
@@ -455,9 +462,9 @@
 	return c
 }
 
-// Loaded is a job as the store holds it.
-type Loaded struct {
+// StoredJob is a job as read from the store.
+type StoredJob struct {
 	Job       *job.Job
 	Progress  *job.Progress // nil: none stored
-	Cancelled bool
+	Cancelled bool          // a cancellation is stored
 }
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -82,18 +82,18 @@
 }
 
 // jobs returns the jobs in the store: many waiting ones, and some long-running ones.
-func (f *busyFleet) jobs() []Loaded {
-	var out []Loaded
+func (f *busyFleet) jobs() []StoredJob {
+	var out []StoredJob
 	for n := range busyJobs {
 		j := simpleJob(n+1, 8)
 		j.AcceptedAt = f.startedAt.Add(-time.Duration(busyJobs-n) * 4 * time.Millisecond)
-		out = append(out, Loaded{Job: j})
+		out = append(out, StoredJob{Job: j})
 	}
 	for n := range busySteps {
 		j := simpleJob(busyJobs+n+1, 24)
 		j.Steps[0].LongRunning = true
 		j.Steps[0].MayMiss = 5
-		out = append(out, Loaded{Job: j})
+		out = append(out, StoredJob{Job: j})
 	}
 	return out
 }
@@ -186,7 +186,7 @@
 	for _, o := range e.Starts {
 		f.freeAt = f.freeAt.Add(callCost)
 		f.pending = append(f.pending, busyEvent{at: f.freeAt.Add(roundTrip), handle: func(now time.Time, _ bool) {
-			f.core.OnStarted(o, Answer{Outcome: Accepted, ClockMs: f.clockMs(now)}, now)
+			f.core.OnStartAnswer(o, Answer{Outcome: Accepted, ClockMs: f.clockMs(now)}, now)
 		}})
 	}
 }
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -89,7 +89,7 @@
 func TestTenantLimitAfterTakeover(t *testing.T) {
 	for cores, starts := range map[int]int{3: 1, 2: 0} {
 		old := tenantJob(1, 2, "q")
-		r := newRig(t, 2, Loaded{Job: old})
+		r := newRig(t, 2, StoredJob{Job: old})
 		r.setTenantLimit(cores)
 		r.worker("w0")
 		r.addWorkers("w1")
--- a/jobs/owner/throttle.go
+++ b/jobs/owner/throttle.go
@@ -77,9 +77,9 @@
 	})
 }
 
-// OnThrottled handles the answer to a Throttle order. Without an answer the order is sent
-// again at the next interval.
-func (c *Core) OnThrottled(o Throttle, a Answer, now time.Time) {
+// OnThrottleAnswer handles the outcome of a Throttle order. Without an answer the order is
+// sent again at the next interval.
+func (c *Core) OnThrottleAnswer(o Throttle, a Answer, now time.Time) {
 	w := c.targetedWorker(o.Target)
 	if w == nil {
 		return
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -175,7 +175,7 @@
 	EndDone EndKind = iota
 	EndFailed
 	EndStopped
-	EndLapsed         // the lease expired
+	EndLeaseExpired   // the lease expired
 	EndPeerEnded      // another member of the gang ended
 	EndGangIncomplete // not all members of the gang arrived
 )
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -17,7 +17,7 @@
 func (r *rig) failStarts(s Start) {
 	for range maxStartSends {
 		r.tick(OrderTimeout)
-		r.core.OnStarted(s, Answer{Outcome: Unanswered}, r.now)
+		r.core.OnStartAnswer(s, Answer{Outcome: Unanswered}, r.now)
 		r.core.React(r.now)
 		r.collectEffects()
 	}
@@ -67,7 +67,7 @@
 		stops := r.takeStops(s.Task)
 		require.Len(t, stops, 1, "the start may still arrive")
 		assert.Empty(t, r.out.Starts, "the task waits for the stop")
-		r.core.OnStopped(stops[0], Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
+		r.core.OnStopAnswer(stops[0], Answer{Outcome: Accepted, ClockMs: r.clockMs()}, r.now)
 		r.tick(25 * time.Millisecond)
 		r.answerHold(a, nil) // answer to a hold sent before the stop was answered
 		r.tick(25 * time.Millisecond)
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -354,8 +354,8 @@
 	c.effects.InstanceOrders = append(c.effects.InstanceOrders, InstanceOrder{Instance: cand.id, Wave: ws.Wave})
 }
 
-// OnInstanceOrder handles the platform's answer to a move or a maintenance order.
-func (c *Core) OnInstanceOrder(o InstanceOrder, outcome DutyOutcome, now time.Time) {
+// OnInstanceOrderAnswer handles the platform's answer to a move or a maintenance order.
+func (c *Core) OnInstanceOrderAnswer(o InstanceOrder, outcome DutyOutcome, now time.Time) {
 	if o.Wave == 0 {
 		c.onMoveOutcome(o, outcome, now)
 		return
--- a/jobs/owner/wave_test.go
+++ b/jobs/owner/wave_test.go
@@ -41,7 +41,7 @@
 	require.Equal(t, []InstanceOrder{{Instance: "i-a", Wave: 1}}, r.maintenances(), "one at a time")
 	r.inst[0].State = InstanceInMaintenance
 	r.publishLists()
-	r.core.OnInstanceOrder(r.maintenances()[0], DutyDone, r.now)
+	r.core.OnInstanceOrderAnswer(r.maintenances()[0], DutyDone, r.now)
 	r.tick(100 * time.Millisecond)
 	assert.True(t, r.isWaveDone(1))
 	assert.False(t, r.isWaveDone(2))
@@ -49,7 +49,7 @@
 	r.tick(200 * time.Millisecond)
 	require.Len(t, r.maintenances(), 2)
 	assert.Equal(t, InstanceOrder{Instance: "i-a", Wave: 2}, r.maintenances()[1])
-	r.core.OnInstanceOrder(r.maintenances()[1], DutyDone, r.now)
+	r.core.OnInstanceOrderAnswer(r.maintenances()[1], DutyDone, r.now)
 	r.tick(100 * time.Millisecond)
 	assert.True(t, r.isWaveDone(2))
 }
@@ -70,7 +70,7 @@
 		r.tick(200 * time.Millisecond)
 		require.Len(t, r.maintenances(), wave)
 		require.Equal(t, wave, r.maintenances()[wave-1].Wave)
-		r.core.OnInstanceOrder(r.maintenances()[wave-1], DutyDone, r.now)
+		r.core.OnInstanceOrderAnswer(r.maintenances()[wave-1], DutyDone, r.now)
 		r.inst[0].State = InstanceInMaintenance
 		r.publishLists()
 		r.tick(3 * time.Second)
--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -134,7 +134,7 @@
 	term := h.s.term
 	if h.s.engine.now.Sub(next.decided) > maxStartAge {
 		h.deliver(StartAnswered, term, func(c *owner.Core) {
-			c.OnStarted(next.order, owner.Answer{Outcome: owner.NotSent}, h.s.engine.now)
+			c.OnStartAnswer(next.order, owner.Answer{Outcome: owner.NotSent}, h.s.engine.now)
 		})
 		return
 	}
@@ -158,7 +158,7 @@
 		if took > owner.OrderTimeout {
 			a = owner.Answer{Outcome: owner.Unanswered}
 		}
-		h.deliver(StartAnswered, term, func(c *owner.Core) { c.OnStarted(next.order, a, h.s.engine.now) })
+		h.deliver(StartAnswered, term, func(c *owner.Core) { c.OnStartAnswer(next.order, a, h.s.engine.now) })
 	})
 }
 
@@ -172,7 +172,7 @@
 		if took > owner.OrderTimeout {
 			a = owner.Answer{Outcome: owner.Unanswered}
 		}
-		h.deliver(StopAnswered, term, func(c *owner.Core) { c.OnStopped(o, a, h.s.engine.now) })
+		h.deliver(StopAnswered, term, func(c *owner.Core) { c.OnStopAnswer(o, a, h.s.engine.now) })
 	})
 }
 
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -239,7 +239,7 @@
 		for _, t := range slices.Clone(w.startOrder) {
 			s.result.ExpiredTasks++
 			s.countWasted(w.active[t])
-			s.end(w, t, w.active[t], owner.EndLapsed)
+			s.end(w, t, w.active[t], owner.EndLeaseExpired)
 		}
 	})
 }
--- a/lab/jobload/sim.go
+++ b/lab/jobload/sim.go
@@ -151,9 +151,9 @@
 // elect starts a term. The new owner knows what is in the store.
 func (s *sim) elect() {
 	s.term++
-	var loaded []owner.Loaded
+	var loaded []owner.StoredJob
 	for _, j := range s.stored {
-		l := owner.Loaded{Job: j.spec}
+		l := owner.StoredJob{Job: j.spec}
 		if p, ok := s.progress[j.spec.ID]; ok {
 			l.Progress = &p
 		}
@@ -203,13 +203,13 @@
 	for _, o := range e.Starts {
 		s.engine.after(callTime, func() {
 			a := s.answerOrLose(func() owner.Answer { return s.start(o) })
-			s.deliverAnswer(StartAnswered, a, o.Timeout, term, func(c *owner.Core) { c.OnStarted(o, a, s.engine.now) })
+			s.deliverAnswer(StartAnswered, a, o.Timeout, term, func(c *owner.Core) { c.OnStartAnswer(o, a, s.engine.now) })
 		})
 	}
 	for _, o := range e.Stops {
 		s.engine.after(callTime, func() {
 			a := s.answerOrLose(func() owner.Answer { return s.stop(o) })
-			s.deliverAnswer(StopAnswered, a, o.Timeout, term, func(c *owner.Core) { c.OnStopped(o, a, s.engine.now) })
+			s.deliverAnswer(StopAnswered, a, o.Timeout, term, func(c *owner.Core) { c.OnStopAnswer(o, a, s.engine.now) })
 		})
 	}
 	for _, o := range e.Holds {
@@ -240,7 +240,7 @@
 		s.ordered[o.Instance] = s.engine.now
 		s.engine.after(storeTime+callTime, func() {
 			outcome := s.applyInstanceOrder(o)
-			s.deliver(ListRead, term, func(c *owner.Core) { c.OnInstanceOrder(o, outcome, s.engine.now) })
+			s.deliver(ListRead, term, func(c *owner.Core) { c.OnInstanceOrderAnswer(o, outcome, s.engine.now) })
 			if s.daemonSim == nil {
 				s.listInstances()
 			}
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -293,7 +293,7 @@
 	r := c.record(t)
 	if r.ready() {
 		r.lastReady = time.Now()
-		r.endedByOrder = how == endedWithInstance || how == owner.EndStopped.String() || how == owner.EndLapsed.String() && c.faultsEnded
+		r.endedByOrder = how == endedWithInstance || how == owner.EndStopped.String() || how == owner.EndLeaseExpired.String() && c.faultsEnded
 	}
 	if r.running[w] == run {
 		delete(r.running, w)
--- a/standin/jobfleet/disruption.go
+++ b/standin/jobfleet/disruption.go
@@ -45,7 +45,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	rec := c.jobs[t.Job]
-	byLease := how == owner.EndLapsed.String()
+	byLease := how == owner.EndLeaseExpired.String()
 	if rec == nil || byLease && !c.faultsEnded {
 		return
 	}
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -267,7 +267,7 @@
 			return
 		}
 		for _, e := range w.active {
-			f.end(w, e, owner.EndLapsed)
+			f.end(w, e, owner.EndLeaseExpired)
 		}
 	})
 }
@@ -281,7 +281,7 @@
 	w.latest[e.task] = max(w.latest[e.task], e.run)
 	w.number++
 	w.ended = append(w.ended, owner.RunEnd{Seq: w.number, Task: e.task, Run: e.run, Kind: kind})
-	if kind == owner.EndStopped || kind == owner.EndLapsed {
+	if kind == owner.EndStopped || kind == owner.EndLeaseExpired {
 		f.checker.checkDisruption(e.task, w.reg.Worker, kind.String(), w.healthy())
 	}
 	f.checker.ended(e.task, e.run, w.reg.Worker, kind.String())
