--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -27,8 +27,8 @@
 	return l.lastAnswerAt
 }
 
-// loseRun releases a run that ended with its worker or its lease. proof is how that is known.
-func (c *Core) loseRun(r *run, proof string, now time.Time) {
+// releaseLostRun releases a run that ended with its worker or its lease. proof is how that is known.
+func (c *Core) releaseLostRun(r *run, proof string, now time.Time) {
 	c.counts.Lost++
 	id := r.task.id()
 	c.logDecision(Decision{Event: "run-lost", Job: id.Job, Task: id.String(), Worker: r.worker.Worker, Run: r.number,
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -31,7 +31,7 @@
 	if !spec.Speculative || t.done || spec.LongRunning || len(t.runs) == 0 || len(t.runs) >= maxSpeculativeRuns {
 		return noCopy
 	}
-	if len(t.crashes) >= minCrashesForProof {
+	if len(t.crashes) >= minConclusiveCrashes {
 		return noCopy // may crash the copy's worker too
 	}
 	r := t.runs[0]
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -23,18 +23,18 @@
 	// start. Such a crash happens within milliseconds, but the confirming answer may wait for
 	// the owner's processor.
 	atStartTime = 150 * time.Millisecond
-	// lossDecisionDelay is the time from the end of a worker's incarnation to the decision
+	// attributionDelay is the time from the end of a worker's incarnation to the decision
 	// whether a task caused it: if its rack failed, the other losses are known by then.
-	lossDecisionDelay = 400 * time.Millisecond
-	// maxLossDecisionTime bounds how long a task waits for that decision before it is started
+	attributionDelay = 400 * time.Millisecond
+	// maxAttributionTime bounds how long a task waits for that decision before it is started
 	// again: whether a worker has ended is known within about 3 s unless it is partitioned.
-	maxLossDecisionTime = 6 * time.Second
+	maxAttributionTime = 6 * time.Second
 	// unseenWorkerWait is how long a new owner waits for a worker to which an earlier owner
 	// lost contact to appear in the registrations and the instance list.
 	unseenWorkerWait = 2500 * time.Millisecond
 	// lostWorkerRetention is how long ended incarnations are kept for these decisions: the
 	// longest wait and a margin.
-	lostWorkerRetention = maxLossDecisionTime + 2*time.Second
+	lostWorkerRetention = maxAttributionTime + 2*time.Second
 	// longRunningClearTime is how long a long-running task has to serve to be cleared.
 	longRunningClearTime = 10 * time.Second
 )
@@ -99,9 +99,9 @@
 	return w.endOrdered || w.Draining || w.reserved == reservedMove
 }
 
-// investigateLoss records unconfirmed crashes for an incarnation that has ended, and schedules
+// scheduleAttribution records unconfirmed crashes for an incarnation that has ended, and schedules
 // the decision on them.
-func (c *Core) investigateLoss(w *worker, now time.Time) {
+func (c *Core) scheduleAttribution(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
 		w.contactLoss = contactLoss{lostAt: now, lastAnswerAt: w.lastAnswerAt}
 	}
@@ -111,31 +111,31 @@
 	w.crashSuspects = slices.Clone(c.unconfirmedCrashes[w.incarnation()])
 	c.recentlyEnded = append(c.recentlyEnded, w)
 	if len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
-		c.lossDecisionsDue.add(now.Add(lossDecisionDelay), w)
+		c.attributionsDue.add(now.Add(attributionDelay), w)
 	}
 }
 
-// decideLosses makes the decisions that are due.
-func (c *Core) decideLosses(now time.Time) {
-	for _, w := range c.lossDecisionsDue.popAllDue(now) {
-		c.decideLoss(w, now)
+// attributeLosses makes the decisions that are due.
+func (c *Core) attributeLosses(now time.Time) {
+	for _, w := range c.attributionsDue.popAllDue(now) {
+		c.attributeLoss(w, now)
 	}
-	c.decideUnseenWorkers(now)
+	c.attributeUnseenLosses(now)
 	c.recentlyEnded = slices.DeleteFunc(c.recentlyEnded, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostWorkerRetention })
 }
 
-// decideLoss confirms or clears the crashes of an incarnation that has ended. While other
+// attributeLoss confirms or clears the crashes of an incarnation that has ended. While other
 // workers of its rack or zone are silent it waits: during a network partition of some seconds
 // a crash by a task would otherwise be blamed on the rack.
-func (c *Core) decideLoss(w *worker, now time.Time) {
+func (c *Core) attributeLoss(w *worker, now time.Time) {
 	if w.endsAsPlanned() {
 		c.clearCrashes(w.incarnation(), "the worker ended as planned")
 		return
 	}
 	correlation := c.lossCorrelationOf(w)
 	switch {
-	case correlation == possiblyCorrelated && now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime:
-		c.lossDecisionsDue.add(now.Add(lossDecisionDelay), w)
+	case correlation == possiblyCorrelated && now.Sub(w.contactLoss.lostAt) < maxAttributionTime:
+		c.attributionsDue.add(now.Add(attributionDelay), w)
 	case correlation == uncorrelated:
 		c.confirmCrashes(w.incarnation(), now)
 	default:
@@ -143,14 +143,14 @@
 	}
 }
 
-// decideUnseenWorkers confirms crashes on workers to which an earlier owner lost contact and
+// attributeUnseenLosses confirms crashes on workers to which an earlier owner lost contact and
 // which have not answered this one, once it is known that they have ended.
-func (c *Core) decideUnseenWorkers(now time.Time) {
+func (c *Core) attributeUnseenLosses(now time.Time) {
 	if len(c.unconfirmedCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
 	}
 	for _, inc := range slices.SortedFunc(maps.Keys(c.unconfirmedCrashes), compareIncarnations) {
-		if !c.isUnderInvestigation(inc) && c.hasUnseenIncarnationEnded(inc) {
+		if !c.isAttributionScheduled(inc) && c.hasUnseenIncarnationEnded(inc) {
 			c.confirmCrashes(inc, now)
 		}
 	}
@@ -163,7 +163,7 @@
 	if w != nil && w.relationTo(inc.startedMs) != sameIncarnation {
 		return true // a later incarnation is known
 	}
-	return (w == nil || !w.heldByThisOwner && !w.ended) && !c.instanceListShows(inc.worker)
+	return (w == nil || !w.answeredThisOwner && !w.ended) && !c.instanceListShows(inc.worker)
 }
 
 // instanceListShows reports whether the instance list shows the worker.
@@ -172,9 +172,9 @@
 	return i != nil && i.Worker == id
 }
 
-// isUnderInvestigation reports whether a decision on the incarnation is scheduled.
-func (c *Core) isUnderInvestigation(inc incarnation) bool {
-	for _, e := range c.lossDecisionsDue.entries {
+// isAttributionScheduled reports whether a decision on the incarnation is scheduled.
+func (c *Core) isAttributionScheduled(inc incarnation) bool {
+	for _, e := range c.attributionsDue.entries {
 		if e.value.incarnation() == inc {
 			return true
 		}
@@ -210,7 +210,7 @@
 	}
 	c.markDirty(j)
 	c.queueForPlacement(j)
-	c.giveUpIfProven(t, now)
+	c.giveUpIfConclusive(t, now)
 }
 
 // crashReason describes a confirmed crash in the log.
@@ -218,9 +218,9 @@
 	return fmt.Sprintf("%d confirmed so far; at start %t, time known %t, sole suspect %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
 }
 
-// giveUpIfProven gives the task up if it conclusively crashes its workers. Its job fails,
+// giveUpIfConclusive gives the task up if it conclusively crashes its workers. Its job fails,
 // unless other long-running tasks of the job serve; these go on without it.
-func (c *Core) giveUpIfProven(t *task, now time.Time) {
+func (c *Core) giveUpIfConclusive(t *task, now time.Time) {
 	j := t.step.job
 	if j.state.Final() || !t.isGivenUp() {
 		return
@@ -265,13 +265,13 @@
 	}
 }
 
-// failIfCrashProven fails a job if the crashes that an earlier owner recorded are conclusive.
+// failIfCrashesConclusive fails a job if the crashes that an earlier owner recorded are conclusive.
 // Long-running tasks are left alone: whether others of the job serve is not known yet.
-func (c *Core) failIfCrashProven(j *jobState, now time.Time) {
+func (c *Core) failIfCrashesConclusive(j *jobState, now time.Time) {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
 			if !s.spec.LongRunning {
-				c.giveUpIfProven(t, now)
+				c.giveUpIfConclusive(t, now)
 			}
 		}
 	}
@@ -330,36 +330,36 @@
 	return false
 }
 
-// awaitsLossDecision reports whether the task has to wait for the decision on workers that it
+// awaitsAttribution reports whether the task has to wait for the decision on workers that it
 // may have crashed: the crashes may turn out conclusive, and another start would cost one
 // more worker.
-func (t *task) awaitsLossDecision(c *Core, now time.Time) bool {
-	if len(t.crashes) < minCrashesForProof {
+func (t *task) awaitsAttribution(c *Core, now time.Time) bool {
+	if len(t.crashes) < minConclusiveCrashes {
 		return false
 	}
 	for _, k := range t.crashes {
-		if k.Unconfirmed() && c.isLossUndecided(parseIncarnation(k.Worker), now) {
+		if k.Unconfirmed() && c.isAttributionPending(parseIncarnation(k.Worker), now) {
 			return true
 		}
 	}
 	return false
 }
 
-// minCrashesForProof is the least number of crashes that can be conclusive.
-const minCrashesForProof = 2
+// minConclusiveCrashes is the least number of crashes that can be conclusive.
+const minConclusiveCrashes = 2
 
-// isLossUndecided reports whether a decision on the loss of the incarnation may still come
+// isAttributionPending reports whether a decision on the loss of the incarnation may still come
 // within maxLossDecisionTime.
-func (c *Core) isLossUndecided(inc incarnation, now time.Time) bool {
+func (c *Core) isAttributionPending(inc incarnation, now time.Time) bool {
 	if w := c.currentWorker(inc); w != nil {
-		return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
+		return now.Sub(w.contactLoss.lostAt) < maxAttributionTime
 	}
 	for _, w := range c.recentlyEnded {
 		if w.incarnation() == inc {
-			return now.Sub(w.contactLoss.lostAt) < maxLossDecisionTime
+			return now.Sub(w.contactLoss.lostAt) < maxAttributionTime
 		}
 	}
-	return now.Sub(c.startedAt) < maxLossDecisionTime
+	return now.Sub(c.startedAt) < maxAttributionTime
 }
 
 // clearLongRunning clears the crashes, stalls and retries of a long-running task that has
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -119,9 +119,9 @@
 	c.logDecision(Decision{Event: "worker-reborn", Worker: old.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(old.runs))})
 	if !old.ended {
 		old.ended = true
-		c.investigateLoss(old, now)
+		c.scheduleAttribution(old, now)
 	}
-	c.forgetWorker(old.Worker)
+	c.removeWorker(old.Worker)
 	w := c.newWorker(old.Worker, startedMs, now)
 	w.pastStartsMs = append(slices.Clone(old.pastStartsMs), old.StartedMs)
 	w.pastStartsMs = w.pastStartsMs[max(0, len(w.pastStartsMs)-maxPastIncarnations):]
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -49,7 +49,7 @@
 	r.tick(100 * time.Millisecond)
 	assert.Empty(t, r.out.Starts, "the new incarnation has not listed its runs yet")
 	r.answerHoldAs(second, 700, nil)
-	r.tick(maxLossDecisionTime)
+	r.tick(maxAttributionTime)
 	starts = r.confirmStarts()
 	require.Len(t, starts, 1, "the run ended with the past incarnation")
 	assert.Equal(t, int64(700), starts[0].StartedMs)
@@ -101,7 +101,7 @@
 	assert.Equal(t, int64(300), r.core.workers[a].StartedMs)
 	second := r.setIncarnation(a, 300)
 	r.answerHoldAs(second, 300, nil)
-	r.tick(maxLossDecisionTime)
+	r.tick(maxAttributionTime)
 	assert.Len(t, r.confirmStarts(), 1)
 }
 
--- a/jobs/owner/isolation.go
+++ b/jobs/owner/isolation.go
@@ -123,9 +123,9 @@
 	return true
 }
 
-// isInstanceSound reports whether the worker's instance has not crashed recently, apart from
+// isInstanceReliable reports whether the worker's instance has not crashed recently, apart from
 // crashes by a task that was given up.
-func (c *Core) isInstanceSound(w *worker, now time.Time) bool {
+func (c *Core) isInstanceReliable(w *worker, now time.Time) bool {
 	i := c.instances[c.instanceOfWorker[w.Worker]]
 	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > crashedInstanceAvoidTime || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
 }
@@ -136,14 +136,14 @@
 	if t.isolationWaitSince.IsZero() {
 		t.isolationWaitSince = p.now
 	}
-	sound := func(w *worker) bool { return p.core.isInstanceSound(w, p.now) }
+	reliable := func(w *worker) bool { return p.core.isInstanceReliable(w, p.now) }
 	stable := func(w *worker) bool { return w.otherJobsStable(j, p.now) }
-	out := []func(*worker) bool{func(w *worker) bool { return w.runsNoOtherJob(j) && sound(w) }}
+	out := []func(*worker) bool{func(w *worker) bool { return w.runsNoOtherJob(j) && reliable(w) }}
 	if p.now.Sub(t.isolationWaitSince) < t.step.isolationWait() {
 		return out
 	}
 	return append(out,
-		func(w *worker) bool { return stable(w) && sound(w) },
+		func(w *worker) bool { return stable(w) && reliable(w) },
 		func(w *worker) bool { return w.runsNoOtherJob(j) },
 		stable)
 }
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -14,7 +14,7 @@
 	j.loadedFromStore = true
 	if l.Progress != nil {
 		c.restoreProgress(j, l.Progress, now)
-		c.failIfCrashProven(j, now)
+		c.failIfCrashesConclusive(j, now)
 	}
 	if l.Cancelled {
 		c.Cancel(j.spec.ID, now)
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -27,7 +27,7 @@
 func (c *Core) lossCorrelationOf(w *worker) lossCorrelation {
 	rack, zone := lossCount{min: minRackLosses}, lossCount{min: minZoneLosses}
 	count := func(o *worker) {
-		if o.endsAsPlanned() || !o.heldByThisOwner || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareCrashSuspect(o, w) {
+		if o.endsAsPlanned() || !o.answeredThisOwner || o.firstSeenAt.After(w.contactLoss.lostAt) || o != w && c.shareCrashSuspect(o, w) {
 			return
 		}
 		lost := o.contactLoss.overlaps(&w.contactLoss)
@@ -80,14 +80,14 @@
 // lossCount counts the workers of a rack or zone.
 type lossCount struct {
 	min   int
-	all   int
+	total int
 	lost  int // silent or ended
 	ended int // ended
 }
 
 // add counts a worker.
 func (c *lossCount) add(lost, ended bool) {
-	c.all++
+	c.total++
 	if lost {
 		c.lost++
 	}
@@ -108,4 +108,4 @@
 }
 
 // isMajority reports whether n is at least the minimum and more than half of all.
-func (c *lossCount) isMajority(n int) bool { return n >= c.min && 2*n > c.all }
+func (c *lossCount) isMajority(n int) bool { return n >= c.min && 2*n > c.total }
--- a/jobs/owner/partition_test.go
+++ b/jobs/owner/partition_test.go
@@ -21,10 +21,10 @@
 func partitionedRig(t *testing.T, term uint64, loaded ...StoredJob) (r *rig, partitioned, healthy []WorkerID) {
 	r = newRig(t, term, loaded...)
 	for i := range 5 {
-		partitioned = append(partitioned, r.worker(fmt.Sprint("cut", i)))
+		partitioned = append(partitioned, r.worker(fmt.Sprint("partitioned", i)))
 	}
 	for i := range 3 {
-		healthy = append(healthy, r.worker(fmt.Sprint("sound", i)))
+		healthy = append(healthy, r.worker(fmt.Sprint("reachable", i)))
 	}
 	return r, partitioned, healthy
 }
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -66,7 +66,7 @@
 
 // estimateRatio compares the measured and the estimated core-seconds of completed tasks,
 // as exponentially decaying sums.
-type estimateRatio struct{ took, estimated float64 }
+type estimateRatio struct{ measured, estimated float64 }
 
 // ratioDecay is the factor applied to the sums at each completed task. About the last 100
 // tasks count.
@@ -76,16 +76,16 @@
 const maxEstimateRatio = 4
 
 func (e *estimateRatio) add(took, estimated float64) {
-	e.took = e.took*ratioDecay + took
+	e.measured = e.measured*ratioDecay + took
 	e.estimated = e.estimated*ratioDecay + estimated
 }
 
 // factor returns the ratio of measured to estimated work; 1 without data.
 func (e *estimateRatio) factor() float64 {
-	if e.estimated <= 0 || e.took <= 0 {
+	if e.estimated <= 0 || e.measured <= 0 {
 		return 1
 	}
-	return min(maxEstimateRatio, max(1.0/maxEstimateRatio, e.took/e.estimated))
+	return min(maxEstimateRatio, max(1.0/maxEstimateRatio, e.measured/e.estimated))
 }
 
 // resizePools orders the moves of instances between pools that demand calls for.
@@ -120,7 +120,7 @@
 		return true
 	}
 	w := c.workers[i.Worker]
-	return w != nil && w.heldByThisOwner
+	return w != nil && w.answeredThisOwner
 }
 
 // poolSnapshots returns the pools as input for capacity.Plan, the spare pool separately.
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -177,8 +177,8 @@
 		r.Capacity == o.Capacity && r.Draining == o.Draining && r.StartedMs == o.StartedMs && slices.Equal(r.Labels, o.Labels)
 }
 
-// forgetWorker removes a worker whose state is no longer needed.
-func (c *Core) forgetWorker(id WorkerID) {
+// removeWorker removes a worker whose state is no longer needed.
+func (c *Core) removeWorker(id WorkerID) {
 	w := c.workers[id]
 	if !w.ended && len(c.unconfirmedCrashes[w.incarnation()]) > 0 {
 		c.clearCrashes(w.incarnation(), "the worker was removed before it was known whether it had crashed")
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -228,7 +228,7 @@
 func (c *Core) Tick(now time.Time) {
 	c.detectOverload(now)
 	c.expireLeases(now)
-	c.decideLosses(now)
+	c.attributeLosses(now)
 	c.expireUnknownJobs(now)
 	c.expireEarlyCancellations(now)
 	c.resendStops(now)
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -127,7 +127,7 @@
 	}
 	var sel *workerSelector
 	for _, t := range s.tasks {
-		if !t.needsPlacement(p.now) || t.awaitsLossDecision(p.core, p.now) {
+		if !t.needsPlacement(p.now) || t.awaitsAttribution(p.core, p.now) {
 			continue
 		}
 		if !p.withinTenantLimit(s, 1) {
@@ -219,7 +219,7 @@
 // placeGang starts all tasks of a gang under one run number, or none.
 func (p *schedulingPass) placeGang(s *stepState) {
 	for _, t := range s.tasks {
-		if !t.needsPlacement(p.now) || t.awaitsLossDecision(p.core, p.now) {
+		if !t.needsPlacement(p.now) || t.awaitsAttribution(p.core, p.now) {
 			return
 		}
 	}
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -192,7 +192,7 @@
 type worker struct {
 	Registration
 	lease                    workerLease
-	heldByThisOwner          bool      // answered a hold with this owner's fencing token
+	answeredThisOwner        bool      // answered a hold with this owner's fencing token
 	registered               bool      // counts as registered
 	firstSeenAt              time.Time // when this owner first learned of the incarnation
 	pastStartsMs             []int64   // StartedMs of earlier incarnations, oldest first
@@ -264,7 +264,7 @@
 
 // isReady reports whether the worker's own state allows new tasks.
 func (w *worker) isReady(now time.Time) bool {
-	return w.heldByThisOwner && w.registered && !w.ended && !w.Draining && w.lease.known &&
+	return w.answeredThisOwner && w.registered && !w.ended && !w.Draining && w.lease.known &&
 		w.reserved == "" && !w.isSilent() && !now.Before(w.avoidUntil)
 }
 
@@ -320,13 +320,13 @@
 	instanceListAt         time.Time                // last instance list
 	fenced                 bool
 
-	holdsDue         timerQueue[*worker]
-	stopsDue         timerQueue[*run]      // stops to resend unless confirmed
-	stallsDue        timerQueue[*run]      // runs to check for lack of progress
-	occurrencesDue   timerQueue[*jobState] // jobs with later occurrences
-	recentlyEnded    []*worker             // incarnations kept for loss decisions
-	lossDecisionsDue timerQueue[*worker]   // ended incarnations with unconfirmed crashes
-	avoidedDue       timerQueue[*worker]   // workers to index again when avoidUntil has passed
+	holdsDue        timerQueue[*worker]
+	stopsDue        timerQueue[*run]      // stops to resend unless confirmed
+	stallsDue       timerQueue[*run]      // runs to check for lack of progress
+	occurrencesDue  timerQueue[*jobState] // jobs with later occurrences
+	recentlyEnded   []*worker             // incarnations kept for loss decisions
+	attributionsDue timerQueue[*worker]   // ended incarnations with unconfirmed crashes
+	avoidedDue      timerQueue[*worker]   // workers to index again when avoidUntil has passed
 
 	staleIndexWorkers []*worker // workers with indexStale set
 
--- a/jobs/owner/stats.go
+++ b/jobs/owner/stats.go
@@ -34,7 +34,7 @@
 			continue
 		}
 		s.RunningTasks += len(w.runs)
-		if w.heldByThisOwner {
+		if w.answeredThisOwner {
 			s.Workers++
 		}
 		if c.isUsable(w, now) {
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -82,8 +82,8 @@
 	return list
 }
 
-func (s *poolSupply) trackUndersized(i *instanceState, shrunk bool) {
-	if !shrunk {
+func (s *poolSupply) trackUndersized(i *instanceState, undersized bool) {
+	if !undersized {
 		delete(s.undersized, i.ID)
 		return
 	}
@@ -188,6 +188,6 @@
 		w.idleSince = now
 	}
 	out.IdleFor = now.Sub(w.idleSince)
-	out.Movable = w.heldByThisOwner && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrderInstance(i.ID, now)
+	out.Movable = w.answeredThisOwner && w.registered && !w.ended && !w.Draining && w.reserved == "" && !w.isSilent() && c.mayOrderInstance(i.ID, now)
 	return out
 }
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -169,5 +169,5 @@
 		return false
 	}
 	w := c.workers[i.Worker]
-	return w == nil || !w.heldByThisOwner && !w.ended
+	return w == nil || !w.answeredThisOwner && !w.ended
 }
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -232,7 +232,7 @@
 	assert.Zero(t, f.lapsed, "long-running tasks ended because their leases were not renewed")
 	confirmed := 0
 	for _, w := range f.core.workers {
-		if w.heldByThisOwner {
+		if w.answeredThisOwner {
 			confirmed++
 		}
 	}
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -309,7 +309,7 @@
 // runsKnown reports whether all runs on the worker are known: it has answered this owner, or
 // every lease from an earlier owner has expired.
 func (c *Core) runsKnown(w *worker, now time.Time) bool {
-	return w.heldByThisOwner || now.Sub(c.startedAt) > c.maxLeaseDuration()
+	return w.answeredThisOwner || now.Sub(c.startedAt) > c.maxLeaseDuration()
 }
 
 // remainingWork returns the estimated core-seconds left of the runs on the worker. A
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -75,7 +75,7 @@
 // holdWait returns how long the worker is to wait for a new end before it answers.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
-	case !w.heldByThisOwner || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnansweredStart():
+	case !w.answeredThisOwner || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnansweredStart():
 		return 0
 	case len(w.runs) == 0:
 		return max(c.opt.HoldWait, c.opt.IdleHoldWait)
@@ -239,8 +239,8 @@
 		w.silentSince = time.Time{}
 		c.silentWorkers.put(w, false)
 	}
-	first := !w.heldByThisOwner
-	w.heldByThisOwner = true
+	first := !w.answeredThisOwner
+	w.answeredThisOwner = true
 	w.answeredHoldSentAt = w.holdSentAt
 	for _, e := range h.Ends {
 		if e.Seq > w.lastSeenEnd {
@@ -377,9 +377,9 @@
 	c.silentWorkers.put(w, false)
 	c.markWorkerChanged(w)
 	c.logDecision(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
-	c.investigateLoss(w, now)
+	c.scheduleAttribution(w, now)
 	for _, r := range runsByNumber(w) {
-		c.loseRun(r, proof, now)
+		c.releaseLostRun(r, proof, now)
 	}
 	for service := range c.pools {
 		c.changedServices[service] = true // tasks that waited for a decision on the worker may start
@@ -392,7 +392,7 @@
 func (c *Core) expireLeases(now time.Time) {
 	for id, w := range c.endedWorkers {
 		if !w.registered && !w.holdInFlight {
-			c.forgetWorker(id)
+			c.removeWorker(id)
 		}
 	}
 	for _, w := range c.silentWorkers.sorted() {
@@ -403,11 +403,11 @@
 				c.recordUnconfirmedCrash(r, now) // whether the worker has crashed may become known later
 			}
 			for _, r := range runsByNumber(w) {
-				c.loseRun(r, "its lease has expired", now)
+				c.releaseLostRun(r, "its lease has expired", now)
 			}
 		}
 		if !w.registered && len(w.runs) == 0 && !w.holdInFlight && now.Sub(w.silentSince) > c.opt.TaskLease*2 {
-			c.forgetWorker(id) // added again if it registers again
+			c.removeWorker(id) // added again if it registers again
 		}
 	}
 }
