--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -43,7 +43,7 @@
 		return "started by an earlier owner"
 	}
 	if r.worker.contactLoss.lostAt.IsZero() {
-		return "contact to the worker had not been lost before"
+		return "contact to the worker was not lost before"
 	}
 	return "the worker was alive for " + r.aliveAfterStart().Round(time.Millisecond).String() + " after the start"
 }
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -228,7 +228,7 @@
 	serves := t.step.spec.LongRunning && j.isServing(now)
 	outcome := "its job fails"
 	if serves {
-		outcome = "the others of its job go on"
+		outcome = "the other tasks of its job continue"
 	}
 	c.counts.GivenUp++
 	c.logDecision(Decision{Event: "task-given-up", Job: j.spec.ID, Task: t.id().String(),
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -108,7 +108,7 @@
 	}
 	w.avoidPenalty = min(maxAvoidTime, max(minAvoidTime, 2*w.avoidPenalty))
 	c.avoidWorkerUntil(w, now.Add(w.avoidPenalty))
-	c.logDecision(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + " for " + w.avoidPenalty.String()})
+	c.logDecision(Decision{Event: "worker-avoided", Worker: w.Worker, Reason: reason + "; avoided for " + w.avoidPenalty.String()})
 }
 
 // scheduleStallCheck schedules a check of the run at its stall timeout, if it can stall.
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -116,7 +116,7 @@
 // first run list of the new one shows which; until then they are kept, so that their tasks do
 // not start elsewhere.
 func (c *Core) startIncarnation(old *worker, startedMs int64, proof string, now time.Time) *worker {
-	c.logDecision(Decision{Event: "worker-reborn", Worker: old.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(old.runs))})
+	c.logDecision(Decision{Event: "worker-restarted", Worker: old.Worker, Reason: fmt.Sprintf("%s; the past incarnation had %d runs", proof, len(old.runs))})
 	if !old.ended {
 		old.ended = true
 		c.scheduleAttribution(old, now)
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -104,7 +104,7 @@
 func (c *Core) logLateStartAnswer(w *worker, o Start, a Answer, now time.Time) {
 	if a.Outcome == Accepted {
 		// The next hold lists the run, and decides on it.
-		c.logDecision(Decision{Event: "late-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
+		c.logDecision(Decision{Event: "late-start-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
 	}
 }
 
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -110,7 +110,7 @@
 			r.failHoldsExcept(7*time.Second, all, 1+workers-silent)
 			expired := 0
 			for _, d := range r.core.TakeDecisions() {
-				if d.Event == "leases-over" {
+				if d.Event == "leases-expired" {
 					expired++
 				}
 			}
@@ -154,7 +154,7 @@
 	expired := 0
 	for _, d := range r.core.TakeDecisions() {
 		assert.NotEqual(t, "owner-overloaded", d.Event)
-		if d.Event == "leases-over" {
+		if d.Event == "leases-expired" {
 			expired++
 		}
 	}
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -134,7 +134,7 @@
 	w := c.workers[r.Worker]
 	if w == nil {
 		w = c.newWorker(r.Worker, r.StartedMs, now)
-		c.logDecision(Decision{Event: "worker-new", Worker: r.Worker, Reason: r.Service})
+		c.logDecision(Decision{Event: "worker-registered", Worker: r.Worker, Reason: "service " + r.Service})
 	}
 	switch w.relationTo(r.StartedMs) {
 	case pastIncarnation:
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -12,7 +12,7 @@
 		return
 	}
 	if a.Run > c.opt.Term*runsPerTerm {
-		c.stopUnexpectedRun(w, a, "this owner has already given up the run")
+		c.stopUnexpectedRun(w, a, "this owner has already released the run")
 		return
 	}
 	t := s.tasks[a.Task.Index]
@@ -25,7 +25,7 @@
 	c.markJobStarted(r, now)
 	switch {
 	case j.state.Final() || t.done:
-		c.stop(r, "the task or its job is over", now)
+		c.stop(r, "the task is done or its job has ended", now)
 	case other != nil:
 		c.stop(r, "the task has another run", now)
 	default:
@@ -101,11 +101,11 @@
 	}
 	c.takeoverDone[service] = true
 	c.addTakeoverWait(service, now)
-	reason := "every worker has answered"
+	reason := "all workers have answered"
 	if awaited != "" {
-		reason = "all earlier leases have expired"
+		reason = "all leases of earlier owners have expired"
 	}
-	c.logDecision(Decision{Event: "inherited-tasks-go", Reason: service + ": " + reason + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
+	c.logDecision(Decision{Event: "takeover-complete", Reason: "service " + service + ": " + reason + " after " + now.Sub(c.startedAt).Round(time.Millisecond).String()})
 	return true
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-// takeoverWaitLogInterval is the minimum time between two inherited-tasks-wait lines of a
+// takeoverWaitLogInterval is the minimum time between two takeover-waits lines of a
 // service.
 const takeoverWaitLogInterval = 500 * time.Millisecond
 
@@ -135,7 +135,7 @@
 		return
 	}
 	c.loggedTakeoverWaits[service] = takeoverWait{awaited, now}
-	c.logDecision(Decision{Event: "inherited-tasks-wait", Reason: service + " for " + awaited})
+	c.logDecision(Decision{Event: "takeover-waits", Reason: "service " + service + " waits for " + awaited})
 }
 
 // awaitedInstance describes what inherited tasks of the service wait for: the first instance
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -87,7 +87,7 @@
 		ws.members[id] = true
 	}
 	c.waves[req.Wave] = ws
-	c.logDecision(Decision{Event: "wave-known", Reason: fmt.Sprintf("wave %d: %d instances within %s, %d down at once", req.Wave, len(req.Instances), req.Within, req.MaxDown)})
+	c.logDecision(Decision{Event: "wave-added", Reason: fmt.Sprintf("wave %d: %d instances within %s, %d down at once", req.Wave, len(req.Instances), req.Within, req.MaxDown)})
 }
 
 // MaintenanceStarted returns the instances of a wave whose maintenance the platform has
@@ -218,7 +218,7 @@
 		if w != nil {
 			c.unreserve(w)
 		}
-		c.logDecision(Decision{Event: "maintained-before", Worker: d.incarnation.worker, Reason: string(id) + " is still up: its maintenance was already over"})
+		c.logDecision(Decision{Event: "already-maintained", Worker: d.incarnation.worker, Reason: string(id) + " is still up: an earlier owner had its maintenance done"})
 	}
 }
 
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -235,7 +235,7 @@
 		return
 	}
 	if !w.silentSince.IsZero() {
-		c.logDecision(Decision{Event: "worker-answers", Worker: w.Worker, Reason: "silent for " + now.Sub(w.silentSince).String()})
+		c.logDecision(Decision{Event: "worker-answers-again", Worker: w.Worker, Reason: "silent for " + now.Sub(w.silentSince).String()})
 		w.silentSince = time.Time{}
 		c.silentWorkers.put(w, false)
 	}
@@ -257,7 +257,7 @@
 	}
 	c.scheduleHold(w, w.nextHoldAt)
 	if first {
-		c.logDecision(Decision{Event: "worker-held", Worker: w.Worker, Reason: w.Service})
+		c.logDecision(Decision{Event: "worker-connected", Worker: w.Worker, Reason: "service " + w.Service})
 	}
 	c.changedServices[w.Service] = true
 }
@@ -336,7 +336,7 @@
 		return
 	}
 	if j.stepsDropped {
-		c.stopUnexpectedRun(w, a, "the job is over")
+		c.stopUnexpectedRun(w, a, "the job has ended")
 		return
 	}
 	c.adoptRun(w, j, a, now)
@@ -376,7 +376,7 @@
 	c.maintenanceWorkers.put(w, false)
 	c.silentWorkers.put(w, false)
 	c.markWorkerChanged(w)
-	c.logDecision(Decision{Event: "worker-gone", Worker: w.Worker, Reason: fmt.Sprintf("%s, %d runs", proof, len(w.runs))})
+	c.logDecision(Decision{Event: "worker-ended", Worker: w.Worker, Reason: fmt.Sprintf("%s; %d runs are lost", proof, len(w.runs))})
 	c.scheduleAttribution(w, now)
 	for _, r := range runsByNumber(w) {
 		c.releaseLostRun(r, proof, now)
@@ -398,7 +398,7 @@
 	for _, w := range c.silentWorkers.sorted() {
 		id := w.Worker
 		if len(w.runs) > 0 && c.leasesExpired(w, now) && !c.isStarved(now) {
-			c.logDecision(Decision{Event: "leases-over", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
+			c.logDecision(Decision{Event: "leases-expired", Worker: id, Reason: "silent for " + now.Sub(w.silentSince).String()})
 			for _, r := range runsByNumber(w) {
 				c.recordUnconfirmedCrash(r, now) // whether the worker has crashed may become known later
 			}
