--- a/jobs/owner/attempts_test.go
+++ b/jobs/owner/attempts_test.go
@@ -47,9 +47,8 @@
 }
 
 // TestSecondFailureOnSameWorkerDelaysRetry guards against using up all attempts on one faulty
-// worker: in a pool with a single worker that failed everything for 0.7 s, a task used up its
-// three attempts within 0.6 s and its job failed (soak, seed 41001). There was no other worker
-// to wait for, so the task was started again at once.
+// worker. If there is no other worker to wait for, a task that is started again at once uses up
+// its three attempts within 0.6 s, while the worker's fault lasts for 0.7 s (soak, seed 41001).
 func TestSecondFailureOnSameWorkerDelaysRetry(t *testing.T) {
 	r := newRig(t, 1)
 	c := *r.core.catalog
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -28,8 +28,8 @@
 	r.collectEffects()
 }
 
-// TestNewIncarnationStartsCountersOver: end numbers and the clock of a new incarnation start
-// low again. Tasks started on the past one start elsewhere once the new one has sent its run
+// TestNewIncarnationStartsCountersOver: the numbers of run ends and the clock of a new incarnation
+// start over. Tasks that ran on the past one are started again once the new one has sent its run
 // list.
 func TestNewIncarnationStartsCountersOver(t *testing.T) {
 	r := newRig(t, 1)
--- a/jobs/owner/notsent_test.go
+++ b/jobs/owner/notsent_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Starts that wait too long in the owner's call queue are dropped with outcome NotSent.
-// Otherwise they arrive late: in a trial with a fifth of a core, starts reached workers 3.9 s
-// after these had begun to drain, and of 4,800 starts at once 32 were late for four workers
-// drained 0.2 s later.
+// Starts that wait too long in the owner's call queue are dropped with outcome NotSent. Otherwise
+// they could arrive too late: with a fifth of a core, starts reached workers 3.9 s after these
+// had begun to drain.
 
 // TestAStartThatWasNotSent: its task is placed again, as the run cannot have started.
 func TestAStartThatWasNotSent(t *testing.T) {
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These tests guard against an overloaded owner that treats healthy workers as silent. With a
-// fifth of a core, answers waited for the processor longer than the owner's own timeout: 97 of
-// 100 holds went unanswered for 15 s, while its timer was late by only 0.4 s. When silence was
-// evaluated per worker, the owner let leases expire (54 workers in 10 s) and started tasks again
-// that the workers had reported as done in answers that it had not read.
+// These tests guard against an overloaded owner that takes healthy workers for silent. With a fifth
+// of a core, answers wait for the processor for longer than the owner's timeout: 97 of 100 holds
+// seem unanswered, although the timer is late by only 0.4 s. If each worker is judged by itself,
+// the owner lets leases expire and starts tasks again that workers have reported as done in
+// answers that it has not read.
 
 // overloadedRig returns a rig with one free worker, followed by n full ones.
 func overloadedRig(t *testing.T, n int) (*rig, []WorkerID) {
@@ -138,10 +138,10 @@
 	assert.Greater(t, sent, 20)
 }
 
-// TestLeftOverRegistrationsAreNotSilentWorkers guards against an idle owner that considers
-// itself overloaded. Workers that were moved or maintained stay registered for some seconds, and
-// a new owner sends them holds, too. When these were counted, 177 of 336 workers seemed silent
-// a quarter of a second after a takeover.
+// TestLeftOverRegistrationsAreNotSilentWorkers guards against an idle owner that considers itself
+// overloaded. Workers that were moved or maintained stay registered for some seconds, and a new
+// owner sends holds to them, too. If these counted, 177 of 336 workers would seem silent just
+// after a takeover.
 func TestLeftOverRegistrationsAreNotSilentWorkers(t *testing.T) {
 	const workers, leftOver = 8, 20
 	r, all := overloadedRig(t, workers)
@@ -161,10 +161,10 @@
 	assert.Equal(t, 1, expired)
 }
 
-// TestLongRunningTasksOfAStarvedOwner: a starved new owner starts inherited long-running tasks
-// once the leases have expired; other tasks wait for the workers' answers. Those may report a
-// task as done, but a long-running task is never done. When the owner waited with these, too,
-// four of them were down for 9 to 16 s after a change of owner on 3,000 workers.
+// TestLongRunningTasksOfAStarvedOwner: a starved new owner starts inherited long-running tasks once
+// the leases have expired, since they are never done. Other tasks wait for the workers' answers,
+// which may report them as done. When long-running tasks waited, too, some were down for 9 to
+// 16 s after a change of owner.
 func TestLongRunningTasksOfAStarvedOwner(t *testing.T) {
 	longRunning, other := simpleJob(1, 1), simpleJob(2, 1)
 	longRunning.Steps[0].LongRunning = true
--- a/jobs/owner/partition_test.go
+++ b/jobs/owner/partition_test.go
@@ -9,13 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against an owner that considers itself overloaded indefinitely. Five of eight workers
-// were partitioned for good but stayed registered; the other three answered at once. Since more
-// than half of the workers, and at least five, were silent, the owner counted the silence as
-// its own overload at each tick: no lease expired, each hold sent into the partition extended a
-// lease, and a new owner's takeover waited for instances that never answered. The detection of
-// overload had no time limit and ignored that the owner kept up with the workers that did
-// answer. With four of seven workers silent the tasks started elsewhere after 4.3 s.
+// These tests guard against an owner that attributes a lasting partition to its own overload. If
+// most workers are partitioned for good and detectOverload has no time limit, the owner renews
+// their leases forever, none of their tasks starts elsewhere, and a takeover never completes.
 
 // partitionedRig returns a rig with five partitioned and three idle workers.
 func partitionedRig(t *testing.T, term uint64, loaded ...StoredJob) (r *rig, partitioned, healthy []WorkerID) {
--- a/jobs/owner/pending_test.go
+++ b/jobs/owner/pending_test.go
@@ -10,10 +10,9 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// TestJobIsPendingUntilATaskIsKnownToHaveStarted: a job counts as pending, and is shown as
-// queued, until a worker reports that a task of it started. When sending the start order
-// counted as the start, a connected daemon reported 0 pending jobs of a queue while 8 had waited
-// for over 5 s, although nearly all capacity of the service was free.
+// TestJobIsPendingUntilATaskIsKnownToHaveStarted: a job counts as pending, and is shown as queued,
+// until a worker reports that a task of it has started. When sending the start order counted as
+// the start, a daemon reported 0 pending jobs of a queue while 8 had waited for over 5 s.
 func TestJobIsPendingUntilATaskIsKnownToHaveStarted(t *testing.T) {
 	answer := func(o Outcome) func(r *rig, s Start) {
 		return func(r *rig, s Start) {
--- a/jobs/owner/saturatedlink_test.go
+++ b/jobs/owner/saturatedlink_test.go
@@ -9,11 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Guards against treating a saturated network link as worker failures. On a saturated link of 2 Mbit/s sends and reads took
-// over a second and holds timed out, so for half a minute 30 to 45% of the owner's 132 workers seemed silent at a time. As
-// these were fewer than half, the owner took each one for lost: 476 leases lapsed, long-running tasks ended beyond their
-// disruption budgets and other tasks were started twice. The processor was not the cause: at most three quarters of it were
-// used while 1,249 starts went unanswered, and all of this ended once run lists no longer used the link.
+// These tests guard against an owner that takes its own saturated network link for worker
+// failures. On a saturated link of 2 Mbit/s holds time out, and 30 to 45% of 132 workers seem
+// silent at a time. These are too few for detectOverload, so the owner let 476 leases expire:
+// long-running tasks ended beyond their disruption budgets, and other tasks were started twice.
 
 // saturatedLinkLatency is the latency of an order over a saturated link.
 const saturatedLinkLatency = 300 * time.Millisecond
@@ -29,8 +28,8 @@
 	return out
 }
 
-// TestSaturatedLinkIsNotWorkerSilence checks that while answers are slow the leases of silent
-// workers are renewed, if they are a third of all, and their tasks are not started again.
+// TestSaturatedLinkIsNotWorkerSilence checks that, while answers are slow and a third of the workers
+// is silent, the leases of these are renewed and their tasks are not started again.
 func TestSaturatedLinkIsNotWorkerSilence(t *testing.T) {
 	const workers, silent = 30, 10
 	r := newRig(t, 1)
@@ -72,11 +71,10 @@
 	}
 }
 
-// TestUnansweredStartsIndicateSaturatedLink checks that starts without any answer indicate a saturated link too. For three
-// seconds no answer arrived over an owner's link, so no slow answer showed that it was saturated, and 92 of 132 workers
-// seemed silent, 32 of them incarnations that had ended. Once the link was free, holds did not renew the leases of silent
-// workers: 28 and 54 of them lapsed half a second later in two of three runs, whose logs showed 51 and 24 silent workers,
-// 33 and 40 unanswered starts within two seconds, and no owner-link-full line.
+// TestUnansweredStartsIndicateSaturatedLink checks that unanswered starts indicate a saturated link,
+// too. If no answer arrives for some seconds, no slow answer shows that the link is saturated.
+// Once the link was free again, holds did not renew the leases of workers that seemed silent,
+// and up to 54 leases expired.
 func TestUnansweredStartsIndicateSaturatedLink(t *testing.T) {
 	const workers, silent = 30, 12
 	r := newRig(t, 1)
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -12,10 +12,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// The start window limits the starts that are ordered and have no outcome yet. Without it, a
-// thousand starts waited in the daemon's first-in-first-out call queue, of which a daemon with
-// little CPU sends 80 a second. A long-running task that a wave had moved was started again
-// only after 9.6 s, though there was capacity; callers are promised 6 s.
+// The start window limits the starts that are ordered and have no outcome yet. Without it, urgent
+// starts wait behind a thousand others in the daemon's first-in-first-out call queue, of which a
+// daemon with little CPU sends 80 a second. A long-running task that a wave had moved was
+// restarted only after 9.6 s although there was capacity; the promised time is 6 s.
 
 // TestUrgentStartsDoNotQueueBehindOthers: only as many starts are ordered as can be sent, so
 // that a long-running task is started before tasks that were ready long before it.
@@ -89,9 +89,9 @@
 	assert.Len(t, started, jobs*width)
 }
 
-// TestDemandCountsWhileTheStartWindowIsFull: tasks without capacity count as demand of their
-// pool also while the start window is full. When they did not, two long-running tasks waited
-// for 9.7 s, as their pool was full and no instance was moved to it.
+// TestDemandCountsWhileTheStartWindowIsFull: tasks without capacity count as demand of their pool
+// also while the start window is full. Otherwise no instance is moved to a full pool, and its
+// tasks wait: two long-running tasks did so for 9.7 s.
 func TestDemandCountsWhileTheStartWindowIsFull(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -12,13 +12,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// These tests guard against a new owner that lets leases expire under a long queue. It used
-// to consider all 1,400 waiting jobs again at each answer of its 350 workers, although none
-// could start before all workers had answered. That took 84% of its processor time (2 ms an
-// answer). Answers were read after their holds had timed out, a third of the holds was
-// repeated, and leases of the previous owner expired meanwhile: seven tasks of a step ended
-// though five may be down. All workers had answered after 4.6 s, and after 0.2 s without a
-// queue.
+// These tests guard against a new owner that lets leases expire because it has a long queue. If it
+// considers all 1,400 inherited jobs again at each answer of its 350 workers, that takes 2 ms
+// an answer and 84% of its processor time. Answers are then read after their holds have timed
+// out, holds are repeated, and leases of the previous owner expire in the meantime.
 //
 // The tests model the owner's processor: each event takes time, events wait for each other,
 // and a hold times out if its answer is not read in time.
@@ -46,7 +43,7 @@
 	freeAt    time.Time // when the processor is free again
 	workers   map[WorkerID]*busyWorker
 	pending   []busyEvent
-	lapsed    int // runs that ended because their lease expired
+	lapsed    int // runs that ended because their lease had expired
 }
 
 type busyWorker struct {
@@ -264,10 +261,9 @@
 	}
 }
 
-// TestEndedWorkersAreHeldLessOften guards against wasted holds after a takeover. Workers that
-// were moved or maintained stay registered for some seconds. Each was retried every 150 ms on
-// a new connection, though the instance list does not show it: half of the holds of a new
-// owner failed for five seconds, 1,000 a second.
+// TestEndedWorkersAreHeldLessOften guards against wasted holds after a takeover. Workers that were
+// moved or maintained stay registered for some seconds, although the instance list no longer
+// shows them. When each was retried every 150 ms, half of the holds of a new owner failed.
 func TestEndedWorkersAreHeldLessOften(t *testing.T) {
 	r := newRig(t, 2)
 	r.worker("a")
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -8,10 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These tests guard against an owner that stops working tasks because their starts were not
-// answered. The workers had carried the starts out, but the answers waited for the owner's
-// processor longer than its timeout, and the owner stopped the runs half a second later,
-// many of one step at once.
+// These tests guard against an owner that stops working tasks because their starts seem
+// unanswered: the workers have carried the starts out, but the answers wait for the owner's
+// processor for longer than its timeout.
 
 // failStarts lets all sends of the start go unanswered.
 func (r *rig) failStarts(s Start) {
