--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -33,31 +33,35 @@
 	Ticket string
 }
 
-// Advice is the answer to an AdviceQuery. If Err is nil, queried workers without a permit may
-// never run the step.
+// Advice is the answer to an AdviceQuery. If Err is nil, the queried workers that are missing
+// from Permits may never run the step.
 type Advice struct {
 	Permits  []Permit
 	Validity time.Duration // of the tickets; 0: unknown
 	Err      error
 }
 
-// Advisor decides which workers may run the steps of queues that need advice.
+// Advisor is the external service that decides which workers may run the steps of a queue that
+// requires its permission.
 type Advisor interface {
 	Advise(ctx context.Context, q AdviceQuery) Advice
 }
 
-// Parameters of advice.
+// Parameters of advisor queries.
 const (
-	// maxWorkersPerQuery limits a query, since the advisor's time grows with each worker.
+	// maxWorkersPerQuery limits a query, since the time that the advisor takes grows with the
+	// number of workers.
 	maxWorkersPerQuery = 30
 	// maxOpenQueries limits the queries in flight: the advisor handles one at a time and
 	// refuses queries beyond 32.
 	maxOpenQueries = 8
-	// ticketMargin is the part of a ticket's validity that is left for the start to arrive.
+	// ticketMargin is how long a ticket must still be valid when it is used, so that the start
+	// reaches the worker in time.
 	ticketMargin = 250 * time.Millisecond
 	// adviceRetryDelay is the pause after a query that failed.
 	adviceRetryDelay = 300 * time.Millisecond
-	// AdviceTimeout bounds a query; some may be queued before it, and each takes up to 1 s.
+	// AdviceTimeout is the timeout of a query. Others may be queued before it at the advisor, and
+	// each takes up to 1 s.
 	AdviceTimeout = 5 * time.Second
 )
 
@@ -126,8 +130,8 @@
 	c.effects.AdviceQueries = append(c.effects.AdviceQueries, q)
 }
 
-// OnAdvice handles the advisor's answer. Tickets are taken as valid from the time of the query
-// on, since the time of issue is unknown.
+// OnAdvice handles the advisor's answer. The validity of tickets is counted from the time of the
+// query, since their time of issue is unknown.
 func (c *Core) OnAdvice(q AdviceQuery, a Advice, now time.Time) {
 	c.adviceInFlight--
 	j := c.jobs[q.Step.Job]
--- a/jobs/owner/backoff.go
+++ b/jobs/owner/backoff.go
@@ -18,19 +18,20 @@
 
 // Backoffs of operations that may fail every time.
 var (
-	// longRunningBackoff is for a long-running task that fails; it serves users and has to be
-	// tried again within 3 s.
+	// longRunningBackoff is for a long-running task that fails. It serves users, so it has to be
+	// restarted within 3 s.
 	longRunningBackoff = backoff{failureBackoff, 2 * time.Second}
-	// invalidOrderBackoff is for an order that a worker calls invalid: every worker will.
+	// invalidOrderBackoff is for a start that a worker rejected as invalid, since every other
+	// worker will reject it too.
 	invalidOrderBackoff = backoff{time.Second, 30 * time.Second}
-	// capacityBackoff is for a worker that refuses a start for lack of capacity. After the
-	// first delay the owner knows which runs have ended there; further refusals mean that the
-	// worker has less capacity than it registered.
+	// capacityBackoff is for a worker that refuses a start for lack of capacity. After the first
+	// delay the owner knows which runs have ended there. Further refusals mean that the worker
+	// has less capacity than it has registered.
 	capacityBackoff = backoff{100 * time.Millisecond, 1600 * time.Millisecond}
 	// ticketBackoff is for a step whose tickets are rejected repeatedly.
 	ticketBackoff = backoff{adviceRetryDelay, 3 * time.Second}
 )
 
-// ticketRejectionsBeforeBackoff is the number of consecutive rejected tickets of a step without
-// a delay: two tickets may just have been too old.
+// ticketRejectionsBeforeBackoff is how many consecutive tickets of a step may be rejected without
+// a delay: two of them may just have been too old.
 const ticketRejectionsBeforeBackoff = 2
--- a/jobs/owner/contact.go
+++ b/jobs/owner/contact.go
@@ -9,8 +9,8 @@
 	connFailed   bool      // the connection ended, so the worker was alive until lostAt
 }
 
-// markContactLost records an unanswered call; first is true if the worker had answered
-// until then.
+// markContactLost records when contact was lost, if it was not lost already. first reports
+// whether it was recorded.
 func (w *worker) markContactLost(a Answer, now time.Time) (first bool) {
 	if !w.contactLoss.lostAt.IsZero() {
 		return false
@@ -27,7 +27,8 @@
 	return l.lastAnswerAt
 }
 
-// releaseLostRun releases a run that ended with its worker or its lease. proof is how that is known.
+// releaseLostRun releases a run that ended with its worker or its lease. proof says how its end
+// is known.
 func (c *Core) releaseLostRun(r *run, proof string, now time.Time) {
 	c.counts.Lost++
 	id := r.task.id()
@@ -36,8 +37,8 @@
 	c.releaseRun(r, CauseRunLost, now)
 }
 
-// describeContact returns, for the log, how long the worker of a lost run was alive after
-// the start.
+// describeContact describes for the log how long the run's worker was certainly alive after the
+// start.
 func (r *run) describeContact() string {
 	if r.firstSentAt.IsZero() {
 		return "started by an earlier owner"
--- a/jobs/owner/copies.go
+++ b/jobs/owner/copies.go
@@ -8,8 +8,8 @@
 
 // Parameters of speculative copies.
 const (
-	// A copy is started once a run has taken copyDelayFactor times its estimate plus
-	// copyExtraDelay: estimates are off by half and more.
+	// A run is late, so that its task may get a copy, after copyDelayFactor times its estimate
+	// plus copyExtraDelay: estimates are off by half and more.
 	copyDelayFactor = 1.8
 	copyExtraDelay  = 400 * time.Millisecond
 	// maxSpeculativeRuns is how many runs of a task there may be at a time.
@@ -32,7 +32,7 @@
 		return noCopy
 	}
 	if len(t.crashes) >= minConclusiveCrashes {
-		return noCopy // may crash the copy's worker too
+		return noCopy // the task may crash the copy's worker, too
 	}
 	r := t.runs[0]
 	if r.phase == stopping || r.worker.isSilent() {
@@ -45,8 +45,8 @@
 	return noCopy
 }
 
-// placeLateCopies starts copies of slow runs. It is called once no task waits: a copy is
-// worth less than a first run.
+// placeLateCopies starts copies of late runs. It is called only if no task waits for capacity: a
+// first run has priority over a copy.
 func (p *schedulingPass) placeLateCopies(entries []queueEntry) {
 	for _, e := range entries {
 		for _, s := range e.job.steps {
@@ -57,9 +57,9 @@
 	}
 }
 
-// placeCopies starts copies of the step's tasks with the given need. A copy of an inherited
-// task may run beside a run of an earlier owner that is not known yet; speculative steps
-// allow that.
+// placeCopies starts copies of the step's tasks with the given need. A copy of an inherited task
+// may run at the same time as a run of an earlier owner that is not known yet, which
+// speculative steps allow.
 func (p *schedulingPass) placeCopies(s *stepState, need copyNeed) {
 	var sel *workerSelector
 	for _, t := range s.tasks {
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -9,33 +9,35 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// A task may crash every worker that starts it, and all other runs there are lost with the
-// worker. Such a task has to be found at the cost of few workers, and no other task may be
-// given up in its place. If contact to a worker is lost, its runs are suspects, and an
-// unconfirmed crash is recorded for their tasks. It is confirmed or cleared once it is known
-// whether the worker has crashed. A task with a crash at its start, or with two confirmed
-// ones, is risky (see job.CrashRisk): it is started in isolation, with nothing of another job
-// beside it, so that the next crash has only one suspect.
+// Crash attribution: a task may crash every worker that starts it, and all other runs on the
+// worker are lost with it. Such a task has to be found before it has crashed many workers, and
+// no other task may be given up in its place. If contact to a worker is lost, an unconfirmed
+// crash is recorded for each task that may have caused it. The crash is confirmed or cleared
+// once it is known whether the worker has crashed. A task with a crash at its start, or with
+// two confirmed ones, is risky (see job.CrashRisk): it is started in isolation, on a worker
+// without runs of other jobs, so that the next crash has only one suspect.
 
 // Parameters of crash attribution.
 const (
-	// atStartTime is how long after a run was confirmed a crash still counts as one at the
-	// start. Such a crash happens within milliseconds, but the confirming answer may wait for
-	// the owner's processor.
+	// atStartTime is how long after a run was confirmed a crash still counts as a crash at its
+	// start. Such a crash happens within milliseconds, but the confirming answer may be read
+	// late by an owner that is short of processor time.
 	atStartTime = 150 * time.Millisecond
-	// attributionDelay is the time from the end of a worker's incarnation to the decision
-	// whether a task caused it: if its rack failed, the other losses are known by then.
+	// attributionDelay is the time from the end of a worker's incarnation until its crash is
+	// attributed to a task or not: if its rack failed, the other losses are known by then.
 	attributionDelay = 400 * time.Millisecond
-	// maxAttributionTime bounds how long a task waits for that decision before it is started
-	// again: whether a worker has ended is known within about 3 s unless it is partitioned.
+	// maxAttributionTime is how long a task waits at most for the attribution before it is
+	// started again: whether a worker has ended is known within about 3 s unless it is
+	// partitioned.
 	maxAttributionTime = 6 * time.Second
 	// unseenWorkerWait is how long a new owner waits for a worker to which an earlier owner
 	// lost contact to appear in the registrations and the instance list.
 	unseenWorkerWait = 2500 * time.Millisecond
-	// lostWorkerRetention is how long ended incarnations are kept for these decisions: the
-	// longest wait and a margin.
+	// lostWorkerRetention is how long ended incarnations are kept for the attribution: the
+	// longest wait plus a margin.
 	lostWorkerRetention = maxAttributionTime + 2*time.Second
-	// longRunningClearTime is how long a long-running task has to serve to be cleared.
+	// longRunningClearTime is how long a long-running task has to serve until its crashes are
+	// cleared.
 	longRunningClearTime = 10 * time.Second
 )
 
@@ -46,8 +48,8 @@
 }
 
 // onContactLost handles an unanswered call to the worker. Runs that have just started there
-// may have crashed it. That is recorded at once, before it is known whether the worker has
-// crashed, so that the next owner knows too.
+// may have crashed it. An unconfirmed crash is recorded at once, before it is known whether
+// the worker has crashed, so that the next owner knows of it if this one fails.
 func (c *Core) onContactLost(w *worker, a Answer, now time.Time) {
 	if !w.markContactLost(a, now) || c.isStarved(now) {
 		return
@@ -59,7 +61,7 @@
 	}
 }
 
-// recordUnconfirmedCrash records or updates an unconfirmed crash for the run. The worker may
+// recordUnconfirmedCrash records or updates an unconfirmed crash for the run: the worker may
 // have crashed for another reason, or not at all.
 func (c *Core) recordUnconfirmedCrash(r *run, now time.Time) {
 	t := r.task
@@ -83,7 +85,7 @@
 	c.unconfirmedCrashes[inc] = append(c.unconfirmedCrashes[inc], t)
 }
 
-// isSoleSuspect reports whether no run of another job explains the loss of the worker as well.
+// isSoleSuspect reports whether no run of another job is as likely to have crashed the worker.
 func (r *run) isSoleSuspect() bool {
 	atStart := r.lostAtStart()
 	for _, o := range r.worker.runs {
@@ -94,13 +96,13 @@
 	return true
 }
 
-// endsAsPlanned reports whether the incarnation ends by an order or a drain.
+// endsAsPlanned reports whether an order or a drain ends the incarnation.
 func (w *worker) endsAsPlanned() bool {
 	return w.endOrdered || w.Draining || w.reserved == reservedMove
 }
 
-// scheduleAttribution records unconfirmed crashes for an incarnation that has ended, and schedules
-// the decision on them.
+// scheduleAttribution records unconfirmed crashes for an incarnation that has ended, and
+// schedules their attribution.
 func (c *Core) scheduleAttribution(w *worker, now time.Time) {
 	if w.contactLoss.lostAt.IsZero() {
 		w.contactLoss = contactLoss{lostAt: now, lastAnswerAt: w.lastAnswerAt}
@@ -115,7 +117,7 @@
 	}
 }
 
-// attributeLosses makes the decisions that are due.
+// attributeLosses handles the attributions that are due.
 func (c *Core) attributeLosses(now time.Time) {
 	for _, w := range c.attributionsDue.popAllDue(now) {
 		c.attributeLoss(w, now)
@@ -124,9 +126,9 @@
 	c.recentlyEnded = slices.DeleteFunc(c.recentlyEnded, func(w *worker) bool { return now.Sub(w.contactLoss.lostAt) > lostWorkerRetention })
 }
 
-// attributeLoss confirms or clears the crashes of an incarnation that has ended. While other
-// workers of its rack or zone are silent it waits: during a network partition of some seconds
-// a crash by a task would otherwise be blamed on the rack.
+// attributeLoss confirms or clears the unconfirmed crashes of an incarnation that has ended. It
+// waits while other workers of its rack or zone are silent: during a network partition of some
+// seconds a crash by a task would otherwise be attributed to the rack.
 func (c *Core) attributeLoss(w *worker, now time.Time) {
 	if w.endsAsPlanned() {
 		c.clearCrashes(w.incarnation(), "the worker ended as planned")
@@ -143,8 +145,8 @@
 	}
 }
 
-// attributeUnseenLosses confirms crashes on workers to which an earlier owner lost contact and
-// which have not answered this one, once it is known that they have ended.
+// attributeUnseenLosses confirms the crashes of workers to which an earlier owner lost contact
+// and which have not answered this one, once it is known that they have ended.
 func (c *Core) attributeUnseenLosses(now time.Time) {
 	if len(c.unconfirmedCrashes) == 0 || now.Sub(c.startedAt) < unseenWorkerWait || c.instanceListAt.IsZero() || c.registrationsAt.IsZero() {
 		return
@@ -172,7 +174,7 @@
 	return i != nil && i.Worker == id
 }
 
-// isAttributionScheduled reports whether a decision on the incarnation is scheduled.
+// isAttributionScheduled reports whether the loss of the incarnation is in attributionsDue.
 func (c *Core) isAttributionScheduled(inc incarnation) bool {
 	for _, e := range c.attributionsDue.entries {
 		if e.value.incarnation() == inc {
@@ -218,8 +220,8 @@
 	return fmt.Sprintf("%d confirmed so far; at start %t, time known %t, sole suspect %t", all.Confirmed(), k.AtStart, k.TimeKnown, k.SoleSuspect)
 }
 
-// giveUpIfConclusive gives the task up if it conclusively crashes its workers. Its job fails,
-// unless other long-running tasks of the job serve; these go on without it.
+// giveUpIfConclusive gives the task up if its crashes are conclusive. Its job fails, unless
+// other long-running tasks of the job are serving; these continue without it.
 func (c *Core) giveUpIfConclusive(t *task, now time.Time) {
 	j := t.step.job
 	if j.state.Final() || !t.isGivenUp() {
@@ -238,7 +240,7 @@
 	}
 }
 
-// isServing reports whether a long-running task of the job serves.
+// isServing reports whether a long-running task of the job is serving.
 func (j *jobState) isServing(now time.Time) bool {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
@@ -250,7 +252,7 @@
 	return false
 }
 
-// isGivenUp reports whether the task conclusively crashes its workers and is not started any
+// isGivenUp reports whether the task's crashes are conclusive, so that it is not started any
 // more.
 func (t *task) isGivenUp() bool { return t.crashes.Conclusive() }
 
@@ -265,8 +267,8 @@
 	}
 }
 
-// failIfCrashesConclusive fails a job if the crashes that an earlier owner recorded are conclusive.
-// Long-running tasks are left alone: whether others of the job serve is not known yet.
+// failIfCrashesConclusive fails a job if crashes that an earlier owner recorded are conclusive.
+// Long-running tasks are skipped: it is not known yet whether others of the job are serving.
 func (c *Core) failIfCrashesConclusive(j *jobState, now time.Time) {
 	for _, s := range j.steps {
 		for _, t := range s.tasks {
@@ -290,8 +292,8 @@
 	c.logDecision(Decision{Event: "crash-ruled-out", Worker: inc.worker, Reason: why})
 }
 
-// clearCrashesOfAnswering removes the unconfirmed crashes on a worker that answers, except
-// for runs that are not stable yet.
+// clearCrashesOfAnswering removes the unconfirmed crashes on a worker that has answered, except
+// those of runs that are not stable yet.
 func (c *Core) clearCrashesOfAnswering(w *worker, now time.Time) {
 	inc := w.incarnation()
 	tasks := c.unconfirmedCrashes[inc]
@@ -330,9 +332,8 @@
 	return false
 }
 
-// awaitsAttribution reports whether the task has to wait for the decision on workers that it
-// may have crashed: the crashes may turn out conclusive, and another start would cost one
-// more worker.
+// awaitsAttribution reports whether the task has to wait until the crashes of its past workers
+// are attributed: they may turn out conclusive, and another start could crash one more worker.
 func (t *task) awaitsAttribution(c *Core, now time.Time) bool {
 	if len(t.crashes) < minConclusiveCrashes {
 		return false
@@ -345,11 +346,11 @@
 	return false
 }
 
-// minConclusiveCrashes is the least number of crashes that can be conclusive.
+// minConclusiveCrashes is the smallest number of crashes that can be conclusive.
 const minConclusiveCrashes = 2
 
-// isAttributionPending reports whether a decision on the loss of the incarnation may still come
-// within maxLossDecisionTime.
+// isAttributionPending reports whether the loss of the incarnation is less than
+// maxAttributionTime ago, so that its crashes may still be confirmed or cleared.
 func (c *Core) isAttributionPending(inc incarnation, now time.Time) bool {
 	if w := c.currentWorker(inc); w != nil {
 		return now.Sub(w.contactLoss.lostAt) < maxAttributionTime
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// maxRunListAge is how old a worker's run list may be for decisions that end tasks: it was
-// requested two holds ago at most. An owner that was suspended or is short of processor time
-// acts on outdated state otherwise.
+// maxRunListAge is how old a worker's run list may be when the owner decides to end tasks: it was
+// requested at most two holds ago. Otherwise an owner that was suspended or is short of
+// processor time would act on outdated state.
 const maxRunListAge = 2500 * time.Millisecond
 
 // hasFreshRunList reports whether the worker answers and its run list is recent.
@@ -23,8 +23,8 @@
 	return counts
 }
 
-// unavailableElsewhere counts the step's tasks that are not on w and do not serve. Tasks on
-// workers whose end was ordered do not count as serving.
+// unavailableElsewhere counts the step's tasks that have no run on w and are not serving. Tasks
+// on workers that were ordered to end do not count as serving.
 func unavailableElsewhere(s *stepState, w *worker, now time.Time) int {
 	unavailable := 0
 	for _, t := range s.tasks {
@@ -35,8 +35,8 @@
 	return unavailable
 }
 
-// canTakeDown reports whether the worker may be taken down now: of each step with
-// long-running tasks there, at most MayMiss tasks would be unavailable.
+// canTakeDown reports whether the disruption budgets allow the worker to be taken down now: of
+// each step with long-running tasks on it, at most MayMiss tasks would be unavailable.
 func canTakeDown(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
@@ -47,8 +47,9 @@
 }
 
 // canDrainOneByOne reports whether a worker that cannot be taken down may have its long-running
-// tasks moved away one at a time: each step either has more tasks there than may be unavailable
-// at once, or fits its budget now.
+// tasks moved away one at a time. Each step with such tasks there must allow a task to be
+// unavailable, and must either have more tasks there than may be unavailable at once, or stay
+// within its budget if the worker is taken down now.
 func canDrainOneByOne(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
@@ -58,8 +59,8 @@
 	return true
 }
 
-// drainOneByOne stops one task of each step of which a reserved worker has more than may be
-// unavailable at once. The task is started again on another worker.
+// drainOneByOne stops one task of each step that has more tasks on the reserved worker than may
+// be unavailable at once, so that the task is started again on another worker.
 func (c *Core) drainOneByOne(w *worker, now time.Time) {
 	for s, n := range longRunningOn(w) {
 		if n <= s.spec.MayMiss || unavailableElsewhere(s, w, now) > 0 || hasRunNotServing(s, w) {
@@ -74,7 +75,7 @@
 	}
 }
 
-// hasRunNotServing reports whether a run of the step on w starts up or is being stopped.
+// hasRunNotServing reports whether a run of the step on w is starting up or being stopped.
 func hasRunNotServing(s *stepState, w *worker) bool {
 	for _, r := range w.runs {
 		if r.task.step == s && (r.phase != running || r.percent < 100) {
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -6,8 +6,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// advanceAck advances the number up to which the worker's ends are acknowledged, past each
-// end whose job is stored.
+// advanceAck advances the number up to which the worker's run ends are acknowledged, to the end
+// before the first one whose job is unknown or not stored yet.
 func (c *Core) advanceAck(w *worker, now time.Time) {
 	acked := 0
 	for _, u := range w.unacked {
@@ -30,7 +30,7 @@
 	}
 }
 
-// addAckWaiter has the worker's ends acknowledged once the job is stored.
+// addAckWaiter adds a worker whose run ends are acknowledged once the job is stored.
 func (j *jobState) addAckWaiter(w *worker) {
 	if n := len(j.ackWaiters); n == 0 || j.ackWaiters[n-1] != w {
 		j.ackWaiters = append(j.ackWaiters, w)
@@ -117,7 +117,8 @@
 	c.finishIfDone(s.job, now)
 }
 
-// failureBackoff keeps a failed task from using up its attempts at once on one faulty worker.
+// failureBackoff is the delay after a failure, so that a task does not use up its attempts at once
+// on one faulty worker.
 const failureBackoff = 20 * time.Millisecond
 
 func (c *Core) onTaskFailed(w *worker, t *task, e RunEnd, now time.Time) {
@@ -136,7 +137,7 @@
 	}
 	t.failures = t.failures.With(e.Run)
 	t.notBefore = now.Add(failureBackoff)
-	if t.hasFailedOn(w) { // no other worker could take it, and attempts are limited
+	if t.hasFailedOn(w) { // there was no other worker for it, and attempts are limited
 		t.notBefore = now.Add(otherWorkerWait)
 	}
 	t.failedOn = append(t.failedOn, w.Worker)
@@ -165,7 +166,7 @@
 	c.markDirty(t.step.job)
 }
 
-// cause returns the cause under which the time of a run that ended this way is counted.
+// cause returns the cause to which the time of a run that ended this way is attributed.
 func (k EndKind) cause() Cause {
 	switch k {
 	case EndDone:
@@ -178,8 +179,8 @@
 	return CauseRunLost
 }
 
-// releaseRun frees the resources of a run that is over. Its time is counted under cause,
-// except for CauseWork, which addRunTime counts.
+// releaseRun frees the resources of a run that has ended and attributes its time to the cause.
+// For CauseWork, recordCompletion attributes the time.
 func (c *Core) releaseRun(r *run, cause Cause, now time.Time) {
 	if cause != CauseWork {
 		r.addLostTime(cause, now)
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -8,16 +8,16 @@
 	"github.com/postmount/postmount/jobs/placement"
 )
 
-// capacityClass holds the usable workers of a service with the same capacity; apart from
-// labels each of them can hold the same tasks.
+// capacityClass holds the usable workers of a service that have the same capacity. Apart from
+// labels, the same tasks fit on each of them when it is empty.
 type capacityClass struct {
 	capacity job.Resources
 	byFree   []*worker // by free millicores, then by id
 }
 
-// freeIndex holds a service's usable workers ordered by free millicores. The best worker for
-// a task that ends by itself is found among the first few, whatever the size of the service:
-// at 3,000 workers in 0.5 µs, where a scan takes 34 µs.
+// freeIndex holds a service's usable workers ordered by free millicores. The best worker for a
+// task that ends by itself is among the first few that have enough, whatever the size of the
+// service. With 3,000 workers it is found in 0.5 µs, where a scan of all takes 34 µs.
 type freeIndex struct{ classes []*capacityClass }
 
 // compareFree orders workers by their indexed free millicores, then by id.
@@ -66,8 +66,8 @@
 	w.capacityClass = nil
 }
 
-// couldFit reports whether some worker could hold the request if it were empty. It returns
-// true if no worker is usable.
+// couldFit reports whether a task with this request fits on some usable worker that is empty. It
+// returns true if no worker is usable.
 func (x *freeIndex) couldFit(req *placement.Request) bool {
 	for _, k := range x.classes {
 		if len(k.byFree) == 0 || !k.capacity.Fits(req.Need) {
@@ -81,8 +81,8 @@
 }
 
 // choose returns the best worker for a task that ends by itself; nil if none has capacity.
-// allowed filters workers, and stepTasks counts the step's tasks per worker. The result equals
-// that of placement.Choose over all workers.
+// allowed reports whether a worker may be used, and stepTasks holds the number of the step's
+// tasks on each worker. The result is the same as that of placement.Choose over all workers.
 func (x *freeIndex) choose(req *placement.Request, allowed func(*worker) bool, stepTasks map[*worker]int, now time.Time) *worker {
 	var best []*worker
 	for _, k := range x.classes {
@@ -154,8 +154,8 @@
 	}
 }
 
-// markWorkerChanged has updateIndexes index the worker again. Call it after any change that
-// placement depends on.
+// markWorkerChanged marks the worker for updateIndexes. Call it after each change on which the
+// placement of tasks depends.
 func (c *Core) markWorkerChanged(w *worker) {
 	if !w.indexStale {
 		w.indexStale = true
@@ -163,8 +163,8 @@
 	}
 }
 
-// updateIndexes indexes again the workers that have changed, and those whose avoidance has
-// ended.
+// updateIndexes updates the index entries and the pool totals of the workers that have changed,
+// and of those that are no longer avoided.
 func (c *Core) updateIndexes(now time.Time) {
 	for _, w := range c.avoidedDue.popAllDue(now) {
 		c.markWorkerChanged(w)
--- a/jobs/owner/health.go
+++ b/jobs/owner/health.go
@@ -2,33 +2,35 @@
 
 import "time"
 
-// Parameters of the detection of faulty workers. The faults are those that the platform
-// documents: a worker on which every task fails, and one whose tasks make no progress.
+// Parameters for detecting faulty workers. The platform documents two faults: every task on a
+// worker fails, or its tasks make no progress.
 const (
 	// endHistoryLen is how many recent ends of runs are kept per worker.
 	endHistoryLen = 8
-	// endHistoryAge is how long an end counts.
+	// endHistoryAge is how long an end counts as recent.
 	endHistoryAge = 5 * time.Second
-	// minFailuresToAvoid failures in the history, if they are half of its ends or more, make a
-	// worker avoided; a single failure is often the task's own fault.
+	// minFailuresToAvoid is the number of recent failures from which a worker is avoided, if
+	// they are at least half of its recent ends. A single failure is often the task's own
+	// fault.
 	minFailuresToAvoid = 2
-	// minAvoidTime and maxAvoidTime bound the avoidance, which doubles each time.
+	// minAvoidTime and maxAvoidTime bound the time for which a worker is avoided, which doubles
+	// each time.
 	minAvoidTime = time.Second
 	maxAvoidTime = 8 * time.Second
-	// stallTimeout is how long a run may make no progress before it counts as stalled: a 5 s
-	// task on a worker eight times too slow still gains 1% in 400 ms, and a worker reports
-	// once a second.
+	// stallTimeout is how long a run may make no progress before it counts as stalled. A task of
+	// 5 s on a worker that is eight times too slow still gains 1% in 400 ms, and workers report
+	// progress once a second.
 	stallTimeout = 1600 * time.Millisecond
-	// startupStallTimeout is the same for fillers and for long-running tasks, which start up
+	// startupStallTimeout is the same for fillers, and for long-running tasks, which start up
 	// until they report 100%.
 	startupStallTimeout = 3500 * time.Millisecond
-	// stallRecheckInterval is the pause between checks of a run past its timeout until its
-	// worker's run list confirms the stall.
+	// stallRecheckInterval is the time between checks of a run that is past its stall timeout,
+	// until its worker's run list confirms the stall.
 	stallRecheckInterval = 25 * time.Millisecond
-	// maxStallsBlamedOnWorkers is how many stalls of a task are blamed on its workers. After
-	// these no worker is avoided for it, and its stall timeout doubles with each stall.
+	// maxStallsBlamedOnWorkers is how many stalls of a task are blamed on its workers. From then
+	// on no worker is avoided for the task's stalls, and its stall timeout doubles with each.
 	maxStallsBlamedOnWorkers = 2
-	// maxStallDoublings bounds that doubling.
+	// maxStallDoublings limits how often the stall timeout of a task is doubled.
 	maxStallDoublings = 5
 	// maxAvoidedShare is the largest share of a service's workers that may be avoided.
 	maxAvoidedShare = 0.34
@@ -143,7 +145,7 @@
 // rescheduleStallCheck schedules another check of a run that is not certain to have stalled.
 func (c *Core) rescheduleStallCheck(r *run, now time.Time) {
 	if r.phase != running || r.percent >= 100 {
-		return // scheduled again if its percentage falls back
+		return // scheduled again if its percentage falls below 100
 	}
 	r.stallWatched = true
 	c.stallsDue.add(laterOf(r.progressAt.Add(r.stallTimeout()), now.Add(stallRecheckInterval)), r)
@@ -158,20 +160,20 @@
 	return limit << min(maxStallDoublings, max(0, r.task.stalls-maxStallsBlamedOnWorkers+1))
 }
 
-// isStalled reports whether the run is certain to have made no progress for its stall timeout.
+// isStalled reports whether the run has certainly made no progress for its stall timeout.
 func isStalled(r *run, now time.Time) bool {
 	spec := r.task.step.spec
 	if r.phase != running || spec.Gang || r.percent >= 100 || r.throttlePercent < 100 {
 		return false
 	}
 	limit := r.stallTimeout()
-	// The run list with the newest percentage may be old: only a hold that was sent since then,
-	// and answered, proves the stall.
+	// The run list with the last percentage may be old. Only the answer to a hold that was sent
+	// some time after the last progress proves the stall.
 	return now.Sub(r.progressAt) > limit && r.worker.answeredHoldSentAt.Sub(r.progressAt) > limit/2
 }
 
-// updateRemaining recomputes the remaining work and critical path, after a task was done or
-// an occurrence was created.
+// updateRemaining recomputes the remaining work and critical path. Call it after a task was done
+// or an occurrence was created.
 func (j *jobState) updateRemaining() {
 	j.workLeft = j.remainingWork()
 	j.criticalPathLeft = j.remainingCriticalPath()
@@ -186,8 +188,8 @@
 	return sum
 }
 
-// remainingCriticalPath returns the longest chain of unfinished steps of any occurrence, by
-// the estimates.
+// remainingCriticalPath returns the estimated duration of the longest chain of dependent steps
+// that are not done, over all occurrences.
 func (j *jobState) remainingCriticalPath() time.Duration {
 	n := len(j.spec.Steps)
 	var longest time.Duration
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -11,10 +11,11 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// A worker may restart under the same id. It then has no runs, and its end numbers, its
-// clock and the highest fencing token that it has seen start over. Incarnations are told
-// apart by their start times. These are compared only for equality, as a worker's time of
-// day may go back across a restart. An unknown start time matches every incarnation.
+// A worker may restart under the same id. Its new incarnation has no runs, and starts over with
+// its numbers of run ends, its clock and the highest fencing token that it has seen.
+// Incarnations are told apart by their start times. These are compared only for equality, as
+// the worker's time of day may go back across a restart. An unknown start time matches every
+// incarnation.
 
 // incarnation identifies one incarnation of a worker.
 type incarnation struct {
@@ -50,8 +51,8 @@
 
 func (w *worker) incarnation() incarnation { return incarnation{w.Worker, w.StartedMs} }
 
-// incarnationOn returns the incarnation of the worker that the instance list shows on an
-// instance, without a start time if the worker is not known.
+// incarnationOn returns the incarnation of the instance's worker, without a start time if the
+// worker is not known.
 func (c *Core) incarnationOn(i *Instance) incarnation {
 	if w := c.workers[i.Worker]; w != nil {
 		return w.incarnation()
@@ -67,9 +68,8 @@
 	return nil
 }
 
-// targetedWorker returns the worker that an order was sent to. It returns nil if that
-// incarnation is no longer the current one, as the order's outcome says nothing about the
-// current one.
+// targetedWorker returns the worker that an order was sent to. It returns nil if another
+// incarnation of the worker has begun since, about which the order's outcome says nothing.
 func (c *Core) targetedWorker(t Target) *worker {
 	return c.currentWorker(incarnation{t.Worker, t.StartedMs})
 }
@@ -93,8 +93,8 @@
 	return nextIncarnation
 }
 
-// maxPastIncarnations is how many past incarnations of a worker are remembered. A message
-// from an older one would have to be delayed longer than any timeout.
+// maxPastIncarnations is how many past incarnations of a worker are remembered. A message from
+// an older one would have been delayed for longer than any timeout.
 const maxPastIncarnations = 8
 
 // newWorker adds a worker with no known state.
@@ -111,10 +111,10 @@
 	return w
 }
 
-// startIncarnation ends the known incarnation of a worker and begins a new one under the
-// same id. Runs ended with the past incarnation, unless their order reached the new one. The
-// first run list of the new one shows which; until then they are kept, so that their tasks do
-// not start elsewhere.
+// startIncarnation ends the known incarnation of a worker and begins a new one under the same
+// id. The runs have ended with the past incarnation, unless their start order reached the new
+// one. They are kept until the first run list of the new one shows which is the case, so that
+// their tasks do not start elsewhere before.
 func (c *Core) startIncarnation(old *worker, startedMs int64, proof string, now time.Time) *worker {
 	c.logDecision(Decision{Event: "worker-restarted", Worker: old.Worker, Reason: fmt.Sprintf("%s; the past incarnation had %d runs", proof, len(old.runs))})
 	if !old.ended {
@@ -136,8 +136,8 @@
 	return w
 }
 
-// moveToIncarnation assigns the run to the worker's next incarnation, whose run list
-// shows whether it exists.
+// moveToIncarnation assigns the run to the worker's next incarnation, whose run list will show
+// whether it exists there.
 func (r *run) moveToIncarnation(w *worker, now time.Time) {
 	r.worker = w
 	r.fromPastIncarnation = true
@@ -157,8 +157,8 @@
 	return now.Sub(w.firstSeenAt) > maxLease
 }
 
-// ackThrough returns the number up to which ends are acknowledged. It is 0 while the worker
-// does not answer: a new incarnation may have begun, which would drop its own ends.
+// ackThrough returns the number up to which the next hold acknowledges run ends. It is 0 while
+// the worker does not answer: if a new incarnation has begun, it would drop its own run ends.
 func (w *worker) ackThrough() uint64 {
 	if w.StartedMs != 0 && (!w.silentSince.IsZero() || !w.contactLoss.lostAt.IsZero()) {
 		return 0
@@ -166,7 +166,7 @@
 	return w.lastAckedEnd
 }
 
-// pastIncarnationListedFor is how long after an incarnation began the instance list may
+// pastIncarnationListedFor is how long after the start of an incarnation the instance list may
 // still show the state of the one before.
 const pastIncarnationListedFor = 3 * time.Second
 
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -32,7 +32,7 @@
 	}
 	if old != nil && old.Worker != i.Worker {
 		if w := c.workers[i.Worker]; w != nil && w.ended {
-			return // the list is outdated: this worker has already ended
+			return // the list is outdated: the worker that it shows has already ended
 		}
 		if old.Pool != i.Pool || c.mayBeOrderedByEarlierOwner(i.ID, now) {
 			c.markEndOrdered(old.Worker)
@@ -64,8 +64,8 @@
 }
 
 // updateWaves passes an entry of the instance list to the waves that name the instance,
-// completed ones included. The list doesn't tell for which wave an instance is under
-// maintenance.
+// including completed ones: the list does not tell for which wave an instance is under
+// maintenance. It skips waves if the instance is down for another one.
 func (c *Core) updateWaves(i Instance) {
 	for _, ws := range c.waves {
 		if ws.members[i.ID] && !c.isDownForOtherWave(ws, i.ID) {
@@ -96,8 +96,8 @@
 	return n == 1
 }
 
-// markEndOrdered records that an order of this or an earlier owner ends the worker's
-// incarnation.
+// markEndOrdered records that an order by this or an earlier owner has ended, or will end, the
+// worker's incarnation.
 func (c *Core) markEndOrdered(id WorkerID) {
 	if w := c.workers[id]; w != nil {
 		w.endOrdered = true
@@ -105,11 +105,11 @@
 }
 
 // orderVisibleWithin is the maximum time from an order until the instance list shows the
-// instance's next worker. A move or a maintenance takes two seconds.
+// instance's next worker. Moves and maintenance take two seconds.
 const orderVisibleWithin = 5 * time.Second
 
-// mayBeOrderedByEarlierOwner reports whether an order of an earlier owner may be the reason
-// for the instance's change.
+// mayBeOrderedByEarlierOwner reports whether an order by an earlier owner may be the cause of a
+// change of the instance.
 func (c *Core) mayBeOrderedByEarlierOwner(id InstanceID, now time.Time) bool {
 	until, ordered := c.orderHoldoff[id]
 	return ordered && now.Before(until.Add(orderVisibleWithin))
@@ -122,7 +122,7 @@
 	}
 }
 
-// SetStoreLease sets whether this daemon is known to hold its lease in the store. Orders for
+// SetStoreLease records whether this daemon is known to hold its lease in the store. Orders for
 // instances are sent only while it does.
 func (c *Core) SetStoreLease(held bool, now time.Time) {
 	if held {
@@ -138,8 +138,8 @@
 	return c.storeLeaseLostAt.IsZero() && !c.fenced && now.Sub(c.instanceListAt) <= maxInstanceListAge
 }
 
-// isHandoverComplete reports whether the previous owner's orders have arrived at the platform
-// and show in the instance list.
+// isHandoverComplete reports whether all orders of the previous owner have reached the platform
+// and are visible in the instance list.
 func (c *Core) isHandoverComplete(now time.Time) bool {
 	wait := c.opt.DutyHandover + DutyHandoverMargin
 	if c.opt.SucceedsSelf {
@@ -148,9 +148,9 @@
 	return c.opt.Term == 1 || now.Sub(c.electedAt) > wait
 }
 
-// mayOrderInstance reports whether this instance may get an order. Two owners must not give
-// alternating orders for one instance. Instances without a recent order by another owner
-// needn't wait.
+// mayOrderInstance reports whether this owner may send an order for the instance. After a recent
+// order by another owner it has to wait, so that two owners do not send alternating orders for
+// one instance.
 func (c *Core) mayOrderInstance(id InstanceID, now time.Time) bool {
 	if c.opt.PriorOrdersUnknown && now.Sub(c.electedAt) < c.opt.DutyHandover+DutyHandoverMargin {
 		return false
@@ -158,8 +158,8 @@
 	return !now.Before(c.orderHoldoff[id])
 }
 
-// isOnInstanceList reports whether the instance list names the worker. The store keeps
-// registrations for some seconds after a worker's end.
+// isOnInstanceList reports whether the instance list shows the worker. A worker that it does not
+// show may have ended: the store keeps registrations for some seconds after that.
 func (c *Core) isOnInstanceList(w *worker) bool {
 	return c.instanceListShows(w.Worker)
 }
--- a/jobs/owner/isolation.go
+++ b/jobs/owner/isolation.go
@@ -14,20 +14,20 @@
 	// stableAfter is how long a run has to be up to count as not having crashed its worker at
 	// the start.
 	stableAfter = 2 * atStartTime
-	// isolationWait is how long a risky task waits for an empty worker before one whose other
-	// runs are stable will do; isolationWaitLongRunning is the same for long-running tasks,
-	// which must be restored within 3 s. Most tasks end within this time.
+	// isolationWait is how long a risky task waits for an empty worker. After that it accepts a
+	// worker whose other runs are stable. Most tasks end within this time.
+	// isolationWaitLongRunning is the same for long-running tasks, which must be restored
+	// within 3 s.
 	isolationWait            = 1500 * time.Millisecond
 	isolationWaitLongRunning = 700 * time.Millisecond
 	// vacateTime is how long a worker gets no other tasks so that it becomes empty for a
 	// risky task.
 	vacateTime = 2 * time.Second
-	// maxVacatingShare is the largest share of a service's workers that are vacated for
-	// risky tasks; one worker always may be.
+	// maxVacatingShare is the largest share of a service's workers that may be vacated for
+	// risky tasks at a time; one worker always may be.
 	maxVacatingShare = 0.25
-	// crashedInstanceAvoidTime is how long an instance that has crashed is used for risky
-	// tasks only if there is no other: it may crash again by itself, and the task would be
-	// blamed.
+	// crashedInstanceAvoidTime is how long a crashed instance is used for risky tasks only if
+	// there is no other. It may crash again by itself, and the task would be blamed for it.
 	crashedInstanceAvoidTime = 20 * time.Second
 )
 
@@ -65,9 +65,9 @@
 	return false
 }
 
-// beginIsolation records the isolated start of a risky task. An unconfirmed crash is stored
-// before the start is answered: if this owner is lost together with the worker, the next
-// one counts the crash.
+// beginIsolation records the start of a risky task in isolation; it does nothing for other
+// tasks. It records an unconfirmed crash in advance: if this owner is lost together with the
+// worker, the next owner counts the crash.
 func (c *Core) beginIsolation(r *run, now time.Time) {
 	r.isolatedRisk = r.task.crashRisk()
 	if r.isolatedRisk == job.CrashRiskNone {
@@ -112,8 +112,8 @@
 	return true
 }
 
-// otherJobsStable reports whether all runs of other jobs on the worker are stable. If the
-// worker crashes at the start of a new run, they are not the cause.
+// otherJobsStable reports whether all runs of other jobs on the worker are stable, so that they
+// are not suspects if the worker crashes at the start of a new run.
 func (w *worker) otherJobsStable(j *jobState, now time.Time) bool {
 	for _, r := range w.runs {
 		if r.task.step.job != j && !r.isStable(now) {
@@ -123,14 +123,15 @@
 	return true
 }
 
-// isInstanceReliable reports whether the worker's instance has not crashed recently, apart from
-// crashes by a task that was given up.
+// isInstanceReliable reports whether the worker's instance has not crashed recently, other than
+// by a task that was given up.
 func (c *Core) isInstanceReliable(w *worker, now time.Time) bool {
 	i := c.instances[c.instanceOfWorker[w.Worker]]
 	return i == nil || i.crashedAt.IsZero() || now.Sub(i.crashedAt) > crashedInstanceAvoidTime || slices.ContainsFunc(i.suspects, (*task).isGivenUp)
 }
 
-// isolationConditions returns conditions on a risky task's worker, in order of preference.
+// isolationConditions returns the conditions that a risky task's worker may meet, the preferred
+// one first.
 func (p *schedulingPass) isolationConditions(t *task) []func(*worker) bool {
 	j := t.step.job
 	if t.isolationWaitSince.IsZero() {
@@ -166,7 +167,7 @@
 }
 
 // placeIsolated starts a risky task on the best worker that meets an isolation condition. If
-// there is none, it waits, and after isolationWait it may preempt.
+// there is none, the task waits, and after its isolation wait it may preempt other runs.
 func (p *schedulingPass) placeIsolated(t *task, sel *workerSelector, excluded func(*worker) bool) {
 	for _, fits := range p.isolationConditions(t) {
 		w := sel.pick(func(w *worker) bool { return excluded(w) || !fits(w) })
@@ -185,8 +186,8 @@
 	}
 }
 
-// awaitIsolation counts a risky task as waiting, and has a worker vacated for it: the one
-// with the fewest runs.
+// awaitIsolation counts a risky task as waiting, and vacates the worker with the fewest runs for
+// its job.
 func (p *schedulingPass) awaitIsolation(t *task, req *placement.Request) {
 	s := t.step
 	p.pool.addWaiting(s, 1)
@@ -217,8 +218,8 @@
 	best.isolatedFor, best.isolatedUntil = s.job, p.now.Add(vacateTime)
 }
 
-// isolationViews returns the views with the workers excluded on which a gang with a crash
-// risk may not start.
+// isolationViews returns a copy of the views that excludes the workers on which a risky gang may
+// not start.
 func (p *schedulingPass) isolationViews(s *stepState, view *workerView) []placement.Worker {
 	conditions := p.isolationConditions(s.tasks[0])
 	allowed := conditions[len(conditions)-1]
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// restoreProgress applies the progress of a job that is stored in p.
+// restoreProgress applies the stored progress p to the job.
 func (c *Core) restoreProgress(j *jobState, p *job.Progress, now time.Time) {
 	j.version, j.storedVersion = 1, 1
 	for _, sp := range p.Steps {
@@ -53,8 +53,8 @@
 	c.updatePendingCount(j)
 }
 
-// replayArrivals replays the arrivals of the stored jobs in order of acceptance, so that a
-// new owner knows the pools' arrival rates and the use of tenants' shares from the start.
+// replayArrivals adds the stored jobs, in the order of their acceptance, to the arrival rates of
+// the pools and the usage of tenants' shares, so that a new owner knows these from the start.
 func (c *Core) replayArrivals(loaded []StoredJob, now time.Time) {
 	list := slices.Clone(loaded)
 	slices.SortStableFunc(list, func(a, b StoredJob) int { return a.Job.AcceptedAt.Compare(b.Job.AcceptedAt) })
@@ -64,8 +64,8 @@
 	}
 }
 
-// recordArrival adds the work of a job to the arrival rate of its pool, unless the job is
-// scheduled for later, long-running or over its tenant's limit.
+// recordArrival adds the work of a job to the arrival rate of its pool, unless the job repeats,
+// is long-running, arrives in the future or is over its tenant's limit.
 func (c *Core) recordArrival(j *jobState, at, now time.Time) {
 	if len(j.spec.Steps) == 0 || j.spec.Repeat > 0 || j.spec.Steps[0].LongRunning || at.After(now) {
 		return
@@ -76,9 +76,9 @@
 	c.pool(j.service).arrivalRate.Add(j.work, at)
 }
 
-// submitHandoverWindow is how long after a change of owner jobs may still reach the
-// previous owner. That owner sends each worker two holds a second and stops at the first
-// answer from a worker that has seen the new fencing token.
+// submitHandoverWindow is how long after a change of owner new jobs may still reach the previous
+// owner and be started by it. That owner sends each worker two holds a second and stops at the
+// first answer from a worker that has seen the new fencing token.
 const submitHandoverWindow = time.Second
 
 // Submit adds an accepted job.
@@ -87,7 +87,7 @@
 		return
 	}
 	j := c.addJob(spec, now)
-	// The previous owner may not know yet that it was replaced, and may have started it.
+	// The previous owner may not know yet that it was replaced, and may have started the job.
 	j.inherited = c.opt.Term > 1 && now.Sub(c.startedAt) < submitHandoverWindow
 	c.logDecision(Decision{Event: "job-known", Job: spec.ID, Reason: j.service})
 	c.chargeShare(j)
@@ -110,8 +110,8 @@
 	return j
 }
 
-// isLongRunning reports whether the job runs until it is cancelled. Its tasks are never
-// done, so once every lease that they can have has expired, they run nowhere.
+// isLongRunning reports whether the job runs until it is cancelled. Its tasks are never done, so
+// once all leases under which they may run have expired, it is certain that they do not run.
 func (j *jobState) isLongRunning() bool {
 	for _, s := range j.spec.Steps {
 		if !s.LongRunning {
@@ -121,8 +121,8 @@
 	return true
 }
 
-// refreshQueue applies the current settings of the job's queue. A queue that is no
-// longer configured keeps its last settings.
+// refreshQueue applies the current settings of the job's queue. If the queue is no longer
+// configured, the job keeps the last settings.
 func (c *Core) refreshQueue(j *jobState) {
 	if c.catalog == nil {
 		return
@@ -247,7 +247,7 @@
 	j.endedAt = now
 	c.updatePendingCount(j)
 	c.markDirty(j)
-	c.toWrite.add(j) // moves it to the jobs that ended, which are written first
+	c.toWrite.add(j) // moves it to the class of ended jobs, which are written before open ones
 	c.logDecision(Decision{Event: "job-" + string(state), Job: j.spec.ID})
 	c.logIfLate(j, now)
 	for _, s := range j.steps {
--- a/jobs/owner/jobstart.go
+++ b/jobs/owner/jobstart.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// A job counts as started once a worker has confirmed it, by accepting a start or by listing
-// a run or its end. Sending a start is not enough: it may be refused or lost, and while the
-// workers are slow to answer a new owner, the starts of many jobs are in flight for seconds.
+// A job counts as started once a worker has confirmed a run of it, by accepting its start or by
+// listing the run or its end. Sending a start is not enough: it may be refused or lost, and as
+// long as workers are slow to answer a new owner, the starts of many jobs are in flight for
+// seconds.
 
 // markJobStarted marks the job as started when a worker first confirms a run of it. A gang has
 // started once all its members are confirmed.
@@ -20,8 +21,8 @@
 		Reason: "accepted " + now.Sub(j.spec.AcceptedAt).Round(time.Millisecond).String() + " ago"})
 }
 
-// gangRunsTogether reports whether workers have confirmed all members of a gang under one run
-// number. Only then do their tasks start.
+// gangRunsTogether reports whether workers have confirmed all members of a gang under the run
+// number. The members do not begin their work before.
 func (s *stepState) gangRunsTogether(number uint64) bool {
 	for _, t := range s.tasks {
 		r := t.activeRun()
--- a/jobs/owner/lease.go
+++ b/jobs/owner/lease.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Bounds of a worker's clock and of leases on it.
+// Bounds for the expiry of leases, which workers measure by their own clocks.
 const (
 	// maxClockSlowdown is the fraction by which a worker's clock may run slow. The platform
 	// documents 2%.
 	maxClockSlowdown = 0.02
-	// leaseMargin is added to the computed end of a lease, as the worker needs some time to
-	// stop its runs.
+	// leaseMargin is added to the computed end of a lease, as the worker takes some time to stop
+	// its runs.
 	leaseMargin = 150 * time.Millisecond
 )
 
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// Correlated losses: if most of a rack or availability zone is lost at the same time, no task
-// is blamed.
+// Correlated losses: if most workers of a rack or availability zone are lost at the same time,
+// the cause is the rack or zone, and no task is blamed.
 
 // A rack or zone counts as failed if at least this many of its workers, and more than half of
 // them, were lost at the same time.
@@ -17,13 +17,13 @@
 
 const (
 	uncorrelated       lossCorrelation = iota
-	possiblyCorrelated                 // so many others are silent that it depends on whether they return
+	possiblyCorrelated                 // depends on whether the workers that are silent now have ended
 	correlated
 )
 
-// lossCorrelationOf returns whether most workers of w's rack or zone were lost with w. Workers
-// that are silent but not known to have ended may be partitioned for a short time; if they
-// make the difference, the result is possiblyCorrelated.
+// lossCorrelationOf returns whether most workers of w's rack or zone were lost together with w.
+// Silent workers that are not known to have ended may just be partitioned for a short time. If
+// the result depends on them, it is possiblyCorrelated.
 func (c *Core) lossCorrelationOf(w *worker) lossCorrelation {
 	rack, zone := lossCount{min: minRackLosses}, lossCount{min: minZoneLosses}
 	count := func(o *worker) {
@@ -52,8 +52,8 @@
 	return max(rack.correlation(), zone.correlation())
 }
 
-// shareCrashSuspect reports whether one task may have crashed both workers: started again at
-// once, it can crash a rack worker by worker.
+// shareCrashSuspect reports whether one task may have crashed both workers. A task that is
+// started again at once can crash one worker of a rack after another, without a rack failure.
 func (c *Core) shareCrashSuspect(a, b *worker) bool {
 	suspects := c.crashSuspects(b)
 	return slices.ContainsFunc(c.crashSuspects(a), func(t *task) bool { return slices.Contains(suspects, t) })
@@ -79,10 +79,10 @@
 
 // lossCount counts the workers of a rack or zone.
 type lossCount struct {
-	min   int
+	min   int // smallest number of losses that counts as a failure
 	total int
 	lost  int // silent or ended
-	ended int // ended
+	ended int // of these, ended
 }
 
 // add counts a worker.
@@ -96,7 +96,7 @@
 	}
 }
 
-// correlation returns lossCorrelation by the counts.
+// correlation returns the result for the rack or zone.
 func (c *lossCount) correlation() lossCorrelation {
 	switch {
 	case c.isMajority(c.ended):
@@ -107,5 +107,5 @@
 	return uncorrelated
 }
 
-// isMajority reports whether n is at least the minimum and more than half of all.
+// isMajority reports whether n is at least min and more than half of total.
 func (c *lossCount) isMajority(n int) bool { return n >= c.min && 2*n > c.total }
--- a/jobs/owner/moves.go
+++ b/jobs/owner/moves.go
@@ -14,7 +14,8 @@
 	accepted    bool // by the platform
 }
 
-// moveTimeout is how long after its order an accepted move is still expected to succeed.
+// moveTimeout is how long an accepted move may take, from its order on, before it counts as
+// failed.
 const moveTimeout = 6 * time.Second
 
 // removeFinishedMoves removes accepted moves that are complete or timed out, and moves of
@@ -33,7 +34,7 @@
 	}
 }
 
-// removeMove removes a move that is over or was refused.
+// removeMove removes a move that is complete, has failed or was refused.
 func (c *Core) removeMove(id InstanceID, m *poolMove) {
 	delete(c.moves, id)
 	if w := c.currentWorker(m.incarnation); w != nil && !w.ended {
@@ -44,8 +45,7 @@
 	}
 }
 
-// ExpectsWorkers reports whether instances are moving to a pool with workers, which will
-// register soon.
+// ExpectsWorkers reports whether instances are moving to pools whose workers will register soon.
 func (c *Core) ExpectsWorkers() bool {
 	for _, m := range c.moves {
 		if s := c.catalog.Service(m.toPool); s == nil || !s.Spare {
@@ -90,7 +90,7 @@
 		m.accepted = true
 		return
 	case DutyUnanswered:
-		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o) // it may have been carried out: ask again
+		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o) // it may have been carried out: repeat it
 		return
 	case DutyFenced:
 		c.fenced = true
@@ -101,8 +101,8 @@
 	c.removeMove(o.Instance, m)
 }
 
-// The platform limits the rate of moves. Returns to the spare pool use only a part of it, so
-// that moves to pools with waiting tasks aren't delayed.
+// The platform limits the rate of moves. Returns to the spare pool use only a part of that rate,
+// so that they do not delay moves to pools with waiting tasks.
 const (
 	// returnShare is the fraction of the move rate that returns may use.
 	returnShare = 0.5
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -4,8 +4,8 @@
 
 // Retries of orders.
 const (
-	// maxStartSends is how often a start is sent before the core waits for the worker's run
-	// list instead: each unanswered order takes a whole timeout.
+	// maxStartSends is how often a start is sent at most. After that the core waits for the
+	// worker's run list, since each unanswered order takes a whole timeout.
 	maxStartSends = 2
 	// stopRetryPause is the pause before an unanswered stop is sent again.
 	stopRetryPause = 100 * time.Millisecond
@@ -36,7 +36,7 @@
 	}
 	c.onOrderAnswer(w, a, now)
 	if a.Outcome == Unanswered && !c.callLossDetector.Lossy() {
-		c.trackAnswerLatency(OrderTimeout, now) // the least that it takes, if it still comes
+		c.trackAnswerLatency(OrderTimeout, now) // lower bound of the latency of a late answer
 	}
 	r := w.runs[o.Task]
 	if r == nil || r.number != o.Run {
@@ -91,7 +91,7 @@
 	c.releaseRun(r, CauseRunLost, now)
 }
 
-// resetRefusals resets the backoff for earlier refusals by the worker and of the step's
+// resetRefusals resets the backoffs after refusals by the worker and rejections of the step's
 // tickets.
 func (r *run) resetRefusals() {
 	r.worker.consecutiveNoRoom = 0
@@ -103,13 +103,13 @@
 // logLateStartAnswer logs that a worker accepted a start whose run was already released.
 func (c *Core) logLateStartAnswer(w *worker, o Start, a Answer, now time.Time) {
 	if a.Outcome == Accepted {
-		// The next hold lists the run, and decides on it.
+		// The worker's next run list contains the run, which is then adopted or stopped.
 		c.logDecision(Decision{Event: "late-start-answer", Job: o.Task.Job, Task: o.Task.String(), Worker: w.Worker, Run: o.Run})
 	}
 }
 
-// onStartNotSent handles a start that was dropped after waiting too long to be sent. Its
-// task is placed again, unless an earlier start of the run may have arrived.
+// onStartNotSent handles a start that was dropped after waiting too long to be sent. Its task is
+// placed again, unless an earlier start of the same run may have arrived.
 func (c *Core) onStartNotSent(r *run, now time.Time) {
 	switch {
 	case r.phase != starting:
@@ -134,13 +134,13 @@
 	case r.sends < c.callLossDetector.Attempts(maxStartSends):
 		c.sendStart(r, now)
 	default:
-		// The worker may have started it, and a stop would end a working task. The worker's
-		// next run list shows whether it runs.
+		// The worker may have started the run, and a stop would end a working task. The worker's
+		// next run list shows whether it has.
 		r.startAbandonedAt = now
 	}
 }
 
-// provenNotStarted reports whether no start of the run has arrived so far, given that the
+// provenNotStarted reports whether no start of the run can have arrived so far, given that the
 // answer to a hold sent at holdSentAt does not list the run.
 func (r *run) provenNotStarted(holdSentAt time.Time) bool {
 	return r.phase == starting && !r.startAbandonedAt.IsZero() && !holdSentAt.Before(r.startAbandonedAt)
@@ -203,7 +203,7 @@
 			continue
 		}
 		if resendAt := r.sentAt.Add(c.stopRetryInterval()); now.Before(resendAt) {
-			c.stopsDue.add(resendAt, r) // it was sent again meanwhile
+			c.stopsDue.add(resendAt, r) // it was sent again in the meantime
 			continue
 		}
 		c.sendStop(r, now)
@@ -216,8 +216,8 @@
 	return c.callLossDetector.Timeout(OrderTimeout) + stopRetryPause
 }
 
-// OrderTimeout is the timeout for the answer to a start or stop: about a hundred round
-// trips, and short compared with a small task.
+// OrderTimeout is the timeout for the answer to a start or stop: about a hundred times the round
+// trip, and short compared with the duration of a small task.
 const OrderTimeout = 400 * time.Millisecond
 
 func laterOf(a, b time.Time) time.Time {
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -5,17 +5,19 @@
 	"time"
 )
 
-// Thresholds for an owner that is short of processor time or bandwidth.
+// Parameters for detecting that the owner is starved: short of processor time or of bandwidth to
+// the workers.
 const (
-	// starvedTimerDelay is the delay of the owner's own timer from which its timeouts prove
-	// nothing about workers: a third of the time that it waits for a hold.
+	// starvedTimerDelay is the delay of the owner's own timer from which its timeouts say nothing
+	// about the workers: a third of the time that it waits for the answer to a hold.
 	starvedTimerDelay = 300 * time.Millisecond
-	// starvedPeriod is how long the owner counts as starved after each sign of it: the time
-	// of a hold and its answer.
+	// starvedPeriod is how long the owner counts as starved after each sign of it: the time that
+	// a hold and its answer take.
 	starvedPeriod = 1500 * time.Millisecond
-	// maxSilentShare is the share of workers that may plausibly fall silent at once. Network
-	// partitions and crashes hit a quarter of them at most, while an owner that cannot keep up
-	// reads answers of only 3 to 40 of 100. maxSilentWorkers, a small rack, always may.
+	// maxSilentShare is the share of workers up to which silence at the same time is attributed
+	// to the workers. Network partitions and crashes affect a quarter of them at most, while an
+	// overloaded owner reads the answers of only 3 to 40 of 100. maxSilentWorkers, the size of
+	// a small rack, is the number of workers up to which it always is.
 	maxSilentShare   = 0.5
 	maxSilentWorkers = 4
 	// slowAnswerLatency is the mean answer latency from which the owner's own link to the
@@ -24,8 +26,9 @@
 	// latencyDecay is the weight of the previous mean at each answer: about the last twenty
 	// answers count.
 	latencyDecay = 0.95
-	// maxOverload is how long most workers may stay silent before they count as partitioned
-	// after all: four leases. An owner that can be replaced has been replaced by then.
+	// maxOverload is how long silence of most workers is attributed to the owner. After that they
+	// count as partitioned. It is the length of four leases: if another daemon can replace this
+	// owner, it has done so by then.
 	maxOverload = 20 * time.Second
 )
 
@@ -36,8 +39,8 @@
 	}
 }
 
-// ReportSuspension reports that the owner's instance was suspended for d, which the time of
-// its events does not include. All that was received is older by d, and workers that seem
+// ReportSuspension reports that the owner's instance was suspended for d, which the times passed
+// to Core do not include. All received data is older by d than it seems, and workers that seem
 // silent may have answered.
 func (c *Core) ReportSuspension(d time.Duration, now time.Time) {
 	c.markStarved("owner-suspended", "suspended for "+d.Round(time.Millisecond).String(), now)
@@ -53,10 +56,10 @@
 	}
 }
 
-// detectOverload marks the owner as starved if most workers seem silent at once: then the
-// owner is the cause, even if its timer is not late. It does so only while it holds the
-// store lease, so that no other daemon can be the owner, and for at most maxOverload, as
-// tasks on workers that really are partitioned have to start elsewhere.
+// detectOverload marks the owner as starved if most workers seem silent at the same time: the
+// cause is then the owner, even if its timer is not late. It does so only while this daemon
+// holds the store lease, so that no other daemon can be the owner, and for at most maxOverload,
+// as the tasks of workers that really are partitioned have to start elsewhere.
 func (c *Core) detectOverload(now time.Time) {
 	if len(c.silentWorkers) <= maxSilentWorkers {
 		c.mostSilentSince = time.Time{}
@@ -84,10 +87,9 @@
 	}
 }
 
-// trackAnswerLatency updates the mean answer latency and adapts the start window to it. It
-// marks the owner as starved while the mean answer latency shows that its
-// link is saturated, as workers that seem silent may have answered. It is limited in time
-// like detectOverload.
+// trackAnswerLatency updates the mean answer latency and adapts the start window to it. It marks
+// the owner as starved while the mean shows that its link to the workers is saturated, since
+// workers that seem silent may then have answered. The same limits as in detectOverload apply.
 func (c *Core) trackAnswerLatency(latency time.Duration, now time.Time) {
 	if latency == 0 {
 		return
@@ -106,9 +108,9 @@
 	}
 }
 
-// markStarved records that the owner is short of processor time or bandwidth. For
-// starvedPeriod it renews the leases even of workers that seem silent: their answers may
-// wait to be read, and an expired lease would stop their tasks.
+// markStarved marks the owner as starved for starvedPeriod. Meanwhile it also renews the leases
+// of workers that seem silent: their answers may wait to be read, and their tasks would be
+// stopped if the leases expired.
 func (c *Core) markStarved(event, reason string, now time.Time) {
 	if !c.isStarved(now) {
 		c.starvedSince = now
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -13,10 +13,10 @@
 	waitingSince          time.Time // since when tasks have waited without a break; zero: none waits
 	lastPassAt            time.Time // time of the last scheduling pass
 	waitingJobs           int       // jobs with tasks to place when that pass began
-	lowestStartedPriority int       // highest priority number, so the least urgent, of a started task
+	lowestStartedPriority int       // highest priority number, which is the least urgent, of a started task
 	arrivalRate           capacity.Rate
-	arrivingInstances     int // instances moving to it, as of the last sizing
-	reservedForWave       int // workers reserved for maintenance, as of the last sizing
+	arrivingInstances     int // instances moving to the pool, as of the last resizing
+	reservedForWave       int // workers reserved for maintenance, as of the last resizing
 	estimateRatio         estimateRatio
 
 	placementQueue []*jobState  // jobs that may have tasks to place
@@ -25,7 +25,8 @@
 	supply         poolSupply   // totals over its instances
 }
 
-// sizingInterval is the interval between two sizings, short compared to a move.
+// sizingInterval is the interval between two resizings of the pools, short compared with the
+// duration of a move.
 const sizingInterval = 100 * time.Millisecond
 
 // pool returns the state of a service's pool and creates it on first use.
@@ -64,8 +65,8 @@
 	return now.Sub(p.waitingSince)
 }
 
-// estimateRatio compares the measured and the estimated core-seconds of completed tasks,
-// as exponentially decaying sums.
+// estimateRatio is the ratio of measured to estimated core-seconds of completed tasks, kept as
+// two exponentially decaying sums.
 type estimateRatio struct{ measured, estimated float64 }
 
 // ratioDecay is the factor applied to the sums at each completed task. About the last 100
@@ -88,7 +89,7 @@
 	return min(maxEstimateRatio, max(1.0/maxEstimateRatio, e.measured/e.estimated))
 }
 
-// resizePools orders the moves of instances between pools that demand calls for.
+// resizePools orders moves of instances between pools according to their demand.
 func (c *Core) resizePools(now time.Time) {
 	if !c.canSendInstanceOrders(now) || now.Before(c.nextSizingAt) {
 		return
@@ -102,7 +103,7 @@
 	}
 }
 
-// updateSupplyCounts updates the counts that explain why tasks of a pool wait.
+// updateSupplyCounts updates the counts by which waitCause explains why tasks of a pool wait.
 func (c *Core) updateSupplyCounts(pools []capacity.Pool) {
 	for _, p := range pools {
 		s := c.pool(p.Name)
@@ -113,8 +114,8 @@
 	}
 }
 
-// hasJoinedPool reports whether the instance's worker takes tasks. An instance of a spare
-// pool needs no worker.
+// hasJoinedPool reports whether the instance's worker has answered a hold of this owner. An
+// instance of a spare pool needs no worker.
 func (c *Core) hasJoinedPool(i *Instance) bool {
 	if s := c.catalog.Service(i.Pool); s != nil && s.Spare {
 		return true
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -8,25 +8,25 @@
 
 // Parameters of preemption.
 const (
-	// preemptDelay is how long a task waits for capacity before it preempts less urgent runs:
-	// most get capacity sooner, as other tasks end.
+	// preemptDelay is how long a task waits for capacity before it preempts less urgent runs.
+	// Most tasks get capacity sooner, as other tasks end.
 	preemptDelay = 300 * time.Millisecond
 	// preemptDelayLongRunning is the same for long-running tasks, which must be restored
 	// within 3 s and may preempt any task that ends by itself.
 	preemptDelayLongRunning = 700 * time.Millisecond
-	// preemptInterval is the time between two preemptions for a step: a worker takes up to a
+	// preemptInterval is the time between two preemptions for a step, as a worker takes up to a
 	// second to stop a run.
 	preemptInterval = 1200 * time.Millisecond
-	// preemptSearchInterval is the time between two searches for victims: each examines all
-	// runs of the service.
+	// preemptSearchInterval is the time between two searches for runs to preempt, as each search
+	// examines all runs of the service.
 	preemptSearchInterval = 200 * time.Millisecond
-	// checkpointLossShare is the share of a run's work lost by stopping it if it can resume
-	// from a checkpoint.
+	// checkpointLossShare is the share of its work that a run loses when it is stopped, if its
+	// task can resume from a checkpoint.
 	checkpointLossShare = 0.2
 )
 
-// preempt stops less urgent runs on one worker if the step has waited long enough for
-// capacity. The freed worker is kept for the step for preemptInterval.
+// preempt stops less urgent runs on one worker if the step has waited for capacity for its
+// preemption delay. The freed capacity is kept for the step for preemptInterval.
 func (p *schedulingPass) preempt(s *stepState, req *placement.Request) {
 	now := p.now
 	if s.waitingSince.IsZero() {
@@ -62,13 +62,12 @@
 	}
 }
 
-// recordStartedPriority records the priority of a job with a run in the pool in
-// lowestStartedPriority.
+// recordStartedPriority updates lowestStartedPriority for a job that has a run in the pool.
 func (p *poolState) recordStartedPriority(j *jobState) {
 	p.lowestStartedPriority = max(p.lowestStartedPriority, j.queue.Priority)
 }
 
-// mayHaveVictims reports whether runs that the step may preempt can exist in the pool.
+// mayHaveVictims reports whether the pool may have runs that the step may preempt.
 func (p *poolState) mayHaveVictims(s *stepState) bool {
 	return s.spec.LongRunning || p.lowestStartedPriority > s.job.queue.Priority
 }
@@ -78,7 +77,7 @@
 	return now.Sub(s.preemptedAt) < preemptInterval
 }
 
-// preemptionDelay is how long the step waits for capacity before it preempts.
+// preemptionDelay returns how long the step waits for capacity before it preempts other runs.
 func (s *stepState) preemptionDelay() time.Duration {
 	if s.spec.LongRunning {
 		return preemptDelayLongRunning
@@ -86,8 +85,8 @@
 	return preemptDelay
 }
 
-// preemptibleBy reports whether the run may be stopped for a task of s. Gang members may
-// not, since the rest of the gang would end too.
+// preemptibleBy reports whether the run may be preempted for a task of s. Members of a gang may
+// not be, since the rest of the gang would end, too.
 func (r *run) preemptibleBy(s *stepState) bool {
 	own := r.task.step
 	if r.phase != running || own.spec.LongRunning || own.spec.Gang || own.job == s.job {
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// markCrashDirty records a crash under a task of the job, which is stored before all other
-// changes. If this owner failed before that, the next one would not know of the crash.
+// markCrashDirty records a crash of a task of the job that has to be stored. It is stored before
+// all other changes, as the next owner would not know of it if this one failed before.
 func (c *Core) markCrashDirty(j *jobState) {
 	c.markDirty(j)
 	j.crashUnstored = true
@@ -25,7 +25,7 @@
 	c.toWrite.add(j)
 }
 
-// HasUrgentRecords reports whether a crash has to be stored, for the next owner to know of.
+// HasUrgentRecords reports whether a crash has to be stored.
 func (c *Core) HasUrgentRecords() bool { return len(c.unstoredCrashes) > 0 }
 
 // enqueueWrite appends the job to the write queue.
@@ -35,8 +35,8 @@
 	c.toWrite.add(j)
 }
 
-// PendingRecords returns the next records to store, with at most maxEntries transaction
-// entries in all, in the order of writeQueue.
+// PendingRecords returns the next records to store, in the order of writeQueue. Together they take
+// at most maxEntries entries of a transaction.
 func (c *Core) PendingRecords(maxEntries int) []Record {
 	var out []Record
 	for j := range c.toWrite.all(c.dirtyJobs) {
@@ -57,7 +57,7 @@
 	return 1
 }
 
-// DirtyJobs returns the number of jobs to be stored.
+// DirtyJobs returns the number of jobs with changes to be stored.
 func (c *Core) DirtyJobs() int { return len(c.dirtyJobs) }
 
 // OnCommitted handles records that were stored.
@@ -89,9 +89,9 @@
 	}
 }
 
-// dropSteps frees the tasks of a job once its end is stored and it has no runs. The job's
-// state is queried long afterwards: of 5,400 jobs in half a minute all but the open ones
-// are kept only for that.
+// dropSteps frees the steps of a job once its end is stored and it has no runs. The job itself is
+// kept, as its state may be queried for long: of 5,400 jobs in half a minute, all but the open
+// ones are kept only for that.
 func (c *Core) dropSteps(j *jobState) {
 	if j.stepsDropped || !j.state.Final() || j.storedVersion < j.version || c.hasRuns(j) {
 		return
@@ -112,7 +112,8 @@
 	}
 }
 
-// progress returns the job's progress to store; in a final state, without details.
+// progress returns the job's progress as it is stored. For a final state it has no details of
+// steps.
 func (j *jobState) progress() job.Progress {
 	p := job.Progress{State: j.state}
 	if j.state.Final() {
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -26,8 +26,8 @@
 	c.UpdateRegistrations(list, missing, true, now)
 }
 
-// UpdateRegistrations applies changes of registrations, if there are any. upToDate says
-// that no further changes are outstanding.
+// UpdateRegistrations applies changes of the registrations. It is also called without changes, to
+// report that the store was read. upToDate says that no further changes are outstanding.
 func (c *Core) UpdateRegistrations(changed []Registration, missing []WorkerID, upToDate bool, now time.Time) {
 	if !c.registrationsAt.IsZero() && now.Sub(c.registrationsAt) > storeOutageGap {
 		c.unregisterFrom = now.Add(reregistrationGrace)
@@ -57,12 +57,12 @@
 	}
 }
 
-// maxRegistrationLag is how far the known registrations may lag behind the store for tasks
-// to be started. It is half of the shortest time from a worker's announcement that it leaves
-// until no task may start there.
+// maxRegistrationLag is how far the known registrations may lag behind the store before no tasks
+// are started any more. It is half of the shortest time from the announcement of a drain until
+// no task may start on the worker.
 const maxRegistrationLag = time.Second
 
-// trackRegistrationLag records since when the known registrations are behind the store.
+// trackRegistrationLag records since when the known registrations lag behind the store.
 func (c *Core) trackRegistrationLag(upToDate bool, now time.Time) {
 	switch {
 	case upToDate && c.areRegistrationsStale(now):
@@ -78,7 +78,8 @@
 	}
 }
 
-// areRegistrationsStale reports whether the known registrations are too old to start tasks.
+// areRegistrationsStale reports whether the known registrations lag too far behind the store to
+// start tasks.
 func (c *Core) areRegistrationsStale(now time.Time) bool {
 	return !c.registrationsLagSince.IsZero() && now.Sub(c.registrationsLagSince) > maxRegistrationLag
 }
@@ -89,8 +90,8 @@
 	return c.catalog == nil || len(c.catalog.Services) == 0 || c.catalog.Service(service) != nil
 }
 
-// keepUnknownService keeps the registration of a worker whose service is not configured.
-// The worker is not used until it is.
+// keepUnknownService keeps the registration of a worker whose service is not configured. The
+// worker gets no tasks until its service is.
 func (c *Core) keepUnknownService(r Registration, now time.Time) {
 	if _, known := c.unknownServiceWorkers[r.Worker]; !known {
 		c.logDecision(Decision{Event: "worker-of-unknown-service", Worker: r.Worker, Reason: r.Service})
@@ -119,8 +120,8 @@
 	c.missingRegistrations.put(w, w.registered)
 }
 
-// unregisterMissing marks missing workers as not registered. It is called once their
-// registrations can no longer come back after a store outage.
+// unregisterMissing marks workers without a registration as not registered. It is not called
+// while workers may still have to register again after a store outage.
 func (c *Core) unregisterMissing() {
 	for _, w := range c.missingRegistrations.sorted() {
 		w.registered = false
@@ -171,7 +172,7 @@
 	c.changedServices[r.Service] = true
 }
 
-// equal reports whether both registrations are the same.
+// equal reports whether both registrations have the same values.
 func (r *Registration) equal(o *Registration) bool {
 	return r.Worker == o.Worker && r.Service == o.Service && r.Addr == o.Addr && r.Zone == o.Zone && r.Rack == o.Rack &&
 		r.Capacity == o.Capacity && r.Draining == o.Draining && r.StartedMs == o.StartedMs && slices.Equal(r.Labels, o.Labels)
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -17,17 +17,17 @@
 	bandLate                            // can no longer meet its objective
 )
 
-// queueEntry is a job with tasks to place and its sort keys.
+// queueEntry is a job with tasks to place, and its sort keys.
 type queueEntry struct {
 	job           *jobState
 	band          priorityBand
 	priority      int
 	remainingWork float64       // core-seconds left, by the estimates
-	slack         time.Duration // until the job is late if every step takes its estimate; negative: late already
+	slack         time.Duration // time to spare before the job misses its objective, by the estimates; negative: it will miss it
 	acceptedAt    time.Time
 }
 
-// queueEntryOf computes the sort keys of a job and stores its band.
+// queueEntryOf computes the sort keys of a job and sets its band.
 func (c *Core) queueEntryOf(j *jobState, now time.Time) queueEntry {
 	e := queueEntry{job: j, band: bandOnTime, priority: j.queue.Priority, remainingWork: j.workLeft, acceptedAt: j.spec.AcceptedAt}
 	e.slack = j.deadline().Sub(now.Add(j.criticalPathLeft))
@@ -46,8 +46,8 @@
 // SchedulingPolicy is the order in which waiting jobs are placed.
 type SchedulingPolicy string
 
-// Scheduling policies. All but SchedulePriority are baselines for comparison in
-// measurements. Every policy places long-running jobs first.
+// Scheduling policies. SchedulePriority is for production; the others are baselines to compare
+// it with in measurements. Every policy places long-running jobs first.
 const (
 	SchedulePriority      SchedulingPolicy = "worth"              // on-time before late, then by priority, then least remaining work
 	ScheduleFIFO          SchedulingPolicy = "first-in-first-out" // by acceptance time
@@ -77,13 +77,13 @@
 	return cmp.Or(order, cmp.Compare(a.job.spec.ID, b.job.spec.ID))
 }
 
-// Minimum time between two scheduling passes of a service with waiting tasks. Runs that
-// end in between are handled by one pass.
+// Minimum time between two scheduling passes of a service with waiting tasks. One pass places
+// tasks on the capacity of all runs that ended since the pass before.
 const (
 	// minScheduleInterval is the base interval: a hundredth of a small task's duration.
 	minScheduleInterval = 5 * time.Millisecond
-	// scheduleIntervalPerJob is added per waiting job: thirty times the cost of examining
-	// one, so that a long queue does not monopolize the processor.
+	// scheduleIntervalPerJob is added for each waiting job: thirty times the cost of examining
+	// one, so that a long queue takes only a small part of the processor's time.
 	scheduleIntervalPerJob = 60 * time.Microsecond
 )
 
@@ -139,11 +139,10 @@
 	}
 }
 
-// queueEntries returns the service's jobs with tasks to place and removes jobs without any
-// from the queue. Inherited jobs are skipped until it is known what an earlier owner
-// started. Skipping comes before any other check: with many inherited jobs, and workers
-// that answer one by one, examining them would keep a new owner's processor busy for
-// longer than leases last.
+// queueEntries returns the service's jobs with tasks to place, and removes jobs without any from
+// the placement queue. Inherited jobs are skipped until it is known which runs an earlier owner
+// started. They are skipped before any other check: examining many inherited jobs again for
+// each worker that answers would keep a new owner's processor busy for longer than leases last.
 func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
 	takenOver := c.earlierRunsKnown(service, now)
 	leasesExpired := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
@@ -212,7 +211,7 @@
 	return c.lastRun
 }
 
-// startRun records a run of the task and sends the order to start it.
+// startRun adds a run of the task and orders the worker to start it.
 func (c *Core) startRun(t *task, w *worker, number uint64, now time.Time) {
 	r := &run{task: t, number: number, worker: w, phase: starting, throttlePercent: 100, firstSentAt: now}
 	c.addRun(r)
@@ -223,8 +222,8 @@
 	c.sendStart(r, now)
 }
 
-// Tick does all time-driven work that is due: it expires leases, sends holds and retries,
-// creates occurrences, sizes pools and places tasks.
+// Tick does all time-driven work that is due: it expires leases, sends holds, repeats orders,
+// creates occurrences of repeating jobs, advances waves, resizes pools and places tasks.
 func (c *Core) Tick(now time.Time) {
 	c.detectOverload(now)
 	c.expireLeases(now)
@@ -242,8 +241,8 @@
 	c.schedule(now)
 }
 
-// markWaitingServices schedules every service with queued jobs again: backoffs, leases and
-// other waits may have passed.
+// markWaitingServices marks every service with queued jobs as changed, as backoffs and other
+// waits of their tasks may have ended.
 func (c *Core) markWaitingServices() {
 	for service, p := range c.pools {
 		if len(p.placementQueue) > 0 {
@@ -252,8 +251,8 @@
 	}
 }
 
-// React sends holds and places tasks that an event has made possible, without waiting for
-// the next Tick.
+// React is called after each event. It sends the holds that are due and places the tasks that
+// have become placeable, without waiting for the next Tick.
 func (c *Core) React(now time.Time) {
 	c.sendDueHolds(now)
 	c.schedule(now)
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -35,8 +35,8 @@
 	p.placedEntries = n
 }
 
-// placeRemaining places the entries that follow the long-running ones. Copies of slow tasks
-// come last, if no task waits.
+// placeRemaining places the tasks of the remaining entries. Speculative copies of slow tasks are
+// placed last, and only if no task waits for capacity.
 func (p *schedulingPass) placeRemaining() {
 	for _, e := range p.entries[p.placedEntries:] {
 		if p.startsDeferred() {
@@ -50,7 +50,7 @@
 	p.pool.updateWaitingSince(p.now)
 }
 
-// placeJob places the job's steps that are ready.
+// placeJob places the waiting tasks of the job's ready steps.
 func (p *schedulingPass) placeJob(j *jobState) {
 	for _, s := range j.steps {
 		if s.ready() {
@@ -59,11 +59,11 @@
 	}
 }
 
-// startsDeferred reports whether the service's starts wait for space in the start window.
+// startsDeferred reports whether the service's starts wait for room in the start window.
 func (p *schedulingPass) startsDeferred() bool { return p.core.startWindow.deferred[p.service] }
 
-// deferStarts reports whether the start window is full; if so, the service is scheduled
-// again later.
+// deferStarts reports whether the start window is full. If so, it defers the service's starts,
+// so that the service is scheduled again once the window has room.
 func (p *schedulingPass) deferStarts() bool {
 	if !p.core.startWindow.isFull() {
 		return false
@@ -168,8 +168,9 @@
 	}
 }
 
-// onNoCapacity handles a step whose remaining tasks fit nowhere now: it counts them as
-// demand, tries preemption and logs the wait. Tasks too large for any worker are no demand.
+// onNoCapacity handles a step whose remaining tasks fit on no worker now: it counts them as
+// demand for capacity, tries preemption and logs the wait. Tasks that are too large for every
+// worker do not count as demand.
 func (p *schedulingPass) onNoCapacity(s *stepState, req *placement.Request) {
 	possible := p.pool.free.couldFit(req) || p.pool.supply.couldFitAtFullSize(req.Need)
 	if possible {
@@ -216,7 +217,7 @@
 	return n
 }
 
-// placeGang starts all tasks of a gang under one run number, or none.
+// placeGang starts all tasks of a gang under one run number, or none of them.
 func (p *schedulingPass) placeGang(s *stepState) {
 	for _, t := range s.tasks {
 		if !t.needsPlacement(p.now) || t.awaitsAttribution(p.core, p.now) {
@@ -283,8 +284,9 @@
 	return sel.pass.pool.free.choose(&sel.req, allowed, sel.stepTasks, now)
 }
 
-// pickByScan examines every worker of the service. The free index orders by capacity only;
-// tasks that share a worker with others for long are scored by its other tasks as well.
+// pickByScan examines every worker of the service. It is for tasks that share a worker with
+// others for a long time: these are scored by the other tasks on the worker as well, and the
+// free index orders workers by free capacity only.
 func (sel *workerSelector) pickByScan(excluded func(*worker) bool) *worker {
 	view := sel.pass.workersFor(sel.step)
 	views := view.views
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -6,9 +6,9 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// startWindow limits the outstanding starts, those ordered and without an outcome, and measures
-// how fast outcomes arrive. Orders queue behind earlier ones even if more urgent, so no more
-// are ordered than can be sent at once.
+// startWindow limits the outstanding starts, which are ordered but have no outcome yet, and
+// measures the rate of outcomes. An urgent order would queue behind all orders before it, so no
+// more starts are ordered than can be sent at once.
 type startWindow struct {
 	maxOutstanding int             // upper bound of limit; 0: unlimited
 	limit          float64         // current limit, adapted to answer latency
@@ -16,7 +16,7 @@
 	deferred       map[string]bool // services with startable tasks that wait for the window
 
 	outstanding map[uint64]bool // outstanding starts, by sequence number
-	sent        []sentStart     // starts in the order in which they were ordered; some have an outcome
+	sent        []sentStart     // starts in the order of their orders, including some with an outcome
 	lastSeq     uint64
 
 	outcomeRate   float64 // recent outcomes per second; 0: unknown
@@ -30,33 +30,34 @@
 	at  time.Time
 }
 
-// maxOutstandingAge is how long a start without an outcome counts as outstanding. One that
-// takes longer waits for its worker and does not delay other sends.
+// maxOutstandingAge is how long a start without an outcome counts as outstanding. After that it
+// waits for its worker's answer, and no longer delays the sending of other starts.
 const maxOutstandingAge = 100 * time.Millisecond
 
 // Parameters of outcomeRate.
 const (
-	// rateInterval is the update interval, and rateDecay the weight of the old value in each
-	// update: the last two seconds dominate.
+	// rateInterval is the interval between updates, and rateDecay the weight of the previous
+	// value in each update. The outcomes of the last two seconds dominate.
 	rateInterval = 500 * time.Millisecond
 	rateDecay    = 0.6
-	// rateExpiry is how long the rate stays valid without an outcome; after that nothing
-	// waits for the window.
+	// rateExpiry is how long the rate stays valid without an outcome. Without a valid rate no
+	// wait is estimated.
 	rateExpiry = 4 * rateInterval
 )
 
-// Parameters of the limit, which follows additive increase, multiplicative decrease as in
-// TCP: how many orders a daemon's processor and link can carry is not known in advance.
+// Parameters of the limit. It is adapted by additive increase and multiplicative decrease, as in
+// TCP, since the number of orders that a daemon's processor and link can handle is not known in
+// advance.
 const (
-	// congestedLatency is the mean answer latency that indicates queuing on the way to the
-	// workers: thirty times an order's normal latency and a third of its timeout. The mean
-	// is used because single workers may be slow.
+	// congestedLatency is the mean answer latency above which orders or answers queue up
+	// between the owner and the workers: thirty times the normal latency, and a third of
+	// OrderTimeout. The mean is used because single workers may be slow.
 	congestedLatency = 120 * time.Millisecond
-	// limitDecrease is the factor of a decrease, and limitDecreaseInterval the least time
-	// between two: starts sent before the first are answered by then.
+	// limitDecrease is the factor of a decrease, and limitDecreaseInterval the minimum time
+	// between two decreases, in which the starts sent before the first one are answered.
 	limitDecrease         = 0.7
 	limitDecreaseInterval = 200 * time.Millisecond
-	// minLimit keeps some starts outstanding.
+	// minLimit is the lowest limit, so that some starts are always sent.
 	minLimit = 8
 )
 
@@ -118,12 +119,12 @@
 	return w.maxOutstanding > 0 && len(w.outstanding) >= int(w.limit)
 }
 
-// hasHeadroom reports whether enough of the window is free for another pass over deferred
-// services: a pass per freed slot would cost more than the start.
+// hasHeadroom reports whether at least half of the window is free. Deferred services are only
+// scheduled again then: a scheduling pass for each freed slot would cost more than the start.
 func (w *startWindow) hasHeadroom() bool { return len(w.outstanding) <= int(w.limit)/2 }
 
-// isBacklogged reports whether services are deferred and the outcome rate is current, so
-// that their wait can be estimated.
+// isBacklogged reports whether services are deferred and the outcome rate is valid, so that
+// their wait can be estimated.
 func (w *startWindow) isBacklogged(now time.Time) bool {
 	return len(w.deferred) > 0 && w.outcomeRate > 0 && now.Sub(w.rateUpdatedAt) <= rateExpiry
 }
@@ -131,9 +132,9 @@
 // IsBacklogged reports whether tasks wait for their start orders to be sent.
 func (c *Core) IsBacklogged(now time.Time) bool { return c.startWindow.isBacklogged(now) }
 
-// ExpectedLateness returns how late a job accepted now would be because of starts that are
-// sent before its own; 0 if it would be on time, repeats, is long-running or its service is
-// not deferred.
+// ExpectedLateness estimates by how much a job accepted now would miss its objective because
+// other starts are sent before its own. It returns 0 if the job would be on time, repeats or is
+// long-running, or if no starts of its service are deferred.
 func (c *Core) ExpectedLateness(spec *job.Job, now time.Time) time.Duration {
 	if !c.startWindow.isBacklogged(now) || spec.Repeat > 0 || spec.Steps[0].LongRunning {
 		return 0
@@ -152,8 +153,8 @@
 	return max(0, wait-j.deadline().Sub(now.Add(j.criticalPath)))
 }
 
-// countTasksAhead counts the startable tasks of jobs that sort before the entry; waiting is
-// sorted by the policy.
+// countTasksAhead counts the startable tasks of the jobs that are placed before the entry.
+// waiting is sorted by the policy.
 func countTasksAhead(waiting []queueEntry, e queueEntry, policy SchedulingPolicy) int {
 	n := 0
 	for _, other := range waiting {
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -13,14 +13,14 @@
 type Options struct {
 	Term           uint64        // term of this ownership; higher for each new owner
 	TaskLease      time.Duration // lease of a worker's tasks, renewed by each hold
-	MaxWorkerLease time.Duration // longest lease that a worker grants, whatever the order says; 0: TaskLease
-	HoldWait       time.Duration // long-poll time of a hold for a worker with tasks
+	MaxWorkerLease time.Duration // longest lease that a worker accepts, whatever the order says; 0: TaskLease
+	HoldWait       time.Duration // how long a worker with tasks may delay its answer to a hold (long polling)
 	IdleHoldWait   time.Duration // the same for a worker without tasks; 0: HoldWait
 	CallPolicy     calls.Policy  // policy for call timeouts; "": adaptive
-	MaxHoldsPerSec float64       // holds that this daemon's processor can handle; 0: no limit
-	// DutyHandover is the minimum time between orders for one instance by two duty holders.
+	MaxHoldsPerSec float64       // holds per second that this daemon's processor can handle; 0: no limit
+	// DutyHandover is the minimum time between orders for one instance by different duty holders.
 	DutyHandover time.Duration
-	// PriorOrders are the recent orders of other holders. Their ages are lower bounds as of
+	// PriorOrders are the recent orders of other duty holders. Their ages are lower bounds as of
 	// ElectedAt.
 	PriorOrders          []RecentOrder
 	ElectedAt            time.Time     // when this owner was elected; zero: now
@@ -29,12 +29,13 @@
 	StatusRetention      time.Duration // how long ended jobs are kept
 	MaxOutstandingStarts int           // limit of starts without an outcome; 0: no limit
 	Weights              capacity.Weights
-	MaxMovesPerSec       float64 // moves that the platform accepts; 0: no limit
+	MaxMovesPerSec       float64 // moves per second that the platform accepts; 0: no limit
 	PoolPolicy           capacity.Policy
 	SchedulingPolicy     SchedulingPolicy
 }
 
-// runsPerTerm is the size of the run number range of one term.
+// runsPerTerm is the size of each term's range of run numbers. Runs of term n are numbered from
+// n*runsPerTerm + 1 on.
 const runsPerTerm = 1_000_000
 
 // run is one attempt of a task on a worker.
@@ -50,13 +51,13 @@
 	percent             int
 	progressAt          time.Time     // when percent last changed
 	stallWatched        bool          // queued in stallsDue
-	usage               int           // as in ActiveRun
-	isolatedRisk        job.CrashRisk // risk for which the run was isolated, to see whether it crashes its worker
+	usage               int           // ActiveRun.Usage of the last run list
+	isolatedRisk        job.CrashRisk // crash risk for which the run was started in isolation
 	throttlePercent     int           // ordered percentage of full speed; initially 100
-	mayStartLate        bool          // a start went unanswered and may still arrive
+	mayStartLate        bool          // a start went unanswered and may still reach the worker
 	fromPastIncarnation bool          // ordered on an earlier incarnation of the worker, not yet seen on this one
-	neverStarted        bool          // the worker does not list it, and a stop keeps it from starting
-	startAbandonedAt    time.Time     // when resending the start ended; zero: it may be sent again
+	neverStarted        bool          // the worker does not list it, and a stop will keep it from starting
+	startAbandonedAt    time.Time     // when the start was given up as unanswered; zero: it may be sent again
 	stopReason          string
 }
 
@@ -65,7 +66,7 @@
 const (
 	starting phase = iota // ordered, not confirmed
 	running
-	stopping // to be stopped; still holds its resources
+	stopping // ordered to stop; still holds its resources
 )
 
 // task is one task of a step in one occurrence of a job.
@@ -77,7 +78,7 @@
 	crashes            job.Crashes
 	checkpoint         string
 	runs               []*run
-	isolationWaitSince time.Time  // start of the wait for a worker of its own; zero: not waiting
+	isolationWaitSince time.Time  // start of the wait for isolation; zero: not waiting
 	notBefore          time.Time  // end of the backoff after a failure
 	consecutiveRetries int        // consecutive failures or refusals that do not use up attempts
 	stalls             int        // runs stopped for lack of progress
@@ -110,7 +111,8 @@
 	return nil
 }
 
-// isServing reports whether a long-running task is known to serve.
+// isServing reports whether the task is known to be serving: its run is fully started, on a
+// worker that answers and was not ordered to end.
 func (t *task) isServing(now time.Time) bool {
 	for _, r := range t.runs {
 		if r.phase == running && r.percent >= 100 && r.worker.hasFreshRunList(now) && !r.worker.endOrdered {
@@ -154,17 +156,17 @@
 	countedPending     bool         // counted in pendingPerQueue
 	band               priorityBand // as of the last scheduling pass
 
-	overShare        bool // its tenant had used up its share when it was accepted
+	overShare        bool // its tenant had used up its share when the job was accepted
 	started          bool // a worker confirmed that a task of it started
 	waitLogged       bool // a job-waits line was logged
 	endedAt          time.Time
-	stepsDropped     bool          // steps were freed: the end is stored and the job has no runs
+	stepsDropped     bool          // steps were freed, as the job's end is stored and it has no runs
 	inherited        bool          // an earlier owner may have started tasks of it
 	loadedFromStore  bool          // loaded when this term began
 	version          uint64        // incremented by each change that has to be stored
 	storedVersion    uint64        // latest version in the store
 	crashUnstored    bool          // a crash of one of its tasks is not in the store yet
-	writeSeq         uint64        // position in the write queue
+	writeSeq         uint64        // number that orders the write queue
 	workLeft         float64       // estimated core-seconds not done
 	criticalPathLeft time.Duration // estimated critical path of the steps not done
 	criticalPath     time.Duration // estimated, of one occurrence
@@ -202,11 +204,11 @@
 	holdSentAt               time.Time
 	answeredHoldSentAt       time.Time // when the latest answered hold was sent
 	nextHoldAt               time.Time
-	silentSince              time.Time   // when holds began to go unanswered; zero: the last one was answered
+	silentSince              time.Time   // since when holds go unanswered; zero: the last one was answered
 	lastAnswerAt             time.Time   // latest answer to any order
 	orderUnanswered          bool        // an order sent after lastAnswerAt went unanswered
 	crashSuspects            []*task     // tasks that may have crashed it, set when it ends
-	lostCallCounted          bool        // a lost call was counted in callLossDetector, and none was answered since
+	lostCallCounted          bool        // a lost call was counted in callLossDetector, and no call was answered since
 	contactLoss              contactLoss // zero: in contact
 	runs                     map[job.TaskID]*run
 	allocated                job.Resources             // by runs
@@ -215,8 +217,8 @@
 	longRunningRuns          int                       // long-running runs
 	longRunningCPUMilli      int                       // millicores used by them
 	unknownRuns              map[job.TaskID]unknownRun // runs of jobs not known yet
-	lastSeenEnd              uint64                    // highest end handled
-	lastAckedEnd             uint64                    // highest end that may be acknowledged
+	lastSeenEnd              uint64                    // highest number of an end handled
+	lastAckedEnd             uint64                    // number up to which ends may be acknowledged
 	unacked                  []unackedEnd              // in the order of their numbers
 	unknownEnds              map[uint64]unknownEnd     // ends of jobs not known yet, by number
 	avoidUntil               time.Time                 // gets no new tasks until then
@@ -228,11 +230,11 @@
 	indexedService           string                    // service of the index that it is in
 	indexedFreeCPUMilli      int                       // free millicores as indexed
 	indexStale               bool                      // to be indexed again
-	avoidPenalty             time.Duration             // last time for which it was avoided
+	avoidPenalty             time.Duration             // duration of the last avoidance
 	consecutiveNoRoom        int                       // consecutive starts refused for lack of capacity
-	reservedAt               time.Time
-	endOrdered               bool      // an order that ends the incarnation was sent
-	idleSince                time.Time // since when it has no runs; zero: it has some
+	reservedAt               time.Time                 // when reserved was set
+	endOrdered               bool                      // an order was sent that ends the incarnation
+	idleSince                time.Time                 // since when it has no runs; zero: it has some
 	reserved                 reservation
 
 	isolatedRuns  []*run    // runs started in isolation; may include ended ones
@@ -243,7 +245,7 @@
 	preemptedUntil time.Time  // until then the freed capacity is kept for that step
 }
 
-// reservation is why a worker gets no new tasks; empty: not reserved.
+// reservation is the reason why a worker is kept free of new tasks; empty: not reserved.
 type reservation string
 
 // The reservations.
@@ -268,7 +270,9 @@
 		w.reserved == "" && !w.isSilent() && !now.Before(w.avoidUntil)
 }
 
-// Core is the state of the job owner.
+// Core is the state machine that schedules all jobs: methods named On handle answers and events,
+// Tick and React do the work that is due, and TakeEffects returns the calls to make. It is not
+// safe for concurrent use.
 type Core struct {
 	opt                    Options
 	fencingToken           uint64
@@ -283,8 +287,8 @@
 	endedWorkers           workerSet               // incarnation ended
 	unconfirmedCrashes     map[incarnation][]*task // tasks with an unconfirmed crash, by incarnation
 	workersWithUnknownJobs workerSet               // with runs or ends of jobs not known yet
-	colocatedWorkers       workerSet               // with fillers beside serving tasks
-	missingRegistrations   workerSet               // missing from the registrations, still counted as registered
+	colocatedWorkers       workerSet               // with both fillers and serving tasks
+	missingRegistrations   workerSet               // missing from the registrations, but still counted as registered
 	maintenanceWorkers     workerSet               // reserved for a wave
 	instances              map[InstanceID]*instanceState
 	instanceOfWorker       map[WorkerID]InstanceID
@@ -313,9 +317,9 @@
 	lastAwaited            map[string]InstanceID   // instance found by the last scan in awaitedInstance, by service
 	startedAt              time.Time
 	electedAt              time.Time
-	orderHoldoff           map[InstanceID]time.Time // until when no order is sent, because of one of an earlier owner
+	orderHoldoff           map[InstanceID]time.Time // until when no order is sent, because an earlier owner may have sent one
 	registrationsAt        time.Time                // last update of the registrations
-	registrationsLagSince  time.Time                // since when known registrations are behind the store; zero: up to date
+	registrationsLagSince  time.Time                // since when the known registrations lag behind the store; zero: up to date
 	unregisterFrom         time.Time                // when missing registrations begin to count as deleted
 	instanceListAt         time.Time                // last instance list
 	fenced                 bool
@@ -324,19 +328,19 @@
 	stopsDue        timerQueue[*run]      // stops to resend unless confirmed
 	stallsDue       timerQueue[*run]      // runs to check for lack of progress
 	occurrencesDue  timerQueue[*jobState] // jobs with later occurrences
-	recentlyEnded   []*worker             // incarnations kept for loss decisions
+	recentlyEnded   []*worker             // incarnations kept for crash attribution
 	attributionsDue timerQueue[*worker]   // ended incarnations with unconfirmed crashes
 	avoidedDue      timerQueue[*worker]   // workers to index again when avoidUntil has passed
 
 	staleIndexWorkers []*worker // workers with indexStale set
 
 	callLossDetector  calls.LossDetector
-	starvedSince      time.Time     // start of the current or last period in which timeouts prove nothing
+	starvedSince      time.Time     // start of the current or last period in which the owner is starved
 	starvedUntil      time.Time     // end of that period
 	meanAnswerLatency time.Duration // moving average
-	slowAnswersSince  time.Time     // since when the average is too high; zero: it is not
+	slowAnswersSince  time.Time     // since when meanAnswerLatency is too high; zero: it is not
 
-	mostSilentSince time.Time // since when most workers seem silent; zero: they do not
+	mostSilentSince time.Time // since when most workers seem silent; zero: most answer
 
 	storeLeaseLostAt time.Time            // zero: the store lease is held
 	earlyCancels     map[job.ID]time.Time // cancellations of jobs not known yet
@@ -363,7 +367,7 @@
 	JobsConsidered    int64 // jobs considered for placement
 }
 
-// Decision is a log line: what was decided about a job, a worker or an instance, and
+// Decision is a log line that says what was decided about a job, a worker or an instance, and
 // why.
 type Decision struct {
 	Event         string // kind of decision, in kebab case
@@ -391,18 +395,18 @@
 	return out
 }
 
-// TakeHolds returns only the holds since the last call, and leaves the other effects.
+// TakeHolds returns the holds since the last call. Other effects stay until TakeEffects.
 func (c *Core) TakeHolds() []Hold {
 	out := c.effects.Holds
 	c.effects.Holds = nil
 	return out
 }
 
-// Fenced reports whether a worker has seen a higher fencing token, so that another
-// daemon is the owner.
+// Fenced reports whether a worker or the platform has seen a higher fencing token, which means
+// that another daemon is the owner.
 func (c *Core) Fenced() bool { return c.fenced }
 
-// New returns a core for a term that begins at now. loaded holds all jobs in the store
+// New returns a core for a term that begins at now. loaded holds all jobs that are in the store
 // at that time.
 func New(opt Options, catalog *job.Catalog, loaded []StoredJob, now time.Time) *Core {
 	c := &Core{
--- a/jobs/owner/supply.go
+++ b/jobs/owner/supply.go
@@ -24,7 +24,7 @@
 type supplyContribution struct {
 	pool             string // "": it is not counted
 	cpuMilli         int    // size of the instance
-	missingMilli     int    // of these, not offered by its worker at present
+	missingMilli     int    // part of cpuMilli that its worker does not offer at present
 	busyMilli        int    // in use
 	longRunningMilli int    // of these, in use by long-running tasks
 	idle             bool   // nothing runs on it
@@ -32,8 +32,8 @@
 }
 
 // poolSupply holds totals over the instances of a pool. It is updated with each change of an
-// instance, so that the cost of sizing depends on the idle instances only. Sizes are in
-// millicores.
+// instance, so that the cost of a resizing depends on the number of idle instances only. Sizes
+// are in millicores.
 type poolSupply struct {
 	instances                   int // outside evacuated zones
 	busyMilli, longRunningMilli int
@@ -93,8 +93,8 @@
 	s.undersized[i.ID] = i
 }
 
-// couldFitAtFullSize reports whether an undersized worker could take a task with this need
-// once it offers its instance's full size again.
+// couldFitAtFullSize reports whether an undersized worker could run a task with this need once
+// it offers the full size of its instance again.
 func (s *poolSupply) couldFitAtFullSize(need job.Resources) bool {
 	for _, i := range s.undersized {
 		if i.Capacity.Fits(need) {
@@ -144,7 +144,8 @@
 	}
 }
 
-// contributionOf returns what the instance adds to the totals of its pool now.
+// contributionOf returns the instance's current contribution to the totals of its pool. It also
+// clears idleSince of a worker that is busy.
 func (c *Core) contributionOf(i *instanceState) supplyContribution {
 	if i.State != InstanceUp || c.moves[i.ID] != nil {
 		return supplyContribution{}
@@ -163,7 +164,7 @@
 }
 
 // undersizedBelow is the fraction of its instance's cores below which a worker counts as
-// undersized. Instances of one type differ by a few percent.
+// undersized. The sizes of instances of one type differ by a few percent.
 const undersizedBelow = 0.9
 
 // sizeWith returns the size of the instance in millicores, and how many of them its worker w
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// adoptRun takes over a run that an earlier owner started, or stops it if its task is done
-// or has another run.
+// adoptRun takes over a listed run that an earlier owner started. It stops the run if its task
+// is done or already has another run.
 func (c *Core) adoptRun(w *worker, j *jobState, a ActiveRun, now time.Time) {
 	delete(w.unknownRuns, a.Task)
 	c.createOccurrences(j, a.Task.Occurrence)
@@ -33,13 +33,14 @@
 	}
 }
 
-// stopUnexpectedRun stops a listed run that must not go on and has no entry in this core.
+// stopUnexpectedRun stops a listed run that must not continue and is not tracked by this core.
 func (c *Core) stopUnexpectedRun(w *worker, a ActiveRun, reason string) {
 	c.logDecision(Decision{Event: "run-unexpected", Job: a.Task.Job, Task: a.Task.String(), Worker: w.Worker, Run: a.Run, Reason: reason})
 	c.effects.Stops = append(c.effects.Stops, Stop{Target: c.target(w), Task: a.Task, Run: a.Run, Timeout: OrderTimeout})
 }
 
-// resolveUnknownJob applies the ends that workers listed for the job before it was known.
+// resolveUnknownJob applies the run ends that workers listed for the job before this owner
+// learned of it.
 func (c *Core) resolveUnknownJob(j *jobState, now time.Time) {
 	for _, w := range c.workersWithUnknownJobs.sorted() {
 		for seq, ue := range w.unknownEnds {
@@ -59,8 +60,8 @@
 	}
 }
 
-// expireUnknownJobs handles jobs that stay unknown: it stops their runs and drops their
-// ends.
+// expireUnknownJobs stops the runs of jobs that are still unknown after unknownJobGrace, and
+// drops their run ends.
 func (c *Core) expireUnknownJobs(now time.Time) {
 	for _, w := range c.workersWithUnknownJobs.sorted() {
 		for seq, ue := range w.unknownEnds {
@@ -87,9 +88,9 @@
 }
 
 // earlierRunsKnown reports whether every run that an earlier owner may have started for the
-// service is known: each instance that is up in its pool has answered a hold of this owner,
-// or all earlier leases have expired. An owner that is short of processor time waits for
-// the instances even then, as answers that it has not read may report finished tasks.
+// service is known: the worker of each instance that is up in its pool has answered a hold of
+// this owner, or all leases of earlier owners have expired. A starved owner waits for the
+// workers even after that, as answers that it has not read yet may report tasks as done.
 func (c *Core) earlierRunsKnown(service string, now time.Time) bool {
 	if c.opt.Term == 1 || c.takeoverDone[service] {
 		return true
@@ -119,8 +120,7 @@
 	}
 }
 
-// takeoverWaitLogInterval is the minimum time between two takeover-waits lines of a
-// service.
+// takeoverWaitLogInterval is the minimum time between two takeover-waits log lines of a service.
 const takeoverWaitLogInterval = 500 * time.Millisecond
 
 // takeoverWait is the last logged wait of a service's inherited tasks.
@@ -139,9 +139,9 @@
 }
 
 // awaitedInstance describes what inherited tasks of the service wait for: the first instance
-// list, or an instance that may run tasks and has not answered a hold of this owner yet; "" if
-// there is none. Registered workers that the instance list does not show are ignored: they
-// have ended, and their registrations are left over.
+// list, or an instance whose worker may run tasks and has not answered a hold of this owner
+// yet. It returns "" if they wait for nothing. Registered workers that the instance list does
+// not show are ignored: they have ended, and their registrations have not expired yet.
 func (c *Core) awaitedInstance(service string) string {
 	if c.instanceListAt.IsZero() {
 		return "the instance list"
@@ -162,7 +162,7 @@
 	return "instance " + string(first)
 }
 
-// isAwaited reports whether the instance may run tasks of the service and has not
+// isAwaited reports whether the instance may run tasks of the service and its worker has not
 // answered a hold of this owner yet.
 func (c *Core) isAwaited(service string, i *instanceState) bool {
 	if i == nil || i.Pool != service || i.State != InstanceUp || i.Worker == "" {
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -6,10 +6,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// A tenant's usage includes a run from the order of its start until it has certainly ended:
-// also while the start is unanswered, while the run is being stopped and while its worker is
-// lost. A new owner does not know at first what runs. Until it does, everything that an earlier
-// owner may have started counts too.
+// A run counts toward its tenant's usage from the order of its start until it has certainly ended.
+// This includes the time while the start is unanswered, while the run is being stopped and
+// while contact to its worker is lost. Until a new owner knows all runs, everything that an
+// earlier owner may have started counts as well.
 
 // setTenants applies the limits and weights of a new configuration.
 func (c *Core) setTenants(tenants []job.Tenant) {
@@ -32,8 +32,8 @@
 }
 
 // presumedUsageTTL is how long a computed presumedUsage is used, since computing it visits all
-// open jobs. Runs that become known meanwhile count twice, so that a tenant gets less than its
-// limit rather than more.
+// open jobs. Runs that become known in this time count twice, so that a tenant may get less
+// than its limit, but not more.
 const presumedUsageTTL = 50 * time.Millisecond
 
 // addRun adds a run that was ordered, or that a worker lists, to its task, worker and tenant.
@@ -96,8 +96,8 @@
 	return out
 }
 
-// withinTenantLimit reports whether n more tasks of the step may start. If not, their wait is
-// recorded, but they cause neither a larger pool nor preemption.
+// withinTenantLimit reports whether n more tasks of the step may start under the tenant's limit.
+// If not, their waiting time is recorded, but they do not count as demand and preempt nothing.
 func (p *schedulingPass) withinTenantLimit(s *stepState, n int) bool {
 	spec := s.job.spec
 	if p.core.tenantLimitAllows(spec, s.spec, n, p.now) {
--- a/jobs/owner/throttle.go
+++ b/jobs/owner/throttle.go
@@ -7,12 +7,12 @@
 	// throttleInterval is how often a worker's fillers are adjusted; the latencies that a
 	// worker reports cover half a second.
 	throttleInterval = 400 * time.Millisecond
-	// slowDownAbove and speedUpBelow are ratios of a serving task's latency to its target:
-	// above the first, fillers beside it are slowed to half; below the second they regain
-	// speed.
+	// slowDownAbove and speedUpBelow are ratios of a serving task's tail latency to its target.
+	// Above the first, the speed of fillers on the same worker is halved; below the second it
+	// is increased again.
 	slowDownAbove = 0.95
 	speedUpBelow  = 0.7
-	// throttleStepPercent is the increase in speed per interval.
+	// throttleStepPercent is the increase in speed per throttleInterval.
 	throttleStepPercent = 20
 	// minThrottlePercent is the speed at or below which fillers are paused instead of halved.
 	minThrottlePercent = 10
@@ -94,6 +94,7 @@
 	}
 }
 
-// unknownThrottle marks a speed whose order got no answer. It differs from every speed that
-// can be ordered and counts as full speed in nextThrottle.
+// unknownThrottle is the speed of a run whose last Throttle order was not answered. It differs
+// from every speed that can be ordered, so that the next one is always sent, and counts as full
+// speed in nextThrottle.
 const unknownThrottle = 101
--- a/jobs/owner/timebreakdown.go
+++ b/jobs/owner/timebreakdown.go
@@ -6,7 +6,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Cause is what a part of a job's time was spent on.
+// Cause is a reason for which a job spent time.
 type Cause int
 
 // The causes. All but CauseWork are avoidable time.
@@ -38,19 +38,19 @@
 // CauseNames returns the names of all causes in the order of their values.
 func CauseNames() []string { return causeNames[:] }
 
-// TimeBreakdown says what a job's time was spent on along its critical path: the step that
-// was done last, then the last done of its dependencies, and so on.
+// TimeBreakdown says what a job's time was spent on along its critical path, which consists of the
+// step that was done last, the dependency of that step that was done last, and so on.
 type TimeBreakdown struct {
 	Total   time.Duration // from acceptance until the owner learned of the end
-	Allowed time.Duration // the objective, for the measured work
+	Allowed time.Duration // the objective, computed from the measured work
 	Spent   [numCauses]time.Duration
 }
 
-// timeByCause is the total time for each cause.
+// timeByCause holds the total time for each cause.
 type timeByCause [numCauses]time.Duration
 
-// addTime attributes the time since the task was last accounted for, or since it became ready
-// if that is later, to the cause.
+// addTime attributes the time since accountedUntil, or since the task became ready if that is
+// later, to the cause.
 func (t *task) addTime(c Cause, ready, now time.Time) {
 	from := t.accountedUntil
 	if from.Before(ready) {
@@ -103,8 +103,8 @@
 	r.task.accountedUntil = now
 }
 
-// recordCompletion attributes the time of the run that completed the task, nil if unknown,
-// and records the end of the step if it was its last task.
+// recordCompletion attributes the time of r, the run that completed the task; nil if it is not
+// known. If the task was the last one of its step, it records the end of the step.
 func (t *task) recordCompletion(r *run, now time.Time) {
 	if r != nil && !r.firstSentAt.IsZero() {
 		took := now.Sub(r.firstSentAt)
--- a/jobs/owner/timerqueue.go
+++ b/jobs/owner/timerqueue.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// timerQueue is a queue of values by due time, first in, first out for equal times. Entries are
-// never removed early: whoever pops one checks whether it still applies. Both add and popDue
-// take logarithmic time.
+// timerQueue is a priority queue of values ordered by due time, and first in, first out for equal
+// times. Entries cannot be removed before they are due: the caller checks whether a popped value
+// still applies. Both add and popDue take logarithmic time.
 type timerQueue[T any] struct {
 	entries timerHeap[T]
 	lastSeq uint64
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -1,6 +1,6 @@
-// Package owner schedules all jobs of the fleet while this daemon is their owner. Core is
-// a state machine: it takes events and the current time, and returns effects to carry out.
-// It does no I/O and starts no goroutine.
+// Package owner schedules all jobs of the fleet while this daemon is their owner. Core is a
+// state machine: it takes events and the current time, and returns effects for its caller to
+// carry out. It does no I/O and starts no goroutines.
 package owner
 
 import (
@@ -11,11 +11,11 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// WorkerID identifies a worker. After a restart a worker may have a new id or the old one;
-// its incarnations are told apart by their start times.
+// WorkerID identifies a worker. A restarted worker may have a new id or the old one.
+// Incarnations with the same id are told apart by their start times.
 type WorkerID string
 
-// InstanceID identifies an instance across all incarnations of its worker.
+// InstanceID identifies an instance. It stays the same when the instance's worker restarts.
 type InstanceID string
 
 // Registration is a worker's entry in the store.
@@ -51,7 +51,7 @@
 const (
 	InstanceUnknown InstanceState = iota
 	InstanceUp
-	InstanceMoving
+	InstanceMoving // to another pool
 	InstanceInMaintenance
 	InstanceDown
 )
@@ -64,7 +64,7 @@
 	Zone     string
 	Rack     string
 	Worker   WorkerID      // current worker; "" if there is none
-	Capacity job.Resources // of the instance; its worker may temporarily register less; zero: not reported
+	Capacity job.Resources // full size of the instance, of which its worker may temporarily offer less; zero: not reported
 }
 
 // WaveRequest is an operator's request to maintain instances.
@@ -86,7 +86,7 @@
 // Start orders a worker to run a task.
 type Start struct {
 	Target
-	Seq          uint64 // number of the start within the term
+	Seq          uint64 // sequence number of the start order in this term
 	Task         job.TaskID
 	Run          uint64
 	Payload      string
@@ -112,13 +112,13 @@
 	Percent int
 }
 
-// Hold renews a worker's lease, acknowledges run ends and long-polls for the worker's
-// runs.
+// Hold is the recurring call to each worker. It renews the worker's lease, acknowledges run
+// ends, and long-polls for the worker's runs and their ends.
 type Hold struct {
 	Target
-	LeaseUntilMs int64         // as in Start; 0: do not renew
-	AckThrough   uint64        // ends up to this number are stored, and the worker may drop them
-	Wait         time.Duration // how long the worker waits for a new end before it answers
+	LeaseUntilMs int64         // as in Start; 0: the lease is not renewed
+	AckThrough   uint64        // run ends up to this number are stored, so the worker may forget them
+	Wait         time.Duration // how long the worker waits for a new run end before it answers
 	Timeout      time.Duration // for the answer, beyond Wait
 }
 
@@ -155,7 +155,7 @@
 	// measured, as for all other orders.
 	Latency    time.Duration
 	Err        error // why there is no answer
-	ConnFailed bool  // unanswered because the connection was refused or ended, not because of a timeout
+	ConnFailed bool  // unanswered because the connection was refused or closed, not because of a timeout
 }
 
 // ActiveRun is a run that a worker lists as running.
@@ -163,8 +163,8 @@
 	Task       job.TaskID
 	Run        uint64
 	Checkpoint string
-	Percent    int // progress; a long-running task serves at 100
-	Usage      int // tail latency in ms of a serving task, otherwise millicores in use
+	Percent    int // progress; a long-running task is serving at 100
+	Usage      int // tail latency in ms for a task with a latency target, otherwise millicores in use
 }
 
 // EndKind is how a run ended.
@@ -210,7 +210,7 @@
 	Hold(ctx context.Context, o Hold) HoldAnswer
 }
 
-// Duty identifies the holder of the duty: the exclusive right to order moves and
+// Duty identifies the duty holder: the daemon that has the exclusive right to order moves and
 // maintenance of instances.
 type Duty struct {
 	Holder string
@@ -240,8 +240,8 @@
 type Record struct {
 	Job      *job.Job
 	Progress job.Progress
-	Stored   bool // an earlier record is stored, which a final one replaces
-	version  uint64
+	Stored   bool   // an earlier record is stored, which a final one replaces
+	version  uint64 // version of the job that the record describes
 }
 
 // TxnEntries returns how many entries of a transaction the record takes.
@@ -255,8 +255,8 @@
 // InstanceOrder moves an instance to a pool, or maintains it for a wave.
 type InstanceOrder struct {
 	Instance InstanceID
-	Pool     string // target of a move
-	Wave     int    // wave of a maintenance
+	Pool     string // target pool of a move
+	Wave     int    // wave of a maintenance; 0: a move
 }
 
 // RecentOrder is an order for an instance that was sent, or may have been sent, a short
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -14,7 +14,7 @@
 	maintenanceStarted map[InstanceID]bool         // the platform accepted their maintenance
 	down               map[InstanceID]downInstance // maintenance ordered, not up again yet
 	statusWritten      bool                        // its first status was written
-	forecastLate       bool                        // by the last forecast it will exceed Within
+	forecastLate       bool                        // the last forecast says that it will exceed Within
 	completed          bool
 }
 
@@ -29,36 +29,38 @@
 
 // Limits and intervals of maintenance.
 const (
-	// drainGracePeriod is how long the tasks on a reserved instance may continue. Most end
-	// within it; the others are stopped.
+	// drainGracePeriod is how long tasks on a reserved instance may continue. Most end within
+	// this time; the others are stopped.
 	drainGracePeriod = 2500 * time.Millisecond
-	// waveCheckPerInstance is the interval between two checks of the waves per instance of
-	// open waves, since a check visits all of them: 570 instances are checked 22 times a
-	// second. maxWaveCheckInterval is a tenth of the duration of a wave's shortest step.
+	// waveCheckPerInstance is the interval between two checks of the waves, per instance of open
+	// waves, since a check visits all of these: with 570 instances there are 22 checks a
+	// second. maxWaveCheckInterval limits the interval; it is a tenth of the duration of a
+	// wave's shortest step.
 	waveCheckPerInstance = 80 * time.Microsecond
 	maxWaveCheckInterval = 100 * time.Millisecond
-	// orderRetryDelay is how long a worker is avoided after its maintenance was refused,
-	// before it is ordered again.
+	// orderRetryDelay is how long a worker is avoided after its maintenance was refused, before
+	// the maintenance is ordered again.
 	orderRetryDelay = 500 * time.Millisecond
-	// MaxDutyLeaseAge is the maximum time since the last renewal of the lease in the store
-	// for an order to be sent. The lease may have been revoked since then, and another owner
-	// elected. It allows for a renewal every 500 ms answered by a slow store after 300 ms.
+	// MaxDutyLeaseAge is the maximum time since the last renewal of this daemon's lease in the
+	// store at which instance orders are sent. The lease may have been revoked since then, and
+	// another owner elected. It allows for a renewal every 500 ms that a slow store answers
+	// after 300 ms.
 	MaxDutyLeaseAge = 900 * time.Millisecond
 	// DutyHandoverMargin is added to the wait after a change of owner: the previous owner may
-	// send its last order up to MaxDutyLeaseAge after its last renewal, and the order is then
-	// in transit.
+	// send its last order up to MaxDutyLeaseAge after its last renewal, and the order then takes
+	// up to maxOrderTransit.
 	DutyHandoverMargin = MaxDutyLeaseAge + maxOrderTransit
 	// maxOrderTransit is the maximum time that an order takes to reach the platform,
 	// including the drift between clocks.
 	maxOrderTransit = 300 * time.Millisecond
-	// maxInstanceListAge is the maximum age of the instance list for an order to be sent.
+	// maxInstanceListAge is the maximum age of the instance list at which orders are sent.
 	maxInstanceListAge = 3 * time.Second
 )
 
 // observeInstance updates the wave from the instance list's entry for one of its members.
-// onlyWave says that no other wave names the instance. If several do, the instance list doesn't
-// tell for which one it is under maintenance, so each orders it again once the instance is
-// back, and the platform knows which of them is done.
+// onlyWave says that no other wave names the instance. If several do, the instance list does
+// not tell for which one it is under maintenance. Each of them then orders the maintenance
+// again once the instance is up, and the platform's answer tells which of them is done.
 func (ws *waveState) observeInstance(i Instance, onlyWave bool) {
 	d, down := ws.down[i.ID]
 	switch {
@@ -73,8 +75,8 @@
 	}
 }
 
-// OnWave adds a wave that operators requested. started lists the instances whose maintenance an
-// earlier owner has recorded as started.
+// OnWave adds a wave that operators have requested, unless it is known already. started lists the
+// instances whose maintenance an earlier owner has recorded as started.
 func (c *Core) OnWave(req WaveRequest, started []InstanceID, completed bool, now time.Time) {
 	if c.waves[req.Wave] != nil {
 		return
@@ -138,8 +140,7 @@
 // maintenance and for the instance list to show its end.
 const maxRoundTime = drainGracePeriod + 3*time.Second
 
-// forecastWave logs when a wave is going to exceed its time limit, and when that no longer
-// holds.
+// forecastWave logs when a wave is expected to exceed its time limit, and when it no longer is.
 func (c *Core) forecastWave(ws *waveState, now time.Time) {
 	left := 0
 	for _, id := range ws.Instances {
@@ -148,7 +149,7 @@
 		}
 	}
 	rounds := (left + ws.MaxDown - 1) / max(1, ws.MaxDown)
-	// The last round only has to start in time.
+	// The last round only has to start within the time limit.
 	need := time.Duration(max(0, rounds-1)) * maxRoundTime
 	late := now.Add(need).After(ws.receivedAt.Add(ws.Within))
 	if late == ws.forecastLate {
@@ -193,13 +194,13 @@
 	remainingWork float64 // as of worker.remainingWork
 }
 
-// stillUpDelay is the time after the accepted order from which an instance list that shows a
-// spare instance as up proves that its maintenance was already over. It is half the duration
-// of a maintenance, and more than the lag of the list.
+// stillUpDelay is the time after an accepted order from which an instance list that still shows a
+// spare instance as up proves that an earlier owner had its maintenance done. It is half the
+// duration of a maintenance, and more than the lag of the list.
 const stillUpDelay = 1200 * time.Millisecond
 
-// dropAlreadyMaintained removes instances from the wave's down set that the accepted order
-// did not take down, because an earlier owner had completed their maintenance.
+// dropAlreadyMaintained removes instances from the wave's down set whose maintenance order was
+// accepted but did not take them down, because an earlier owner had their maintenance done.
 func (c *Core) dropAlreadyMaintained(ws *waveState, now time.Time) {
 	for id, d := range ws.down {
 		if d.acceptedAt.IsZero() || d.seenMaintained {
@@ -255,7 +256,7 @@
 			continue
 		}
 		if !canTakeDown(cand.worker, now) && !canDrainOneByOne(cand.worker, now) {
-			continue // a worker reserved in this loop has tasks of the same step
+			continue // tasks of its steps run on a worker that was reserved in this loop
 		}
 		c.reserve(cand.worker, reservedMaintenance, now)
 		free--
@@ -306,8 +307,8 @@
 	return out
 }
 
-// runsKnown reports whether all runs on the worker are known: it has answered this owner, or
-// every lease from an earlier owner has expired.
+// runsKnown reports whether all runs on the worker are known: it has answered a hold of this
+// owner, or all leases granted by earlier owners have expired.
 func (c *Core) runsKnown(w *worker, now time.Time) bool {
 	return w.answeredThisOwner || now.Sub(c.startedAt) > c.maxLeaseDuration()
 }
@@ -328,8 +329,8 @@
 	return sum
 }
 
-// isReadyForMaintenance reports whether a reserved worker may be taken down now: the
-// disruption budgets allow it, and only long-running tasks are left or the grace period is
+// isReadyForMaintenance reports whether a reserved worker may be taken down now: the disruption
+// budgets allow it, and either only long-running tasks are left or the drain grace period is
 // over.
 func (c *Core) isReadyForMaintenance(w *worker, now time.Time) bool {
 	if !canTakeDown(w, now) {
@@ -367,8 +368,8 @@
 	w := c.workerOfInstance(o.Instance)
 	switch outcome {
 	case DutyDone:
-		// The platform also answers this if an earlier owner had the maintenance done. Then
-		// the worker keeps running, as its next answer shows; otherwise the instance list
+		// The platform also answers this if an earlier owner had the maintenance done. In that
+		// case the worker keeps running, as its next answer shows. Otherwise the instance list
 		// shows the end of its incarnation.
 		ws.maintenanceStarted[o.Instance] = true
 		if d, down := ws.down[o.Instance]; down {
@@ -377,8 +378,8 @@
 		}
 		c.effects.WaveStatuses = append(c.effects.WaveStatuses, WaveStatus{Wave: o.Wave, Done: ws.completed})
 	case DutyUnanswered:
-		// The maintenance may have started: the instance still counts as down, and the order
-		// is repeated until the platform answers.
+		// The maintenance may have started, so the instance still counts as down. The order is
+		// repeated until the platform answers.
 		c.effects.InstanceOrders = append(c.effects.InstanceOrders, o)
 	case DutyFenced:
 		c.fenced = true
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -13,20 +13,20 @@
 	// storeOutageGap is the gap between updates of the registrations that counts as a store
 	// outage: three missed reads at 400 ms.
 	storeOutageGap = 1500 * time.Millisecond
-	// reregistrationGrace is how long after a store outage missing registrations may come
-	// back. The platform documents about 2 s.
+	// reregistrationGrace is how long after a store outage workers may take to register again.
+	// The platform documents about 2 s.
 	reregistrationGrace = 2200 * time.Millisecond
 	// holdRetryPause is the pause after an unanswered hold.
 	holdRetryPause = 150 * time.Millisecond
 	// noInstanceHoldRetryPause is the same for a worker that the instance list does not show.
-	// Most of these have ended, and their registrations last for some seconds. Retried as
-	// often as the others they would take most of a new owner's calls.
+	// Most of these have ended, but stay registered for some seconds. If they were retried as
+	// often as the others, most calls of a new owner would go to them.
 	noInstanceHoldRetryPause = 700 * time.Millisecond
-	// ackRetryPause is how long the next hold is delayed so that the ends of the last one can
-	// be stored and acknowledged with it.
+	// ackRetryPause is how long the next hold is delayed after one that listed run ends, so that
+	// these can be stored and then acknowledged by that next hold.
 	ackRetryPause = 300 * time.Millisecond
-	// unknownJobGrace is how long a run of an unknown job is left alone. Jobs become known
-	// with the delay of the store's watch, at worst about a second.
+	// unknownJobGrace is how long a run of an unknown job may continue. Jobs become known with
+	// the delay of the store's watch, at worst about a second.
 	unknownJobGrace = 4 * time.Second
 	// unhealthyPause is how long a worker that answered Unhealthy gets no new tasks.
 	unhealthyPause = 500 * time.Millisecond
@@ -68,11 +68,11 @@
 	// holdTimeout is how long the answer to a hold may take beyond the hold's Wait.
 	holdTimeout = 300 * time.Millisecond
 	// lossyHoldWait is the Wait of a worker with tasks while calls are being lost. A lost
-	// answer then delays the news of an end by about this time, not by a second or more.
+	// answer then delays the report of a run end by about this time, not by a second or more.
 	lossyHoldWait = 120 * time.Millisecond
 )
 
-// holdWait returns how long the worker is to wait for a new end before it answers.
+// holdWait returns how long the worker is to wait for a new run end before it answers a hold.
 func (c *Core) holdWait(w *worker) time.Duration {
 	switch {
 	case !w.answeredThisOwner || !w.silentSince.IsZero() || len(w.unacked) > 0 || w.hasUnansweredStart():
@@ -85,8 +85,8 @@
 	return c.opt.HoldWait
 }
 
-// minHoldWait returns the Wait of each worker with tasks at which all of them together stay
-// within MaxHoldsPerSec.
+// minHoldWait returns the shortest Wait at which the holds of all workers with tasks together
+// stay within MaxHoldsPerSec.
 func (c *Core) minHoldWait() time.Duration {
 	if c.opt.MaxHoldsPerSec <= 0 {
 		return 0
@@ -98,8 +98,8 @@
 	return time.Duration(float64(busy) / c.opt.MaxHoldsPerSec * float64(time.Second))
 }
 
-// hasUnansweredStart reports whether the worker has an unanswered start that is not sent
-// again. Its task is blocked until the worker's run list shows whether the run started.
+// hasUnansweredStart reports whether the worker has an unanswered start that will not be sent
+// again. Its task is blocked until the worker's run list shows whether the run has started.
 func (w *worker) hasUnansweredStart() bool {
 	for _, r := range w.runs {
 		if r.phase == starting && !r.startAbandonedAt.IsZero() {
@@ -110,7 +110,8 @@
 }
 
 // leaseEndFor returns the lease end for an order to w. The lease of a silent worker is not
-// renewed: it has to expire before its tasks may start elsewhere.
+// renewed, as it has to expire before the worker's tasks may start elsewhere. A starved owner
+// renews it, as the worker's answers may wait to be read.
 func (c *Core) leaseEndFor(w *worker, now time.Time) int64 {
 	if w.isSilent() && !c.isStarved(now) {
 		return w.lease.grantedUntilMs
@@ -122,10 +123,10 @@
 // answer since.
 func (w *worker) isSilent() bool { return !w.silentSince.IsZero() || w.orderUnanswered }
 
-// onOrderAnswer handles the answer to an order other than a hold. A timeout does not count
-// as lost contact: the order alone may have been lost, and the hold in flight shows whether
-// the worker is there. Otherwise, on a network that loses a fifth of the calls, each lost
-// order would be recorded as an unconfirmed crash.
+// onOrderAnswer handles the outcome of an order other than a hold. A timeout does not count as
+// lost contact: only that order may have been lost, and the hold in flight will show whether
+// the worker answers. Otherwise, on a network that loses a fifth of the calls, each lost order
+// would be recorded as an unconfirmed crash.
 func (c *Core) onOrderAnswer(w *worker, a Answer, now time.Time) {
 	c.recordCallOutcome(w, a)
 	if a.Outcome == Unanswered && !a.ConnFailed {
@@ -135,15 +136,14 @@
 	c.onAnswer(w, a, now)
 }
 
-// mayBeLostHold reports whether an unanswered hold may have been lost on a lossy network.
-// The next hold decides; otherwise tasks just started on the worker would be suspected of
-// having crashed it.
+// mayBeLostHold reports whether an unanswered hold may have been lost on a lossy network. Such a
+// hold does not count as lost contact unless the next one goes unanswered too; otherwise tasks
+// just started on the worker would be suspected of having crashed it.
 func (c *Core) mayBeLostHold(w *worker, a Answer) bool {
 	return a.Outcome == Unanswered && !a.ConnFailed && w.silentSince.IsZero() && c.callLossDetector.Lossy()
 }
 
-// recordCallOutcome counts answered and lost calls, by which the timeouts of later calls
-// are set.
+// recordCallOutcome counts answered and lost calls. The timeouts of later calls depend on them.
 func (c *Core) recordCallOutcome(w *worker, a Answer) {
 	switch {
 	case a.Outcome == NotSent:
@@ -159,7 +159,7 @@
 	}
 }
 
-// onAnswer handles an answer of the worker, or a call without one.
+// onAnswer handles the outcome of a call to the worker, answered or not.
 func (c *Core) onAnswer(w *worker, a Answer, now time.Time) {
 	c.markWorkerChanged(w)
 	if w.ended {
@@ -189,7 +189,7 @@
 	}
 }
 
-// OnHoldAnswer handles the answer to a hold, or that there was none.
+// OnHoldAnswer handles the outcome of a hold, answered or not.
 func (c *Core) OnHoldAnswer(target Target, h HoldAnswer, now time.Time) {
 	w := c.targetedWorker(target)
 	if w == nil {
@@ -288,7 +288,8 @@
 	c.logDecision(Decision{Event: "fenced", Worker: w.Worker, Reason: "the worker has seen a higher fencing token"})
 }
 
-// reconcileRuns compares the runs that a worker lists with those that it should have.
+// reconcileRuns compares the runs that a worker lists with those that it should have, and
+// releases or stops those that it should have but does not list.
 func (c *Core) reconcileRuns(w *worker, active []ActiveRun, now time.Time) {
 	listed := map[job.TaskID]bool{}
 	for _, a := range active {
@@ -366,7 +367,8 @@
 	}
 }
 
-// endIncarnation handles the certain end of a worker's incarnation: all its runs are lost.
+// endIncarnation handles the proven end of a worker's incarnation: all its runs are lost. proof
+// says how the end is known.
 func (c *Core) endIncarnation(w *worker, proof string, now time.Time) {
 	if w.ended {
 		return
@@ -382,13 +384,12 @@
 		c.releaseLostRun(r, proof, now)
 	}
 	for service := range c.pools {
-		c.changedServices[service] = true // tasks that waited for a decision on the worker may start
+		c.changedServices[service] = true // tasks that waited for the attribution of its loss may start
 	}
 }
 
-// expireLeases releases the runs of silent workers whose leases have all expired. An owner
-// that is short of processor time releases none, as answers that it has not read may report
-// finished tasks.
+// expireLeases releases the runs of silent workers whose leases have all expired. A starved
+// owner releases none, as answers that it has not read yet may report tasks as done.
 func (c *Core) expireLeases(now time.Time) {
 	for id, w := range c.endedWorkers {
 		if !w.registered && !w.holdInFlight {
--- a/jobs/owner/workerview.go
+++ b/jobs/owner/workerview.go
@@ -16,8 +16,8 @@
 	views   []placement.Worker
 }
 
-// newWorkerView returns a view of the service's usable workers. Its cost grows with the
-// service, so tasks that end by themselves are placed with the free index instead.
+// newWorkerView returns a view of the service's usable workers. Its cost grows with the number of
+// workers, so tasks that end by themselves are placed by the free index instead.
 func (c *Core) newWorkerView(service string, now time.Time) *workerView {
 	list := c.workersByService[service]
 	v := &workerView{workers: make([]*worker, 0, len(list)), views: make([]placement.Worker, 0, len(list))}
@@ -35,7 +35,7 @@
 // indexOf returns the worker's index in the view; ok is false if the view lacks it.
 func (v *workerView) indexOf(w *worker) (i int, ok bool) { return w.workerViewIndex, w.workerView == v }
 
-// countStepTasks counts the step's runs on each worker, and excludes the workers that it
+// countStepTasks counts the step's runs on each worker, and excludes the workers that the step
 // may not use.
 func (v *workerView) countStepTasks(s *stepState, now time.Time) {
 	needsPermits := s.needsPermits()
@@ -57,9 +57,9 @@
 // this time, which frees capacity.
 const otherWorkerWait = time.Second
 
-// awaitsOtherWorker reports whether the task failed recently and some usable worker where it
-// has not failed is large enough for it. Tasks that need a ticket do not wait, as tickets
-// expire soon.
+// awaitsOtherWorker reports whether the task failed recently and has to wait for another worker:
+// some usable worker where it has not failed is large enough for it. Tasks that need a ticket
+// do not wait, as tickets expire soon.
 func (t *task) awaitsOtherWorker(free *freeIndex, req *placement.Request, now time.Time) bool {
 	if len(t.failedOn) == 0 || req.Restricted || now.Sub(t.lastFailedAt) > otherWorkerWait {
 		return false
@@ -93,7 +93,7 @@
 	r.worker.addRun(r)
 }
 
-// removeRun undoes addRun; it returns false if the task does not have the run any more.
+// removeRun undoes addRun. It returns false if the task no longer has the run.
 func (t *task) removeRun(r *run) (removed bool) {
 	r.worker.removeRun(r)
 	i := slices.Index(t.runs, r)
@@ -107,7 +107,7 @@
 	return true
 }
 
-// addRun records the run on the worker and what it occupies.
+// addRun adds the run to the worker and its needs to the worker's usage.
 func (w *worker) addRun(r *run) {
 	id := r.task.id()
 	if old := w.runs[id]; old != nil {
--- a/jobs/owner/writequeue.go
+++ b/jobs/owner/writequeue.go
@@ -8,10 +8,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// writeQueue holds the jobs to be stored, by class and then by writeSeq. Jobs with a
-// crash to be stored come first, as the next owner has to know of it; then ended jobs, as their
-// callers are told only once the end is stored; then the others. Entries are not removed
-// when a job is stored: iteration skips entries that are no longer current.
+// writeQueue holds the jobs to be stored, ordered by class and then by writeSeq. Jobs with a crash
+// to be stored come first, as the next owner has to know of it. Then come ended jobs, as their
+// callers see the end only once it is stored, and then the others. Entries are not removed when
+// a job is stored: iteration skips those that are no longer current.
 type writeQueue [writeClasses][]writeEntry
 
 // writeClass is the priority of a job in the write queue.
@@ -39,8 +39,8 @@
 	seq uint64
 }
 
-// add inserts the job by its class and its writeSeq. As writeSeq increases, this is mostly
-// the end of the list; not for a job that changes its class.
+// add inserts the job by its class and writeSeq. As writeSeq increases, this is at the end of the
+// list, except for a job that has changed its class.
 func (q *writeQueue) add(j *jobState) {
 	list := &q[j.writeClass()]
 	at, found := slices.BinarySearchFunc(*list, j.writeSeq, func(e writeEntry, seq uint64) int { return cmp.Compare(e.seq, seq) })
@@ -63,7 +63,7 @@
 	}
 }
 
-// isCurrent reports whether the job is still dirty and has this class and number.
+// isCurrent reports whether the job is still dirty and still has this class and writeSeq.
 func (e writeEntry) isCurrent(class writeClass, dirty map[job.ID]*jobState) bool {
 	return e.job.writeSeq == e.seq && e.job.writeClass() == class && dirty[e.job.spec.ID] == e.job
 }
