--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -287,9 +287,9 @@
 	}
 }
 
-// TestTaskCrashingItsRackIsBlamed guards against blaming a rack for crashes by one task. A task that
-// crashes a worker may be started again on the only other worker of the rack and crash that one
-// 0.15 s later. When both crashes were taken for a rack failure, the task crashed six workers
+// TestTaskCrashingItsRackIsBlamed guards against blaming a rack for crashes by one task. A task
+// that crashes a worker may be started again on the only other worker of the rack and crash that
+// one 0.15 s later. When both crashes were taken for a rack failure, the task crashed six workers
 // (soak, seed 41017).
 func TestTaskCrashingItsRackIsBlamed(t *testing.T) {
 	r := newRig(t, 1)
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -49,6 +49,8 @@
 	w.unacked = append(w.unacked, unackedEnd{e.Seq, j, j.version})
 }
 
+// applyEnd releases the run that ended, if it is known, and updates its task by the kind of the
+// end.
 func (c *Core) applyEnd(w *worker, j *jobState, e RunEnd, now time.Time) {
 	delete(w.unknownRuns, e.Task)
 	c.createOccurrences(j, e.Task.Occurrence)
@@ -93,6 +95,8 @@
 	c.changedServices[j.service] = true
 }
 
+// onTaskDone completes the task, or all tasks of a gang, and stops its other runs. doneBy is the
+// run that completed it; nil if it is not known. Long-running tasks are never done.
 func (c *Core) onTaskDone(t *task, doneBy *run, now time.Time) {
 	s := t.step
 	if s.spec.LongRunning {
@@ -121,6 +125,8 @@
 // on one faulty worker.
 const failureBackoff = 20 * time.Millisecond
 
+// onTaskFailed counts a failed attempt and delays the next one. The job fails once a task has used
+// up its attempts. Attempts of long-running tasks are not limited.
 func (c *Core) onTaskFailed(w *worker, t *task, e RunEnd, now time.Time) {
 	s := t.step
 	j := s.job
@@ -130,7 +136,7 @@
 	if t.done {
 		return // another copy completed it
 	}
-	if s.spec.LongRunning { // no limit of attempts
+	if s.spec.LongRunning { // attempts are not limited
 		t.consecutiveRetries++
 		t.notBefore = now.Add(longRunningBackoff.delay(t.consecutiveRetries))
 		return
@@ -153,6 +159,7 @@
 	}
 }
 
+// saveCheckpoint records the checkpoint from which the task, or its whole gang, resumes.
 func (c *Core) saveCheckpoint(t *task, checkpoint string) {
 	if checkpoint == "" || checkpoint == t.checkpoint || t.done {
 		return
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -83,6 +83,7 @@
 	nextIncarnation
 )
 
+// relationTo returns how the incarnation that started at startedMs relates to w.
 func (w *worker) relationTo(startedMs int64) incarnationRelation {
 	switch {
 	case startedMs == w.StartedMs || startedMs == 0 || w.StartedMs == 0:
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -99,6 +99,7 @@
 	}
 }
 
+// addJob adds a job and creates its due occurrences.
 func (c *Core) addJob(spec *job.Job, now time.Time) *jobState {
 	j := &jobState{spec: spec, service: spec.Service, state: job.Queued, knownAt: now}
 	c.jobs[spec.ID] = j
--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -11,6 +11,7 @@
 	stopRetryPause = 100 * time.Millisecond
 )
 
+// sendStart orders the run's worker to start the run, or repeats the order.
 func (c *Core) sendStart(r *run, now time.Time) {
 	r.sentAt = now
 	r.sends++
@@ -120,6 +121,9 @@
 	}
 }
 
+// onStartUnanswered handles a start that was not answered. It is sent again until it was sent
+// maxStartSends times, or more often while calls are being lost. After that the worker's run
+// list has to show whether the run has started.
 func (c *Core) onStartUnanswered(r *run, a Answer, now time.Time) {
 	if r.phase != starting {
 		return
@@ -158,6 +162,7 @@
 	c.sendStop(r, now)
 }
 
+// sendStop orders the run's worker to stop the run, and schedules a repetition.
 func (c *Core) sendStop(r *run, now time.Time) {
 	r.sentAt = now
 	c.stopsDue.add(now.Add(c.stopRetryInterval()), r)
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -119,6 +119,8 @@
 	c.starvedUntil = now.Add(starvedPeriod)
 }
 
+// isStarved reports whether the owner is short of processor time or bandwidth, so that missing
+// answers say nothing about the workers.
 func (c *Core) isStarved(now time.Time) bool { return now.Before(c.starvedUntil) }
 
 // StarvedFor returns how long the owner has been starved without interruption.
--- a/jobs/owner/registrations.go
+++ b/jobs/owner/registrations.go
@@ -131,6 +131,8 @@
 	}
 }
 
+// register applies a registration: it adds a new worker, begins a new incarnation of a known one,
+// or updates the properties of a known incarnation.
 func (c *Core) register(r Registration, now time.Time) {
 	w := c.workers[r.Worker]
 	if w == nil {
--- a/jobs/owner/saturatedlink_test.go
+++ b/jobs/owner/saturatedlink_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// TestSaturatedLinkIsNotWorkerSilence checks that, while answers are slow and a third of the workers
-// is silent, the leases of these are renewed and their tasks are not started again.
+// TestSaturatedLinkIsNotWorkerSilence checks that, while answers are slow and a third of the
+// workers is silent, the leases of these are renewed and their tasks are not started again.
 func TestSaturatedLinkIsNotWorkerSilence(t *testing.T) {
 	const workers, silent = 30, 10
 	r := newRig(t, 1)
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestUnansweredStartsIndicateSaturatedLink checks that unanswered starts indicate a saturated link,
-// too. If no answer arrives for some seconds, no slow answer shows that the link is saturated.
+// TestUnansweredStartsIndicateSaturatedLink checks that unanswered starts indicate a saturated
+// link, too. If no answer arrives for some seconds, no slow answer shows that the link is saturated.
 // Once the link was free again, holds did not renew the leases of workers that seemed silent,
 // and up to 54 leases expired.
 func TestUnansweredStartsIndicateSaturatedLink(t *testing.T) {
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -61,6 +61,8 @@
 	minLimit = 8
 )
 
+// newStartWindow returns an empty window whose limit is maxOutstanding at first and at most; 0: no
+// limit.
 func newStartWindow(maxOutstanding int) startWindow {
 	return startWindow{maxOutstanding: maxOutstanding, limit: float64(maxOutstanding), deferred: map[string]bool{}, outstanding: map[uint64]bool{}}
 }
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -26,7 +26,7 @@
 	ElectedAt            time.Time     // when this owner was elected; zero: now
 	PriorOrdersUnknown   bool          // the orders of other holders could not be determined
 	SucceedsSelf         bool          // the previous owner was this daemon, before it was restarted
-	StatusRetention      time.Duration // how long ended jobs are kept
+	StatusRetention      time.Duration // ended jobs are removed after twice this time
 	MaxOutstandingStarts int           // limit of starts without an outcome; 0: no limit
 	Weights              capacity.Weights
 	MaxMovesPerSec       float64 // moves per second that the platform accepts; 0: no limit
@@ -61,6 +61,7 @@
 	stopReason          string
 }
 
+// phase is the phase of a run.
 type phase int
 
 const (
@@ -142,6 +143,7 @@
 	preemptCheckedAt time.Time // when preemption was last considered
 }
 
+// ready reports whether the step has tasks to do and all steps that it depends on are done.
 func (s *stepState) ready() bool { return s.openDependencies == 0 && s.remaining > 0 }
 
 // jobState is a job and its progress.
@@ -175,6 +177,7 @@
 	ackWaiters       []*worker     // workers with ends to acknowledge once the job is stored
 }
 
+// step returns a step of an occurrence, nil if it does not exist or was not created yet.
 func (j *jobState) step(occurrence, index int) *stepState {
 	n := occurrence*len(j.spec.Steps) + index
 	if occurrence < 0 || index < 0 || index >= len(j.spec.Steps) || n >= len(j.steps) {
@@ -355,7 +358,7 @@
 	Starts            int64 // runs ordered; an order that is sent again does not count
 	Refused           int64 // starts that a worker refused
 	Failed            int64 // runs that failed
-	Lapsed            int64 // runs that their worker ended because their lease expired or their gang was incomplete
+	Lapsed            int64 // runs that their worker ended because their lease expired or other members of their gang were missing
 	Lost              int64 // runs that ended with their worker or its lease, or vanished from its run list
 	Stopped           int64 // runs that were stopped by an order
 	Done              int64 // runs that completed their task
--- a/jobs/owner/takeover.go
+++ b/jobs/owner/takeover.go
@@ -129,6 +129,8 @@
 	loggedAt time.Time
 }
 
+// logTakeoverWait logs what inherited tasks of the service wait for, if that has changed since the
+// last line and the line is not too early.
 func (c *Core) logTakeoverWait(service, awaited string, now time.Time) {
 	last := c.loggedTakeoverWaits[service]
 	if last.waitsFor == awaited || now.Sub(last.loggedAt) < takeoverWaitLogInterval {
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -164,6 +164,7 @@
 		ws.Wave, left, ws.MaxDown, need, now.Sub(ws.receivedAt).Round(100*time.Millisecond), ws.Within)})
 }
 
+// sortedWaves returns the waves ordered by number.
 func (c *Core) sortedWaves() []*waveState {
 	var out []*waveState
 	for _, ws := range c.waves {
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -273,6 +273,7 @@
 	return holdRetryPause
 }
 
+// describeAnswer returns the outcome and the error of an answer for the log.
 func describeAnswer(a Answer) string {
 	if a.Err != nil {
 		return a.Outcome.String() + ": " + a.Err.Error()
@@ -280,6 +281,8 @@
 	return a.Outcome.String()
 }
 
+// markFenced records that w has seen a higher fencing token, so that this daemon is no longer the
+// owner.
 func (c *Core) markFenced(w *worker) {
 	if c.fenced {
 		return
@@ -323,6 +326,8 @@
 	}
 }
 
+// reconcileRun handles a run that a worker lists as active: it updates the progress of a known run,
+// keeps a run of an unknown job for later, and adopts or stops any other run.
 func (c *Core) reconcileRun(w *worker, a ActiveRun, now time.Time) {
 	r := w.runs[a.Task]
 	if r != nil && r.number == a.Run {
@@ -343,6 +348,7 @@
 	c.adoptRun(w, j, a, now)
 }
 
+// onProgress applies what a worker's run list says about a known run.
 func (c *Core) onProgress(r *run, a ActiveRun, now time.Time) {
 	r.mayStartLate = false
 	if r.fromPastIncarnation {
