--- a/jobs/owner/orders.go
+++ b/jobs/owner/orders.go
@@ -75,8 +75,8 @@
 	}
 	switch a.Outcome {
 	case NoCapacity:
-		w.consecutiveNoRoom++
-		c.avoidWorkerUntil(w, now.Add(capacityBackoff.delay(w.consecutiveNoRoom)))
+		w.consecutiveNoCapacity++
+		c.avoidWorkerUntil(w, now.Add(capacityBackoff.delay(w.consecutiveNoCapacity)))
 	case InvalidTicket:
 		r.task.step.dropTicket(w, now)
 	case Unhealthy:
@@ -95,7 +95,7 @@
 // resetRefusals resets the backoffs after refusals by the worker and rejections of the step's
 // tickets.
 func (r *run) resetRefusals() {
-	r.worker.consecutiveNoRoom = 0
+	r.worker.consecutiveNoCapacity = 0
 	if p := r.task.step.permits; p != nil {
 		p.rejectedTickets = 0
 	}
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -234,7 +234,7 @@
 	indexedFreeCPUMilli      int                       // free millicores as indexed
 	indexStale               bool                      // to be indexed again
 	avoidPenalty             time.Duration             // duration of the last avoidance
-	consecutiveNoRoom        int                       // consecutive starts refused for lack of capacity
+	consecutiveNoCapacity    int                       // consecutive starts refused for lack of capacity
 	reservedAt               time.Time                 // when reserved was set
 	endOrdered               bool                      // an order was sent that ends the incarnation
 	idleSince                time.Time                 // since when it has no runs; zero: it has some
