--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -26,7 +26,7 @@
 )
 
 // preempt stops less urgent runs on one worker if the step has waited for capacity for its
-// preemption delay. The freed capacity is kept for the step for preemptInterval.
+// preemption delay. The worker is kept for the step for preemptInterval.
 func (p *schedulingPass) preempt(s *stepState, req *placement.Request) {
 	now := p.now
 	if s.waitingSince.IsZero() {
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -245,7 +245,7 @@
 	isolatedUntil time.Time
 
 	preemptedFor   *stepState // step for which runs were preempted here; nil: none
-	preemptedUntil time.Time  // until then the freed capacity is kept for that step
+	preemptedUntil time.Time  // until then the worker is kept for that step
 }
 
 // reservation is the reason why a worker is kept free of new tasks; empty: not reserved.
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -30,7 +30,7 @@
 // Limits and intervals of maintenance.
 const (
 	// drainGracePeriod is how long tasks on a reserved instance may continue. Most end within
-	// this time; the others are stopped.
+	// this time; the others end with the worker once its maintenance is ordered.
 	drainGracePeriod = 2500 * time.Millisecond
 	// waveCheckPerInstance is the interval between two checks of the waves, per instance of open
 	// waves, since a check visits all of these: with 570 instances there are 22 checks a
