--- a/telemetry/async.go
+++ b/telemetry/async.go
@@ -11,13 +11,13 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Bounds of a log.
+// Limits of a log.
 const (
 	// maxQueuedLines bounds the lines that wait for a slow reader of the log; further lines are
 	// dropped and counted. At 200 bytes per line the queue takes less than 1 MB.
 	maxQueuedLines = 4096
-	// Per sampleTick, the first sampleFirst lines of an event are written, then one in
-	// sampleThereafter.
+	// In each sampleTick, the first sampleFirst lines of an event are written, then every
+	// sampleThereafter-th.
 	sampleTick       = time.Second
 	sampleFirst      = 60
 	sampleThereafter = 50
@@ -67,6 +67,7 @@
 	return nil
 }
 
+// run writes the queued lines until the writer is closed.
 func (w *AsyncWriter) run() {
 	defer close(w.done)
 	reported := int64(0)
@@ -96,8 +97,8 @@
 	}
 }
 
-// Sampled limits how often each event is written to log. onDrop is called for each line that is
-// left out.
+// Sampled returns a logger to log that limits how often each event is written. onDrop is called
+// for each line that is left out.
 func Sampled(log *zap.Logger, onDrop func()) *zap.Logger {
 	return log.WithOptions(zap.WrapCore(func(c zapcore.Core) zapcore.Core {
 		return zapcore.NewSamplerWithOptions(c, sampleTick, sampleFirst, sampleThereafter,
--- a/telemetry/async_test.go
+++ b/telemetry/async_test.go
@@ -9,19 +9,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuckWriter blocks until release is closed.
-type stuckWriter struct {
+// blockedWriter blocks each Write until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	got     bytes.Buffer
 }
 
-func (w *stuckWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	<-w.release
 	return w.got.Write(p)
 }
 
-func TestAsyncWriterNeverWaits(t *testing.T) {
-	out := &stuckWriter{release: make(chan struct{})}
+// TestAsyncWriterNeverBlocks: while the output blocks, lines beyond the queue are dropped and
+// counted, and the log reports that.
+func TestAsyncWriterNeverBlocks(t *testing.T) {
+	out := &blockedWriter{release: make(chan struct{})}
 	w := NewAsyncWriter(out)
 	for range 3 * maxQueuedLines {
 		n, err := w.Write([]byte("line\n"))
@@ -34,9 +36,9 @@
 	assert.Contains(t, out.got.String(), "log-lines-dropped")
 }
 
-// TestAsyncWriterAfterItsEnd: goroutines that outlive a planned stop may still write, which must
+// TestAsyncWriterAfterClose: goroutines that outlive a planned stop may still write, which must
 // not panic.
-func TestAsyncWriterAfterItsEnd(t *testing.T) {
+func TestAsyncWriterAfterClose(t *testing.T) {
 	var out bytes.Buffer
 	w := NewAsyncWriter(&out)
 	_, err := w.Write([]byte("before\n"))
@@ -50,6 +52,7 @@
 	require.NoError(t, w.Close(), "a second Close has no effect")
 }
 
+// TestSampledLog: a frequent event is sampled, and other events are not affected by that.
 func TestSampledLog(t *testing.T) {
 	var out bytes.Buffer
 	log, err := NewLogger("info", "json", &out)
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -25,12 +25,12 @@
 	closer  io.Closer
 }
 
-// reportInterval is how often the scrape endpoint's values are updated.
+// reportInterval is the interval at which the values of the scrape endpoint are updated.
 const reportInterval = time.Second
 
 // NewMetrics returns an empty set of metrics with the prefix "postmount".
 func NewMetrics() *Metrics {
-	// Not the global registry, as several daemons may run in one process.
+	// The global registry cannot be used, as several daemons may run in one process.
 	registry := prom.NewRegistry()
 	reporter := prometheus.NewReporter(prometheus.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -43,10 +43,11 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close stops the reporting.
+// Close stops updating the values of the scrape endpoint.
 func (m *Metrics) Close() error { return m.closer.Close() }
 
-// NewLogger returns a logger that writes to w in format "console" or, otherwise, JSON.
+// NewLogger returns a logger that writes lines of at least the given level to w. They are JSON
+// unless format is "console".
 func NewLogger(level, format string, w io.Writer) (*zap.Logger, error) {
 	lvl, err := zapcore.ParseLevel(level)
 	if err != nil {
@@ -61,41 +62,41 @@
 	return zap.New(zapcore.NewCore(enc, zapcore.Lock(zapcore.AddSync(w)), lvl)), nil
 }
 
-// RequestObserver implements entry.Observer: it records metrics, the error budget and changes of
-// workers' health.
+// RequestObserver implements entry.Observer. It records metrics of requests and the use of the
+// error budget, and logs changes of workers' health.
 type RequestObserver struct {
 	Scope     tally.Scope
 	Log       *zap.Logger
-	Burn      *slo.Recorder
+	Burn      *slo.Recorder // counts requests that met and missed their objective
 	Directory func() *directory.Directory
 }
 
 // latencyBuckets are the buckets of the request latency histogram, 1 ms to 33 s.
 var latencyBuckets = tally.MustMakeExponentialDurationBuckets(time.Millisecond, 2, 16)
 
-// Answered implements entry.Observer. A request that could not be routed is a client error and
-// counts against no objective.
-func (t *RequestObserver) Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration) {
+// Answered implements entry.Observer. A request without a service could not be routed: it is a
+// client error and counts towards no objective.
+func (o *RequestObserver) Answered(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, code verdict.Code, status int, took time.Duration) {
 	tags := map[string]string{"service": string(service), "class": string(class), "verdict": v.String(), "code": string(code)}
-	scope := t.Scope.Tagged(tags)
+	scope := o.Scope.Tagged(tags)
 	scope.Counter("requests").Inc(1)
 	if service == "" {
 		return
 	}
-	t.Scope.Tagged(map[string]string{"service": string(service), "class": string(class)}).Histogram("latency", latencyBuckets).RecordDuration(took)
-	t.Burn.Record(time.Now(), slo.Key{Service: service, Class: class}, t.meetsObjective(service, class, v, status, took))
+	o.Scope.Tagged(map[string]string{"service": string(service), "class": string(class)}).Histogram("latency", latencyBuckets).RecordDuration(took)
+	o.Burn.Record(time.Now(), slo.Key{Service: service, Class: class}, o.meetsObjective(service, class, v, status, took))
 }
 
-// meetsObjective reports whether a request met its service's objective. Client errors
-// count as met.
-func (t *RequestObserver) meetsObjective(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
+// meetsObjective reports whether a request met the objective of its service and class. Client
+// errors count as met.
+func (o *RequestObserver) meetsObjective(service fleet.ServiceName, class fleet.ClassName, v verdict.Verdict, status int, took time.Duration) bool {
 	if v != verdict.Done {
 		return status < http.StatusInternalServerError // 4xx: client error
 	}
 	if status >= http.StatusInternalServerError {
 		return false
 	}
-	svc := t.Directory().Services[service]
+	svc := o.Directory().Services[service]
 	if svc == nil {
 		return true
 	}
@@ -108,7 +109,7 @@
 }
 
 // AttemptEnded implements entry.Observer.
-func (t *RequestObserver) AttemptEnded(service fleet.ServiceName, _ fleet.InstanceID, attempt int, err error) {
+func (o *RequestObserver) AttemptEnded(service fleet.ServiceName, _ fleet.InstanceID, attempt int, err error) {
 	outcome := "answered"
 	if err != nil {
 		outcome = string(verdict.CodeOf(err))
@@ -117,14 +118,14 @@
 	if attempt > 1 {
 		retried = "true"
 	}
-	t.Scope.Tagged(map[string]string{"service": string(service), "outcome": outcome, "retry": retried}).Counter("tries").Inc(1)
+	o.Scope.Tagged(map[string]string{"service": string(service), "outcome": outcome, "retry": retried}).Counter("tries").Inc(1)
 }
 
 // HealthChanged implements entry.Observer.
-func (t *RequestObserver) HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
+func (o *RequestObserver) HealthChanged(service fleet.ServiceName, worker fleet.InstanceID, ejected bool) {
 	if ejected {
-		t.Log.Info("worker ejected from rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
+		o.Log.Info("worker ejected from rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
 		return
 	}
-	t.Log.Info("worker returned to rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
+	o.Log.Info("worker returned to rotation", zap.String("service", string(service)), zap.String("worker", string(worker)))
 }
