--- a/verdict/verdict.go
+++ b/verdict/verdict.go
@@ -1,7 +1,7 @@
 // Package verdict classifies outcomes of requests by whether the request may have run.
 //
-// A caller that sees NotRun may resend freely. A caller that sees MayHaveRun
-// may only resend an idempotent request, or the same Idempotency-Key.
+// A caller that sees NotRun may resend any request. A caller that sees MayHaveRun may resend only
+// an idempotent request, or one with the same Idempotency-Key.
 package verdict
 
 import (
@@ -15,10 +15,10 @@
 type Verdict uint8
 
 const (
-	// MayHaveRun is the zero value, so that an unclassified outcome is never
-	// reported as safe to retry.
+	// MayHaveRun means that the request may have had an effect. It is the zero value, so that an
+	// unclassified outcome is never reported as safe to retry.
 	MayHaveRun Verdict = iota
-	// NotRun means that the request had no effect for certain.
+	// NotRun means that the request certainly had no effect.
 	NotRun
 	// Done means that the request ran once and its complete response is known.
 	Done
@@ -76,13 +76,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.err }
 
-// New returns an error with the given verdict and code.
+// New returns an error with the given verdict, code and message.
 func New(v Verdict, code Code, format string, args ...any) *Error {
 	err := oops.Code(string(code)).With("verdict", v.String()).Errorf(format, args...)
 	return &Error{Verdict: v, Code: code, err: err}
 }
 
-// Wrap attaches a verdict and code to err, keeping it as the cause.
+// Wrap returns an error with the given verdict, code and message, and err as its cause.
 func Wrap(err error, v Verdict, code Code, format string, args ...any) *Error {
 	wrapped := oops.Code(string(code)).With("verdict", v.String()).Wrapf(err, format, args...)
 	return &Error{Verdict: v, Code: code, err: wrapped}
