--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -10,11 +10,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// Meter measures the time in suspension since its creation.
+// Meter measures the total time that the instance was suspended since the meter was created.
 type Meter struct {
 	bootStart      time.Duration // CLOCK_BOOTTIME at creation
 	monotonicStart time.Time     // monotonic clock at creation
-	maxSuspended   atomic.Int64  // longest suspension measured, in ns
+	maxSuspended   atomic.Int64  // highest total returned so far, in ns
 }
 
 // NewMeter returns a meter. It fails if the system has no CLOCK_BOOTTIME.
@@ -35,12 +35,12 @@
 	return time.Duration(ts.Nano()), nil
 }
 
-// Suspended returns how long the instance was suspended since the meter was created. It never
+// Suspended returns the total time of all suspensions since the meter was created. It never
 // decreases. Each call makes a system call.
 func (m *Meter) Suspended() time.Duration {
 	boot, err := readBootClock()
 	if err != nil {
-		return time.Duration(m.maxSuspended.Load()) // unlikely: NewMeter could read the clock
+		return time.Duration(m.maxSuspended.Load()) // not expected, as NewMeter could read the clock
 	}
 	now := int64(boot - m.bootStart - time.Since(m.monotonicStart))
 	for {
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMeterWithoutSuspension: without suspension both clocks advance alike.
+// TestMeterWithoutSuspension: without suspension both clocks advance alike, and the total never
+// decreases.
 func TestMeterWithoutSuspension(t *testing.T) {
 	m, err := NewMeter()
 	require.NoError(t, err)
@@ -21,7 +22,7 @@
 	assert.Less(t, last, time.Minute, "unless this machine was suspended during the test")
 }
 
-// TestAMeterCountsSuspension simulates a suspension by an earlier start on the boot clock.
+// TestAMeterCountsSuspension simulates a suspension of 5 s by moving the start on the boot clock.
 func TestAMeterCountsSuspension(t *testing.T) {
 	m, err := NewMeter()
 	require.NoError(t, err)
