--- a/internal/importrule/rule_test.go
+++ b/internal/importrule/rule_test.go
@@ -48,8 +48,8 @@
 // sideEffectPackages are packages that the packages in pureImports must not import.
 var sideEffectPackages = []string{"net", "net/http", "os", "io", "log", "go.uber.org/zap", "database/sql", "math/rand"}
 
-// portPackages must not import adapters or stand-ins: they access external systems through
-// interfaces.
+// portPackages access external systems through interfaces. They must not import adapters or the
+// simulated systems in standin/.
 var portPackages = []string{"requests/cluster", "requests/control", "requests/entry", "requests/mirror", "requests/record", "operators/command", "requests/port", "jobs/ledger", "jobs/peer", "jobs/gateway", "jobs/node", "jobs/policy"}
 
 func TestImports(t *testing.T) {
@@ -57,8 +57,8 @@
 	for pkg, allowed := range pureImports {
 		require.Contains(t, imports, pkg)
 		for _, path := range imports[pkg] {
-			if own, ok := strings.CutPrefix(path, module); ok {
-				assert.Contains(t, allowed, own, "package %s imports %s", pkg, own)
+			if local, ok := strings.CutPrefix(path, module); ok {
+				assert.Contains(t, allowed, local, "package %s imports %s", pkg, local)
 			}
 			assert.NotContains(t, sideEffectPackages, path, "package %s imports %s", pkg, path)
 		}
@@ -66,8 +66,8 @@
 	for _, pkg := range portPackages {
 		require.Contains(t, imports, pkg)
 		for _, path := range imports[pkg] {
-			own := strings.TrimPrefix(path, module)
-			assert.False(t, strings.HasPrefix(own, "adapter/") || strings.HasPrefix(own, "standin/"), "package %s imports %s", pkg, own)
+			local := strings.TrimPrefix(path, module)
+			assert.False(t, strings.HasPrefix(local, "adapter/") || strings.HasPrefix(local, "standin/"), "package %s imports %s", pkg, local)
 		}
 	}
 	testOnlyTheDaemonImportsPlatform(t, imports)
@@ -83,11 +83,11 @@
 	}
 }
 
-// platformWords are names of the users' platform that must not be used outside its folder.
-var platformWords = []string{"/-/", "enforcesCapacity", "savesProgress", "untilMs", "op/config", "servers/"}
+// platformNames are names of the users' platform that must not be used outside its folder.
+var platformNames = []string{"/-/", "enforcesCapacity", "savesProgress", "untilMs", "op/config", "servers/"}
 
-// TestPlatformsWordsStayInItsFolder checks that platformWords appear in no other folder.
-func TestPlatformsWordsStayInItsFolder(t *testing.T) {
+// TestPlatformNamesAreUsedInItsFolderOnly checks that platformNames appear in no other folder.
+func TestPlatformNamesAreUsedInItsFolderOnly(t *testing.T) {
 	root := filepath.Join("..", "..")
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil || d.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go") {
@@ -97,8 +97,8 @@
 			return nil
 		}
 		raw, err := os.ReadFile(path)
-		for _, w := range platformWords {
-			assert.NotContains(t, string(raw), w, path)
+		for _, name := range platformNames {
+			assert.NotContains(t, string(raw), name, path)
 		}
 		return err
 	})
@@ -114,7 +114,8 @@
 	}
 }
 
-// readImports returns the imports of each package, without those of its tests.
+// readImports returns the imports of each package by its path in the module, without those of
+// its tests.
 func readImports(t *testing.T) map[string][]string {
 	root := filepath.Join("..", "..")
 	out := map[string][]string{}
