--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -11,16 +11,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Parameters of all connections.
+// Options of all connections.
 const (
-	// tcpUserTimeout closes a connection whose data is not acknowledged by the peer's kernel.
-	// It allows two retransmissions at 200 ms with round trips of 1 to 8 ms. A process that is
-	// slow to answer is not affected.
+	// tcpUserTimeout is the time after which a connection is closed if the peer's kernel does not
+	// acknowledge data. It allows two retransmissions at 200 ms with round trips of 1 to 8 ms. A
+	// process that is slow to answer is not affected.
 	tcpUserTimeout = 500 * time.Millisecond
-	// keepAliveIdle and keepAliveInterval are the shortest times that the kernel accepts.
+	// keepAliveIdle and keepAliveInterval are the minimum that the kernel accepts.
 	keepAliveIdle     = time.Second
 	keepAliveInterval = time.Second
-	keepAliveCount    = 1
+	keepAliveCount    = 1 // unanswered probes until the connection is closed
 )
 
 // Dialer returns a dialer of such connections. timeout bounds the opening of a connection.
@@ -32,13 +32,14 @@
 	}
 }
 
+// setTCPUserTimeout sets TCP_USER_TIMEOUT on a socket. It has the signature of net.Dialer.Control.
 func setTCPUserTimeout(_, _ string, c syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := c.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
