--- a/internal/rpcconn/rpcconn.go
+++ b/internal/rpcconn/rpcconn.go
@@ -14,7 +14,7 @@
 	conns map[string]*Conn
 }
 
-// Conn is a connection to a peer. Each call that uses it ends with Pool.Release.
+// Conn is a connection to a peer. Pool.Release must be called after each call that uses it.
 type Conn struct {
 	*rpc.Client
 	addr string
@@ -24,17 +24,17 @@
 	retired  bool // closed after the calls in flight; guarded by Pool.mu
 }
 
-// trackedConn is a net.Conn that records when a read has failed.
+// trackedConn is a net.Conn that records whether a read has failed.
 type trackedConn struct {
 	net.Conn
 	broken atomic.Bool
 }
 
 // Read implements net.Conn.
-func (e *trackedConn) Read(p []byte) (int, error) {
-	n, err := e.Conn.Read(p)
+func (t *trackedConn) Read(p []byte) (int, error) {
+	n, err := t.Conn.Read(p)
 	if err != nil {
-		e.broken.Store(true)
+		t.broken.Store(true)
 	}
 	return n, err
 }
@@ -89,7 +89,7 @@
 	return c
 }
 
-// Release ends a call. It closes a retired connection after the last call.
+// Release ends a call's use of a connection. A retired connection is closed after its last call.
 func (p *Pool) Release(c *Conn) {
 	p.mu.Lock()
 	c.inFlight--
@@ -100,9 +100,9 @@
 	}
 }
 
-// Retire removes a connection from the pool after a call on it timed out, as it may be dead. Calls
-// in flight still use it, as the peer may be slow with only that one reply: if they were repeated
-// on a new connection, a slow peer would do all their work twice.
+// Retire removes a connection from the pool after a call on it timed out, as it may be
+// broken. Calls in flight still use it, as the peer may be slow with only that one reply: if they
+// were repeated on a new connection, a slow peer would do all their work twice.
 func (p *Pool) Retire(c *Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
