--- a/internal/strictoml/strictoml.go
+++ b/internal/strictoml/strictoml.go
@@ -1,5 +1,5 @@
 // Package strictoml reads settings from TOML and rejects unknown keys, wrong types and values
-// out of range, which are defined by validate tags. All mistakes are reported at once, each
+// out of range, which are defined by validate tags. All problems are reported at once, each
 // with its line or key and what is allowed.
 package strictoml
 
@@ -34,7 +34,7 @@
 func (d Duration) D() time.Duration { return time.Duration(d) }
 
 // Load reads and checks the settings in a file; missing settings have their values in defaults.
-// rules, if not nil, checks what validate tags cannot express. If the file has mistakes the
+// rules, if not nil, checks what validate tags cannot express. If the file has problems the
 // error is an *InvalidFileError that lists all of them.
 func Load[T any](path string, defaults T, rules func(T) []Problem) (T, error) {
 	data, err := os.ReadFile(path)
@@ -48,13 +48,13 @@
 	return s, nil
 }
 
-// InvalidFileError is the error of a file with mistakes.
+// InvalidFileError lists the problems of a file.
 type InvalidFileError struct {
 	File     string
 	Problems []Problem
 }
 
-// Problem is a mistake in a file.
+// Problem is one invalid setting of a file.
 type Problem struct {
 	Line int    // starts at 1; 0 if unknown
 	Key  string // dotted; "" if unknown
@@ -82,15 +82,15 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse is Load for a file's content; it returns all mistakes. Keys that could not be decoded
-// are not reported again by the checks.
+// Parse is Load for the content of a file and returns all problems. Keys that could not be
+// decoded are not checked further.
 func Parse[T any](data []byte, defaults T, rules func(T) []Problem) (T, []Problem) {
 	s, problems := decode(data, defaults)
 	seen := map[string]bool{}
 	for _, p := range problems {
 		seen[p.Key] = true
 	}
-	found := check(s)
+	found := checkTags(s)
 	if rules != nil {
 		found = append(found, rules(s)...)
 	}
@@ -138,8 +138,8 @@
 	}
 }
 
-// check checks the validate tags.
-func check(s any) []Problem {
+// checkTags checks the settings against their validate tags.
+func checkTags(s any) []Problem {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(f reflect.StructField) string { return f.Tag.Get("toml") })
 	must(v.RegisterValidation("ipport", func(f validator.FieldLevel) bool {
@@ -153,7 +153,7 @@
 		return time.Duration(f.Field().Int()) <= mustDuration(f.Param())
 	}))
 	must(v.RegisterValidation("name", func(f validator.FieldLevel) bool {
-		return validName(f.Field().String())
+		return isValidName(f.Field().String())
 	}))
 	var failed validator.ValidationErrors
 	var out []Problem
@@ -166,20 +166,22 @@
 	return out
 }
 
+// must panics on an error in the program's own validate tags.
 func must(err error) {
 	if err != nil {
 		panic(err)
 	}
 }
 
-// mustDuration parses the parameter of a validate tag.
+// mustDuration parses the parameter of a mindur or maxdur tag.
 func mustDuration(s string) time.Duration {
 	d, err := time.ParseDuration(s)
 	must(err)
 	return d
 }
 
-func validName(s string) bool {
+// isValidName reports whether s is not empty and contains only letters, digits, '.', '_' and '-'.
+func isValidName(s string) bool {
 	for _, r := range s {
 		if !strings.ContainsRune("abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ0123456789._-", r) {
 			return false
