--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -26,11 +26,13 @@
 // in 392 pools, which makes 33 workers per pool.
 var sizes = []int{50, 500, 5000, 13000}
 
+// poolSize is the number of workers per pool.
 const poolSize = 33
 
 var t0 = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// listing returns the store's records of a fleet of n workers.
+// listing returns the store's records of a fleet of n workers. In each pool, 3 workers are being
+// rebooted by a wave and 17 have been maintained.
 func listing(n int) port.Listing {
 	var l port.Listing
 	add := func(key string, v any) {
@@ -48,16 +50,16 @@
 		cfg.Routes = append(cfg.Routes, fleet.Route{Host: string(service), Prefix: "/", Service: service, Class: "a"})
 		pool := fleet.Pool{Name: name, Service: service, Budget: fleet.AvailabilityBudget{MaxUnavailable: 10, Percent: true}}
 		for i := range 3 {
-			pool.Disruptions = append(pool.Disruptions, fleet.Disruption{Instance: id(p*poolSize + i), Kind: fleet.DisruptByWave, Wave: "w", Phase: fleet.PhaseReboot, Since: t0, PhaseAt: t0})
+			pool.Disruptions = append(pool.Disruptions, fleet.Disruption{Instance: instanceID(p*poolSize + i), Kind: fleet.DisruptByWave, Wave: "w", Phase: fleet.PhaseReboot, Since: t0, PhaseAt: t0})
 		}
 		for i := 3; i < 20; i++ {
-			pool.Maintained = append(pool.Maintained, fleet.MaintenanceResult{Wave: "w", Instance: id(p*poolSize + i)})
+			pool.Maintained = append(pool.Maintained, fleet.MaintenanceResult{Wave: "w", Instance: instanceID(p*poolSize + i)})
 		}
 		add(record.PoolKey(name), pool)
 	}
 	for i := range n {
-		s := &shards[fleet.ShardOf(id(i))]
-		s.Members = append(s.Members, fleet.Membership{Instance: id(i), Pool: fleet.PoolName(fmt.Sprintf("pool-%03d", i/poolSize))})
+		s := &shards[fleet.ShardOf(instanceID(i))]
+		s.Members = append(s.Members, fleet.Membership{Instance: instanceID(i), Pool: fleet.PoolName(fmt.Sprintf("pool-%03d", i/poolSize))})
 	}
 	for i, s := range shards {
 		add(record.ShardKey(i), s)
@@ -68,25 +70,29 @@
 	return l
 }
 
-func id(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprintf("instance-%05d", i)) }
+// instanceID returns the ID of the i-th worker.
+func instanceID(i int) fleet.InstanceID { return fleet.InstanceID(fmt.Sprintf("instance-%05d", i)) }
 
+// instances returns the instance list of a fleet of n workers.
 func instances(n int) map[fleet.InstanceID]fleet.Instance {
 	out := make(map[fleet.InstanceID]fleet.Instance, n)
 	for i := range n {
-		out[id(i)] = fleet.Instance{
-			ID: id(i), Zone: fleet.AvailabilityZone(fmt.Sprint("zone-", i%14)), Rack: "rack", Addr: "10.0.0.1:8000", State: fleet.InstanceReady,
+		out[instanceID(i)] = fleet.Instance{
+			ID: instanceID(i), Zone: fleet.AvailabilityZone(fmt.Sprint("zone-", i%14)), Rack: "rack", Addr: "10.0.0.1:8000", State: fleet.InstanceReady,
 			Generation: 5, LastCommand: "0190b0a0-0000-7000-8000-000000000000", Capacity: fleet.Resources{Slots: 8, Connections: 64, CPUMilli: 32000, MemoryMB: 131072, Accelerators: 2},
 		}
 	}
 	return out
 }
 
+// newMirror returns a mirror of the records of a fleet of n workers.
 func newMirror(n int) *mirror.Mirror {
 	m := mirror.New()
 	m.Replace(listing(n))
 	return m
 }
 
+// forSizes runs a benchmark for each fleet size.
 func forSizes(b *testing.B, fn func(b *testing.B, n int)) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprintf("workers=%d", n), func(b *testing.B) {
@@ -206,6 +212,7 @@
 	})
 }
 
+// heapBytes returns the bytes of the heap in use after a garbage collection.
 func heapBytes() uint64 {
 	runtime.GC()
 	var s runtime.MemStats
@@ -213,9 +220,10 @@
 	return s.HeapAlloc
 }
 
-// TestRecordsStayBelowTheStoresLimit checks the size of every record in the largest fleet.
+// TestRecordsStayBelowTheStoresLimit checks that every record of the largest fleet takes at most
+// half of the store's limit for a value.
 func TestRecordsStayBelowTheStoresLimit(t *testing.T) {
-	const limit = 1 << 20
+	const limit = 1 << 20 // bytes
 	for _, kv := range listing(13000).KVs {
 		if len(kv.Value) > limit/2 {
 			t.Errorf("%s has %d bytes", kv.Key, len(kv.Value))
