--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -41,12 +41,12 @@
 	s.preemptCheckedAt = now
 	view := p.workersFor(s)
 	runs := make([][]*run, len(view.workers))
-	occupants := make([][]placement.Occupant, len(view.workers))
+	occupants := make([][]placement.PreemptibleRun, len(view.workers))
 	for i, w := range view.workers {
 		for _, r := range runsByNumber(w) {
 			if r.preemptibleBy(s) {
 				runs[i] = append(runs[i], r)
-				occupants[i] = append(occupants[i], placement.Occupant{Need: r.task.step.spec.ReservedResources(), LostWork: r.preemptionCost(now)})
+				occupants[i] = append(occupants[i], placement.PreemptibleRun{Need: r.task.step.spec.ReservedResources(), LostWork: r.preemptionCost(now)})
 			}
 		}
 	}
@@ -57,7 +57,7 @@
 	s.preemptedAt = now
 	w := view.workers[preemption.Worker]
 	w.preemptedFor, w.preemptedUntil = s, now.Add(preemptInterval)
-	for _, i := range preemption.Occupants {
+	for _, i := range preemption.Victims {
 		p.core.stop(runs[preemption.Worker][i], "preempted by "+string(s.job.spec.ID), now)
 	}
 }
