--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -19,7 +19,7 @@
 	Fillers     int  // filler tasks on it, which use idle cores only
 	Serving     int  // long-running tasks on it that have a latency target
 	LongRunning int  // long-running tasks on it
-	Excluded    bool // the caller doesn't permit it
+	Excluded    bool // not permitted for the request
 }
 
 // Request is a task to be placed.
@@ -31,28 +31,27 @@
 	PreferredRack string
 	MaxPerWorker  int
 	LongRunning   bool
-	Restricted    bool // only some workers are permitted; the others are Excluded
-	// PreferredMaxPerWorker is the number of tasks of the step beyond which maintenance
-	// could not take the worker down; 0: no limit. Other workers are preferred to exceeding
-	// it.
+	Restricted    bool // only workers that are not Excluded are permitted
+	// PreferredMaxPerWorker is how many tasks of the step a worker may run and still be taken
+	// down for maintenance; 0: no limit. Other workers are preferred to one that would exceed it.
 	PreferredMaxPerWorker int
 }
 
-// Weights of the score. The fraction of free cores counts between 0 and 1, so weights above 1
-// decide regardless of it.
+// Weights of the terms of a score. The fraction of free cores is between 0 and 1, so a weight
+// above 1 outweighs it.
 const (
-	// rackBonus prefers any worker on the rack of the task's data, where the task takes half
-	// the time.
+	// rackBonus is for workers on the preferred rack, which holds the task's data: there the task
+	// takes half the time.
 	rackBonus = 2.0
 	// unreliablePenalty ranks unreliable workers behind all others.
 	unreliablePenalty = 8.0
 	// sharingPenalty keeps fillers away from serving tasks and from each other if possible.
-	// Each such task on the worker counts like a quarter of its cores.
+	// Each such task on a worker counts as much as a quarter of its cores.
 	sharingPenalty = 0.25
-	// spreadPenalty prefers another worker if PreferredMaxPerWorker would be exceeded.
+	// spreadPenalty is for workers that would exceed PreferredMaxPerWorker.
 	spreadPenalty = 4.0
-	// longRunningBonus packs long-running tasks of different steps together, so that other
-	// instances become idle and can be moved.
+	// longRunningBonus is for workers that have long-running tasks already. It concentrates these
+	// tasks, so that other instances become idle and can be moved.
 	longRunningBonus = 1.0
 )
 
@@ -75,8 +74,8 @@
 
 // score rates a worker that fits; higher is better. Tasks that end by themselves go to the
 // fullest worker, so that others stay free for large tasks and for moves. Long-running tasks
-// go to workers that have some already, but spread so that maintenance can take each worker
-// down.
+// go to workers that have some already, but are spread by step so that each worker can be taken
+// down for maintenance.
 func score(w *Worker, r *Request) float64 {
 	freeShare := 0.0
 	if w.Capacity.CPUMilli > 0 {
@@ -107,22 +106,23 @@
 	return s
 }
 
-// UnplaceableNeeds holds the needs of requests for which no worker fits. A request that needs at
+// UnplaceableNeeds holds the needs of requests that fit on no worker. A request that needs at
 // least as much of every resource doesn't fit either, until capacity is freed.
 type UnplaceableNeeds struct{ needs []job.Resources }
 
-// Add records a request for which no worker fits. Requests with further conditions are not
-// recorded, since others may fit where they don't.
-func (f *UnplaceableNeeds) Add(r *Request) {
-	if r.RequiredLabel != "" || r.MaxPerWorker != 0 || r.Restricted || f.Covers(r) {
+// Add records a request that fits on no worker. A request with further conditions is not
+// recorded, since one with the same needs but without the conditions may fit.
+func (u *UnplaceableNeeds) Add(r *Request) {
+	if r.RequiredLabel != "" || r.MaxPerWorker != 0 || r.Restricted || u.Covers(r) {
 		return
 	}
-	f.needs = append(f.needs, r.Need)
+	u.needs = append(u.needs, r.Need)
 }
 
-// Covers reports whether certainly no worker fits the request.
-func (f *UnplaceableNeeds) Covers(r *Request) bool {
-	return slices.ContainsFunc(f.needs, func(need job.Resources) bool { return r.Need.Fits(need) })
+// Covers reports whether the recorded needs show that the request fits on no worker. If false,
+// it may or may not fit.
+func (u *UnplaceableNeeds) Covers(r *Request) bool {
+	return slices.ContainsFunc(u.needs, func(need job.Resources) bool { return r.Need.Fits(need) })
 }
 
 // Choose returns the index of the best worker, the first of equals, and -1 if none fits.
@@ -156,9 +156,9 @@
 	}
 }
 
-// ChooseGang returns the indices of workers for n tasks that run only together, nil if they
-// don't all fit. With sameRack they are placed on one rack if one has enough capacity. The
-// workers are not changed.
+// ChooseGang returns the indices of workers for n tasks that must run at the same time, nil if
+// they don't all fit. With sameRack they are placed on one rack if one has enough capacity,
+// else on several. The workers are not changed.
 func ChooseGang(workers []Worker, r Request, n int, sameRack bool) []int {
 	if !sameRack {
 		return assignAll(slices.Clone(workers), r, n, "")
@@ -171,6 +171,7 @@
 	return assignAll(slices.Clone(workers), r, n, "")
 }
 
+// racks returns the distinct racks in the order of their first workers.
 func racks(workers []Worker) []string {
 	var out []string
 	for i := range workers {
--- a/jobs/placement/placement_test.go
+++ b/jobs/placement/placement_test.go
@@ -76,16 +76,16 @@
 
 func TestUnplaceableNeedsCoverLargerNeeds(t *testing.T) {
 	need := func(cpu, mem int) *Request { return &Request{Need: job.Resources{CPUMilli: cpu, MemMB: mem}} }
-	var f UnplaceableNeeds
-	assert.False(t, f.Covers(need(1, 1)))
-	f.Add(need(4000, 100))
-	assert.True(t, f.Covers(need(4000, 100)))
-	assert.True(t, f.Covers(need(5000, 200)))
-	assert.False(t, f.Covers(need(3999, 200)), "less CPU is needed")
-	assert.False(t, f.Covers(need(5000, 99)), "less memory is needed")
+	var u UnplaceableNeeds
+	assert.False(t, u.Covers(need(1, 1)))
+	u.Add(need(4000, 100))
+	assert.True(t, u.Covers(need(4000, 100)))
+	assert.True(t, u.Covers(need(5000, 200)))
+	assert.False(t, u.Covers(need(3999, 200)), "less CPU is needed")
+	assert.False(t, u.Covers(need(5000, 99)), "less memory is needed")
 
 	labelled := need(10, 10)
 	labelled.RequiredLabel = "a"
-	f.Add(labelled)
-	assert.False(t, f.Covers(need(10, 10)), "a request without the label may still fit")
+	u.Add(labelled)
+	assert.False(t, u.Covers(need(10, 10)), "a request without the label may still fit")
 }
