--- a/jobs/apikey/apikey.go
+++ b/jobs/apikey/apikey.go
@@ -32,8 +32,8 @@
 	return nil
 }
 
-// Ring maps the digest of each key to its tenant.
-type Ring map[Digest]string
+// Keyring maps the digest of each key to its tenant.
+type Keyring map[Digest]string
 
 // Errors of Add. They don't contain the key.
 var (
@@ -41,25 +41,25 @@
 	ErrShared = errors.New("API key is already used by another tenant")
 )
 
-// Add adds a key of a tenant. Empty keys and keys of two tenants are refused, as they would
-// authenticate callers of one tenant as another.
-func (r Ring) Add(key, tenant string) error {
+// Add adds a key of a tenant. It returns ErrEmpty for an empty key and ErrShared for a key of
+// another tenant, as either could authenticate a caller as the wrong tenant.
+func (k Keyring) Add(key, tenant string) error {
 	if key == "" {
 		return ErrEmpty
 	}
 	d := DigestOf(key)
-	if other, known := r[d]; known && other != tenant {
+	if other, known := k[d]; known && other != tenant {
 		return ErrShared
 	}
-	r[d] = tenant
+	k[d] = tenant
 	return nil
 }
 
 // Tenant returns the tenant of a key; ok is false if the key is unknown.
-func (r Ring) Tenant(key string) (tenant string, ok bool) {
+func (k Keyring) Tenant(key string) (tenant string, ok bool) {
 	if key == "" {
 		return "", false
 	}
-	tenant, ok = r[DigestOf(key)]
+	tenant, ok = k[DigestOf(key)]
 	return tenant, ok
 }
--- a/jobs/apikey/apikey_test.go
+++ b/jobs/apikey/apikey_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRing(t *testing.T) {
-	r := Ring{}
+func TestKeyring(t *testing.T) {
+	r := Keyring{}
 	require.NoError(t, r.Add("k1", "one"))
 	require.NoError(t, r.Add("k2", "one"), "a tenant has several keys during key rotation")
 	require.NoError(t, r.Add("k1", "one"))
@@ -25,15 +25,15 @@
 	}
 }
 
-// TestEncodedRingContainsNoKeys: the encoded ring does not contain the keys, and can be decoded
+// TestEncodedKeyringContainsNoKeys: the encoded keyring does not contain the keys, and can be decoded
 // again.
-func TestEncodedRingContainsNoKeys(t *testing.T) {
-	r := Ring{}
+func TestEncodedKeyringContainsNoKeys(t *testing.T) {
+	r := Keyring{}
 	require.NoError(t, r.Add("very-secret", "one"))
 	raw, err := json.Marshal(r)
 	require.NoError(t, err)
 	assert.NotContains(t, string(raw), "very-secret")
-	var again Ring
+	var again Keyring
 	require.NoError(t, json.Unmarshal(raw, &again))
 	assert.Equal(t, r, again)
 	require.Error(t, json.Unmarshal([]byte(`{"abc":"one"}`), &again))
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -216,7 +216,7 @@
 	Queues   []Queue
 	Services []Service
 	Tenants  []Tenant
-	Keys     apikey.Ring
+	Keys     apikey.Keyring
 	Limits   Limits
 }
 
--- a/jobs/job/tenant.go
+++ b/jobs/job/tenant.go
@@ -20,7 +20,7 @@
 // SetTenants sets the tenants and their keys: keys[n] are those of tenants[n]. Errors give the
 // index of the invalid entry and never contain a key.
 func (c *Catalog) SetTenants(tenants []Tenant, keys [][]string) error {
-	ring := apikey.Ring{}
+	keyring := apikey.Keyring{}
 	names := map[string]bool{}
 	for n, t := range tenants {
 		switch {
@@ -33,12 +33,12 @@
 		}
 		names[t.Name] = true
 		for k, key := range keys[n] {
-			if err := ring.Add(key, t.Name); err != nil {
+			if err := keyring.Add(key, t.Name); err != nil {
 				return fmt.Errorf("tenants[%d]: key %d: %w", n, k, err)
 			}
 		}
 	}
-	c.Tenants, c.Keys = tenants, ring
+	c.Tenants, c.Keys = tenants, keyring
 	return nil
 }
 
