--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -313,7 +313,7 @@
 	changedServices        map[string]bool      // services with tasks that may be placeable now
 	effects                Effects
 	shares                 *quota.Shares
-	tenantUsage            *quota.Ledger           // usage and limits by tenant
+	tenantUsage            *quota.Tracker          // usage and limits by tenant
 	presumedUsage          presumedUsage           // usage by tenant of runs that may exist but are not known
 	takeoverDone           map[string]bool         // services for which all runs of earlier owners are known
 	loggedTakeoverWaits    map[string]takeoverWait // last logged wait, by service
--- a/jobs/quota/quota.go
+++ b/jobs/quota/quota.go
@@ -4,9 +4,9 @@
 
 import "github.com/postmount/postmount/jobs/job"
 
-// Ledger holds the usage and the limits of all tenants. Jobs of public queues have the tenant
+// Tracker holds the usage and the limits of all tenants. Jobs of public queues have the tenant
 // "" and no limit.
-type Ledger struct {
+type Tracker struct {
 	tenants map[string]*tenantUsage
 }
 
@@ -19,9 +19,9 @@
 }
 
 // New returns a ledger without limits.
-func New() *Ledger { return &Ledger{tenants: map[string]*tenantUsage{}} }
+func New() *Tracker { return &Tracker{tenants: map[string]*tenantUsage{}} }
 
-func (l *Ledger) tenant(tenant string) *tenantUsage {
+func (l *Tracker) tenant(tenant string) *tenantUsage {
 	a := l.tenants[tenant]
 	if a == nil {
 		a = &tenantUsage{waiting: map[string]bool{}}
@@ -32,7 +32,7 @@
 
 // SetLimits applies the limits of a newer configuration. A tenant that is no longer named
 // keeps its last limit, since its accepted jobs are still run.
-func (l *Ledger) SetLimits(tenants []job.Tenant) {
+func (l *Tracker) SetLimits(tenants []job.Tenant) {
 	for _, t := range tenants {
 		l.tenant(t.Name).limit = t.Limit
 	}
@@ -40,7 +40,7 @@
 
 // AddRun adds a run to the tenant's usage. It counts as soon as it is ordered, whether or not
 // the order was answered.
-func (l *Ledger) AddRun(tenant string, need job.Resources) {
+func (l *Tracker) AddRun(tenant string, need job.Resources) {
 	if tenant == "" {
 		return
 	}
@@ -51,7 +51,7 @@
 
 // RemoveRun removes a run whose end is certain from the tenant's usage. It returns the services
 // in which tasks of the tenant waited for its limit, and forgets them.
-func (l *Ledger) RemoveRun(tenant string, need job.Resources) []string {
+func (l *Tracker) RemoveRun(tenant string, need job.Resources) []string {
 	if tenant == "" {
 		return nil
 	}
@@ -67,7 +67,7 @@
 }
 
 // HasLimit reports whether the tenant has any limit.
-func (l *Ledger) HasLimit(tenant string) bool {
+func (l *Tracker) HasLimit(tenant string) bool {
 	return tenant != "" && l.tenant(tenant).limit != job.Resources{}
 }
 
@@ -75,7 +75,7 @@
 // presumed are resources of runs that may exist without being known. A single task larger
 // than the limit may start if the tenant has no other run, since it could never start
 // otherwise; platforms allow one task beyond the limit.
-func (l *Ledger) Allows(tenant string, need job.Resources, n int, presumed job.Resources) bool {
+func (l *Tracker) Allows(tenant string, need job.Resources, n int, presumed job.Resources) bool {
 	if !l.HasLimit(tenant) {
 		return true
 	}
@@ -87,10 +87,10 @@
 }
 
 // AddWaiter records that tasks of the tenant wait in a service for its limit.
-func (l *Ledger) AddWaiter(tenant, service string) { l.tenant(tenant).waiting[service] = true }
+func (l *Tracker) AddWaiter(tenant, service string) { l.tenant(tenant).waiting[service] = true }
 
 // Usage returns the resources that the tenant uses, and its limit.
-func (l *Ledger) Usage(tenant string) (used, limit job.Resources) {
+func (l *Tracker) Usage(tenant string) (used, limit job.Resources) {
 	a := l.tenant(tenant)
 	return a.used, a.limit
 }
