--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -51,7 +51,7 @@
 
 func TestRate(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var r Rate
+	var r RateEstimator
 	assert.Zero(t, r.WorkPerSecond(0, now))
 	for i := range minArrivals {
 		assert.Zero(t, r.WorkPerSecond(0, now), "%d arrivals are too few", i)
@@ -66,7 +66,7 @@
 // that of the steady stream and not that of one burst.
 func TestRateWindowGrowsWithPool(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	var r Rate
+	var r RateEstimator
 	for range 100 { // bursts of five every 50 ms: 1,000 core-seconds per second
 		for range minArrivals {
 			now = now.Add(100 * time.Microsecond)
--- a/jobs/capacity/rate.go
+++ b/jobs/capacity/rate.go
@@ -20,9 +20,9 @@
 	meanWorkWindow = 64
 )
 
-// Rate estimates how much work arrives per second, from the most recent arrivals. The zero
-// value is ready for use.
-type Rate struct {
+// RateEstimator estimates how much work arrives per second, from the most recent arrivals. Its
+// zero value is ready for use.
+type RateEstimator struct {
 	arrivals []arrival // ring buffer once it has maxArrivals entries
 	next     int       // index of the oldest entry of a full ring, which is overwritten next
 }
@@ -33,7 +33,7 @@
 }
 
 // Add records work in core-seconds that arrived at the given time.
-func (r *Rate) Add(work float64, at time.Time) {
+func (r *RateEstimator) Add(work float64, at time.Time) {
 	if len(r.arrivals) < maxArrivals {
 		r.arrivals = append(r.arrivals, arrival{at, work})
 		return
@@ -44,7 +44,7 @@
 
 // WorkPerSecond returns the core-seconds that arrive per second for a pool with this many
 // instances, 0 until there were minArrivals arrivals.
-func (r *Rate) WorkPerSecond(instances int, now time.Time) float64 {
+func (r *RateEstimator) WorkPerSecond(instances int, now time.Time) float64 {
 	if len(r.arrivals) < minArrivals {
 		return 0
 	}
@@ -57,12 +57,12 @@
 }
 
 // nthNewest returns the k-th most recent arrival, starting at 0.
-func (r *Rate) nthNewest(k int) *arrival {
+func (r *RateEstimator) nthNewest(k int) *arrival {
 	return &r.arrivals[(r.next+len(r.arrivals)-1-k)%len(r.arrivals)]
 }
 
 // meanWork returns the mean work of the most recent jobs in core-seconds.
-func (r *Rate) meanWork() float64 {
+func (r *RateEstimator) meanWork() float64 {
 	n := min(len(r.arrivals), meanWorkWindow)
 	sum := 0.0
 	for k := range n {
--- a/jobs/owner/pools.go
+++ b/jobs/owner/pools.go
@@ -14,7 +14,7 @@
 	lastPassAt            time.Time // time of the last scheduling pass
 	waitingJobs           int       // jobs with tasks to place when that pass began
 	lowestStartedPriority int       // highest priority number, which is the least urgent, of a started task
-	arrivalRate           capacity.Rate
+	arrivalRate           capacity.RateEstimator
 	arrivingInstances     int // instances moving to the pool, as of the last resizing
 	reservedForWave       int // workers reserved for maintenance, as of the last resizing
 	estimateRatio         estimateRatio
