--- a/jobs/calls/calls.go
+++ b/jobs/calls/calls.go
@@ -1,23 +1,24 @@
-// Package calls adapts timeouts and attempts of calls to workers to the outcomes of earlier
-// calls. A single unanswered call has one of two causes, which need opposite reactions. On a
-// congested link or CPU all answers are slow: longer timeouts help, and retries make it
-// worse. If single calls are lost, as with a switch that drops one in twenty, the others are
-// answered within milliseconds: a call that has not been answered by then never will be and
-// should be retried soon.
+// Package calls adapts the timeouts and the number of attempts of calls to workers to the outcomes
+// of earlier calls. An unanswered call has one of two causes, which need opposite reactions. On a
+// congested link or CPU all answers are slow: longer timeouts help, and retries add load. If
+// single calls are lost, as with a switch that drops one in twenty, the others are answered
+// within milliseconds: a call that has not been answered by then never will be and should be
+// retried soon.
 package calls
 
 import "time"
 
-// Parameters of the detection.
+// Parameters of loss detection.
 const (
-	// decay is the factor of the moving average of the loss rate: about the last 60 calls
-	// count, at most half a second's calls in the smallest fleet.
+	// decay is the weight of the previous value in the moving average of the loss rate, which
+	// covers about the last 60 calls: at most half a second's calls in the smallest fleet.
 	decay = 1 - 1.0/64
-	// fastDecay is the factor of the average that detects a link on which hardly any call is
-	// answered: the last 20 calls count.
+	// fastDecay is the same for the moving average that detects a link on which hardly any call
+	// is answered, over about the last 20 calls.
 	fastDecay = 1 - 1.0/20
 	// A link becomes lossy when its loss rate reaches LossyAbove, and stays so until the rate is
-	// below LossyUntilBelow. One worker in a hundred that dies without notice stays below both.
+	// below LossyUntilBelow. The rate stays below both if one worker in a hundred dies without
+	// notice.
 	LossyAbove      = 0.03
 	LossyUntilBelow = 0.005
 	// linkDownAbove is the loss rate from which the link counts as down instead of lossy.
@@ -39,28 +40,28 @@
 
 // The policies. All but Adaptive are baselines for measurements.
 const (
-	Adaptive Policy = "adaptive" // by the outcomes of calls
+	Adaptive Policy = "adaptive" // depends on the outcomes of calls
 	Patient  Policy = "patient"  // treats all unanswered calls as slow
 	Short    Policy = "short"    // treats all unanswered calls as lost, unless the link is down
 )
 
 // LossDetector detects from the outcomes of calls whether single calls are lost. Its zero value
-// has seen no calls and uses Adaptive.
+// is ready for use with the policy Adaptive.
 type LossDetector struct {
 	Policy                 Policy
 	lossRate, fastLossRate float64 // moving averages, 0 to 1
 	lossy                  bool
 }
 
-// Answered records a call that was answered.
-func (d *LossDetector) Answered() { d.record(0, true) }
+// RecordAnswer records a call that was answered.
+func (d *LossDetector) RecordAnswer() { d.record(0, true) }
 
-// Lost records an unanswered call to a worker that answered the previous one.
-func (d *LossDetector) Lost() { d.record(1, true) }
+// RecordLoss records an unanswered call to a worker that answered the previous one.
+func (d *LossDetector) RecordLoss() { d.record(1, true) }
 
-// LostRepeatedly records a further unanswered call to the same worker. As the worker itself may
+// RecordRepeatedLoss records a further unanswered call to the same worker. As the worker itself may
 // be down, the call counts only for detecting that the link is down.
-func (d *LossDetector) LostRepeatedly() { d.record(1, false) }
+func (d *LossDetector) RecordRepeatedLoss() { d.record(1, false) }
 
 func (d *LossDetector) record(lost float64, wasReachable bool) {
 	d.fastLossRate = fastDecay*d.fastLossRate + (1-fastDecay)*lost
--- a/jobs/owner/workers.go
+++ b/jobs/owner/workers.go
@@ -148,13 +148,13 @@
 	switch {
 	case a.Outcome == NotSent:
 	case a.Outcome != Unanswered:
-		c.callLossDetector.Answered()
+		c.callLossDetector.RecordAnswer()
 		w.lostCallCounted = false
 	case a.ConnFailed:
 	case w.lostCallCounted:
-		c.callLossDetector.LostRepeatedly()
+		c.callLossDetector.RecordRepeatedLoss()
 	default:
-		c.callLossDetector.Lost()
+		c.callLossDetector.RecordLoss()
 		w.lostCallCounted = true
 	}
 }
