--- a/cmd/postmount/report_late.go
+++ b/cmd/postmount/report_late.go
@@ -44,7 +44,7 @@
 	}
 	r := late.NewReport(lines)
 	if plot != "" {
-		if err := plotLate(plot, r.BySecond(slice), slice); err != nil {
+		if err := plotLate(plot, r.ByTimeSlice(slice), slice); err != nil {
 			return err
 		}
 	}
@@ -52,8 +52,8 @@
 		return json.NewEncoder(os.Stdout).Encode(r)
 	}
 	printLate(&r, slice)
-	if unreadable+r.LeftOut > 0 {
-		fmt.Printf("%d lines could not be read and daemons dropped %d lines: jobs may be missing\n", unreadable, r.LeftOut)
+	if unreadable+r.DroppedLines > 0 {
+		fmt.Printf("%d lines could not be read and daemons dropped %d lines: jobs may be missing\n", unreadable, r.DroppedLines)
 	}
 	return nil
 }
@@ -67,7 +67,7 @@
 	fmt.Println()
 	printTable([]string{"queue", "jobs", "late", "never accepted", "failed", "causes"}, groupRows(r.ByQueue()))
 	fmt.Println()
-	printTable([]string{"from", "jobs", "late", "never accepted", "failed", "causes"}, groupRows(r.BySecond(slice)))
+	printTable([]string{"from", "jobs", "late", "never accepted", "failed", "causes"}, groupRows(r.ByTimeSlice(slice)))
 }
 
 func causeRows(totals []late.CauseTotal) [][]string {
--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -14,7 +14,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Causes in addition to those of the owner's time breakdowns.
+// Causes besides those of the owner's time breakdowns.
 const (
 	// NotAccepted is the time between a caller's first refused attempt and the attempt that was
 	// accepted.
@@ -41,14 +41,14 @@
 	Failed  Outcome = "failed"
 )
 
-// Job is a job that was not served in time.
+// Job is a job that was late, failed or was never accepted.
 type Job struct {
 	ID      string
 	Queue   string        // "" if the logs don't contain it
 	At      time.Duration // first attempt, since the first line of all logs
 	Outcome Outcome
-	Total   time.Duration
-	Allowed time.Duration
+	Total   time.Duration            // from the first attempt until the owner learned of the end
+	Allowed time.Duration            // duration up to which the job is in time
 	Spent   map[string]time.Duration // by cause
 }
 
@@ -66,9 +66,9 @@
 
 // Report summarizes all jobs in a set of logs.
 type Report struct {
-	Accepted int
-	Jobs     []Job // those not served in time, sorted by At
-	LeftOut  int   // dropped lines according to the logs
+	Accepted     int
+	Jobs         []Job // those that were late, failed or never accepted, sorted by At
+	DroppedLines int   // dropped lines according to the logs
 }
 
 // jobTrace is the state of a job according to its lines.
@@ -95,7 +95,7 @@
 		}
 		if l.Event == "log-lines-dropped" {
 			n, _ := strconv.Atoi(l.Get("count")) // logs of old versions have no count
-			out.LeftOut += max(1, n)
+			out.DroppedLines += max(1, n)
 		}
 		if l.Job == "" {
 			continue
@@ -111,7 +111,7 @@
 		if !t.acceptedAt.IsZero() {
 			out.Accepted++
 		}
-		if j, unserved := t.job(begin); unserved {
+		if j, reported := t.job(begin); reported {
 			out.Jobs = append(out.Jobs, j)
 		}
 	}
@@ -161,9 +161,9 @@
 	return AttemptsUsedUp
 }
 
-// job returns the job's entry in the report. unserved is false if, according to the logs, the
-// job was served in time or its outcome is not known.
-func (t *jobTrace) job(begin time.Time) (j Job, unserved bool) {
+// job returns the job's entry in the report. reported is false if, according to the logs, the
+// job was completed in time or its outcome is not known.
+func (t *jobTrace) job(begin time.Time) (j Job, reported bool) {
 	j = Job{ID: t.id, Queue: t.queue, Spent: map[string]time.Duration{}}
 	if !t.firstAttempt.IsZero() {
 		j.At = t.firstAttempt.Sub(begin)
@@ -231,7 +231,7 @@
 	Jobs    int     // jobs of which it is the main cause
 }
 
-// Group sums up some jobs of a report.
+// Group sums up the jobs of a report that share a queue or a time slice.
 type Group struct {
 	Name     string
 	From     time.Duration // start of the time slice, in groups by time
@@ -255,8 +255,9 @@
 	})
 }
 
-// BySecond sums up time slices of the given width, by the callers' first attempts.
-func (r *Report) BySecond(width time.Duration) []Group {
+// ByTimeSlice sums up time slices of the given width. A job belongs to the slice of its caller's
+// first attempt.
+func (r *Report) ByTimeSlice(width time.Duration) []Group {
 	out := r.groupBy(func(j *Job) string { return sliceName(j.At, width) })
 	for i := range out {
 		out[i].From = out[i].firstAt / width * width
--- a/jobs/late/late_test.go
+++ b/jobs/late/late_test.go
@@ -35,7 +35,7 @@
 	require.Zero(t, bad)
 	r := NewReport(lines)
 	assert.Equal(t, 3, r.Accepted)
-	assert.Equal(t, 7, r.LeftOut)
+	assert.Equal(t, 7, r.DroppedLines)
 	byID := map[string]Job{}
 	for _, j := range r.Jobs {
 		byID[j.ID] = j
@@ -60,7 +60,7 @@
 	assert.Equal(t, 2, queues[0].Outcomes[Refused])
 	assert.Equal(t, "q", queues[1].Name)
 	assert.Equal(t, 2, queues[1].Jobs)
-	assert.Len(t, r.BySecond(2*time.Second), 3)
+	assert.Len(t, r.ByTimeSlice(2*time.Second), 3)
 }
 
 func TestNothingLate(t *testing.T) {
@@ -84,7 +84,7 @@
 		All      Group
 		ByQueue  []Group
 		BySecond []Group
-	}{r.All(), r.ByQueue(), r.BySecond(2 * time.Second)}, "", " ")
+	}{r.All(), r.ByQueue(), r.ByTimeSlice(2 * time.Second)}, "", " ")
 	require.NoError(t, err)
 	goldie.New(t).Assert(t, "takeover", raw)
 }
