--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -1,5 +1,5 @@
-// Package capacity decides which instances move between pools. A plan depends only on the
-// demand of the pools and on the weights.
+// Package capacity plans the moves of instances between pools. A plan depends only on the state
+// of the pools, the weights and the policy.
 package capacity
 
 import (
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Weights are the costs that a plan trades off, in the unit of the users' specification
-// sheets.
+// Weights are the costs that a plan balances, in the unit of the users' specification sheets.
+// Only their ratio matters.
 type Weights struct {
 	InstanceSecond float64 // one second of an instance in a pool
 	Move           float64 // one instance changing its pool
@@ -20,29 +20,29 @@
 
 // Parameters of a plan.
 const (
-	// usableShare is the fraction of an instance's cores that tasks of mixed sizes can fill.
+	// usableShare is the fraction of an instance's cores that tasks of mixed sizes can use.
 	usableShare = 0.9
-	// headroomFactor scales the present and the expected work that a pool is sized for: tasks
+	// headroomFactor multiplies the present and the expected work that a pool is sized for: tasks
 	// of mixed sizes leave gaps, and running jobs have further steps.
 	headroomFactor = 1.15
-	// movesPerReturn is the number of moves that an instance's idle time must have cost before
-	// it is returned to the spare pool: the return, and the move back at the next demand.
+	// movesPerReturn is the number of moves that a return to the spare pool causes: the return
+	// itself, and the move back at the next demand. An instance is returned once its idle time
+	// has cost as much as these moves.
 	movesPerReturn = 2
-	// minInstances is the number of instances that a pool keeps without any work: without an
-	// instance, their size is not known, and the next job waits for a move.
+	// minInstances is the number of instances that a pool keeps while it has no work. With none,
+	// the size of its instances would be unknown, and the next job would wait for a move.
 	minInstances = 1
-	// stuckWaitTime is how long tasks wait before a pool with enough cores gets one more
-	// instance: they may need workers that don't run tasks of their step yet.
+	// stuckWaitTime is how long tasks must have waited for a pool with enough cores to get one
+	// more instance: they may need workers that don't run tasks of their step yet.
 	stuckWaitTime = 500 * time.Millisecond
-	// lateWorkWeight is the weight of work that is already late while another pool lacks
+	// lateWorkWeight is the weight of work that is already late, as long as another pool lacks
 	// capacity for work that can still be in time. The users' specification sheets value a
-	// late job at 1/14 of one in time; the weight is higher so that late jobs don't wait
-	// forever.
+	// late job at 1/14 of one in time; the weight is higher so that late jobs are not starved.
 	lateWorkWeight = 0.25
-	// A plan returns at most returnSharePerPlan of a pool's instances, but minReturnsPerPlan if
-	// that is more. At ten plans a second a large pool of any size returns half of its idle
-	// instances in 17 s, so that it keeps capacity for traffic that comes back soon, and no task
-	// waits for instances that are moving.
+	// A plan returns at most the share returnSharePerPlan of a pool's instances to the spare pool,
+	// or minReturnsPerPlan instances if that is more. At ten plans per second a large pool of any
+	// size returns half of its idle instances in 17 s, so that it keeps capacity for traffic that
+	// comes back soon, and no task waits for instances that are moving.
 	minReturnsPerPlan  = 2
 	returnSharePerPlan = 0.004
 )
@@ -51,25 +51,25 @@
 type Instance struct {
 	ID      string
 	IdleFor time.Duration // how long it has been idle
-	Movable bool          // it is idle and not planned for anything else
+	Movable bool          // it is idle and not reserved for anything else
 }
 
 // Pool is the supply and demand of one service.
 type Pool struct {
 	Name             string
-	Instances        []Instance // up, except those counted in BusyInstances
-	BusyInstances    int        // up, but not movable because tasks run on them
-	EvacuatedIdle    []Instance // idle ones in evacuated zones; they add no capacity
-	Arriving         int        // instances moving to it; a plan subtracts those it moves away
+	Instances        []Instance // instances that are up, except those counted in BusyInstances
+	BusyInstances    int        // instances that are up but not movable, as tasks run on them
+	EvacuatedIdle    []Instance // idle instances in evacuated zones, which add no capacity
+	Arriving         int        // instances moving to the pool; a plan subtracts those that it moves away
 	CoresPerInstance float64
 	MissingCores     float64 // cores that undersized workers don't offer at present
 	BusyCores        float64 // cores in use
 	WaitingCores     float64 // cores that tasks wait for
-	// LateWaitingCores is the part of WaitingCores that counts lateWorkWeight.
+	// LateWaitingCores is the part of WaitingCores for work that is already late.
 	LateWaitingCores float64
 	LongRunningCores float64       // part of BusyCores in use by long-running tasks
 	ArrivalRate      float64       // core-seconds of work arriving per second
-	WaitingFor       time.Duration // how long tasks have waited without a break
+	WaitingFor       time.Duration // how long there have been waiting tasks without interruption
 }
 
 // Move is a planned move of an instance to another pool.
@@ -82,7 +82,7 @@
 // Size returns the number of instances that are up.
 func (p *Pool) Size() int { return len(p.Instances) + p.BusyInstances }
 
-// lateWork says how late work is weighted.
+// lateWork selects how work that is already late is weighted.
 type lateWork int
 
 const (
@@ -90,7 +90,7 @@
 	lateWorkReduced                 // by lateWorkWeight
 )
 
-// weightedWaiting returns the cores that tasks wait for, with late work weighted.
+// weightedWaiting returns the cores that tasks wait for, with late work weighted as given.
 func (p *Pool) weightedWaiting(late lateWork) float64 {
 	if late == lateWorkFull {
 		return p.WaitingCores
@@ -109,8 +109,8 @@
 	return int(math.Ceil(max(present, expected)/(p.CoresPerInstance*usableShare) + p.MissingCores/p.CoresPerInstance))
 }
 
-// surplus returns how many instances the pool can give up: none while tasks wait that count
-// in full.
+// surplus returns how many instances the pool can give up: none while tasks wait whose weight is
+// not reduced.
 func (p *Pool) surplus(late lateWork) int {
 	if late == lateWorkFull && p.WaitingCores > 0 || p.WaitingCores > p.LateWaitingCores {
 		return 0
@@ -143,20 +143,21 @@
 	pools       []Pool
 	spare       Pool
 	moves       []Move
-	taken       map[string]bool // instances with a planned move
+	planned     map[string]bool // instances with a planned move
 	returnsLeft int             // instances that may still be returned to the spare pool
 
 	threshold bool // policy Threshold: only queues and idle instances count
 }
 
-// Plan returns the moves that the pools' demand calls for. Instances of the spare pool cost
-// nothing, those of the other pools w.InstanceSecond. At most maxReturns instances are
-// returned to the spare pool.
+// Plan returns the moves to make now. Instances of the spare pool cost nothing, those of the
+// other pools w.InstanceSecond. At most maxReturns instances are returned to the spare pool.
+// Late work first counts with a reduced weight, so that pools with work that can still be in
+// time get instances first, and then in full.
 func Plan(policy Policy, w Weights, pools []Pool, spare Pool, maxReturns int) []Move {
 	if policy == Fixed {
 		return nil
 	}
-	p := &planner{threshold: policy == Threshold, weights: w, pools: append([]Pool(nil), pools...), spare: spare, taken: map[string]bool{}, returnsLeft: maxReturns}
+	p := &planner{threshold: policy == Threshold, weights: w, pools: append([]Pool(nil), pools...), spare: spare, planned: map[string]bool{}, returnsLeft: maxReturns}
 	for _, late := range []lateWork{lateWorkReduced, lateWorkFull} {
 		sort.SliceStable(p.pools, func(a, b int) bool { return p.pools[a].weightedWaiting(late) > p.pools[b].weightedWaiting(late) })
 		for i := range p.pools {
@@ -191,9 +192,9 @@
 	return from.Size() + from.Arriving - minInstances
 }
 
-// coverShortage moves instances to a pool that lacks some: first those that other pools are
-// about to return, which saves a move, then spare ones, then other idle instances of pools
-// with a surplus.
+// coverShortage moves instances to a pool that lacks some: first those that are due for return
+// in other pools, which saves a move, then spare ones, then other idle instances of pools with a
+// surplus.
 func (p *planner) coverShortage(to *Pool, late lateWork) {
 	short := p.shortage(to, late)
 	if short > 0 && p.spare.Name != "" && p.weights.InstanceSecond > 0 {
@@ -243,7 +244,7 @@
 	}
 	for _, i := range longestIdle(from.EvacuatedIdle, p.minIdleBeforeReturn()) {
 		if p.returnsLeft > 0 && p.addMove(from, &p.spare, i, "its zone is evacuated") {
-			from.Arriving++ // undo the count in addMove: it didn't count in its pool
+			from.Arriving++ // undoes the change in addMove: the instance did not count in its pool
 			p.returnsLeft--
 		}
 	}
@@ -277,10 +278,10 @@
 
 // addMove plans a move, unless the instance isn't movable or has a planned move already.
 func (p *planner) addMove(from, to *Pool, i Instance, reason string) bool {
-	if !i.Movable || p.taken[i.ID] {
+	if !i.Movable || p.planned[i.ID] {
 		return false
 	}
-	p.taken[i.ID] = true
+	p.planned[i.ID] = true
 	from.Arriving--
 	to.Arriving++
 	p.moves = append(p.moves, Move{Instance: i.ID, From: from.Name, To: to.Name, Reason: reason})
--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -161,9 +161,9 @@
 func TestWeightsChangePlan(t *testing.T) {
 	idle := []Pool{pool("a", 5, 5, 4*time.Second)}
 	cheapMoves := Weights{InstanceSecond: 0.1, Move: 0.01}
-	dearMoves := Weights{InstanceSecond: 0.01, Move: 0.1}
+	expensiveMoves := Weights{InstanceSecond: 0.01, Move: 0.1}
 	assert.NotEmpty(t, Plan(Demand, cheapMoves, idle, spare(1), 100))
-	assert.Empty(t, Plan(Demand, dearMoves, idle, spare(1), 100))
+	assert.Empty(t, Plan(Demand, expensiveMoves, idle, spare(1), 100))
 }
 
 // TestStuckTasksGetAnInstance: tasks that wait although there are enough cores need another
--- a/jobs/capacity/rate.go
+++ b/jobs/capacity/rate.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// Windows of the arrival rate.
+// Windows over which the arrival rate is estimated.
 const (
-	// minArrivals is the minimum number of recent arrivals that a rate is computed from. A
-	// burst of 35 jobs per second shows within a sixth of a second.
+	// minArrivals is the minimum number of recent arrivals that a rate is computed from. With
+	// five, a burst of 35 jobs per second is detected within a sixth of a second.
 	minArrivals = 5
-	// instancesPerArrival is the number of instances for which the window grows by one
+	// instancesPerArrival is the number of instances of a pool for which its window grows by one
 	// arrival. An estimate from n arrivals has a relative error of about 1.5/sqrt(n), which
-	// causes needless moves. With the growing window, these increase only with the square root
-	// of the pool size. The window covers the same time whatever the size of the fleet, since
-	// the arrivals grow with it.
+	// causes needless moves. As the window grows with the pool, these increase only with the
+	// square root of its size. The window covers the same time in a fleet of any size, since
+	// the number of arrivals grows with the fleet.
 	instancesPerArrival = 8
 	// maxArrivals limits the window; an estimate from this many has an error of about 5%.
 	maxArrivals = 1024
