--- a/jobs/quota/share.go
+++ b/jobs/quota/share.go
@@ -6,7 +6,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// shareBurst is the time whose share a tenant may use at once, since jobs don't arrive
+// shareBurst is the period whose share a tenant may use at once, since jobs don't arrive
 // evenly.
 const shareBurst = time.Second
 
@@ -39,7 +39,8 @@
 }
 
 // Take takes a token for a job accepted at the given time, and reports whether the job is
-// within its tenant's share. Calls come nearly in the order of these times.
+// within its tenant's share. Calls come nearly in the order of these times; an earlier time adds
+// no tokens.
 func (s *Shares) Take(tenant string, at time.Time) bool {
 	b := s.buckets[tenant]
 	if b == nil || b.weight == 0 {
@@ -56,5 +57,5 @@
 	return true
 }
 
-// burst returns how many jobs a tenant may send at once, at least one.
+// burst returns the capacity of a bucket: how many jobs a tenant may submit at once, at least one.
 func burst(weight float64) float64 { return max(1, weight*shareBurst.Seconds()) }
