--- a/jobs/job/crash.go
+++ b/jobs/job/crash.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// Crash records a run that was on a worker when the worker crashed, or when contact with it
-// was lost for a reason that is not known yet.
+// Crash records a run that was on a worker when the worker crashed, or when contact with the
+// worker was lost for a reason that is not known yet.
 type Crash struct {
 	Run         uint64 `json:"R"`
 	Worker      string `json:"W,omitempty"` // incarnation of the worker while the crash is unconfirmed; "" once confirmed
 	AtStart     bool   `json:"E,omitempty"` // right after the run started
 	TimeKnown   bool   `json:"X,omitempty"` // the time of the crash is known, not just the last contact before it
-	SoleSuspect bool   `json:"A,omitempty"` // no other run on the worker is as likely to be the cause
+	SoleSuspect bool   `json:"A,omitempty"` // no other run on the worker is as likely to have caused it
 }
 
 // Unconfirmed reports whether it is not known yet whether the worker crashed.
@@ -48,7 +48,7 @@
 func (c Crashes) Confirmed() int { return c.count(func(k Crash) bool { return !k.Unconfirmed() }) }
 
 // CrashRisk says when a task may crash its worker, which determines how its runs are isolated.
-// Higher values are worse.
+// Higher values mean a higher risk.
 type CrashRisk int
 
 // The risks.
@@ -59,7 +59,7 @@
 )
 
 // minCrashesForAnytime is the number of confirmed crashes, at whatever time of a run, that
-// make a task CrashRiskAnytime. A single crash late in a run is no evidence against the task.
+// give a task CrashRiskAnytime. A single crash late in a run is no evidence against the task.
 const minCrashesForAnytime = 2
 
 // Risk returns the task's risk according to its crashes.
@@ -73,19 +73,20 @@
 	return CrashRiskNone
 }
 
-// Numbers of crashes that prove that a task crashes its workers. The proof fails the caller's
-// job, so coincidence has to be ruled out: when workers go down one after another, one start
-// in some hundred coincides with a crash, and hardly ever two starts of the same task do.
+// Numbers of crashes that prove that a task crashes its workers. The caller's job then fails, so
+// coincidence has to be ruled out: when workers go down one after another, one start in a few
+// hundred coincides with a crash, but two starts of the same task hardly ever do.
 const (
 	minCrashesAtStart = 2 // right after the start, at a known time
-	minCrashesTimed   = 3 // at any time, if one is timed and has no other suspect
-	// minCrashesUntimed applies if no crash is timed, as when instances lose power. It is within
-	// the limit on a task that crashes its workers: two starts after its third crash.
+	minCrashesTimed   = 3 // at any time of a run, if the time of one is known and it has no other suspect
+	// minCrashesUntimed applies if the time of no crash is known, as when instances lose power. A
+	// task that crashes its workers may be started at most twice after its third crash, which
+	// this number observes.
 	minCrashesUntimed = 4
 )
 
-// Conclusive reports whether the task has been proven to crash its workers, so that starting
-// it again would cost another one. At least one of the crashes must have no other suspect.
+// Conclusive reports whether the crashes prove that the task crashes its workers, so that another
+// start would crash another worker. At least one of the crashes must have no other suspect.
 func (c Crashes) Conclusive() bool {
 	soleSuspect := c.count(func(k Crash) bool { return !k.Unconfirmed() && k.SoleSuspect })
 	confirmed := c.Confirmed()
--- a/jobs/job/crash_test.go
+++ b/jobs/job/crash_test.go
@@ -6,7 +6,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestProofThatATaskCrashesItsWorkers(t *testing.T) {
+func TestConclusiveCrashesAndRisk(t *testing.T) {
 	atStart := Crash{AtStart: true, TimeKnown: true, SoleSuspect: true}
 	atStartShared := Crash{AtStart: true, TimeKnown: true}
 	lateShared := Crash{TimeKnown: true}
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -179,8 +179,8 @@
 // Final reports whether s is a terminal state.
 func (s State) Final() bool { return s == Completed || s == Failed || s == Cancelled }
 
-// Queue is a route of the operators' configuration: where jobs are submitted and which
-// service runs them.
+// Queue is a route of the operators' configuration: a host and a path prefix at which jobs are
+// submitted, and the service that runs them.
 type Queue struct {
 	Name            string
 	Host            string
@@ -195,8 +195,8 @@
 	Advisor         *AdvisorTiming // nil: every worker of the service may run its steps
 }
 
-// AdvisorTiming holds the timing of the advisor, the service that decides which workers may
-// run a step.
+// AdvisorTiming describes the advisor, the external service that decides which workers may run a
+// step.
 type AdvisorTiming struct {
 	DecisionTime   time.Duration // base duration of one call
 	TimePerWorker  time.Duration // added for each worker in the call
@@ -228,19 +228,19 @@
 	IdleTimeout   time.Duration
 }
 
-// Match returns the queue with the longest matching prefix, nil if there is none, and the
-// rest of the path.
+// Match returns the queue of the host (a port is ignored) with the longest matching path prefix,
+// nil if there is none, and the rest of the path.
 func (c *Catalog) Match(host, path string) (q *Queue, rest string) {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
 	}
 	for i := range c.Queues {
-		r := &c.Queues[i]
-		if r.Host != host || !strings.HasPrefix(path, r.Prefix) {
+		candidate := &c.Queues[i]
+		if candidate.Host != host || !strings.HasPrefix(path, candidate.Prefix) {
 			continue
 		}
-		if q == nil || len(r.Prefix) > len(q.Prefix) {
-			q = r
+		if q == nil || len(candidate.Prefix) > len(q.Prefix) {
+			q = candidate
 		}
 	}
 	if q == nil {
--- a/jobs/job/progress.go
+++ b/jobs/job/progress.go
@@ -25,9 +25,9 @@
 	Crashed    map[int]Crashes  `json:"K,omitempty"` // by task index
 }
 
-// Failures lists the failed runs of a task. It lists the runs instead of counting them, as
-// workers may report a failure again to the next owner, and reports from several workers
-// arrive in any order. The list stays short: a queue allows few attempts.
+// Failures lists the failed runs of a task. The runs are listed and not just counted because
+// workers may report a failure again to the next owner, and reports of several workers arrive in
+// any order. The list stays short, since a queue allows few attempts.
 type Failures []uint64
 
 // With returns the failures with run added, if it isn't among them. It may change f.
--- a/jobs/job/tenant.go
+++ b/jobs/job/tenant.go
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// CheckTenantLimit returns an error if the limit of the job's tenant can never admit the job.
+// CheckTenantLimit returns an error if the job can never run within the limit of its tenant.
 // Only gangs are checked, as their tasks need their resources at the same time; a single task
 // larger than the limit runs alone.
 func (c *Catalog) CheckTenantLimit(j *Job) error {
@@ -60,5 +60,6 @@
 }
 
 // MayAccess reports whether a caller of one tenant may read and cancel a job of jobTenant. A
-// tenant is "" if the call or job came by a public queue; such a job is accessible to everybody.
+// tenant is "" if the call or the job came through a public queue. A job without a tenant is
+// accessible to everybody.
 func MayAccess(caller, jobTenant string) bool { return jobTenant == "" || jobTenant == caller }
--- a/jobs/job/validate.go
+++ b/jobs/job/validate.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Bounds of a job.
+// Limits of a job.
 const (
-	// maxTasks bounds the tasks of one occurrence. A daemon has 64 MB in all and keeps some
-	// hundred bytes for each task.
+	// maxTasks bounds the tasks of one occurrence. A daemon has 64 MB in all and needs a few
+	// hundred bytes per task.
 	maxTasks = 10_000
 	// minInterval is the shortest time between the occurrences of a job.
 	minInterval = time.Millisecond
 )
 
-// Validate returns an error that names the invalid field if no worker could ever run the job.
+// Validate returns an error that names the invalid field, for a job that no worker could ever run.
 func (j *Job) Validate() error {
 	if len(j.Steps) == 0 {
 		return errors.New("job has no steps")
@@ -38,7 +38,7 @@
 }
 
 // validate checks the step with the given index.
-func (s *Step) validate(number int) error {
+func (s *Step) validate(index int) error {
 	if s.Count < 1 || s.Count > maxTasks {
 		return fmt.Errorf("count is %d, want 1 to %d", s.Count, maxTasks)
 	}
@@ -49,7 +49,7 @@
 		return fmt.Errorf("estimate %s is negative", s.Estimate)
 	}
 	for _, a := range s.After {
-		if a < 0 || a >= number {
+		if a < 0 || a >= index {
 			return fmt.Errorf("depends on step %d, want an earlier step", a)
 		}
 	}
@@ -65,7 +65,7 @@
 	}
 	for _, s := range p.Steps {
 		if s.Occurrence < 0 || s.Occurrence >= j.Occurrences() || s.Step < 0 || s.Step >= len(j.Steps) {
-			return fmt.Errorf("progress of step %d in occurrence %d, which the job does not have", s.Step, s.Occurrence)
+			return fmt.Errorf("progress is of step %d in occurrence %d, which the job does not have", s.Step, s.Occurrence)
 		}
 	}
 	return nil
