--- a/jobs/ledger/accept.go
+++ b/jobs/ledger/accept.go
@@ -15,23 +15,23 @@
 	// acceptBatch is the number of submissions in a transaction: each takes a condition and a
 	// put.
 	acceptBatch = MaxTxnEntries / 2
-	// acceptWorkers is the number of concurrent transactions, so that a slow answer does not
-	// delay all submissions.
+	// acceptWorkers is the number of concurrent transactions. With several, a slow answer does
+	// not delay all submissions.
 	acceptWorkers = 4
 	// acceptQueueLen is how many submissions may wait; more are refused immediately.
 	acceptQueueLen = 512
-	// acceptTimeout bounds one attempt: the store answers in 4 ms, during its slow hours in
-	// 300 ms.
+	// acceptTimeout bounds one attempt. The store answers in 4 ms, and in 300 ms while it is slow.
 	acceptTimeout = 900 * time.Millisecond
 	// acceptRetryWindow is how long a transaction is retried after its answer was lost. Its
-	// conditions let it commit only once, and its callers need to know whether it did. Callers
-	// wait for 3 s in all and use the rest of that time for retries of their own.
+	// conditions let it commit only once, and the callers must learn whether it did. Callers
+	// wait for 3 s in all and need the rest of that time for retries of their own.
 	acceptRetryWindow = time.Second
 	// acceptRetryInterval is the time between retries.
 	acceptRetryInterval = 60 * time.Millisecond
 )
 
-// CodeTooManySubmissions refuses a submission because the queue of submissions is full.
+// CodeTooManySubmissions means that a submission was refused because the queue of submissions is
+// full.
 const CodeTooManySubmissions verdict.Code = "too-many-submissions"
 
 // AcceptorStore is a store that tracks its own availability.
@@ -47,11 +47,12 @@
 	queue chan pendingSubmission
 }
 
+// pendingSubmission is a submission that waits for the store.
 type pendingSubmission struct {
 	key    string
 	tenant string
 	value  []byte
-	done   chan error
+	done   chan error // receives the result once
 }
 
 // NewAcceptor returns an acceptor. Submissions wait in its queue until Run is called.
@@ -103,8 +104,9 @@
 	}
 }
 
-// collectBatch takes waiting submissions up to a full transaction, by key: several submissions
-// of one job share a put, as a transaction may contain a key only once.
+// collectBatch returns first and the submissions that wait behind it, up to a full transaction,
+// by key. Several submissions of one job share a put, as a transaction may contain a key only
+// once.
 func (a *Acceptor) collectBatch(first pendingSubmission) map[string][]pendingSubmission {
 	batch := map[string][]pendingSubmission{first.key: {first}}
 	for len(batch) < acceptBatch {
@@ -155,9 +157,9 @@
 	ctx, cancel := context.WithTimeout(ctx, acceptTimeout)
 	defer cancel()
 	var t Txn
-	for key, s := range batch {
+	for key, submissions := range batch {
 		t.If = append(t.If, Condition{Key: key})
-		t.Puts = append(t.Puts, Put{Key: key, Value: s[0].value})
+		t.Puts = append(t.Puts, Put{Key: key, Value: submissions[0].value})
 	}
 	return a.store.Commit(ctx, t)
 }
@@ -167,20 +169,20 @@
 func (a *Acceptor) dropExisting(batch map[string][]pendingSubmission, res TxnResult) int {
 	n := 0
 	for _, i := range res.Current {
-		s, ok := batch[i.Key]
+		submissions, ok := batch[i.Key]
 		if !ok {
 			continue
 		}
 		n++
 		delete(batch, i.Key)
-		for _, p := range s {
-			p.done <- checkAccess(i, p.tenant)
+		for _, s := range submissions {
+			s.done <- checkAccess(i, s.tenant)
 		}
 	}
 	return n
 }
 
-// CodeOtherTenant refuses a call for a job of another tenant.
+// CodeOtherTenant means that a call was refused because its job belongs to another tenant.
 const CodeOtherTenant verdict.Code = "job-of-another-tenant"
 
 // ErrOtherTenant returns the error of a call for a job of another tenant.
@@ -200,8 +202,8 @@
 
 // completeBatch reports err to all submissions of a batch.
 func completeBatch(batch map[string][]pendingSubmission, err error) {
-	for _, ss := range batch {
-		for _, s := range ss {
+	for _, submissions := range batch {
+		for _, s := range submissions {
 			s.done <- err
 		}
 	}
--- a/jobs/ledger/accept_test.go
+++ b/jobs/ledger/accept_test.go
@@ -23,28 +23,29 @@
 	commits int
 }
 
-func (o *resettingStore) Commit(context.Context, Txn) (TxnResult, error) {
-	o.commits++
-	if o.down.Load() {
+func (s *resettingStore) Commit(context.Context, Txn) (TxnResult, error) {
+	s.commits++
+	if s.down.Load() {
 		return TxnResult{}, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "connection reset")
 	}
 	return TxnResult{Committed: true}, nil
 }
 
-func (o *resettingStore) KeepAlive(context.Context, LeaseID) (bool, error) {
-	if o.down.Load() {
+func (s *resettingStore) KeepAlive(context.Context, LeaseID) (bool, error) {
+	if s.down.Load() {
 		return false, verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "connection reset")
 	}
 	return true, nil
 }
 
-func (o *resettingStore) Relay() Store      { return nil }
-func (o *resettingStore) RelayFailed(Store) {}
+func (s *resettingStore) Relay() Store      { return nil }
+func (s *resettingStore) RelayFailed(Store) {}
 
-// TestSubmissionsDuringStoreOutage: callers try five times within 3 s, at once after
-// MayHaveRun and after a delay after NotRun. So that they don't use up their attempts, all but
-// the first submissions of an outage must be refused with NotRun without sending anything, and
-// a transaction whose outcome is unknown must be retried before it is given up.
+// TestSubmissionsDuringStoreOutage guards against callers that use up their attempts in an outage.
+// A caller makes five attempts within 3 s, the next one immediately after MayHaveRun and with a
+// delay after NotRun. So all but the first submissions of an outage must be refused with NotRun
+// without sending anything, and a transaction whose outcome is unknown must be retried before it
+// is given up.
 func TestSubmissionsDuringStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
@@ -79,8 +80,8 @@
 	})
 }
 
-// TestLostAnswerIsRetried: the transaction is retried, and the caller is told that the job
-// is stored.
+// TestLostAnswerIsRetried: a transaction whose answer is lost is retried, and the caller is told
+// that the job is stored.
 func TestLostAnswerIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/jobs/ledger/entries_test.go
+++ b/jobs/ledger/entries_test.go
@@ -14,9 +14,9 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestInvalidRecordsDoNotAffectOthers: an invalid value of a job, its progress or a wave, left
-// by another writer, must not keep a daemon from loading the other jobs. One such value used to
-// make loading fail for every daemon, permanently (found by code review).
+// TestInvalidRecordsDoNotAffectOthers guards against a new owner that cannot load the jobs: an
+// invalid value of a job, its progress or a wave, written by another program, must not make
+// loading the others fail. It would do so for every daemon until the value is removed.
 func TestInvalidRecordsDoNotAffectOthers(t *testing.T) {
 	const good = `{"ID":"00000000000000aa","Queue":"q","Service":"s","Steps":[{"Count":2}],"AcceptedAt":"2030-01-01T00:00:00Z"}`
 	for key, value := range map[string]string{
@@ -56,8 +56,8 @@
 	})
 }
 
-// testElectionWithInvalidRecords: an election succeeds whatever the values of the owner's keys
-// are, and its term is higher than all before.
+// testElectionWithInvalidRecords checks that an election succeeds whatever the values of the
+// owner's keys are, and that its term is higher than all earlier ones.
 func testElectionWithInvalidRecords(t *testing.T) {
 	for _, key := range []string{"owner/lock", "owner/term", "sequence"} {
 		t.Run(key, func(t *testing.T) {
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -19,16 +19,16 @@
 	RelayFailed(s Store)
 }
 
-// Failover calls the store directly, and through another daemon while direct calls fail: the
-// store may refuse one daemon while it serves the others, or a partition may separate a daemon
-// from it.
+// Failover is a store that is called directly, and through another daemon (a relay) while direct
+// calls fail: the store may refuse one daemon while it serves the others, or a partition may
+// separate a daemon from it.
 type Failover struct {
 	direct Store
 	relays Relays
 
 	mu              sync.Mutex
 	directDown      bool          // the latest direct call failed
-	dialFailed      bool          // it failed as no connection could be opened
+	dialFailed      bool          // the latest direct failure: no connection could be opened
 	nextProbe       time.Time     // earliest time of the next direct call
 	backoff         time.Duration // latest backoff of the direct path
 	failures        int           // consecutive calls that failed on every path
@@ -47,8 +47,8 @@
 	// maxDirectBackoff bounds the backoff while no connection can be opened. A relay adds only
 	// 2 ms to a call, so there is no hurry to return to the direct path.
 	maxDirectBackoff = 4 * time.Second
-	// probeTimeout bounds a probe of a direct path that is down. The store answers in 4 ms.
-	// During its slow hours it takes 300 ms, but then the relay is as slow and is used.
+	// probeTimeout bounds a probe of a direct path that is down. The store answers in 4 ms. While
+	// it is slow it takes 300 ms and the probe fails, but then the relay is used and is no slower.
 	probeTimeout = 150 * time.Millisecond
 )
 
@@ -58,8 +58,8 @@
 	return &Failover{direct: direct, relays: relays, now: now, onDirectFailure: onDirectFailure}
 }
 
-// unavailableAfter is how many consecutive calls have to fail on every path for the store to
-// count as unavailable: the answer to a single one may have been lost.
+// unavailableAfter is how many consecutive calls must fail on every path for the store to count as
+// unavailable. After a single one, just its answer may have been lost.
 const unavailableAfter = 2
 
 // Unavailable reports whether the store currently answers on no path. The daemon's own calls,
@@ -221,15 +221,15 @@
 // Range implements Store.
 func (f *Failover) Range(ctx context.Context, prefix, after string, stale bool) (Page, error) {
 	page, err := idempotentCall(ctx, f, func(ctx context.Context, s Store) (Page, error) { return s.Range(ctx, prefix, after, stale) })
-	f.noteRevision(page.Revision)
+	f.recordRevision(page.Revision)
 	return page, err
 }
 
 // LatestRevision returns the latest revision that the store is known to have reached.
 func (f *Failover) LatestRevision() int64 { return f.latestRevision.Load() }
 
-// noteRevision records a revision of the store; 0 means that the answer contained none.
-func (f *Failover) noteRevision(revision int64) {
+// recordRevision records a revision of the store; 0 means that the answer contained none.
+func (f *Failover) recordRevision(revision int64) {
 	for {
 		known := f.latestRevision.Load()
 		if revision <= known || f.latestRevision.CompareAndSwap(known, revision) {
@@ -241,7 +241,7 @@
 // Watch implements Store.
 func (f *Failover) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (Changes, error) {
 	ch, err := longPoll(ctx, f, func(ctx context.Context, s Store) (Changes, error) { return s.Watch(ctx, prefix, after, wait) })
-	f.noteRevision(ch.Revision)
+	f.recordRevision(ch.Revision)
 	return ch, err
 }
 
@@ -255,7 +255,7 @@
 		res, err = p.store.Commit(ctx, t)
 		if err == nil {
 			f.pathSucceeded(p.store, began)
-			f.noteRevision(res.Revision)
+			f.recordRevision(res.Revision)
 			return res, nil
 		}
 		if errors.Is(ctx.Err(), context.Canceled) {
--- a/jobs/ledger/failover_test.go
+++ b/jobs/ledger/failover_test.go
@@ -36,12 +36,12 @@
 	return verdict.New(verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
 }
 
-func answers(context.Context) error { return nil }
+func succeed(context.Context) error { return nil }
 
 func TestCancelledCallIsNoFailureOfTheStore(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	direct := &fakeStore{get: func(context.Context) error { cancel(); return storeError(ctx) }}
-	relay := &fakeStore{get: answers}
+	relay := &fakeStore{get: succeed}
 	failures := 0
 	f := NewFailover(direct, relay, time.Now, func(error) { failures++ })
 	_, _, err := f.Get(ctx, "k", false)
@@ -49,7 +49,7 @@
 	assert.Zero(t, failures)
 	assert.Zero(t, relay.calls, "a cancelled call is not retried on the relay")
 
-	direct.get = answers
+	direct.get = succeed
 	_, _, err = f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
 	assert.Equal(t, 2, direct.calls, "the direct path is not avoided")
@@ -59,7 +59,7 @@
 // failure of both the direct path again.
 func TestPathsAlternate(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
-	direct, relay := &fakeStore{get: storeError}, &fakeStore{get: answers}
+	direct, relay := &fakeStore{get: storeError}, &fakeStore{get: succeed}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	for range 2 {
 		_, _, err := f.Get(context.Background(), "k", false)
@@ -69,7 +69,7 @@
 	assert.Equal(t, 2, relay.calls)
 
 	relay.get = storeError
-	direct.get = answers
+	direct.get = succeed
 	_, _, err := f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
 	_, _, err = f.Get(context.Background(), "k", false)
@@ -78,8 +78,8 @@
 	assert.Equal(t, 3, relay.calls)
 }
 
-// TestNoDirectRetryWhileDialFails: while no connection to the store can be opened, a failed
-// relay does not make the next call try the direct path.
+// TestNoDirectRetryWhileDialFails: while no connection to the store can be opened, a failure of
+// the relay does not make the next call try the direct path.
 func TestNoDirectRetryWhileDialFails(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
@@ -87,7 +87,7 @@
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	_, _, err := f.Get(context.Background(), "k", false)
 	require.Error(t, err)
-	relay.get = answers
+	relay.get = succeed
 	_, _, err = f.Get(context.Background(), "k", false)
 	require.NoError(t, err)
 	assert.Equal(t, 1, direct.calls)
@@ -99,7 +99,7 @@
 func TestDirectBackoffGrowsWhileDialFails(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	refused := func(context.Context) error { return verdict.New(verdict.NotRun, CodeStoreUnavailable, "no connection") }
-	direct, relay := &fakeStore{get: refused}, &fakeStore{get: answers}
+	direct, relay := &fakeStore{get: refused}, &fakeStore{get: succeed}
 	f := NewFailover(direct, relay, func() time.Time { return now }, func(error) {})
 	during := func(d time.Duration) int {
 		before := direct.calls
@@ -110,13 +110,13 @@
 		return direct.calls - before
 	}
 	assert.Equal(t, 4, during(8*time.Second), "after 0, 0.7, 2.1 and 4.9 s")
-	direct.get = answers
+	direct.get = succeed
 	assert.Positive(t, during(2*maxDirectBackoff))
 	direct.get = refused
 	assert.Equal(t, 2, during(time.Second), "the backoff starts again")
 }
 
-// neverAnswers is a store that never answers.
+// neverAnswers blocks until ctx ends, as a call does in a partition.
 func neverAnswers(ctx context.Context) error {
 	<-ctx.Done()
 	return verdict.Wrap(ctx.Err(), verdict.MayHaveRun, CodeStoreUnavailable, "no answer")
@@ -127,13 +127,12 @@
 	return TxnResult{Committed: true}, s.get(ctx)
 }
 
-// TestRelayServesDuringPartition: once a call on the direct path was not answered,
-// no transaction is sent there, and a call that probes it leaves enough of its time for the
-// relay.
+// TestRelayServesDuringPartition: once a call on the direct path was not answered, no transaction
+// is sent there, and a call that probes it has enough time left for the relay.
 func TestRelayServesDuringPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const budget = 900 * time.Millisecond
-		direct, relay := &fakeStore{get: neverAnswers}, &fakeStore{get: answers}
+		direct, relay := &fakeStore{get: neverAnswers}, &fakeStore{get: succeed}
 		f := NewFailover(direct, relay, time.Now, func(error) {})
 		call := func(do func(ctx context.Context) error) (time.Duration, error) {
 			ctx, cancel := context.WithTimeout(context.Background(), budget)
@@ -159,7 +158,7 @@
 		assert.Equal(t, 1, direct.commits)
 		assert.LessOrEqual(t, direct.calls, 30, "one probe per 0.7 s for 20 s")
 
-		direct.get = answers
+		direct.get = succeed
 		time.Sleep(maxDirectBackoff)
 		_, err = call(get)
 		require.NoError(t, err)
--- a/jobs/ledger/fuzz_test.go
+++ b/jobs/ledger/fuzz_test.go
@@ -12,11 +12,11 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// runOwner runs an owner with the loaded job. It must not panic, whatever the job is.
-func runOwner(loaded owner.StoredJob) {
+// runOwner runs an owner that has loaded the stored job. It must not panic, whatever the job is.
+func runOwner(stored owner.StoredJob) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	catalog := &job.Catalog{Queues: []job.Queue{{Name: "q", Service: "s", MaxAttempts: 2}}, Services: []job.Service{{Name: "s"}}}
-	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, StatusRetention: time.Minute}, catalog, []owner.StoredJob{loaded}, now)
+	c := owner.New(owner.Options{Term: 2, TaskLease: time.Second, StatusRetention: time.Minute}, catalog, []owner.StoredJob{stored}, now)
 	for range 3 {
 		now = now.Add(10 * time.Second)
 		c.Tick(now)
@@ -38,14 +38,14 @@
 			return
 		}
 		require.Equal(t, job.ID(id), ch.Submitted.ID)
-		l := owner.StoredJob{Job: ch.Submitted}
+		stored := owner.StoredJob{Job: ch.Submitted}
 		if ch.Ended != nil {
 			require.True(t, ch.Ended.State.Final())
-			l.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
+			stored.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
 		} else if ch.Submitted.Occurrences()*len(ch.Submitted.Steps) > maxFuzzTasks || ch.Submitted.Steps[0].Count > maxFuzzTasks {
 			return
 		}
-		runOwner(l)
+		runOwner(stored)
 	})
 }
 
--- a/jobs/ledger/keys.go
+++ b/jobs/ledger/keys.go
@@ -21,8 +21,8 @@
 	PrefixOwner = "owner/"
 	keyLock     = "owner/lock"
 	keyTerm     = "owner/term"
-	// keySequence is changed by every transaction of the owner and is a condition of each at its
-	// last revision, so that a transaction that arrives late fails.
+	// keySequence is written by every transaction of the owner, on condition that its revision is
+	// that of the previous one, so that a transaction that arrives late fails.
 	keySequence = "sequence"
 	// PrefixMembers contains the live daemons.
 	PrefixMembers = "member/"
@@ -84,7 +84,7 @@
 
 // submission is the value of a key under prefixSubmitted. Once its job has ended it is replaced
 // by one without the payload: the key has to stay, so that a repeated submission is not taken
-// for a new one, and should be small, as a new owner reads all of them.
+// for a new one, and it should be small, as a new owner reads all of them.
 type submission struct {
 	job.Job
 	Ended *EndRecord `json:",omitempty"`
@@ -103,8 +103,8 @@
 	return Change{Submitted: &s.Job, Ended: s.Ended}, err == nil, err
 }
 
-// decodeSubmission decodes and validates an item under prefixSubmitted. The value may come from
-// another writer and describe a job that no worker can run.
+// decodeSubmission decodes and validates an item under prefixSubmitted. The value may have been
+// written by another program and describe a job that no worker can run.
 func decodeSubmission(i Item) (submission, error) {
 	s, err := decode[submission](i)
 	if err != nil {
--- a/jobs/ledger/partition.go
+++ b/jobs/ledger/partition.go
@@ -4,15 +4,15 @@
 
 // Parameters of detecting a partition between this daemon and the store.
 const (
-	// minUnansweredTime is the least duration of a failed call that counts as unanswered: a
+	// minUnansweredTime is the minimum duration of a failed call that counts as unanswered. A
 	// store that refuses a daemon's calls answers at once.
 	minUnansweredTime = 100 * time.Millisecond
-	// minUnansweredCalls is how many unanswered calls in a row indicate a partition: the answer
-	// to a single one may have been lost.
+	// minUnansweredCalls is how many consecutive unanswered calls indicate a partition. After a
+	// single one, just its answer may have been lost.
 	minUnansweredCalls = 2
-	// maxPromptRelay is the longest duration of a relayed call that shows that the store serves
-	// the relaying daemon: more than the store and the network take, less than a slow store
-	// takes.
+	// maxPromptRelay is the maximum duration of a relayed call that proves that the store serves
+	// the relaying daemon promptly: more than the store and the network take, less than a slow
+	// store takes.
 	maxPromptRelay = 100 * time.Millisecond
 )
 
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -35,24 +35,25 @@
 	writes           uint64
 }
 
-// sequenceValue is the value of keySequence. Term and Write identify the last transaction,
-// which tells whether one whose answer was lost has committed. Orders are those that the owner
-// may have sent in the last seconds; an order is sent only after a transaction that contains
-// it, so that the next owner knows all of them.
+// sequenceValue is the value of keySequence. Term and Write identify the last transaction that
+// was committed. Orders are the orders for instances that the owner may have sent in the last
+// seconds. An order is sent only after a transaction that contains it, so that the next owner
+// knows all of them.
 type sequenceValue struct {
 	Term   uint64
 	Write  uint64
 	Orders []orderRecord `json:",omitempty"`
 }
 
-// orderRecord is the stored form of an owner.RecentOrder. Its field names are short, as every
-// transaction repeats some hundred of them when demand shifts between pools.
+// orderRecord is the stored form of an owner.RecentOrder. Its JSON names are short, as every
+// transaction repeats a few hundred records while demand shifts between pools.
 type orderRecord struct {
 	Instance  owner.InstanceID `json:"I"`
 	Holder    string           `json:"H"`
 	AgeMillis int64            `json:"A"`
 }
 
+// nextSequence returns the put of keySequence for the next transaction.
 func (t *Term) nextSequence(orders []owner.RecentOrder) Put {
 	t.writes++
 	v := sequenceValue{Term: t.Number, Write: t.writes}
@@ -173,9 +174,10 @@
 // MaxWriteEntries is the largest number of puts and deletes in one Write.
 const MaxWriteEntries = MaxTxnEntries - termEntries
 
-// Write stores puts, deletes and orders if this daemon still is the owner. orders are those
-// that it has sent recently or is about to send. After an error the caller must call Write
-// again, with the same or newer values, until it returns nil or CodeNotOwner.
+// Write applies puts and deletes and records orders if this daemon is still the owner. orders are
+// the orders for instances that it has sent recently or is about to send. After an error the
+// caller must call Write again, with the same or newer values, until it returns nil or an error
+// with CodeNotOwner.
 func (t *Term) Write(ctx context.Context, puts []Put, deletes []string, orders []owner.RecentOrder) error {
 	if t.lastWriteUnknown {
 		if err := t.readSequence(ctx); err != nil {
@@ -260,8 +262,8 @@
 }
 
 // Release ends the term by deleting the lock, so that another daemon can take over at once. It
-// also stores puts, deletes and orders, as Write does. It need not wait for an earlier write
-// whose answer was lost: that write fails once the lock is deleted.
+// also applies puts and deletes and records orders, as Write does. It need not wait for an earlier
+// write whose answer was lost: that write fails once the lock is deleted.
 func (t *Term) Release(ctx context.Context, puts []Put, deletes []string, orders []owner.RecentOrder) error {
 	_, err := t.store.Commit(ctx, Txn{
 		If:      []Condition{t.lock},
@@ -286,7 +288,7 @@
 	Revision int64 // a watch of PrefixJobs from there misses no change
 }
 
-// loadTimeout bounds the reading of a snapshot, which has some pages of 1 MB.
+// loadTimeout bounds the reading of a snapshot, which has several pages of 1 MB.
 const loadTimeout = 10 * time.Second
 
 // Load reads all jobs and waves. Reading them concurrently is consistent: only the owner writes
@@ -363,9 +365,9 @@
 }
 
 func (s *Snapshot) addJob(ch *Change, progressByJob map[job.ID]Item) {
-	l := owner.StoredJob{Job: ch.Submitted}
+	stored := owner.StoredJob{Job: ch.Submitted}
 	if ch.Ended != nil {
-		l.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
+		stored.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
 	} else if i, found := progressByJob[ch.Submitted.ID]; found {
 		p, err := decode[job.Progress](i)
 		if err == nil {
@@ -375,9 +377,9 @@
 			s.addRefused(i, err)
 			return
 		}
-		l.Progress = &p
+		stored.Progress = &p
 	}
-	s.Jobs = append(s.Jobs, l)
+	s.Jobs = append(s.Jobs, stored)
 }
 
 // LockRevision returns the revision of the lock that is a condition of the term's writes.
--- a/jobs/ledger/term_test.go
+++ b/jobs/ledger/term_test.go
@@ -51,9 +51,9 @@
 	})
 }
 
-// TestAnEndedJobIsKeptWithoutItsPayload: the next owner knows that the job has ended, its state
+// TestEndedJobIsStoredWithoutPayload: the next owner knows that the job has ended, its state
 // can be read, and a caller that submits it again is told that it is accepted.
-func TestAnEndedJobIsKeptWithoutItsPayload(t *testing.T) {
+func TestEndedJobIsStoredWithoutPayload(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
