--- a/jobs/peer/latereply_test.go
+++ b/jobs/peer/latereply_test.go
@@ -19,19 +19,18 @@
 	release  chan struct{}
 }
 
-func (g blockingHandler) Submitted(SubmitRequest) SubmitReply {
-	g.received <- struct{}{}
-	<-g.release
+func (h blockingHandler) Submitted(SubmitRequest) SubmitReply {
+	h.received <- struct{}{}
+	<-h.release
 	return SubmitReply{}
 }
 
-func (g blockingHandler) State(StateRequest) StateReply { <-g.release; return StateReply{Owner: true} }
+func (h blockingHandler) State(StateRequest) StateReply { <-h.release; return StateReply{Owner: true} }
 
-// TestLateAnswerDoesNotFailOtherCalls: with an owner short of CPU, one late reply used to close the
-// only connection to it. That failed all other calls in flight there (new jobs, queries, relayed
-// store calls), which were then repeated on a new connection, so that the owner did their work
-// twice.
-func TestLateAnswerDoesNotFailOtherCalls(t *testing.T) {
+// TestLateReplyDoesNotFailOtherCalls guards against an owner that does work twice because it is
+// short of CPU. If one late reply closed the only connection to it, all other calls in flight there
+// (new jobs, queries, relayed store calls) would fail and be repeated on a new connection.
+func TestLateReplyDoesNotFailOtherCalls(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	h := blockingHandler{received: make(chan struct{}, 1), release: make(chan struct{})}
--- a/jobs/peer/peer.go
+++ b/jobs/peer/peer.go
@@ -19,7 +19,7 @@
 // serviceName is the net/rpc service name.
 const serviceName = "Peer"
 
-// dialTimeout is for opening a connection to a peer, which takes a few round trips.
+// dialTimeout bounds the opening of a connection to a peer, which takes a few round trips.
 const dialTimeout = 400 * time.Millisecond
 
 // CodePeerUnreachable means that a call to a peer failed.
@@ -67,7 +67,7 @@
 	LateBy time.Duration
 }
 
-// Empty is a reply without content.
+// Empty is a reply without content. encoding/gob, which net/rpc uses, needs an exported field.
 type Empty struct{ Ignored bool }
 
 // Operation is a method of ledger.Store.
@@ -193,13 +193,13 @@
 	return verdict.Wrap(pending.Error, verdict.MayHaveRun, CodePeerUnreachable, "peer %s: call %s", addr, method)
 }
 
-// callRepeatable makes a call that may be repeated. The first attempt gets half of the time until
-// the deadline; if its connection does not respond, the second attempt opens another.
-func callRepeatable[R any](ctx context.Context, c *Client, addr, method string, request any) (R, error) {
+// callIdempotent makes a call that is safe to repeat. The first attempt gets half of the time until
+// the deadline. If it fails, the second attempt uses another connection.
+func callIdempotent[R any](ctx context.Context, c *Client, addr, method string, request any) (R, error) {
 	var first, second R
-	half, cancel := withHalfTimeout(ctx)
+	firstCtx, cancel := withHalfTimeout(ctx)
 	defer cancel()
-	if err := c.call(half, addr, method, request, &first); err == nil || ctx.Err() != nil {
+	if err := c.call(firstCtx, addr, method, request, &first); err == nil || ctx.Err() != nil {
 		return first, err
 	}
 	err := c.call(ctx, addr, method, request, &second)
@@ -217,12 +217,12 @@
 
 // State asks the peer at addr for the state of a job.
 func (c *Client) State(ctx context.Context, addr string, id job.ID) (StateReply, error) {
-	return callRepeatable[StateReply](ctx, c, addr, "State", StateRequest{id})
+	return callIdempotent[StateReply](ctx, c, addr, "State", StateRequest{id})
 }
 
 // Pending asks the peer at addr how many jobs of a queue are pending.
 func (c *Client) Pending(ctx context.Context, addr, queue string) (PendingReply, error) {
-	return callRepeatable[PendingReply](ctx, c, addr, "Pending", PendingRequest{queue})
+	return callIdempotent[PendingReply](ctx, c, addr, "Pending", PendingRequest{queue})
 }
 
 // Cancelled notifies the peer at addr of a cancellation.
@@ -230,7 +230,7 @@
 	return c.call(ctx, addr, "Cancelled", CancelRequest{id}, &Empty{})
 }
 
-// Submitted notifies the peer at addr of a new job.
+// Submitted notifies the peer at addr of a job that is in the store.
 func (c *Client) Submitted(ctx context.Context, addr string, j *job.Job) (SubmitReply, error) {
 	var out SubmitReply
 	err := c.call(ctx, addr, "Submitted", SubmitRequest{*j}, &out)
@@ -238,7 +238,7 @@
 }
 
 // Admit asks the peer at addr whether a job would be completed in time. It is not repeated, as
-// the owner is asked while it is backlogged.
+// the owner is asked only while it is backlogged.
 func (c *Client) Admit(ctx context.Context, addr string, j *job.Job) (AdmitReply, error) {
 	var out AdmitReply
 	err := c.call(ctx, addr, "Admit", AdmitRequest{*j}, &out)
--- a/jobs/peer/presence.go
+++ b/jobs/peer/presence.go
@@ -10,7 +10,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Presence is what a daemon can tell about another daemon's process.
+// Presence says whether another daemon's process is known to run.
 type Presence int
 
 // The presences. Only Absent indicates that the process has ended: the connection was refused, as
@@ -21,11 +21,11 @@
 	Absent
 )
 
-// maxStay is how long one Stay call takes; it is repeated after that.
+// maxStay is the maximum duration of one Stay call. AwaitDisconnect repeats the call.
 const maxStay = 10 * time.Second
 
-// StayRequest asks a peer to reply after Wait. A call that fails earlier shows at once that the
-// connection, and perhaps the process, has ended.
+// StayRequest asks a peer to reply only after Wait. If the call fails earlier, the connection has
+// broken, perhaps because the peer's process has ended.
 type StayRequest struct{ Wait time.Duration }
 
 // LookRequest asks a peer whether a process listens at an address.
@@ -34,11 +34,13 @@
 // LookReply is the result of a LookRequest.
 type LookReply struct{ Presence Presence }
 
+// Stay blocks for the requested time, at most maxStay.
 func (s *server) Stay(r StayRequest, _ *Empty) error {
 	time.Sleep(min(r.Wait, maxStay))
 	return nil
 }
 
+// Look reports whether a process listens at the requested address.
 func (s *server) Look(r LookRequest, out *LookReply) error {
 	out.Presence = s.h.CheckPresence(r.Addr)
 	return nil
@@ -47,10 +49,10 @@
 // AwaitDisconnect blocks until a connection to the peer at addr breaks and returns the error, or
 // nil once ctx ends. The connection is used for nothing else.
 func (c *Client) AwaitDisconnect(ctx context.Context, addr string) error {
-	own := NewClient()
-	defer own.conns.Close()
+	dedicated := NewClient()
+	defer dedicated.conns.Close()
 	for ctx.Err() == nil {
-		if err := own.call(ctx, addr, "Stay", StayRequest{maxStay}, &Empty{}); err != nil && ctx.Err() == nil {
+		if err := dedicated.call(ctx, addr, "Stay", StayRequest{maxStay}, &Empty{}); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
--- a/jobs/peer/relay.go
+++ b/jobs/peer/relay.go
@@ -8,7 +8,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// relayTimeout is for a relayed call to the store.
+// relayTimeout bounds a relayed call to the store, in addition to the wait of a watch.
 const relayTimeout = 1200 * time.Millisecond
 
 // Relayer makes calls to the store through peers.
@@ -34,7 +34,8 @@
 	addr   string
 }
 
-func (s *relayedStore) do(ctx context.Context, r RelayRequest) (RelayReply, error) {
+// call relays a call and converts the error in its reply.
+func (s *relayedStore) call(ctx context.Context, r RelayRequest) (RelayReply, error) {
 	ctx, cancel := context.WithTimeout(ctx, relayTimeout+r.Wait)
 	defer cancel()
 	out, err := s.client.Relay(ctx, s.addr, r)
@@ -48,37 +49,37 @@
 }
 
 func (s *relayedStore) Get(ctx context.Context, key string, stale bool) (ledger.Item, bool, error) {
-	out, err := s.do(ctx, RelayRequest{Op: OpGet, Key: key, Stale: stale})
+	out, err := s.call(ctx, RelayRequest{Op: OpGet, Key: key, Stale: stale})
 	return out.Item, out.Found, err
 }
 
 func (s *relayedStore) Range(ctx context.Context, prefix, after string, stale bool) (ledger.Page, error) {
-	out, err := s.do(ctx, RelayRequest{Op: OpRange, Key: prefix, After: after, Stale: stale})
+	out, err := s.call(ctx, RelayRequest{Op: OpRange, Key: prefix, After: after, Stale: stale})
 	return out.Page, err
 }
 
 func (s *relayedStore) Watch(ctx context.Context, prefix string, after int64, wait time.Duration) (ledger.Changes, error) {
-	out, err := s.do(ctx, RelayRequest{Op: OpWatch, Key: prefix, Revision: after, Wait: wait})
+	out, err := s.call(ctx, RelayRequest{Op: OpWatch, Key: prefix, Revision: after, Wait: wait})
 	return out.Changes, err
 }
 
 func (s *relayedStore) Commit(ctx context.Context, t ledger.Txn) (ledger.TxnResult, error) {
-	out, err := s.do(ctx, RelayRequest{Op: OpCommit, Txn: t})
+	out, err := s.call(ctx, RelayRequest{Op: OpCommit, Txn: t})
 	return out.Result, err
 }
 
 func (s *relayedStore) GrantLease(ctx context.Context, ttl time.Duration) (ledger.LeaseID, error) {
-	out, err := s.do(ctx, RelayRequest{Op: OpGrant, Wait: ttl})
+	out, err := s.call(ctx, RelayRequest{Op: OpGrant, Wait: ttl})
 	return out.Lease, err
 }
 
 func (s *relayedStore) KeepAlive(ctx context.Context, id ledger.LeaseID) (bool, error) {
-	out, err := s.do(ctx, RelayRequest{Op: OpKeepAlive, Lease: id})
+	out, err := s.call(ctx, RelayRequest{Op: OpKeepAlive, Lease: id})
 	return out.Found, err
 }
 
 func (s *relayedStore) EndLease(ctx context.Context, id ledger.LeaseID) error {
-	_, err := s.do(ctx, RelayRequest{Op: OpEndLease, Lease: id})
+	_, err := s.call(ctx, RelayRequest{Op: OpEndLease, Lease: id})
 	return err
 }
 
