--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -1,5 +1,5 @@
-// Package gateway is the HTTP API for callers: they submit jobs, read their state, cancel them and
-// count the pending jobs of a queue.
+// Package gateway implements the HTTP API for callers, who submit jobs, read their state, cancel
+// them and count the pending jobs of a queue.
 package gateway
 
 import (
@@ -21,12 +21,12 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// JobService is what the gateway needs of the daemon.
+// JobService is the part of the daemon that the gateway uses.
 type JobService interface {
 	// Catalog returns the configuration in force, nil before the first one.
 	Catalog() *job.Catalog
-	// ConfigConfirmed reports whether keys may be checked against that configuration: it is recent
-	// enough, or the settings do not require that.
+	// ConfigConfirmed reports whether keys may be checked against that configuration: it was
+	// known to be the newest recently enough, or the settings do not require that.
 	ConfigConfirmed() bool
 	// Accept stores a job.
 	Accept(ctx context.Context, j *job.Job) error
@@ -51,20 +51,21 @@
 
 // Timeouts and limits of requests.
 const (
-	// defaultDeadline is for requests without a deadlineHeader.
+	// defaultDeadline applies to requests without a deadlineHeader.
 	defaultDeadline = 3 * time.Second
-	// responseMargin is the part of a caller's deadline that is kept for sending the response.
+	// responseMargin is the part of a caller's deadline that is reserved for sending the response.
 	responseMargin = 250 * time.Millisecond
-	// minHandlerTimeout is the minimum for requests with a short deadline.
+	// minHandlerTimeout is the minimum time for handling a request with a short deadline.
 	minHandlerTimeout = 50 * time.Millisecond
-	// defaultRetryAfter is the time in which another daemon takes over, or the store recovers from
-	// a short outage.
+	// defaultRetryAfter is the usual time until another daemon has taken over, or the store has
+	// recovered from a short outage.
 	defaultRetryAfter = 1 * time.Second
 	// defaultBodyLimit is the maximum body size in bytes if the configuration sets none.
 	defaultBodyLimit = 256 << 10
 )
 
-// deadlineHeader holds how many milliseconds the caller waits for the response.
+// deadlineHeader is the request header with the time that the caller waits for the response, in
+// milliseconds.
 const deadlineHeader = "Deadline-Ms"
 
 // Gateway is the http.Handler of callers' requests.
@@ -82,7 +83,7 @@
 	return &Gateway{jobs: jobs, readKey: key, decode: decode, observe: observe, log: log}
 }
 
-// DisableKeepAlives makes every further response close its connection.
+// DisableKeepAlives makes every further response close its connection, before a planned stop.
 func (g *Gateway) DisableKeepAlives() { g.keepAlivesDisabled.Store(true) }
 
 // reply is a response to a caller.
@@ -93,8 +94,8 @@
 	retryAfter time.Duration // 0: no Retry-After header
 }
 
-// OverloadedError means that a job was refused because it would be late. After RetryAfter it could
-// be in time.
+// OverloadedError means that a job was refused because it would be late by RetryAfter. If it is
+// submitted again after that time, it could be in time.
 type OverloadedError struct{ RetryAfter time.Duration }
 
 // Error implements error.
@@ -173,7 +174,7 @@
 
 // authenticate returns the tenant whose key the request carries, "" for a public queue, or else the
 // response that refuses the request. It is called after the queue was found: which paths exist is
-// not secret, and an unknown path protects nothing.
+// not secret, and an unknown path has nothing to protect.
 func (g *Gateway) authenticate(r *http.Request, catalog *job.Catalog, queue *job.Queue) (tenant string, refused *reply) {
 	if queue.Public {
 		return "", nil
@@ -299,11 +300,11 @@
 	}
 	raw, err := json.Marshal(body)
 	if err != nil {
-		g.log.Error("answer-not-encoded", zap.Error(err))
+		g.log.Error("response-encode-failed", zap.Error(err))
 	}
 	h.Set("Content-Length", strconv.Itoa(len(raw)))
 	w.WriteHeader(rep.status)
 	if _, err := w.Write(raw); err != nil && !errors.Is(err, http.ErrHandlerTimeout) {
-		g.log.Debug("answer-not-delivered", zap.Error(err))
+		g.log.Debug("response-write-failed", zap.Error(err))
 	}
 }
--- a/jobs/gateway/gateway_test.go
+++ b/jobs/gateway/gateway_test.go
@@ -91,7 +91,7 @@
 		name, method, host, path, body string
 		jobs                           *fakeJobs
 		status                         int
-		answer                         string
+		response                       string
 	}{
 		{"accepted", "POST", "h.example", "/a/" + id, "good", known, 200, `{}`},
 		{"with a port", "POST", "h.example:80", "/a/" + id, "good", known, 200, `{}`},
@@ -117,7 +117,7 @@
 		w := httptest.NewRecorder()
 		g.ServeHTTP(w, r)
 		assert.Equal(t, c.status, w.Code, c.name)
-		assert.Contains(t, w.Body.String(), c.answer, c.name)
+		assert.Contains(t, w.Body.String(), c.response, c.name)
 		retry := w.Header().Get("Retry-After")
 		assert.Equal(t, c.status >= 503, retry != "", c.name)
 	}
