--- a/jobs/explain/entries.go
+++ b/jobs/explain/entries.go
@@ -36,7 +36,7 @@
 			e.refusedBy[l.Source] = true
 		case "entry-accepted":
 			delete(stateOf(states, l.Get("key")).refusedBy, l.Source)
-		case "start": // a new process has refused no entry yet
+		case "start": // a new process, which has not refused any entry yet
 			for _, e := range states {
 				delete(e.refusedBy, l.Source)
 			}
@@ -56,6 +56,7 @@
 	return out
 }
 
+// stateOf returns the state of an entry, which it creates if it is missing.
 func stateOf(states map[string]*entryState, key string) *entryState {
 	if states[key] == nil {
 		states[key] = &entryState{RefusedEntry: RefusedEntry{Key: key}, refusedBy: map[string]bool{}}
--- a/jobs/explain/explain.go
+++ b/jobs/explain/explain.go
@@ -1,5 +1,5 @@
 // Package explain merges the log lines of all daemons about a job into a timeline and reports
-// what is missing from it or contradictory.
+// what is missing or contradictory in it.
 package explain
 
 import (
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// Line is one log line.
+// Line is one line of a daemon's log.
 type Line struct {
 	Source string // log file
 	Time   time.Time
@@ -99,14 +99,15 @@
 	Findings []string
 }
 
-// contextEvents are daemons' events without a job that may explain delays.
+// contextEvents are events of daemons that concern no single job but may explain its delays.
 var contextEvents = map[string]bool{
 	"owner": true, "no-longer-owner": true, "deposed": true, "jobs-loaded": true, "start": true, "stop": true,
 	"history-gone": true, "lease-ended": true, "fenced": true, "registrations-back": true,
 	"registrations-caught-up": true, "zone-evacuated": true, "zone-restored": true,
 }
 
-// Explain returns the timeline of a job, with the context events that occurred meanwhile.
+// Explain returns the timeline of a job, including the context events between its first and its
+// last line.
 func Explain(id string, lines []Line) Timeline {
 	t := Timeline{Job: id}
 	var first, last time.Time
@@ -138,21 +139,21 @@
 
 // findings returns what is notable, missing or contradictory in the lines of a job.
 func findings(lines []Line, id string) []string {
-	at := map[string]Line{}
-	n := map[string]int{}
+	first := map[string]Line{} // by event
+	n := map[string]int{}      // number of lines by event
 	for _, l := range lines {
 		if l.Job != id && l.Job != "" {
 			continue
 		}
 		if n[l.Event] == 0 {
-			at[l.Event] = l
+			first[l.Event] = l
 		}
 		n[l.Event]++
 	}
 	var out []string
 	add := func(format string, args ...any) { out = append(out, fmt.Sprintf(format, args...)) }
 	if n["request-refused"] > 0 {
-		add("refused %d times, first with status %s: %s", n["request-refused"], at["request-refused"].Get("status"), at["request-refused"].Get("why"))
+		add("refused %d times, first with status %s: %s", n["request-refused"], first["request-refused"].Get("status"), first["request-refused"].Get("why"))
 	}
 	if n["job-accepted"] > 0 && n["job-known"] == 0 && n["jobs-loaded"] == 0 {
 		add("accepted, but not seen by any owner")
@@ -161,25 +162,25 @@
 		add("seen by the owner, but no task was started")
 	}
 	if n["job-waits"] > 0 {
-		add("waited: %s", at["job-waits"].Get("why"))
+		add("waited: %s", first["job-waits"].Get("why"))
 	}
 	if n["task-failed"] > 0 {
-		add("%d attempts failed, the first on worker %s", n["task-failed"], at["task-failed"].Get("worker"))
+		add("%d attempts failed, the first on worker %s", n["task-failed"], first["task-failed"].Get("worker"))
 	}
 	if n["start-unanswered"] > 0 {
-		add("%d starts went unanswered, the first to worker %s", n["start-unanswered"], at["start-unanswered"].Get("worker"))
+		add("%d starts went unanswered, the first to worker %s", n["start-unanswered"], first["start-unanswered"].Get("worker"))
 	}
 	if ended := n["run-vanished"] + n["task-lapsed"] + n["run-lost"]; ended > 0 {
 		add("%d runs ended without a result", ended)
 	}
 	if n["task-crashed-with-worker"] > 0 {
-		add("%d worker crashes while running one of its tasks, the first on worker %s", n["task-crashed-with-worker"], at["task-crashed-with-worker"].Get("worker"))
+		add("%d worker crashes while running one of its tasks, the first on worker %s", n["task-crashed-with-worker"], first["task-crashed-with-worker"].Get("worker"))
 	}
 	if n["task-given-up"] > 0 {
-		add("task %s crashes its workers and is not started any more: %s", at["task-given-up"].Get("task"), at["task-given-up"].Get("why"))
+		add("task %s crashes its workers and is not started any more: %s", first["task-given-up"].Get("task"), first["task-given-up"].Get("why"))
 	}
 	if n["zone-evacuated"] > 0 {
-		add("zone %s was evacuated meanwhile: no tasks were started there", at["zone-evacuated"].Get("why"))
+		add("zone %s was evacuated meanwhile: no tasks were started there", first["zone-evacuated"].Get("why"))
 	}
 	if n["owner"] > 0 {
 		add("the owner changed %d times meanwhile", n["owner"])
