--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -30,7 +30,7 @@
 	if known, err := ledger.JobExists(ctx, n.store, j.ID); err != nil || known {
 		return nil // accepted before, or unknown: Accept decides
 	}
-	n.log.Info("job-not-admitted", zap.String("job", string(j.ID)), zap.String("queue", j.Queue), zap.Duration("late-by", late))
+	n.log.Info("job-admission-refused", zap.String("job", string(j.ID)), zap.String("queue", j.Queue), zap.Duration("late-by", late))
 	return verdict.Wrap(&gateway.OverloadedError{RetryAfter: late}, verdict.NotRun, codeOverloaded, "job %s refused", j.ID)
 }
 
@@ -50,7 +50,7 @@
 	withoutPayload.Payload = "" // most of a job's size, and not needed here
 	r, err := n.peers.Admit(ctx, lock.Addr, &withoutPayload)
 	if err != nil {
-		n.log.Info("owner-not-asked", zap.String("job", string(j.ID)), zap.Error(err))
+		n.log.Info("admission-query-failed", zap.String("job", string(j.ID)), zap.Error(err))
 		return 0
 	}
 	if !r.Owner || r.LateBy == 0 {
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -59,7 +59,7 @@
 	key := ledger.PrefixMembers + n.settings.Node
 	_, err := n.store.Commit(ctx, ledger.Txn{Puts: []ledger.Put{{Key: key, Value: ledger.EncodeMember(n.memberEntry()), Lease: id}}})
 	if err != nil {
-		n.log.Warn("member-entry-not-written", zap.Error(err))
+		n.log.Warn("member-entry-write-failed", zap.Error(err))
 	}
 }
 
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -315,7 +315,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), peerTimeout)
 	defer cancel()
 	if err := call(ctx, lock.Addr); err != nil {
-		n.log.Info("owner-not-told", zap.String("job", string(id)), zap.Error(err))
+		n.log.Info("owner-notification-failed", zap.String("job", string(id)), zap.Error(err))
 	}
 }
 
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -64,11 +64,11 @@
 	if n.lock.Load() != l {
 		return
 	}
-	n.log.Info("owner-gone", zap.String("node", l.Node), zap.Uint64("term", l.Term))
+	n.log.Info("owner-process-ended", zap.String("node", l.Node), zap.Uint64("term", l.Term))
 	endCtx, end := context.WithTimeout(ctx, storeTimeout)
 	defer end()
 	if err := n.store.EndLease(endCtx, l.Lease); err != nil {
-		n.log.Warn("owners-lease-not-ended", zap.Error(err))
+		n.log.Warn("owner-lease-revoke-failed", zap.Error(err))
 		return
 	}
 	sleep.For(ctx, storeTimeout) // until the watch of the lock reports it
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -29,10 +29,10 @@
 	n.HandOver()
 	time.Sleep(min(balancerReactionTime, n.settings.StopGrace/2))
 	if err := shutdown(callers, time.Until(end)-answerReserve); err != nil {
-		n.log.Warn("callers-cut-off", zap.Error(err))
+		n.log.Warn("requests-cancelled", zap.Error(err))
 		cancelRequests()
 		if err := shutdown(callers, answerReserve); err != nil {
-			n.log.Warn("callers-unanswered", zap.Error(err))
+			n.log.Warn("requests-unanswered", zap.Error(err))
 		}
 	}
 	n.revokeLease()
@@ -56,7 +56,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), revokeLeaseTimeout)
 	defer cancel()
 	if err := n.store.EndLease(ctx, id); err != nil {
-		n.log.Warn("lease-not-ended", zap.Error(err))
+		n.log.Warn("lease-revoke-failed", zap.Error(err))
 		return
 	}
 	n.lease.Store(0)
--- a/jobs/node/termcommit.go
+++ b/jobs/node/termcommit.go
@@ -74,7 +74,7 @@
 		return
 	}
 	if err != nil {
-		t.n.log.Warn("progress-not-written", zap.Error(err))
+		t.n.log.Warn("progress-write-failed", zap.Error(err))
 		sleep.For(t.ctx, retryPause)
 	}
 	t.enqueue(func(c *owner.Core, now time.Time) {
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -65,9 +65,9 @@
 	began := n.clock.Now()
 	snap, err := ledger.Load(ctx, n.store)
 	if err != nil {
-		n.log.Error("jobs-not-loaded", zap.Error(err))
+		n.log.Error("job-load-failed", zap.Error(err))
 		if err := term.Release(ctx, nil, nil, term.PriorOrders); err != nil {
-			n.log.Warn("lock-not-released", zap.Error(err))
+			n.log.Warn("lock-release-failed", zap.Error(err))
 		}
 		return
 	}
@@ -298,7 +298,7 @@
 	ctx, cancel := context.WithTimeout(t.ctx, timeout)
 	defer cancel()
 	if err := t.term.Release(ctx, puts, deletes, t.orders.recent(now)); err != nil {
-		t.n.log.Warn("lock-not-released", zap.Error(err))
+		t.n.log.Warn("lock-release-failed", zap.Error(err))
 		return false
 	}
 	t.n.onLockReleased(t.term.Number)
