--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -17,8 +17,8 @@
 
 // checkAdmission returns an error if the owner expects the job to be late: its caller can retry
 // later, and the owner works on jobs that can be in time. The owner is asked only while it is
-// backlogged. A job that is already in the store is accepted again, as callers repeat requests
-// that got no answer.
+// backlogged. A job that is already in the store is not refused, as callers repeat requests that
+// got no answer.
 func (n *Node) checkAdmission(ctx context.Context, j *job.Job) error {
 	if !n.ownerBacklogged.Load() {
 		return nil
@@ -54,7 +54,7 @@
 		return 0
 	}
 	if !r.Owner || r.LateBy == 0 {
-		n.ownerBacklogged.Store(false) // set again by the reply to the next submission if need be
+		n.ownerBacklogged.Store(false) // the reply to the next submission sets it again if necessary
 	}
 	return r.LateBy
 }
--- a/jobs/node/calllimiter_test.go
+++ b/jobs/node/calllimiter_test.go
@@ -21,16 +21,16 @@
 	sent []time.Time
 }
 
-func (s *hangingWorkers) Start(ctx context.Context, _ owner.Start) owner.Answer {
-	s.mu.Lock()
-	s.sent = append(s.sent, time.Now())
-	s.mu.Unlock()
+func (w *hangingWorkers) Start(ctx context.Context, _ owner.Start) owner.Answer {
+	w.mu.Lock()
+	w.sent = append(w.sent, time.Now())
+	w.mu.Unlock()
 	<-ctx.Done()
 	return owner.Answer{Outcome: owner.Unanswered, Err: ctx.Err()}
 }
 
 // TestStaleStartIsNotSent: a start that waits for its slot for more than maxStartAge is not sent,
-// as its decision may be outdated, and the core is told so.
+// as its decision may be outdated, and the core gets the outcome NotSent.
 func TestStaleStartIsNotSent(t *testing.T) {
 	const starts = 400
 	synctest.Test(t, func(t *testing.T) {
--- a/jobs/node/evacuations.go
+++ b/jobs/node/evacuations.go
@@ -61,6 +61,7 @@
 	return changed
 }
 
+// list returns the evacuated zones, sorted.
 func (e *evacuations) list() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -79,8 +80,8 @@
 	}
 }
 
-// onEvacuationsChanged logs the evacuated zones and passes them to the scheduler if this daemon
-// is the owner.
+// onEvacuationsChanged logs the evacuated zones and, if this daemon is the owner, passes them to
+// the scheduler.
 func (n *Node) onEvacuationsChanged() {
 	zones := n.evacuations.list()
 	n.metrics.evacuatedZones(len(zones))
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -14,28 +14,28 @@
 const maxOrderDelay = storeTimeout + instanceOrderTimeout
 
 // instanceOrders holds orders for instances until a transaction has recorded that they are
-// about to be sent, and keeps which instances had recent orders. The next owner reads these
-// from the store, and may send orders for all other instances at once.
+// about to be sent, and tracks which instances had recent orders. The next owner reads the recent
+// orders from the store, and may send orders for all other instances at once.
 type instanceOrders struct {
-	self      string
+	self      string // name of this daemon
 	pending   []owner.InstanceOrder
 	latest    map[owner.InstanceID]arrival // of the last order for each instance
-	retention time.Duration
+	retention time.Duration                // how long an order counts as recent
 }
 
 // arrival is the latest time at which an order may have reached the platform, and its sender.
 type arrival struct {
 	at       time.Time
-	holder   string
-	previous *arrival // of the order before, until this order is known to be sent
+	holder   string   // daemon that sent the order
+	previous *arrival // of the previous order, until this order is known to be sent
 }
 
 // newInstanceOrders returns instanceOrders with the recent orders of the previous owner. Each is
-// kept for the time of a duty hand-over.
-func newInstanceOrders(self string, handover time.Duration, before []owner.RecentOrder, electedAt time.Time) instanceOrders {
+// kept for handover, the minimum time between orders of two holders of the duty, plus a margin.
+func newInstanceOrders(self string, handover time.Duration, prior []owner.RecentOrder, electedAt time.Time) instanceOrders {
 	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyHandoverMargin}
-	for _, b := range before {
-		o.latest[b.Instance] = arrival{at: electedAt.Add(-b.Age), holder: b.Holder}
+	for _, p := range prior {
+		o.latest[p.Instance] = arrival{at: electedAt.Add(-p.Age), holder: p.Holder}
 	}
 	return o
 }
@@ -50,17 +50,16 @@
 	o.pending = nil
 	for _, m := range out {
 		a := arrival{at: now.Add(maxOrderDelay), holder: o.self}
-		if before, ok := o.latest[m.Instance]; ok {
-			before.previous = nil
-			a.previous = &before
+		if previous, ok := o.latest[m.Instance]; ok {
+			previous.previous = nil
+			a.previous = &previous
 		}
 		o.latest[m.Instance] = a
 	}
 	return out
 }
 
-// resolve records the outcome of an order: it has reached the platform by now, or it was never
-// sent.
+// resolve records the outcome of an order: it has reached the platform by now, or it was not sent.
 func (o *instanceOrders) resolve(id owner.InstanceID, sent bool, now time.Time) {
 	a := o.latest[id]
 	switch {
--- a/jobs/node/instanceorders_test.go
+++ b/jobs/node/instanceorders_test.go
@@ -9,8 +9,8 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestRecentOrdersAreRetained: orders count as recent until they can no longer matter to the next
-// owner.
+// TestRecentOrdersAreRetained: an order that was or may have been sent counts as recent until the
+// retention after its latest arrival has passed.
 func TestRecentOrdersAreRetained(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	o := newInstanceOrders("d", 3*time.Second, []owner.RecentOrder{{Instance: "old", Holder: "e", Age: time.Second}}, now)
--- a/jobs/node/loops.go
+++ b/jobs/node/loops.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// endTermUnder ends the term whose lock is attached to an expired lease. The store has
-// removed the lock with the lease, even if the watch has not reported that yet.
+// endTermUnder ends the term whose lock is attached to the expired lease, if there is one. The
+// store has removed the lock with the lease, even if the watch has not reported that yet.
 func (n *Node) endTermUnder(id ledger.LeaseID) {
 	if t := n.term.Load(); t != nil && t.lease == id {
 		t.depose("the lease of its lock has expired")
@@ -129,18 +129,18 @@
 	if t == nil || !n.hasPeerWithMoreCPU(electionCPUFactor) {
 		return
 	}
-	why := ""
+	reason := ""
 	switch {
 	case t.idle.Load():
-		why = "no job is open"
+		reason = "no job is open"
 	case t.cpuStarved.Load():
-		why = "the owner is short of CPU"
+		reason = "the owner is short of CPU"
 	case n.hasPeerWithMoreCPU(yieldCPUFactor):
-		why = "the owner has far too little CPU"
+		reason = "the owner has far too little CPU"
 	default:
 		return
 	}
-	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", why+", and another daemon has more CPU"))
+	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.String("why", reason+", and another daemon has more CPU"))
 	if !t.handOver() && !t.idle.Load() && !n.store.Unavailable() {
 		n.revokeLease() // the store removes the lock with it
 	}
@@ -157,7 +157,7 @@
 	go t.handOver()
 }
 
-// prefixWatch holds the callbacks of a watch of all keys with a prefix.
+// prefixWatch describes a watch of all keys with a prefix.
 type prefixWatch struct {
 	prefix      string
 	minInterval time.Duration      // minimum time between two watch calls that return all changes
@@ -191,6 +191,8 @@
 	}
 }
 
+// listPrefix reads all keys with a prefix, and returns the revision from which a watch misses no
+// change.
 func (n *Node) listPrefix(ctx context.Context, prefix string) ([]ledger.Item, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, 2*storeTimeout)
 	defer cancel()
@@ -216,7 +218,7 @@
 		}
 		callIfSet(w.synced)
 		revision = max(revision, ch.Revision)
-		current := ch.Revision >= known // otherwise the reply was truncated, and more changes are ready
+		current := ch.Revision >= known // otherwise the reply was truncated, and more changes are available
 		if current && len(ch.Events) > 0 && w.minInterval > 0 {
 			sleep.For(ctx, w.minInterval)
 		}
@@ -266,6 +268,7 @@
 	}
 }
 
+// addWave adds a maintenance wave that operators have requested.
 func (n *Node) addWave(i ledger.Item) {
 	w, err := n.platform.Formats.DecodeWave(i.Value)
 	if err != nil {
@@ -281,7 +284,7 @@
 	}
 }
 
-// runElections watches who the owner is, and tries to become the owner when there is none.
+// runElections watches who the owner is, and tries to become the owner while there is none.
 func (n *Node) runElections(ctx context.Context) {
 	var watches sync.WaitGroup
 	defer watches.Wait()
@@ -354,12 +357,12 @@
 // onLockReleased records that this daemon has released its lock, before the watch reports it,
 // so that a daemon with more CPU can be elected first.
 func (n *Node) onLockReleased(term uint64) {
-	own := n.lock.Load()
-	if own == nil || own.Node != n.settings.Node || own.Term != term {
+	l := n.lock.Load()
+	if l == nil || l.Node != n.settings.Node || l.Term != term {
 		return // the watch has reported a change already
 	}
 	n.lockGoneAt.Store(n.uptimeNanos())
-	n.lock.CompareAndSwap(own, nil)
+	n.lock.CompareAndSwap(l, nil)
 }
 
 // tryBecomeOwner tries to become the owner if there is none, and runs the term if it succeeds.
--- a/jobs/node/metrics.go
+++ b/jobs/node/metrics.go
@@ -55,8 +55,8 @@
 // evacuatedZones sets the number of evacuated zones that this daemon knows of.
 func (m *Metrics) evacuatedZones(n int) { m.scope.Gauge("evacuated_zones").Update(float64(n)) }
 
-// slowdown sets by which factor the instance is slower than usual.
-func (m *Metrics) slowdown(by float64) { m.scope.Gauge("instance_slower_by").Update(by) }
+// slowdown sets how many times slower than usual the instance is.
+func (m *Metrics) slowdown(factor float64) { m.scope.Gauge("instance_slower_by").Update(factor) }
 
 // storeCall counts a direct call to the store, including those that are made for a peer.
 func (m *Metrics) storeCall(c ledger.StoreCall) {
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -62,7 +62,7 @@
 	Suspended() time.Duration
 }
 
-// Platform holds the external dependencies of a daemon.
+// Platform holds the external services that a daemon uses.
 type Platform struct {
 	Clock    Clock
 	CPUProbe func() time.Duration // returns how long a fixed amount of CPU work takes
@@ -91,9 +91,9 @@
 	term              atomic.Pointer[termRun]     // nil: this daemon is not the owner
 	members           atomic.Pointer[[]ledger.Member]
 	rng               *lockedRand
-	ownerBacklogged   atomic.Bool            // the owner's last reply to Submitted said so
+	ownerBacklogged   atomic.Bool            // according to the owner's last reply to Submitted
 	lastRelay         atomic.Pointer[string] // address of the relay in use
-	failedRelays      sync.Map               // peer address to the time.Time until which it is not used as a relay
+	failedRelays      sync.Map               // peer address -> time.Time until which it is not used as a relay
 	lease             atomic.Int64           // ledger.LeaseID; 0: none
 	leaseRenewedAt    atomic.Int64           // start of the last successful renewal, as uptimeNanos
 	electionWake      chan struct{}          // wakes runElections
@@ -245,8 +245,8 @@
 	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < storeLease-leaseSafetyMargin
 }
 
-// mayOrderInstances reports whether orders for instances may be sent: the lease was renewed
-// so recently that a new owner, elected after the lease was revoked, does not send any yet.
+// mayOrderInstances reports whether orders for instances may be sent: the lease was renewed so
+// recently that a new owner, even one elected after the lease was revoked, sends none yet.
 func (n *Node) mayOrderInstances() bool {
 	return n.lease.Load() != 0 && time.Duration(n.uptimeNanos()-n.leaseRenewedAt.Load()) < owner.MaxDutyLeaseAge
 }
@@ -256,16 +256,16 @@
 	return ledger.Member{Node: n.settings.Node, Addr: n.settings.peerAddr(), Cores: n.currentCores()}
 }
 
-// hasPeerWithMoreCPU reports whether another live daemon has more than times the cores that
-// this one gets at present. Scheduling, the owner's work, needs the most CPU.
-func (n *Node) hasPeerWithMoreCPU(times float64) bool {
+// hasPeerWithMoreCPU reports whether another live daemon has more than factor times the cores
+// that this one gets at present. Scheduling, the owner's work, needs the most CPU.
+func (n *Node) hasPeerWithMoreCPU(factor float64) bool {
 	list := n.members.Load()
 	if list == nil {
 		return false
 	}
 	own := n.currentCores()
 	return slices.ContainsFunc(*list, func(m ledger.Member) bool {
-		return m.Node != n.settings.Node && m.Cores > times*own
+		return m.Node != n.settings.Node && m.Cores > factor*own
 	})
 }
 
@@ -305,8 +305,8 @@
 	return true, nil
 }
 
-// notifyOwner tells the owner of a change in the store before its watch delivers it. If the
-// call fails the watch does so.
+// notifyOwner tells the owner of a change in the store before the owner's watch delivers it. If
+// the call fails, the owner learns of the change from its watch.
 func (n *Node) notifyOwner(id job.ID, call func(ctx context.Context, addr string) error) {
 	lock := n.lock.Load()
 	if lock == nil {
@@ -319,8 +319,8 @@
 	}
 }
 
-// State implements gateway.JobService. It asks the owner, and reads the store if there is no
-// owner or the owner does not know the job.
+// State implements gateway.JobService. It asks the owner, and reads the store if the owner does
+// not reply or does not know the job.
 func (n *Node) State(ctx context.Context, id job.ID) (job.State, string, bool, error) {
 	if r, err := n.askOwnerState(ctx, id); err == nil && r.Owner && r.Known {
 		return r.State, r.Tenant, true, nil
@@ -328,6 +328,8 @@
 	return ledger.StateOf(ctx, n.store, id)
 }
 
+// askOwnerState asks the owner, which may be this daemon, for the state of a job. The reply is
+// empty if there is no owner.
 func (n *Node) askOwnerState(ctx context.Context, id job.ID) (peer.StateReply, error) {
 	if n.term.Load() != nil {
 		return n.localState(id), nil
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -12,15 +12,15 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// Limits of the watch of the owner's process.
+// Parameters of the watch of the owner's process.
 const (
-	// lockCheckInterval is how often the watch checks whether the owner has changed; the
-	// watch of the lock reports a change within that time.
+	// lockCheckInterval is how often the watch of the process checks whether the owner has changed;
+	// the watch of the lock reports a change within that time.
 	lockCheckInterval = 100 * time.Millisecond
 	// requiredConfirmations is how many other daemons must also find that no process listens at
-	// the owner's address; one is enough if no more can be asked. A partition that refuses
-	// connections looks the same to one daemon, but daemons picked at random are hardly all on
-	// the same side of it. Up to maxPeersAsked are asked, as some may have ended as well.
+	// the owner's address; one is enough if no more of them answer. A partition that refuses
+	// connections looks the same to one daemon, but daemons chosen at random are unlikely to be
+	// all on the same side of it. Up to maxPeersAsked are asked, as some may have ended as well.
 	requiredConfirmations = 2
 	maxPeersAsked         = 5
 	// maxRevokeJitter spreads out daemons that detect the owner's end at the same moment, so that
@@ -30,8 +30,8 @@
 
 // watchOwnerProcess revokes the lease of an owner whose process has ended. The store removes the
 // lock with it, and the next owner is elected within milliseconds instead of after the lease's
-// two seconds. If the owner is alive after all, it loses its lock as if the store had revoked the
-// lease, which is safe at any time.
+// two seconds. If the owner is alive after all, it loses its lock as if the lease had expired,
+// which is safe at any time.
 func (n *Node) watchOwnerProcess(ctx context.Context) {
 	for ctx.Err() == nil {
 		l := n.lock.Load()
@@ -57,7 +57,7 @@
 		return
 	}
 	if !n.mayReplace(l.Node) || !n.ownerGone(ctx, l) {
-		sleep.For(ctx, lockCheckInterval) // the connection was reset, or cannot be opened
+		sleep.For(ctx, lockCheckInterval) // just the connection has ended, or could not be opened
 		return
 	}
 	sleep.For(ctx, n.rng.durationBelow(maxRevokeJitter))
@@ -71,7 +71,7 @@
 		n.log.Warn("owner-lease-revoke-failed", zap.Error(err))
 		return
 	}
-	sleep.For(ctx, storeTimeout) // until the watch of the lock reports it
+	sleep.For(ctx, storeTimeout) // the watch of the lock reports the change meanwhile
 }
 
 // ownerGone reports whether no process listens at the owner's address, according to this daemon
@@ -104,9 +104,9 @@
 	return confirmed > 0 || len(others) == 0
 }
 
-// mayReplace reports whether this daemon has about as much CPU as the named one. If many
+// mayReplace reports whether this daemon has about as much CPU as the named one, or more. If many
 // processes are killed at once, those with much CPU are back within a second, before the lease
-// expires; a daemon with little CPU that takes over at once could not do the owner's work.
+// expires; a daemon with little CPU that took over at once could not keep up with the owner's work.
 func (n *Node) mayReplace(node string) bool {
 	list := n.members.Load()
 	if list == nil {
--- a/jobs/node/peerhandler.go
+++ b/jobs/node/peerhandler.go
@@ -62,8 +62,8 @@
 	return h.n.peers.CheckPresence(ctx, addr)
 }
 
-// localState returns the state of a job from this daemon's term. Owner is false in the reply if
-// this daemon is not the owner.
+// localState returns the state of a job if this daemon is the owner. Otherwise Owner is false in
+// the reply.
 func (n *Node) localState(id job.ID) peer.StateReply {
 	t := n.term.Load()
 	if t == nil {
--- a/jobs/node/rand.go
+++ b/jobs/node/rand.go
@@ -9,8 +9,8 @@
 	"github.com/postmount/postmount/jobs/ledger"
 )
 
-// lockedRand is a random generator for concurrent use. It is seeded with the daemon's name, so
-// that daemons differ and each draws the same in every run of a test.
+// lockedRand is a random number generator for concurrent use. It is seeded with the daemon's name,
+// so that daemons differ and each gets the same numbers in every run of a test.
 type lockedRand struct {
 	mu  sync.Mutex
 	rnd *rand.Rand
@@ -23,39 +23,39 @@
 }
 
 // durationBelow returns a random duration in [0, limit).
-func (c *lockedRand) durationBelow(limit time.Duration) time.Duration {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return time.Duration(c.rnd.Int64N(int64(limit)))
+func (r *lockedRand) durationBelow(limit time.Duration) time.Duration {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return time.Duration(r.rnd.Int64N(int64(limit)))
 }
 
 // shuffle puts addresses in random order.
-func (c *lockedRand) shuffle(list []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.rnd.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
+func (r *lockedRand) shuffle(list []string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.rnd.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 }
 
 // minCores is the CPU assumed for a daemon that reports less, or none.
 const minCores = 0.05
 
-// relayWeight estimates a daemon's capacity as a relay. Link bandwidth grows faster than CPU,
-// so the weight is the square of the cores: in the users' specification sheets 0.8 cores
-// come with 200 Mbit/s, 0.19 cores with 10 Mbit/s.
+// relayWeight estimates a daemon's capacity as a relay. Its bandwidth grows faster than its CPU, so
+// the weight is the square of its cores: in the users' specification sheets a daemon with 0.8 cores
+// has 200 Mbit/s, one with 0.19 cores 10 Mbit/s.
 func relayWeight(m ledger.Member) float64 {
 	cores := max(minCores, m.Cores)
 	return cores * cores
 }
 
 // pickWeighted returns a random daemon with a probability proportional to its relayWeight.
-func (c *lockedRand) pickWeighted(list []ledger.Member) ledger.Member {
+func (r *lockedRand) pickWeighted(list []ledger.Member) ledger.Member {
 	sum := 0.0
 	for _, m := range list {
 		sum += relayWeight(m)
 	}
-	c.mu.Lock()
-	point := c.rnd.Float64() * sum
-	c.mu.Unlock()
+	r.mu.Lock()
+	point := r.rnd.Float64() * sum
+	r.mu.Unlock()
 	for _, m := range list {
 		if point -= relayWeight(m); point < 0 {
 			return m
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -17,20 +17,20 @@
 // Intervals of the watch of the workers' registrations.
 const (
 	// registrationsWait is how long a watch waits for changes. Its reply confirms that the owner's
-	// registrations are current, so that an outage of the store shows within half a second more.
+	// registrations are current, so an outage of the store is noticed within half a second more.
 	registrationsWait = time.Second
 	// registrationsInterval is the minimum time between two watch calls that return all changes:
 	// a fifth of the time in which starts to a draining worker must stop. Each worker's heartbeat
 	// is a change. expectingInterval applies while instances are moving to a pool: a read costs as
-	// much as an instance in a thirtieth of a second.
+	// much as an instance does in a thirtieth of a second.
 	registrationsInterval = 400 * time.Millisecond
 	expectingInterval     = 100 * time.Millisecond
 )
 
 // watchRegistrations passes the workers' entries to the core, and tells it whenever the store has
-// confirmed that these are current. The whole list is read only when a term begins and when the
-// store has compacted changes that were not read: for 132 workers it has 49 KB, which take a
-// 2 Mbit/s link a fifth of a second.
+// confirmed that they are current. The whole list is read only when a term begins and when the
+// store has compacted changes that were not read: for 132 workers it has 49 KB, which take 0.2 s
+// on a 2 Mbit/s link.
 func (t *termRun) watchRegistrations() {
 	prefix := t.n.platform.Formats.WorkerPrefix
 	for t.ctx.Err() == nil {
@@ -90,9 +90,9 @@
 	return changes >= minTruncatedChanges && 4*changes >= 3*r.maxChanges
 }
 
-// decodeRegistrations returns each worker's registration after the last of its events. Workers
-// whose entry is invalid are returned as gone. That does not prove that a worker has ended, so
-// its tasks continue.
+// decodeRegistrations returns the registration of each worker after the last of its events, and the
+// workers whose entry was deleted or is invalid. An invalid entry does not prove that a worker has
+// ended, so its tasks continue.
 func (t *termRun) decodeRegistrations(events []ledger.Event) (changed []owner.Registration, gone []owner.WorkerID) {
 	newest := map[string]ledger.Event{}
 	for _, e := range events {
@@ -118,6 +118,7 @@
 	return changed, gone
 }
 
+// decodeRegistration decodes and validates the registration of the named worker.
 func (t *termRun) decodeRegistration(name owner.WorkerID, i ledger.Item) (owner.Registration, error) {
 	r, err := t.n.platform.Formats.DecodeWorker(i.Key, i.Value)
 	switch {
@@ -130,6 +131,7 @@
 	return r, err
 }
 
+// registrationsPause returns the minimum time until the next watch call.
 func (t *termRun) registrationsPause() time.Duration {
 	if t.expectingWorkers.Load() {
 		return expectingInterval
--- a/jobs/node/relays.go
+++ b/jobs/node/relays.go
@@ -7,11 +7,10 @@
 	"github.com/postmount/postmount/jobs/peer"
 )
 
-// Relay implements ledger.Relays. It returns the relay in use, or else a random daemon except
-// those that failed as a relay within failedRelayPause. A disruption often partitions a third of
-// the daemons, so a relay that works is kept; and the daemons must not all choose the same one,
-// whose link would carry all their watches. Daemons with more CPU, which have more bandwidth, are
-// chosen more often.
+// Relay implements ledger.Relays. It returns the relay in use, or else a random daemon that has not
+// failed as a relay within failedRelayPause. A disruption often partitions a third of the daemons,
+// so a relay that works is kept. The choice is random as one daemon's link could not carry the
+// watches of all others. Daemons with more CPU, which have more bandwidth, are chosen more often.
 func (n *Node) Relay() ledger.Store {
 	list := n.members.Load()
 	if list == nil {
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -81,11 +81,11 @@
 	renewInterval = 500 * time.Millisecond
 	// leaseSafetyMargin is the minimum remaining time of a lease that counts as held.
 	leaseSafetyMargin = 700 * time.Millisecond
-	// storeTimeout is for store calls that can be repeated. The store answers in 4 ms, in its
-	// slow hours in 300 ms.
+	// storeTimeout bounds store calls that can be repeated. The store answers in 4 ms, and in
+	// 300 ms while it is slow.
 	storeTimeout = 900 * time.Millisecond
-	// renewTimeout is for one renewal of the lease. A third attempt is answered before the lease
-	// expires. The store takes 300 ms in its slow hours.
+	// renewTimeout bounds one renewal of the lease, so that a third attempt is answered before the
+	// lease expires. The store takes 300 ms while it is slow.
 	renewTimeout = 600 * time.Millisecond
 	// failedRelayPause is how long a peer is not used as a relay to the store after it failed:
 	// some disruptions partition several daemons for seconds.
@@ -99,15 +99,16 @@
 	// retryPause follows a failed call.
 	retryPause = 100 * time.Millisecond
 	// electionCPUFactor is how many times more CPU another daemon must have for this one to delay
-	// its candidacy by lowCPUElectionDelay. The other one becomes a candidate within milliseconds.
+	// its candidacy by lowCPUElectionDelay. The other daemon becomes a candidate within
+	// milliseconds.
 	electionCPUFactor   = 1.25
 	lowCPUElectionDelay = 250 * time.Millisecond
 	// yieldCPUFactor is how many times more CPU another daemon must have for an owner with open
 	// jobs to yield to it at once: such an owner falls behind for as long as a queue lasts, while
 	// a change of owner takes 0.3 s.
 	yieldCPUFactor = 3
-	// cpuStarvedAfter is how long an owner is short of CPU before it yields to a daemon with more.
-	// It is longer than the load of a takeover lasts, which a change of owner would repeat.
+	// cpuStarvedAfter is how long an owner must be short of CPU before it yields to a daemon with
+	// more. It is longer than the load of a takeover, which a change of owner would repeat.
 	cpuStarvedAfter = 3 * time.Second
 	// partitionedYieldAfter is how long an owner that is partitioned from the store continues
 	// through relays. A change of owner takes 0.3 s. Relays may be partitioned as well, and then
@@ -134,8 +135,8 @@
 	// cost of store calls against how soon a job is reported as completed.
 	commitInterval = 40 * time.Millisecond
 	// commitBacklog is the number of unwritten jobs from which transactions follow each other
-	// without a pause: two full transactions. With a pause, at 300 jobs per second, callers would
-	// learn of an end, and workers forget it, later and later.
+	// without a pause: two full transactions. With pauses, at 300 jobs per second, the backlog would
+	// grow, so that callers learn of a job's end, and workers may forget it, later and later.
 	commitBacklog = 2 * ledger.MaxWriteEntries
 	// jobsInterval is the minimum time between two reads of new submissions by the owner. Daemons
 	// also notify it directly; the store is the fallback.
@@ -145,25 +146,26 @@
 	// restart a task soon whose worker is partitioned.
 	taskLease = 4500 * time.Millisecond
 	// holdWait is how long a worker waits for a task to end before it answers a hold. It also
-	// bounds the age of its tasks' progress.
+	// bounds the age of the progress that the owner knows of its tasks.
 	holdWait = 900 * time.Millisecond
-	// idleHoldWait is holdWait for workers without tasks, which have no progress to report: most
-	// of a fleet, as its queues have their peaks at different times. A worker waits for 2 s at most.
+	// idleHoldWait is holdWait for workers without tasks, which have no progress to report. Most
+	// workers of a fleet are idle, as its queues peak at different times. A worker waits for 2 s at
+	// most.
 	idleHoldWait = 1800 * time.Millisecond
-	// peerTimeout is for queries to other daemons, the owner above all.
+	// peerTimeout bounds queries to other daemons, mostly the owner.
 	peerTimeout = 500 * time.Millisecond
-	// instanceOrderTimeout is for an order for an instance, or a read of the instance list.
+	// instanceOrderTimeout bounds an order for an instance, or a read of the instance list.
 	instanceOrderTimeout = time.Second
 	// expireInterval is how often expired jobs are removed from the store.
 	expireInterval = 5 * time.Second
-	// handOverTimeout is for the release of the owner's lock: two attempts. If both fail the
-	// lease is revoked, and the lock with it.
+	// handOverTimeout bounds the release of the owner's lock: two attempts. If both fail the lease
+	// is revoked, which removes the lock.
 	handOverTimeout = 2 * storeTimeout
-	// releaseProbeTimeout is for an attempt to release the lock while the store is unavailable;
-	// it is short as it blocks the owner's work.
+	// releaseProbeTimeout bounds an attempt to release the lock while the store is unavailable. It
+	// is short, as the attempt blocks the owner's work.
 	releaseProbeTimeout = 50 * time.Millisecond
 	// releaseCommitWait is how long the release waits for a transaction in flight. The store
-	// answers in 4 ms; in its slow hours the release need not wait.
+	// answers in 4 ms; while it is slow the release need not wait longer.
 	releaseCommitWait = 100 * time.Millisecond
 	// balancerReactionTime is how long the load balancer takes to remove a daemon that is not
 	// ready: two health checks, one per second, and the network latency.
--- a/jobs/node/slowdown.go
+++ b/jobs/node/slowdown.go
@@ -13,20 +13,20 @@
 )
 
 // An instance may drop to a fraction of its speed, because another process on its host takes the
-// CPU or it is throttled. Its daemon still renews its lease and answers, but late, and as the
-// owner it delays all work. The daemon therefore measures its own speed by timing a fixed amount
-// of work: unlike its load or the latency that peers see, that does not depend on how much work
-// there is.
+// CPU or because it is throttled. Its daemon still renews its lease and answers, but late, and as
+// the owner it delays all work. The daemon therefore measures its own speed by timing a fixed
+// amount of work, a probe. Unlike the daemon's load or the latency that peers see, the duration of
+// a probe does not depend on how much other work there is.
 
 // Parameters of the measurement.
 const (
 	// probeInterval is the time between two probes of an owner, and of any other daemon after a
 	// slow probe. Otherwise the other daemons only need to maintain their baseline, and probe
-	// every idleProbeInterval. A probe takes at least 10 µs, and waking the daemon as much.
+	// every idleProbeInterval. A probe takes at least 10 µs, and waking the daemon takes as long.
 	probeInterval     = 50 * time.Millisecond
 	idleProbeInterval = time.Second
 	// probeWindow is the number of recent probes of which the shortest counts. That excludes
-	// probes that another thread interrupted: a single one at the usual speed proves that speed.
+	// probes that another thread interrupted: one probe at the usual speed proves that speed.
 	probeWindow = 5
 	// maxBaselineSamples is the number of samples, one per second, whose median is the baseline,
 	// and minBaselineSamples how many are needed for one: a process that has just started may run
@@ -36,12 +36,12 @@
 	minBaselineSamples = 10
 	rebaselineAfter    = 30 * time.Second
 	// slowFactor is how many times slower than the baseline an owner must be, for slowAfter
-	// without interruption, to hand over. It is to do so before it falls behind, as a change of
-	// owner takes a third of a second.
+	// without interruption, to hand over. It hands over early, before a backlog builds up, as a
+	// change of owner itself takes a third of a second.
 	slowFactor = 2.5
 	slowAfter  = 100 * time.Millisecond
 	// slowYieldCPUFactor is how many times more CPU another daemon must get at present, according
-	// to its entry in the store, to take over: if all are slow a change has only costs.
+	// to its entry in the store, for a slow owner to yield. If all are slow, a change has only costs.
 	slowYieldCPUFactor = 2.0
 	// minTermDuration is the minimum age of a term for a hand-over: a takeover keeps the CPU busy,
 	// so that the measured speed says little about the instance.
@@ -127,19 +127,19 @@
 
 // monitorSpeed measures the instance's speed, and yields if this daemon is the owner and slow.
 func (n *Node) monitorSpeed(ctx context.Context) {
-	was := 1.0
+	previous := 1.0
 	for sleep.For(ctx, n.probePause()) {
 		now := n.clock.Now()
 		n.slowdown.addProbe(n.platform.CPUProbe(), now)
-		by := n.slowdown.sustainedFactor(now)
-		if (by > 1) != (was > 1) {
-			n.log.Warn("instance-speed", zap.Float64("slower-by", by))
+		factor := n.slowdown.sustainedFactor(now)
+		if (factor > 1) != (previous > 1) {
+			n.log.Warn("instance-speed", zap.Float64("slower-by", factor))
 			go n.publishSpeed(ctx)
 		}
-		was = by
-		n.metrics.slowdown(by)
-		if by > 1 {
-			n.yieldIfSlow(ctx, by)
+		previous = factor
+		n.metrics.slowdown(factor)
+		if factor > 1 {
+			n.yieldIfSlow(ctx, factor)
 		}
 	}
 }
@@ -163,8 +163,8 @@
 	return s.baseline > 0 && float64(newest) >= slowFactor*float64(s.baseline)
 }
 
-// publishSpeed updates this daemon's member entry with its current CPU, so that no owner yields to
-// a slow daemon.
+// publishSpeed updates this daemon's member entry with the CPU that it gets at present, so that no
+// owner yields to a slow daemon.
 func (n *Node) publishSpeed(ctx context.Context) {
 	id := ledger.LeaseID(n.lease.Load())
 	if id == 0 {
@@ -175,10 +175,11 @@
 	n.writeMemberEntry(ctx, id)
 }
 
-// yieldIfSlow releases the lock if another daemon gets more CPU at present. The list of daemons
-// is read again first: if all have become slow they have published that by then, and if the store
-// is unavailable no other daemon can take over.
-func (n *Node) yieldIfSlow(ctx context.Context, by float64) {
+// yieldIfSlow releases the lock if this daemon is the owner and another one gets more CPU at
+// present. factor is how many times slower than usual this daemon is. The list of daemons is read
+// again first: if all have become slow they have published that by then, and if the store is
+// unavailable no other daemon can take over.
+func (n *Node) yieldIfSlow(ctx context.Context, factor float64) {
 	t := n.term.Load()
 	if t == nil || n.stopping.Load() || n.store.Unavailable() || n.clock.Now().Sub(t.startedAt) < minTermDuration || !n.hasPeerWithMoreCPU(slowYieldCPUFactor) {
 		return
@@ -186,7 +187,7 @@
 	if !n.listMembers(ctx) || !n.hasPeerWithMoreCPU(slowYieldCPUFactor) {
 		return
 	}
-	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", by), zap.String("why", "the owner's instance is slow, and another daemon's is not"))
+	n.log.Info("yield", zap.Uint64("term", t.term.Number), zap.Float64("slower-by", factor), zap.String("why", "the owner's instance is slow, and another daemon's is not"))
 	if !t.handOver() && !n.store.Unavailable() {
 		n.revokeLease() // the store removes the lock with it
 	}
--- a/jobs/node/slowdown_test.go
+++ b/jobs/node/slowdown_test.go
@@ -7,20 +7,20 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// addProbes adds n probes that take by times the usual duration. It returns the highest factor
-// that was reported.
-func (s *slowdownDetector) addProbes(at *time.Time, n int, by float64) float64 {
-	most := 0.0
+// addProbes adds n probes that take factor times the usual duration. It returns the highest
+// sustainedFactor after any of them.
+func (s *slowdownDetector) addProbes(at *time.Time, n int, factor float64) float64 {
+	highest := 0.0
 	for range n {
 		*at = at.Add(probeInterval)
-		s.addProbe(time.Duration(by*float64(40*time.Microsecond)), *at)
-		most = max(most, s.sustainedFactor(*at))
+		s.addProbe(time.Duration(factor*float64(40*time.Microsecond)), *at)
+		highest = max(highest, s.sustainedFactor(*at))
 	}
-	return most
+	return highest
 }
 
-// TestSustainedSlowdownIsDetected: short interruptions and a slightly slower instance are no
-// slowdown; a lasting one is detected within 500 ms.
+// TestSustainedSlowdownIsDetected: short interruptions and a slightly slower instance do not count
+// as a slowdown; a lasting one is detected within 500 ms.
 func TestSustainedSlowdownIsDetected(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	assert.Equal(t, 1.0, s.addProbes(&at, 20, 0.3), "a process that has just started runs faster")
@@ -41,8 +41,8 @@
 	assert.Equal(t, 1.0, s.sustainedFactor(at), "the slowdown is over")
 }
 
-// TestBaselineFollowsLastingChange: the baseline follows a CPU that becomes twice as slow for good,
-// as an idle one does under load, and one that stays several times slower.
+// TestBaselineFollowsLastingChange: the baseline follows a CPU that becomes twice as slow
+// permanently, as an idle one does under load, and one that stays several times slower.
 func TestBaselineFollowsLastingChange(t *testing.T) {
 	s, at := &slowdownDetector{}, time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	s.addProbes(&at, 40, 1)
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -38,8 +38,8 @@
 	n.revokeLease()
 }
 
-// shutdown closes the listener and waits up to d, but at least answerReserve, for requests in
-// flight.
+// shutdown closes the listener and waits for requests in flight, for up to d or answerReserve,
+// whichever is longer.
 func shutdown(s *http.Server, d time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), max(d, answerReserve))
 	defer cancel()
@@ -62,11 +62,12 @@
 	n.lease.Store(0)
 }
 
+// Timeouts of a planned stop.
 const (
-	// exitReserve is the part of StopGrace kept for revoking the lease and exiting.
+	// exitReserve is the part of StopGrace that is reserved for revoking the lease and exiting.
 	exitReserve = 800 * time.Millisecond
-	// answerReserve is kept for the replies to requests that are cancelled.
+	// answerReserve is reserved for the replies to requests that are cancelled.
 	answerReserve = 200 * time.Millisecond
-	// revokeLeaseTimeout is for revoking the lease, which otherwise expires after two seconds.
+	// revokeLeaseTimeout bounds revoking the lease, which otherwise expires after two seconds.
 	revokeLeaseTimeout = 300 * time.Millisecond
 )
--- a/jobs/node/suspend_test.go
+++ b/jobs/node/suspend_test.go
@@ -14,10 +14,9 @@
 )
 
 // TestLeaseExpiresDuringSuspension checks what a lease renewed just before a suspension still
-// allows. The monotonic clock stops during a suspension. When all deadlines relied on it, an owner
-// that was suspended for longer than its lease considered itself the owner until the store said
-// otherwise, up to half a second later, and could order instances and return counts meanwhile.
-// Found by review, not in operation.
+// allows. The monotonic clock stops during a suspension. If deadlines relied on it alone, an owner
+// that was suspended for longer than its lease would consider itself the owner for up to half a
+// second, until the store says otherwise, and could order instances and return counts meanwhile.
 func TestLeaseExpiresDuringSuspension(t *testing.T) {
 	for _, c := range []struct {
 		suspended  time.Duration
--- a/jobs/node/termlease_test.go
+++ b/jobs/node/termlease_test.go
@@ -34,10 +34,10 @@
 	return n, r
 }
 
-// TestPendingRequiresTermLease: a daemon's lease may expire and a new one be granted before it
-// learns that its lock went with the first, and a lease may expire while the query is queued, as
-// in a suspended process. The daemon returned counts in both cases, as it accepted any lease and
-// checked it only before the query. Found by review, not in operation.
+// TestPendingRequiresTermLease guards against counts of a daemon that may no longer be the owner.
+// Its lease may expire and a new one be granted before it learns that the store has removed its
+// lock with the first lease. A lease may also expire while the query is queued, as in a suspended
+// process. So the daemon must check for the lease of its term, before and after the query.
 func TestPendingRequiresTermLease(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -46,7 +46,7 @@
 		answered  bool
 	}{
 		{"the lease is held", 1, func(*Node) {}, true},
-		{"the daemon has another lease", 2, func(*Node) {}, false},
+		{"the daemon holds another lease", 2, func(*Node) {}, false},
 		{"the lease ends while the query is queued", 1, func(n *Node) { n.lease.Store(0) }, false},
 		{"the lease is not renewed in time while the query is queued", 1, func(n *Node) { n.leaseRenewedAt.Store(-int64(storeLease)) }, false},
 	} {
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -11,9 +11,9 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// dispatch carries out effects. Each call runs in its own goroutine and its outcome comes back
-// as an event. Starts, holds and other calls have separate limits, so that leases are renewed
-// even while many tasks are started or stopped.
+// dispatch carries out the core's effects. Each call runs in its own goroutine, and its outcome is
+// sent to the core as an event. Starts, holds and other calls have separate limits, so that task
+// leases are renewed even while many tasks are started or stopped.
 func (t *termRun) dispatch(e owner.Effects) {
 	for _, o := range e.Starts {
 		go t.start(o, t.n.uptimeNanos())
@@ -57,6 +57,7 @@
 	}
 }
 
+// advise asks the advisor which workers may run a step.
 func (t *termRun) advise(ctx context.Context, q owner.AdviceQuery) owner.Advice {
 	if t.n.platform.Advisor == nil {
 		return owner.Advice{Err: errors.New("no advisor is configured, but a queue needs advice")}
@@ -80,7 +81,7 @@
 	})
 }
 
-// callInSlot waits for a slot, then calls a worker. The timeout starts once it has the slot.
+// callInSlot waits for a slot, then calls a worker. The timeout starts when it has the slot.
 func (t *termRun) callInSlot(limiter callLimiter, timeout time.Duration, call func(context.Context) event) {
 	release, ok := limiter.acquire(t.ctx)
 	if !ok {
@@ -133,9 +134,9 @@
 	t.pendingPuts = append(t.pendingPuts, ledger.Put{Key: key, Value: value}, ledger.WavePut(s.Wave, progress))
 }
 
-// stopSet holds the stops in flight. The core repeats an unanswered stop after a while; one
-// that still waits for its slot is not queued twice, which would only make the queue longer.
-// Only the core's goroutine uses it.
+// stopSet holds the stops in flight. The core repeats an unanswered stop after a while. One that
+// still waits for its slot must not be queued twice, which would only make the queue longer. Only
+// the core's goroutine uses it.
 type stopSet map[stopKey]bool
 
 type stopKey struct {
@@ -146,7 +147,7 @@
 
 func stopKeyOf(o owner.Stop) stopKey { return stopKey{o.Worker, o.Task, o.Run} }
 
-// begin adds a stop and reports whether it is to be sent: it was not in flight.
+// begin adds a stop and reports whether to send it, which is false if it is in flight already.
 func (s stopSet) begin(o owner.Stop) bool {
 	if s[stopKeyOf(o)] {
 		return false
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -21,14 +21,14 @@
 // eventQueueLen is the capacity of the event queue. Senders block while it is full.
 const eventQueueLen = 1024
 
-// termRun runs the scheduler while this daemon is the owner. One goroutine owns the core;
-// all others send it events.
+// termRun runs the scheduler, the core, while this daemon is the owner. One goroutine uses the
+// core; all others send it events.
 type termRun struct {
 	n      *Node
 	term   *ledger.Term
-	lease  ledger.LeaseID // that the owner's lock is attached to
-	core   *owner.Core
-	events chan event
+	lease  ledger.LeaseID // lease that the owner's lock is attached to
+	core   *owner.Core    // used only by the goroutine that runs loop
+	events chan event     // applied to the core by that goroutine
 	ctx    context.Context
 	cancel context.CancelFunc
 
@@ -45,14 +45,14 @@
 	suspensionSeen      time.Duration // Clock.Suspended() when the core was last told of a suspension
 	suspensionCheckedAt time.Time     // last call of Clock.Suspended()
 	backlogged          atomic.Bool   // tasks wait for their start orders to be sent
-	committing          bool
-	lastCommit          time.Time
-	lastStats           time.Time
-	lastExpire          time.Time
-	startedAt           time.Time
-	leavingSince        time.Time    // when the hand-over began
-	releaseTriedAt      time.Time    // last attempt to release the lock
-	pendingPuts         []ledger.Put // puts for the next transaction, besides the records
+	committing          bool          // a transaction is in flight
+	lastCommit          time.Time     // when the last transaction started
+	lastStats           time.Time     // when the metrics were last updated
+	lastExpire          time.Time     // when expired jobs were last removed
+	startedAt           time.Time     // when the term began
+	leavingSince        time.Time     // when the hand-over began
+	releaseTriedAt      time.Time     // last attempt to release the lock
+	pendingPuts         []ledger.Put  // puts for the next transaction, besides the records
 	orders              instanceOrders
 	startCalls          callLimiter // start orders to workers
 	holdCalls           callLimiter // holds
@@ -113,6 +113,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(o owner.RecentOrder) bool { return o.Holder == n.settings.Node })
 }
 
+// startWaves passes the known maintenance waves and their stored progress to the core.
 func (t *termRun) startWaves(snap ledger.Snapshot) {
 	t.n.wavesMu.Lock()
 	defer t.n.wavesMu.Unlock()
@@ -122,8 +123,8 @@
 	}
 }
 
-// updateEvacuations passes the evacuated zones to the core, as they are when the event is
-// applied.
+// updateEvacuations passes the evacuated zones to the core. They are read when the event is
+// applied, so that several events apply the same latest state.
 func (t *termRun) updateEvacuations() {
 	t.enqueue(func(c *owner.Core, _ time.Time) { c.SetEvacuatedZones(t.n.evacuations.list()) })
 }
@@ -136,7 +137,7 @@
 	}
 }
 
-// depose ends the term, as another daemon is or may become the owner.
+// depose ends the term because another daemon is or may become the owner.
 func (t *termRun) depose(reason string) {
 	t.deposeOnce.Do(func() {
 		t.n.log.Warn("deposed", zap.Uint64("term", t.term.Number), zap.String("why", reason))
@@ -254,9 +255,9 @@
 	t.n.metrics.ownerStats(stats)
 }
 
-// applyQueued applies all queued events, so that their effects are computed once. The clock
-// is read for each: more events arrive meanwhile, and with a time before a worker's answer
-// was received its lease would count as expired too early.
+// applyQueued applies all queued events, so that their effects are computed once. The clock is
+// read for each: more events arrive meanwhile, and if a worker's answer were applied with a time
+// before its arrival, the worker's lease would count as expired too early.
 func (t *termRun) applyQueued() {
 	for range eventQueueLen {
 		select {
@@ -268,6 +269,7 @@
 	}
 }
 
+// isLeaving reports whether the hand-over has begun.
 func (t *termRun) isLeaving() bool {
 	select {
 	case <-t.leaving:
@@ -318,6 +320,7 @@
 	return puts, deletes
 }
 
+// logDecisions logs the core's decisions since the last call.
 func (t *termRun) logDecisions() {
 	for _, d := range t.core.TakeDecisions() {
 		t.n.log.Info(d.Event, decisionFields(d)...)
@@ -382,6 +385,7 @@
 	}
 }
 
+// state returns the state of a job according to the core.
 func (t *termRun) state(id job.ID) peer.StateReply {
 	r, _ := queryCore(t, func(c *owner.Core) peer.StateReply {
 		s, known := c.State(id)
@@ -396,9 +400,9 @@
 	return t.n.leaseHeld() && ledger.LeaseID(t.n.lease.Load()) == t.lease
 }
 
-// pending returns a count only while no other daemon can be the owner: a new owner knows of
-// jobs that this daemon was not told of. The lease is checked again afterwards, as it may
-// expire while the query is queued, above all in a process that was suspended.
+// pending returns the number of pending jobs of a queue, but only while no other daemon can be the
+// owner: a new owner knows of jobs that this daemon was not told of. The lease is checked again
+// afterwards, as it may expire while the query is queued, above all in a suspended process.
 func (t *termRun) pending(queue string) peer.PendingReply {
 	if !t.leaseHeld() {
 		return peer.PendingReply{}
@@ -420,10 +424,12 @@
 	return r
 }
 
+// onCancelled passes a cancellation that is in the store to the core.
 func (t *termRun) onCancelled(id job.ID) {
 	t.enqueue(func(c *owner.Core, now time.Time) { c.Cancel(id, now) })
 }
 
+// onSubmitted passes a job that is in the store to the core.
 func (t *termRun) onSubmitted(j *job.Job) {
 	t.enqueue(func(c *owner.Core, now time.Time) { c.Submit(j, now) })
 }
--- a/jobs/node/termrun_test.go
+++ b/jobs/node/termrun_test.go
@@ -11,11 +11,11 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestQueuedEventsGetTheirOwnTime: an event must not be applied with a time before its arrival.
-// Queued events used to share the time at which the first of them was taken, while more arrived.
-// An owner with 0.2 cores dated a worker's answer 235 ms before its receipt, according to a log of
-// both times. The end of a worker's lease is computed from that time, so it counted as expired too
-// early by more than the margin of 150 ms, and its tasks could start elsewhere while still running.
+// TestQueuedEventsGetTheirOwnTime: an event must not be applied with a time before its arrival. The
+// end of a worker's lease is computed from that time, so the lease would count as expired too early,
+// and its tasks could start elsewhere while they still run. When queued events shared the time at
+// which the first of them was taken, an owner with 0.2 cores dated a worker's answer 235 ms too
+// early, more than the margin of 150 ms.
 func TestQueuedEventsGetTheirOwnTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		run := &termRun{n: &Node{clock: &fakeClock{}}, events: make(chan event, eventQueueLen), ctx: t.Context()}
@@ -34,8 +34,9 @@
 	})
 }
 
-// TestAbandonedQueryIsSkipped: an owner short of CPU answered queries whose callers had given up
-// and asked again. A count goes over all open jobs, so the work grew as the owner fell behind.
+// TestAbandonedQueryIsSkipped: an owner must not answer queries whose callers have given up and
+// ask again. A count goes over all open jobs, so an owner short of CPU would get more work the
+// further it falls behind.
 func TestAbandonedQueryIsSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
