--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"context"
 	"fmt"
 	"strings"
 	"time"
@@ -138,10 +137,3 @@
 	}
 	return registrationsInterval
 }
-
-// watchFor waits up to wait for changes after a revision.
-func (n *Node) watchFor(ctx context.Context, prefix string, after int64, wait time.Duration) (ledger.Changes, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
-	defer cancel()
-	return n.store.Watch(ctx, prefix, after, wait)
-}
