--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -146,7 +146,7 @@
 	planned     map[string]bool // instances with a planned move
 	returnsLeft int             // instances that may still be returned to the spare pool
 
-	threshold bool // policy Threshold: only queues and idle instances count
+	threshold bool // policy Threshold: only waiting tasks and idle instances count
 }
 
 // Plan returns the moves to make now. Instances of the spare pool cost nothing, those of the
--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -49,7 +49,7 @@
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{a}, spare(8), 100))
 }
 
-func TestRate(t *testing.T) {
+func TestRateEstimator(t *testing.T) {
 	now := time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 	var r RateEstimator
 	assert.Zero(t, r.WorkPerSecond(0, now))
--- a/jobs/ledger/failover_test.go
+++ b/jobs/ledger/failover_test.go
@@ -38,7 +38,7 @@
 
 func succeed(context.Context) error { return nil }
 
-func TestCancelledCallIsNoFailureOfTheStore(t *testing.T) {
+func TestCancelledCallIsNotStoreFailure(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	direct := &fakeStore{get: func(context.Context) error { cancel(); return storeError(ctx) }}
 	relay := &fakeStore{get: succeed}
--- a/jobs/peer/peer.go
+++ b/jobs/peer/peer.go
@@ -53,7 +53,7 @@
 // SubmitRequest notifies the owner of a job that is in the store.
 type SubmitRequest struct{ Job job.Job }
 
-// SubmitReply tells whether the owner is backlogged and must be asked, by an AdmitRequest, before
+// SubmitReply says whether the owner is backlogged and must be asked, by an AdmitRequest, before
 // the next job is accepted.
 type SubmitReply struct{ Behind bool }
 
