--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -2,10 +2,8 @@
 
 import (
 	"context"
-	"errors"
 	"fmt"
 	"strconv"
-	"sync"
 	"time"
 
 	"github.com/postmount/postmount/jobs/job"
@@ -273,114 +271,5 @@
 	return err
 }
 
-// RefusedEntry is an item of the store that is not used because it is invalid.
-type RefusedEntry struct {
-	Key      string
-	Revision int64
-	Err      error
-}
-
-// Snapshot is the state that a new owner reads from the store.
-type Snapshot struct {
-	Refused  []RefusedEntry
-	Jobs     []owner.StoredJob
-	Waves    map[int]WaveProgress
-	Revision int64 // a watch of PrefixJobs from there misses no change
-}
-
-// loadTimeout bounds the reading of a snapshot, which has several pages of 1 MB.
-const loadTimeout = 10 * time.Second
-
-// Load reads all jobs and waves. Reading them concurrently is consistent: only the owner writes
-// progress and waves, and a watch from Revision reports later submissions.
-func Load(ctx context.Context, s Store) (Snapshot, error) {
-	ctx, cancel := context.WithTimeout(ctx, loadTimeout)
-	defer cancel()
-	snap := Snapshot{Waves: map[int]WaveProgress{}}
-	var items, progress, waves []Item
-	err := runConcurrently(
-		func() (err error) { items, snap.Revision, err = RangeAll(ctx, s, PrefixJobs, false); return err },
-		func() (err error) { progress, _, err = RangeAll(ctx, s, prefixProgress, false); return err },
-		func() (err error) { waves, _, err = RangeAll(ctx, s, prefixWaves, false); return err },
-	)
-	if err != nil {
-		return snap, err
-	}
-	snap.assemble(items, progress)
-	for _, i := range waves {
-		n, err := strconv.Atoi(i.Key[len(prefixWaves):])
-		if err != nil {
-			snap.addRefused(i, fmt.Errorf("key %s: %w", i.Key, err))
-			continue
-		}
-		p, err := decode[WaveProgress](i)
-		if err != nil {
-			snap.addRefused(i, err)
-			continue
-		}
-		snap.Waves[n] = p
-	}
-	return snap, nil
-}
-
-func (s *Snapshot) addRefused(i Item, err error) {
-	s.Refused = append(s.Refused, RefusedEntry{i.Key, i.Revision, err})
-}
-
-// runConcurrently runs the calls concurrently and returns their joined errors.
-func runConcurrently(calls ...func() error) error {
-	errs := make([]error, len(calls))
-	var wg sync.WaitGroup
-	for i, call := range calls {
-		wg.Go(func() { errs[i] = call() })
-	}
-	wg.Wait()
-	return errors.Join(errs...)
-}
-
-// assemble combines submissions, progress and cancellations. A job with an invalid submission
-// or progress is left out: it is not known which of its tasks are done, and no task may run
-// twice.
-func (s *Snapshot) assemble(items, progress []Item) {
-	progressByJob := map[job.ID]Item{}
-	for _, i := range progress {
-		progressByJob[idOf(i.Key, prefixProgress)] = i
-	}
-	cancelled := map[job.ID]bool{}
-	for _, i := range items {
-		ch, ok, err := DecodeChange(i)
-		switch {
-		case err != nil:
-			s.addRefused(i, err)
-		case !ok:
-		case ch.Submitted == nil:
-			cancelled[ch.Cancelled] = true
-		default:
-			s.addJob(&ch, progressByJob)
-		}
-	}
-	for n := range s.Jobs {
-		s.Jobs[n].Cancelled = cancelled[s.Jobs[n].Job.ID]
-	}
-}
-
-func (s *Snapshot) addJob(ch *Change, progressByJob map[job.ID]Item) {
-	stored := owner.StoredJob{Job: ch.Submitted}
-	if ch.Ended != nil {
-		stored.Progress = &job.Progress{State: ch.Ended.State, EndedAt: ch.Ended.At}
-	} else if i, found := progressByJob[ch.Submitted.ID]; found {
-		p, err := decode[job.Progress](i)
-		if err == nil {
-			err = p.Validate(ch.Submitted)
-		}
-		if err != nil {
-			s.addRefused(i, err)
-			return
-		}
-		stored.Progress = &p
-	}
-	s.Jobs = append(s.Jobs, stored)
-}
-
 // LockRevision returns the revision of the lock that is a condition of the term's writes.
 func (t *Term) LockRevision() int64 { return t.lock.Revision }
