--- a/internal/jobmatrix/counts_test.go
+++ b/internal/jobmatrix/counts_test.go
@@ -45,18 +45,18 @@
 	{"its watches get no answer", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) { d.dropCalls(o, duration, "watch") }},
 	{"its watches get no answer, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) {
 		d.dropCalls(o, duration, "watch")
-		d.in.Store.RevokeAll()
+		d.in.Store.RevokeAllLeases()
 	}},
 	{"its watches and reads get no answer, and its lease is revoked", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) {
 		d.dropCalls(o, duration, "watch", "get", "range")
-		d.in.Store.RevokeAll()
+		d.in.Store.RevokeAllLeases()
 	}},
 	{"its renewals and commits get no answer", func(d *deployment, o *jobfleet.Daemon, duration time.Duration) {
 		d.dropCalls(o, duration, "keep", "commit")
 	}},
 	{"its lease is revoked repeatedly", func(d *deployment, _ *jobfleet.Daemon, duration time.Duration) {
 		for at := time.Duration(0); at < duration; at += 700 * time.Millisecond {
-			time.AfterFunc(at, d.in.Store.RevokeAll)
+			time.AfterFunc(at, d.in.Store.RevokeAllLeases)
 		}
 	}},
 	{"the store compacts its history repeatedly", func(d *deployment, _ *jobfleet.Daemon, duration time.Duration) {
@@ -69,7 +69,7 @@
 // dropCalls loses a daemon's own store calls of the given kinds for a while.
 func (d *deployment) dropCalls(o *jobfleet.Daemon, duration time.Duration, ops ...string) {
 	end := time.Now().Add(duration)
-	d.in.SetHook(func(daemon, op string) jobfleet.Failure {
+	d.in.SetFailureFunc(func(daemon, op string) jobfleet.Failure {
 		if daemon == o.Name && time.Now().Before(end) && slices.Contains(ops, op) {
 			return jobfleet.RequestLost
 		}
@@ -116,7 +116,7 @@
 				go d.pollCounts(ctx)
 				go d.stopOwnersInTurn(ctx)
 				for _, i := range []owner.InstanceID{"i0", "i1", "i2", "i3"} {
-					d.in.Fleet.Cut(i, 7*time.Second)
+					d.in.Fleet.Isolate(i, 7*time.Second)
 				}
 				for i := range jobsDuringFault {
 					j := batchJob(i)
@@ -140,7 +140,7 @@
 	const maxDelay = 600 * time.Millisecond
 	var mu sync.Mutex
 	r := rand.New(rand.NewPCG(seed, 2))
-	d.in.SetHook(func(_, op string) jobfleet.Failure {
+	d.in.SetFailureFunc(func(_, op string) jobfleet.Failure {
 		if op == "start" || op == "hold" {
 			mu.Lock()
 			wait := time.Duration(r.Int64N(int64(maxDelay)))
--- a/internal/jobmatrix/crash_test.go
+++ b/internal/jobmatrix/crash_test.go
@@ -111,7 +111,7 @@
 	for _, j := range c.jobs {
 		assert.LessOrEqual(d.t, d.in.Checker.MaxCrasherCrashes(j.ID), 5, "workers crashed by job %s", j.ID)
 		if c.keepsServing {
-			assert.Equal(d.t, j.Steps[0].Count-1, d.in.Checker.Running(j.ID), "tasks that keep running")
+			assert.Equal(d.t, j.Steps[0].Count-1, d.in.Checker.RunningTasks(j.ID), "tasks that keep running")
 		}
 	}
 }
--- a/internal/jobmatrix/deployment_test.go
+++ b/internal/jobmatrix/deployment_test.go
@@ -209,8 +209,8 @@
 // becomes the owner, at the start and after the owner was killed.
 func TestTheDaemonWithTheLargestCPUShareIsTheOwner(t *testing.T) {
 	simulate(t, func(d *deployment) {
-		d.in.StartWith("strong1", 0.8)
-		d.in.StartWith("strong2", 0.8)
+		d.in.StartWithCores("strong1", 0.8)
+		d.in.StartWithCores("strong2", 0.8)
 		time.Sleep(6 * time.Second) // until the daemons have read the member list
 		first := d.in.Owner()
 		require.NotNil(t, first)
@@ -256,7 +256,7 @@
 		first := d.in.Owner()
 		require.NotNil(t, first)
 		commits := 0
-		d.in.SetHook(func(daemon, op string) jobfleet.Failure {
+		d.in.SetFailureFunc(func(daemon, op string) jobfleet.Failure {
 			if !storeOps[op] {
 				return jobfleet.NoFailure
 			}
@@ -271,7 +271,7 @@
 		d.in.Stop(first.Name) // takes 1.8 s
 		assert.Less(t, commits, 60, "attempts to release the lock and to write progress")
 		assert.Equal(t, started+2, d.in.Checker.Starts(), "the second step of the job starts meanwhile")
-		d.in.SetHook(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
+		d.in.SetFailureFunc(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
 		d.awaitCompletion(15 * time.Second)
 	})
 }
@@ -294,7 +294,7 @@
 		started := d.in.Checker.Starts()
 		stopped := time.Now()
 		const outageDelay = 950 * time.Millisecond // every hold returns within it; only then does the store count as unavailable
-		d.in.SetHook(func(_, op string) jobfleet.Failure {
+		d.in.SetFailureFunc(func(_, op string) jobfleet.Failure {
 			if op == "commit" || storeOps[op] && time.Since(stopped) > outageDelay {
 				return jobfleet.Refused
 			}
@@ -308,7 +308,7 @@
 		}()
 		d.in.Stop(first.Name) // takes 1.8 s
 		assert.Equal(t, started+2, d.in.Checker.Starts(), "the second step of the job starts meanwhile")
-		d.in.SetHook(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
+		d.in.SetFailureFunc(func(string, string) jobfleet.Failure { return jobfleet.NoFailure })
 		d.awaitCompletion(15 * time.Second)
 	})
 }
@@ -325,7 +325,7 @@
 		require.NotNil(t, first)
 		stopped := time.Now()
 		newest := stopped
-		d.in.SetHook(func(daemon, op string) jobfleet.Failure {
+		d.in.SetFailureFunc(func(daemon, op string) jobfleet.Failure {
 			switch {
 			case op == "commit" || op == "end":
 				return jobfleet.Refused
--- a/internal/jobmatrix/faults_test.go
+++ b/internal/jobmatrix/faults_test.go
@@ -50,7 +50,7 @@
 // failStoreFor makes all store calls fail in the given way for a while.
 func failStoreFor(d *deployment, f jobfleet.Failure, duration time.Duration) {
 	end := time.Now().Add(duration)
-	d.in.SetHook(func(_, op string) jobfleet.Failure {
+	d.in.SetFailureFunc(func(_, op string) jobfleet.Failure {
 		if time.Now().Before(end) && storeOps[op] {
 			return f
 		}
@@ -63,7 +63,7 @@
 func dropFirstCalls(d *deployment) {
 	var mu sync.Mutex
 	tried := map[string]bool{}
-	d.in.SetHook(func(daemon, op string) jobfleet.Failure {
+	d.in.SetFailureFunc(func(daemon, op string) jobfleet.Failure {
 		mu.Lock()
 		defer mu.Unlock()
 		if tried[daemon+" "+op] {
@@ -110,14 +110,14 @@
 	sideFault("the store does not answer", func(d *deployment, _ string) { failStoreFor(d, jobfleet.RequestLost, 4*time.Second) }),
 	sideFault("the store loses answers", func(d *deployment, _ string) { failStoreFor(d, jobfleet.AnswerLost, 3*time.Second) }),
 	sideFault("the store is late", func(d *deployment, _ string) { failStoreFor(d, jobfleet.Delayed, 3*time.Second) }),
-	sideFault("the store ends all leases", func(d *deployment, _ string) { d.in.Store.RevokeAll() }),
+	sideFault("the store ends all leases", func(d *deployment, _ string) { d.in.Store.RevokeAllLeases() }),
 	sideFault("all connections stop delivering", func(d *deployment, _ string) { dropFirstCalls(d) }),
 	sideFault("the store compacts its history", func(d *deployment, _ string) { d.in.Store.CompactHistory() }),
 	sideFault("an instance crashes", func(d *deployment, _ string) { go d.in.Fleet.Crash("i0", 3*time.Second) }),
 	sideFault("a rack crashes", func(d *deployment, _ string) {
 		go func() { d.in.Fleet.Crash("i4", 3*time.Second); d.in.Fleet.Crash("i5", 3*time.Second) }()
 	}),
-	sideFault("an instance is cut off and keeps running", func(d *deployment, _ string) { go d.in.Fleet.Cut("i1", 7*time.Second) }),
+	sideFault("an instance is cut off and keeps running", func(d *deployment, _ string) { go d.in.Fleet.Isolate("i1", 7*time.Second) }),
 	sideFault("tasks fail on an instance", func(d *deployment, _ string) { go d.in.Fleet.FailTasks("i0", 2*time.Second) }),
 	sideFault("tasks hang on an instance", func(d *deployment, _ string) { go d.in.Fleet.HangTasks("i5", 2*time.Second) }),
 	sideFault("an instance drains", func(d *deployment, _ string) { go d.in.Fleet.Drain("i1") }),
@@ -128,8 +128,8 @@
 var addedFaults = []fault{
 	sideFault("the daemon is suspended for 1 s", func(d *deployment, dm string) { gateOf(d, dm).Suspend(time.Second) }),
 	sideFault("the daemon is suspended for 6 s", func(d *deployment, dm string) { gateOf(d, dm).Suspend(6 * time.Second) }),
-	sideFault("an instance shrinks", func(d *deployment, _ string) { go d.in.Fleet.Shrink("i4", 0.25, 3*time.Second) }),
-	sideFault("an instance shrinks to nothing", func(d *deployment, _ string) { go d.in.Fleet.Shrink("i5", 0, 2*time.Second) }),
+	sideFault("an instance shrinks", func(d *deployment, _ string) { go d.in.Fleet.ReduceCapacity("i4", 0.25, 3*time.Second) }),
+	sideFault("an instance shrinks to nothing", func(d *deployment, _ string) { go d.in.Fleet.ReduceCapacity("i5", 0, 2*time.Second) }),
 	sideFault("the daemon's instance is slow", func(d *deployment, dm string) { gateOf(d, dm).ReportSlow(5, 6*time.Second) }),
 	sideFault("the lock is overwritten", func(d *deployment, _ string) { d.in.Store.Put("owner/lock", []byte("\xff")) }),
 	sideFault("the sequence is overwritten", func(d *deployment, _ string) { d.in.Store.Put("sequence", []byte("\xff")) }),
@@ -160,7 +160,7 @@
 	var mu sync.Mutex
 	var once sync.Once
 	seen := 0
-	d.in.SetHook(func(daemon, o string) jobfleet.Failure {
+	d.in.SetFailureFunc(func(daemon, o string) jobfleet.Failure {
 		if o != op {
 			return jobfleet.NoFailure
 		}
@@ -217,7 +217,7 @@
 	runs := 0
 	for i := 0; i < 40 && runs < j.Steps[0].Count; i++ {
 		time.Sleep(500 * time.Millisecond)
-		runs = d.in.Checker.Running(j.ID)
+		runs = d.in.Checker.RunningTasks(j.ID)
 	}
 	assert.Equal(d.t, j.Steps[0].Count, runs, "tasks of the long-running job")
 }
--- a/internal/jobmatrix/manystops_test.go
+++ b/internal/jobmatrix/manystops_test.go
@@ -37,7 +37,7 @@
 		require.Equal(t, (kept+cancelled)*width, in.Checker.Starts())
 		in.Checker.FaultsEnded()
 		var stops atomic.Int64
-		in.SetHook(func(_, op string) jobfleet.Failure {
+		in.SetFailureFunc(func(_, op string) jobfleet.Failure {
 			if op == "stop" {
 				stops.Add(1)
 			}
@@ -49,7 +49,7 @@
 		time.Sleep(10 * time.Second)
 		running := 0
 		for _, id := range ids[:kept] {
-			running += in.Checker.Running(id)
+			running += in.Checker.RunningTasks(id)
 		}
 		assert.Equal(t, kept*width, running, "running tasks of the other jobs")
 		assert.LessOrEqual(t, stops.Load(), int64(cancelled*width*5/4), "stops that reached a worker")
--- a/internal/jobmatrix/overload_test.go
+++ b/internal/jobmatrix/overload_test.go
@@ -29,11 +29,11 @@
 		time.Sleep(2 * time.Second)
 		weak := d.in.Owner()
 		require.NotNil(t, weak)
-		d.in.StartWith("strong1", 0.8)
+		d.in.StartWithCores("strong1", 0.8)
 		time.Sleep(4 * time.Second)
 		require.Equal(t, weak.Name, d.in.Owner().Name)
 
-		d.in.SetHook(func(daemon, op string) jobfleet.Failure {
+		d.in.SetFailureFunc(func(daemon, op string) jobfleet.Failure {
 			if daemon == weak.Name && (op == "hold" || op == "start" || op == "stop") {
 				return jobfleet.AnswerLost
 			}
@@ -64,13 +64,13 @@
 			d.in.Fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "orders", "r0", job.Resources{CPUMilli: 8000, MemMB: 16000})
 		}
 		d.in.Configure(catalog(1))
-		d.in.StartWith("weak", 0.19)
+		d.in.StartWithCores("weak", 0.19)
 		time.Sleep(3 * time.Second)
 		j := longRunningJob(0)
 		d.submit(ordersPrefix, j)
 		time.Sleep(2 * time.Second)
 		require.Equal(t, "weak", d.in.Owner().Name)
-		d.in.StartWith("strong", 0.8)
+		d.in.StartWithCores("strong", 0.8)
 		time.Sleep(4 * time.Second)
 		next := d.in.Owner()
 		require.NotNil(t, next)
--- a/internal/jobmatrix/refusal_test.go
+++ b/internal/jobmatrix/refusal_test.go
@@ -16,7 +16,7 @@
 func TestAnOverloadedOwnerRefuses(t *testing.T) {
 	const instances, jobs, width, interval = 200, 600, 24, 20 * time.Millisecond
 	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
-		in.StartWith("d1", 0.12)
+		in.StartWithCores("d1", 0.12)
 		time.Sleep(3 * time.Second)
 		require.NotNil(t, in.Owner())
 		caller := in.Caller()
--- a/internal/jobmatrix/shrink_test.go
+++ b/internal/jobmatrix/shrink_test.go
@@ -20,8 +20,8 @@
 		d.submit(reportsPrefix, longRunning)
 		time.Sleep(time.Second)
 		for i, share := range []float64{0.5, 0.1, 0, 0.3, 0.05, 0.6} {
-			d.in.Fleet.Shrink("i4", share, 1500*time.Millisecond)
-			d.in.Fleet.Shrink("i6", 1-share, 400*time.Millisecond)
+			d.in.Fleet.ReduceCapacity("i4", share, 1500*time.Millisecond)
+			d.in.Fleet.ReduceCapacity("i6", 1-share, 400*time.Millisecond)
 			d.submitBatchJobs(8*i, 8)
 			if i == 2 || i == 4 {
 				o := d.in.Owner()
@@ -40,7 +40,7 @@
 func TestAPoolOfWorkersThatShrankGrows(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		for _, id := range []owner.InstanceID{"i0", "i1", "i2", "i3"} {
-			d.in.Fleet.Shrink(id, 0.1, time.Minute)
+			d.in.Fleet.ReduceCapacity(id, 0.1, time.Minute)
 		}
 		time.Sleep(2 * time.Second)
 		wide := batchJob(0)
--- a/internal/jobmatrix/takeovercount_test.go
+++ b/internal/jobmatrix/takeovercount_test.go
@@ -23,7 +23,7 @@
 		old := d.in.Owner()
 		require.NotNil(t, old)
 		for _, i := range []owner.InstanceID{"i0", "i1", "i2", "i3"} {
-			d.in.Fleet.Cut(i, 8*time.Second)
+			d.in.Fleet.Isolate(i, 8*time.Second)
 		}
 		old.Gate.Freeze(12 * time.Second)
 		time.Sleep(1500 * time.Millisecond)
@@ -42,7 +42,7 @@
 		const startDelay = 20 * time.Millisecond // longer than the request for the count
 		var asked atomic.Bool
 		count, startsAtCount, waited := -1, -1, time.Duration(0)
-		d.in.SetHook(func(_, op string) jobfleet.Failure {
+		d.in.SetFailureFunc(func(_, op string) jobfleet.Failure {
 			if op != "start" {
 				return jobfleet.NoFailure
 			}
--- a/internal/jobmatrix/watchlimit_test.go
+++ b/internal/jobmatrix/watchlimit_test.go
@@ -27,7 +27,7 @@
 				longRunning.Steps[0].Count = c.instances + 4
 				longRunning.Steps[0].MayMiss = c.instances
 				d.submit(ordersPrefix, longRunning)
-				d.in.Store.LimitWatches(c.maxEvents)
+				d.in.Store.LimitWatchEvents(c.maxEvents)
 				ended := make(chan struct{})
 				go func() {
 					for {
--- a/internal/jobmatrix/workerrestart_test.go
+++ b/internal/jobmatrix/workerrestart_test.go
@@ -33,7 +33,7 @@
 				longRunning := longRunningJob(900)
 				d.submit(ordersPrefix, longRunning)
 				calls := 0
-				d.in.SetHook(func(_, op string) jobfleet.Failure {
+				d.in.SetFailureFunc(func(_, op string) jobfleet.Failure {
 					if calls++; op == "start" && calls%7 == 0 {
 						return jobfleet.Delayed
 					}
--- a/lab/jobsdemo/demo.go
+++ b/lab/jobsdemo/demo.go
@@ -130,10 +130,10 @@
 		case storeOutageAt:
 			d.progressf("jobs: the store is unavailable for %s", storeOutage)
 			end := time.Now().Add(storeOutage)
-			d.in.SetHook(storeOutageUntil(end))
+			d.in.SetFailureFunc(storeOutageUntil(end))
 		case cutInstanceAt:
 			d.progressf("jobs: instance %s is cut off from the daemons for %s; its tasks go on", instance(3), instanceCut)
-			d.in.Fleet.Cut(instance(3), instanceCut)
+			d.in.Fleet.Isolate(instance(3), instanceCut)
 		}
 		d.submit(n)
 		d.countOwner()
@@ -142,7 +142,7 @@
 	}
 }
 
-func storeOutageUntil(end time.Time) jobfleet.Hook {
+func storeOutageUntil(end time.Time) jobfleet.FailureFunc {
 	return func(_, op string) jobfleet.Failure {
 		switch op {
 		case "get", "range", "watch", "commit", "grant", "keep", "end":
--- a/standin/jobfleet/capacity.go
+++ b/standin/jobfleet/capacity.go
@@ -21,17 +21,18 @@
 	}
 }
 
-// Shrink reduces a worker's capacity to a share of it for d. Running tasks go on.
-func (f *Fleet) Shrink(id owner.InstanceID, share float64, d time.Duration) {
+// ReduceCapacity reduces the capacity of an instance's worker to a share of the instance's
+// capacity for d. Running tasks go on.
+func (f *Fleet) ReduceCapacity(id owner.InstanceID, share float64, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[f.instances[id].Worker]
 	if w == nil || w.dead {
 		return
 	}
-	part := func(n int) int { return int(share * float64(n)) }
+	scale := func(n int) int { return int(share * float64(n)) }
 	full := w.instance.capacity
-	f.resize(w, job.Resources{CPUMilli: part(full.CPUMilli), MemMB: part(full.MemMB), GPU: part(full.GPU)})
+	f.resize(w, job.Resources{CPUMilli: scale(full.CPUMilli), MemMB: scale(full.MemMB), GPU: scale(full.GPU)})
 	w.shrank = time.Now()
 	time.AfterFunc(d, func() {
 		f.mu.Lock()
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -115,8 +115,9 @@
 	c.jobs[spec.ID].pendingRequests++
 }
 
-// Answered records the answer to a submission: accepted, refused (it never runs), or neither.
-func (c *Checker) Answered(id job.ID, accepted, refused bool) {
+// SubmissionAnswered records the answer to a submission: accepted, refused (the job never runs),
+// or neither if the outcome is unknown.
+func (c *Checker) SubmissionAnswered(id job.ID, accepted, refused bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.jobs[id]
@@ -355,8 +356,8 @@
 	c.duties[id] = dutyRecord{d, time.Now()}
 }
 
-// Running returns the number of running tasks of a job.
-func (c *Checker) Running(id job.ID) int {
+// RunningTasks returns the number of running tasks of a job.
+func (c *Checker) RunningTasks(id job.ID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -21,22 +21,22 @@
 	Delayed             // carried out later; no answer
 )
 
-// Hook returns the failure of a call; it is called before the call is carried out. op is the
-// kind of call: get, range, watch, commit, grant, keep or end for the store; start, stop,
-// throttle or hold for workers; move or maintain for instances.
-type Hook func(daemon, op string) Failure
+// FailureFunc returns the failure to inject into a call of a daemon. It is called before the call
+// is carried out. op is the kind of call: get, range, watch, commit, grant, keep or end for the
+// store; start, stop, throttle or hold for workers; move or maintain for instances.
+type FailureFunc func(daemon, op string) Failure
 
 // Client is a daemon's client of the store.
 type Client struct {
 	store  *Store
 	daemon string
 	gate   *Gate
-	hook   Hook
+	hook   FailureFunc
 }
 
 // Client returns a daemon's client of the store. gate blocks its calls while the daemon is
 // frozen and drops them while it is cut off.
-func (s *Store) Client(daemon string, gate *Gate, hook Hook) *Client {
+func (s *Store) Client(daemon string, gate *Gate, hook FailureFunc) *Client {
 	return &Client{store: s, daemon: daemon, gate: gate, hook: hook}
 }
 
@@ -112,7 +112,7 @@
 
 // EndLease implements ledger.Store.
 func (c *Client) EndLease(ctx context.Context, id ledger.LeaseID) error {
-	_, err := storeCall(ctx, c, "end", func() (struct{}, error) { c.store.Revoke(id); return struct{}{}, nil })
+	_, err := storeCall(ctx, c, "end", func() (struct{}, error) { c.store.RevokeLease(id); return struct{}{}, nil })
 	return err
 }
 
--- a/standin/jobfleet/disruption.go
+++ b/standin/jobfleet/disruption.go
@@ -68,14 +68,14 @@
 	}
 }
 
-// Waiting returns the number of jobs that match of, were accepted before a time, and have not
-// started.
-func (c *Checker) Waiting(before time.Time, of func(job.ID) bool) int {
+// WaitingJobs returns the number of jobs that were accepted before a time, have neither started
+// nor been cancelled, and for which match returns true.
+func (c *Checker) WaitingJobs(before time.Time, match func(job.ID) bool) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	n := 0
 	for id, r := range c.jobs {
-		if r.accepted && r.acceptedAt.Before(before) && !r.started && r.cancelled.IsZero() && of(id) {
+		if r.accepted && r.acceptedAt.Before(before) && !r.started && r.cancelled.IsZero() && match(id) {
 			n++
 		}
 	}
--- a/standin/jobfleet/disruption_test.go
+++ b/standin/jobfleet/disruption_test.go
@@ -62,7 +62,7 @@
 	j := &job.Job{ID: "0000000000000001", Steps: []job.Step{{Count: 3, LongRunning: true, MayMiss: 1}}}
 	r.fleet.RegisterJob(j)
 	r.checker.Submitted(j)
-	r.checker.Answered(j.ID, true, false)
+	r.checker.SubmissionAnswered(j.ID, true, false)
 	for i := range 3 {
 		r.fleet.Add(owner.InstanceID(fmt.Sprintf("i%d", i)), "a", "r", job.Resources{CPUMilli: 1000})
 		r.start(i, 1)
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -12,11 +12,11 @@
 	fleet  *Fleet
 	daemon string
 	gate   *Gate
-	hook   Hook
+	hook   FailureFunc
 }
 
 // Client returns a daemon's client of the fleet.
-func (f *Fleet) Client(daemon string, gate *Gate, hook Hook) *FleetClient {
+func (f *Fleet) Client(daemon string, gate *Gate, hook FailureFunc) *FleetClient {
 	return &FleetClient{fleet: f, daemon: daemon, gate: gate, hook: hook}
 }
 
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -33,7 +33,7 @@
 	encoding Encoding
 	log      *zap.Logger
 	mu       sync.Mutex
-	hook     Hook
+	hook     FailureFunc
 	all      map[string]*Daemon
 	ctx      context.Context
 }
@@ -66,8 +66,8 @@
 	return in
 }
 
-// SetHook sets the hook that is called for each call to a stand-in.
-func (in *Installation) SetHook(h Hook) {
+// SetFailureFunc sets the function that chooses the failure of each call to a stand-in.
+func (in *Installation) SetFailureFunc(h FailureFunc) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	in.hook = h
@@ -84,10 +84,10 @@
 const defaultCores = 0.4
 
 // Start starts a daemon.
-func (in *Installation) Start(name string) *Daemon { return in.StartWith(name, defaultCores) }
+func (in *Installation) Start(name string) *Daemon { return in.StartWithCores(name, defaultCores) }
 
-// StartWith starts a daemon with a CPU share in cores.
-func (in *Installation) StartWith(name string, cores float64) *Daemon {
+// StartWithCores starts a daemon whose CPU share is cores.
+func (in *Installation) StartWithCores(name string, cores float64) *Daemon {
 	d := &Daemon{Name: name, Gate: &Gate{}, done: make(chan struct{})}
 	set := node.Settings{
 		Node: name, IP: name, PeerPort: 1, Cores: cores, MaxTaskLease: 10 * time.Second, StopGrace: 6 * time.Second,
@@ -246,7 +246,7 @@
 	status, _ := c.send(http.MethodPost, prefix+string(j.ID), c.in.encoding.EncodeJob(j))
 	accepted = status == http.StatusOK
 	refused = status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
-	c.in.Checker.Answered(j.ID, accepted, refused)
+	c.in.Checker.SubmissionAnswered(j.ID, accepted, refused)
 	if accepted {
 		c.in.Checker.Accepted(j.ID, prefix)
 	}
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -55,12 +55,12 @@
 	}
 }
 
-// LimitWatches limits the number of changes in an answer to a watch, which holds the oldest ones.
-// The changes of a transaction are not split.
-func (s *Store) LimitWatches(most int) {
+// LimitWatchEvents limits the number of changes in an answer to a watch; the answer holds the
+// oldest ones. The changes of a transaction are not split. 0 means no limit.
+func (s *Store) LimitWatchEvents(limit int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.maxWatchEvents = most
+	s.maxWatchEvents = limit
 }
 
 // Calls returns the number of calls of a kind; "" means all kinds.
@@ -102,15 +102,15 @@
 	s.notifyWatches()
 }
 
-// Revoke ends a lease and removes its keys.
-func (s *Store) Revoke(id ledger.LeaseID) {
+// RevokeLease ends a lease and deletes its keys.
+func (s *Store) RevokeLease(id ledger.LeaseID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.endLease(id)
 }
 
-// RevokeAll ends every lease, like an outage that is longer than their TTL.
-func (s *Store) RevokeAll() {
+// RevokeAllLeases ends every lease, as an outage that is longer than their TTL does.
+func (s *Store) RevokeAllLeases() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.leases {
@@ -296,7 +296,7 @@
 	s.calls["lease"]++
 	s.nextLease++
 	id := s.nextLease
-	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.Revoke(id) })}
+	s.leases[id] = &lease{ttl: ttl, timer: time.AfterFunc(ttl, func() { s.RevokeLease(id) })}
 	return id
 }
 
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -186,8 +186,8 @@
 	f.startWorkerAfter(i, d)
 }
 
-// Cut cuts an instance off from all daemons for d; its tasks go on.
-func (f *Fleet) Cut(id owner.InstanceID, d time.Duration) {
+// Isolate cuts an instance off from all daemons for d; its tasks go on.
+func (f *Fleet) Isolate(id owner.InstanceID, d time.Duration) {
 	f.set(id, d, func(w *worker, on bool) { w.cutOff = on })
 }
 
