--- a/cmd/postmount-lab/workers.go
+++ b/cmd/postmount-lab/workers.go
@@ -42,7 +42,7 @@
 			faults worker.Faults
 		}{
 			{*fail, worker.Faults{Fail: true}}, {*slow, worker.Faults{SlowMS: slowWorkerDelayMS}},
-			{*hang, worker.Faults{Hang: true}}, {*cut, worker.Faults{Cut: true}},
+			{*hang, worker.Faults{Hang: true}}, {*cut, worker.Faults{TruncateAnswers: true}},
 		} {
 			for _, id := range set.ids {
 				faults[id] = set.faults
--- a/lab/report.go
+++ b/lab/report.go
@@ -87,8 +87,8 @@
 	addViolation(int64(len(r.Workers.Duplicates)), "run-once requests that ran more than once")
 	addViolation(r.Workers.OverSlots, "requests beyond a worker's slots")
 	addViolation(r.Workers.OverConns, "connections beyond a worker's limit")
-	addViolation(r.Workers.LateWork, "requests to a worker after the grace time of its drain")
-	addViolation(r.Workers.TasksTwice, "tasks that ran at the same time as another attempt")
+	addViolation(r.Workers.LateRequests, "requests to a worker after the grace time of its drain")
+	addViolation(r.Workers.ConcurrentAttempts, "tasks that ran at the same time as another attempt")
 	if !r.Wave.Done {
 		r.Broken = append(r.Broken, "the wave did not end")
 	}
@@ -136,7 +136,7 @@
 		fmt.Fprintf(w, "configuration: %d changes, in force everywhere after %d ms (median), %d ms (longest)\n", n, sorted[n/2], sorted[n-1])
 	}
 	fmt.Fprintf(w, "workers: %d requests, %d keyed ones ran, %d ran twice; at most %d at once on one worker\n",
-		r.Workers.Requests, r.Workers.Ran, len(r.Workers.Duplicates), r.Workers.MaxAtOnce)
+		r.Workers.Requests, r.Workers.RunOnceExecuted, len(r.Workers.Duplicates), r.Workers.MaxInFlight)
 	if len(r.Broken) == 0 {
 		fmt.Fprintf(w, "\nno violations (%.1f s)\n", r.Took)
 		return
--- a/standin/worker/fleet.go
+++ b/standin/worker/fleet.go
@@ -69,7 +69,7 @@
 	return out
 }
 
-// SetDraining sets whether a worker is draining.
+// SetDraining starts or ends the drain of a worker.
 func (f *Fleet) SetDraining(id string, draining bool) error {
 	w, err := f.get(id)
 	if err != nil {
@@ -122,10 +122,10 @@
 // Report holds the counts of all workers together.
 type Report struct {
 	Counts
-	// Duplicates lists the run-once requests that ran more than once.
+	// Duplicates lists the ids of the run-once requests that ran more than once.
 	Duplicates []string `json:"duplicates"`
-	// Ran is the number of run-once requests that ran.
-	Ran int `json:"ran_once"`
+	// RunOnceExecuted is the number of run-once requests that ran.
+	RunOnceExecuted int `json:"ran_once"`
 }
 
 // Report sums up the counts of the workers.
@@ -136,17 +136,17 @@
 		c := w.counts
 		w.mu.Unlock()
 		r.Requests += c.Requests
-		r.MaxAtOnce = max(r.MaxAtOnce, c.MaxAtOnce)
+		r.MaxInFlight = max(r.MaxInFlight, c.MaxInFlight)
 		r.OverSlots += c.OverSlots
 		r.OverConns += c.OverConns
-		r.LateWork += c.LateWork
+		r.LateRequests += c.LateRequests
 		r.TasksDone += c.TasksDone
-		r.TasksTwice += c.TasksTwice
-		r.Lapsed += c.Lapsed
+		r.ConcurrentAttempts += c.ConcurrentAttempts
+		r.TasksExpired += c.TasksExpired
 	}
 	f.executions.mu.Lock()
 	defer f.executions.mu.Unlock()
-	r.Ran = len(f.executions.runs)
+	r.RunOnceExecuted = len(f.executions.runs)
 	for id, n := range f.executions.runs {
 		if n > 1 {
 			r.Duplicates = append(r.Duplicates, id)
@@ -205,13 +205,14 @@
 	return nil
 }
 
-// decodeAndApply decodes a JSON body, which must not have unknown fields, and calls act.
-func decodeAndApply(w http.ResponseWriter, r *http.Request, into any, act func() error) {
+// decodeAndApply decodes a JSON body, which must not have unknown fields, into target and calls
+// apply. It answers with status 400 if either fails.
+func decodeAndApply(w http.ResponseWriter, r *http.Request, target any, apply func() error) {
 	dec := json.NewDecoder(r.Body)
 	dec.DisallowUnknownFields()
-	err := dec.Decode(into)
+	err := dec.Decode(target)
 	if err == nil {
-		err = act()
+		err = apply()
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -3,15 +3,12 @@
 import (
 	"encoding/json"
 	"net/http"
-	"strconv"
 	"time"
 
 	"github.com/postmount/postmount/adapter/workerhttp"
 	"github.com/postmount/postmount/requests/fleet"
 )
 
-func itoa(n int) string { return strconv.Itoa(n) }
-
 // taskID identifies a job; a worker runs at most one attempt of it at a time.
 type taskID struct{ pool, job string }
 
@@ -22,12 +19,13 @@
 	state fleet.TaskState
 }
 
-// usagePercent is the share, in percent, of its declared resources that a task uses: declared
-// sizes are far off in practice.
+// usagePercent is the CPU and memory that a task uses, in percent of what it declares. In practice
+// declared sizes are far off.
 const usagePercent = 60
 
-// sync serves a call of the task API: it applies the orders and answers with the worker's tasks.
-func (w *Worker) sync(rw http.ResponseWriter, r *http.Request) {
+// serveTasks serves a call of the task API: it applies the orders and answers with the
+// worker's tasks.
+func (w *Worker) serveTasks(rw http.ResponseWriter, r *http.Request) {
 	var m workerhttp.SyncMessage
 	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
 		http.Error(rw, err.Error(), http.StatusBadRequest)
@@ -41,8 +39,8 @@
 		w.stopTask(t)
 	}
 	for _, t := range m.Keep {
-		if have := w.tasks[taskID{t.Pool, t.Job}]; have != nil && have.msg.Attempt == t.Attempt {
-			have.lease = lease
+		if current := w.tasks[taskID{t.Pool, t.Job}]; current != nil && current.msg.Attempt == t.Attempt {
+			current.lease = lease
 		}
 	}
 	for _, t := range m.Start {
@@ -53,31 +51,34 @@
 	_ = json.NewEncoder(rw).Encode(answer)
 }
 
-// startTask starts an attempt unless the same or a newer one is known, or the worker drains.
+// startTask starts an attempt, unless the worker drains or knows a newer attempt. If it knows the
+// same or a newer one it renews the lease of that.
 func (w *Worker) startTask(now, lease time.Time, t workerhttp.TaskMessage) {
 	id := taskID{t.Pool, t.Job}
-	have := w.tasks[id]
-	if have != nil && have.msg.Attempt >= t.Attempt {
-		have.lease = lease
+	current := w.tasks[id]
+	if current != nil && current.msg.Attempt >= t.Attempt {
+		current.lease = lease
 		return
 	}
 	if !w.draining.IsZero() {
 		return
 	}
-	if have != nil && have.state == fleet.TaskRunning {
-		w.counts.TasksTwice++
+	if current != nil && current.state == fleet.TaskRunning {
+		w.counts.ConcurrentAttempts++
 	}
 	w.tasks[id] = &task{msg: t, ends: now.Add(time.Duration(t.RunForMS) * time.Millisecond), lease: lease, state: fleet.TaskRunning}
 }
 
+// stopTask removes a running task if its attempt is the one to stop.
 func (w *Worker) stopTask(t workerhttp.TaskMessage) {
 	id := taskID{t.Pool, t.Job}
-	if have := w.tasks[id]; have != nil && have.msg.Attempt == t.Attempt && have.state == fleet.TaskRunning {
+	if current := w.tasks[id]; current != nil && current.msg.Attempt == t.Attempt && current.state == fleet.TaskRunning {
 		delete(w.tasks, id)
 	}
 }
 
-// endDueTasks ends the tasks whose run time or lease is over; while Faults.Fail is set it fails all.
+// endDueTasks ends the tasks whose run time or lease is over. While Faults.Fail is set it fails
+// every running task.
 func (w *Worker) endDueTasks(now time.Time) {
 	for id, t := range w.tasks {
 		switch {
@@ -88,12 +89,13 @@
 			t.state = fleet.TaskDone
 			w.counts.TasksDone++
 		case now.After(t.lease):
-			w.counts.Lapsed++
+			w.counts.TasksExpired++
 			delete(w.tasks, id)
 		}
 	}
 }
 
+// report returns the worker's tasks and their resource usage.
 func (w *Worker) report() workerhttp.SyncResponse {
 	var a workerhttp.SyncResponse
 	for _, t := range w.tasks {
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -1,6 +1,6 @@
 // Package worker is a small stand-in for the fleet's workers: backend servers that answer
-// requests, run tasks under leases and can inject faults. They count requests and tasks, to
-// check postmount's guarantees.
+// requests, run tasks under leases and can inject faults. They count requests and tasks, so that
+// tests and the lab can check postmount's guarantees.
 package worker
 
 import (
@@ -11,6 +11,7 @@
 	"io"
 	"net"
 	"net/http"
+	"strconv"
 	"strings"
 	"sync"
 	"time"
@@ -21,13 +22,13 @@
 
 // Faults are the faults that a worker injects.
 type Faults struct {
-	Fail     bool `json:"fail"`      // answers every request with status 500 and fails every task
-	SlowMS   int  `json:"slow_ms"`   // added to the time of every request
-	Cut      bool `json:"cut"`       // closes the connection in the middle of every answer
-	Hang     bool `json:"hang"`      // doesn't answer until it is stopped
-	Foreign  bool `json:"foreign"`   // answers with the id of another request
-	Overload bool `json:"overload"`  // refuses every request without running it
-	CutEvery int  `json:"cut_every"` // closes the connection in the middle of every n-th answer; 0: of none
+	Fail            bool `json:"fail"`      // answers every request with status 500 and fails every task
+	SlowMS          int  `json:"slow_ms"`   // added to the time of every request
+	TruncateAnswers bool `json:"cut"`       // closes the connection in the middle of every answer
+	Hang            bool `json:"hang"`      // doesn't answer until it is stopped
+	WrongRequestID  bool `json:"foreign"`   // answers with the id of another request
+	Overload        bool `json:"overload"`  // refuses every request without running it
+	TruncateEvery   int  `json:"cut_every"` // closes the connection in the middle of every n-th answer; 0: of none
 }
 
 // Spec describes a worker.
@@ -43,16 +44,16 @@
 	Accelerators int    `json:"accelerators"`
 }
 
-// Counts are the counters of a worker.
+// Counts are the counters of a worker since its creation.
 type Counts struct {
-	Requests   int64 `json:"requests"`
-	MaxAtOnce  int   `json:"max_at_once"`
-	OverSlots  int64 `json:"over_slots"` // requests beyond the worker's slots
-	OverConns  int64 `json:"over_conns"` // connections beyond its limit
-	LateWork   int64 `json:"late_work"`  // requests later than DrainGrace after the start of a drain
-	TasksDone  int64 `json:"tasks_done"`
-	TasksTwice int64 `json:"tasks_twice"`  // attempts of a job that started while another one ran
-	Lapsed     int64 `json:"tasks_lapsed"` // tasks stopped because their lease expired
+	Requests           int64 `json:"requests"`
+	MaxInFlight        int   `json:"max_at_once"`
+	OverSlots          int64 `json:"over_slots"` // requests beyond the worker's slots
+	OverConns          int64 `json:"over_conns"` // connections beyond its limit
+	LateRequests       int64 `json:"late_work"`  // requests that began later than DrainGrace after the start of a drain
+	TasksDone          int64 `json:"tasks_done"`
+	ConcurrentAttempts int64 `json:"tasks_twice"`  // attempts of a job that started while another one ran
+	TasksExpired       int64 `json:"tasks_lapsed"` // tasks stopped because their lease expired
 }
 
 // DrainGrace is how long after the start of a drain requests may still arrive.
@@ -76,22 +77,22 @@
 
 // Worker is a stand-in for a worker; Fleet starts and controls it.
 type Worker struct {
-	spec Spec
-	runs *executions
+	spec       Spec
+	executions *executions
 
-	mu           sync.Mutex
-	server       *http.Server
-	faults       Faults
-	counts       Counts
-	inFlight     int
-	conns        map[net.Conn]bool
-	draining     time.Time // zero: not draining
-	down         bool
-	tasks        map[taskID]*task
-	hangReleased chan struct{} // closed when the worker stops; ends hanging requests
+	mu       sync.Mutex
+	server   *http.Server
+	faults   Faults
+	counts   Counts
+	inFlight int
+	conns    map[net.Conn]bool
+	draining time.Time // zero: not draining
+	down     bool
+	tasks    map[taskID]*task
+	stopped  chan struct{} // closed when the worker stops; ends the requests that hang
 }
 
-// executions counts over all workers how often each run-once request ran.
+// executions counts how often each run-once request ran, over all workers of a fleet.
 type executions struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -103,11 +104,11 @@
 	e.runs[id]++
 }
 
-func newWorker(spec Spec, log *executions) *Worker {
-	return &Worker{spec: spec, runs: log, conns: map[net.Conn]bool{}, tasks: map[taskID]*task{}, hangReleased: make(chan struct{})}
+func newWorker(spec Spec, runs *executions) *Worker {
+	return &Worker{spec: spec, executions: runs, conns: map[net.Conn]bool{}, tasks: map[taskID]*task{}, stopped: make(chan struct{})}
 }
 
-// start begins to serve at the worker's address.
+// start begins to serve at the worker's address, or at a free port if its port is 0.
 func (w *Worker) start() error {
 	l, err := net.Listen("tcp", w.spec.Addr)
 	if err != nil {
@@ -117,7 +118,7 @@
 	defer w.mu.Unlock()
 	w.spec.Addr = l.Addr().String()
 	w.down = false
-	w.hangReleased = make(chan struct{})
+	w.stopped = make(chan struct{})
 	server := &http.Server{Handler: w, ConnState: w.connState}
 	w.server = server
 	go func() {
@@ -128,7 +129,8 @@
 	return nil
 }
 
-// stop ends the worker at once, as a reboot does. Its tasks are lost.
+// stop ends the worker at once, as a reboot does. Its connections are closed and its tasks are
+// lost.
 func (w *Worker) stop() {
 	w.mu.Lock()
 	server := w.server
@@ -136,9 +138,9 @@
 	w.down = true
 	clear(w.tasks)
 	select {
-	case <-w.hangReleased:
+	case <-w.stopped:
 	default:
-		close(w.hangReleased)
+		close(w.stopped)
 	}
 	w.mu.Unlock()
 	if server != nil {
@@ -146,6 +148,7 @@
 	}
 }
 
+// connState tracks the open connections and counts those beyond the worker's limit.
 func (w *Worker) connState(c net.Conn, s http.ConnState) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -163,14 +166,14 @@
 // ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(rw http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == workerhttp.TasksPath {
-		w.sync(rw, r)
+		w.serveTasks(rw, r)
 		return
 	}
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	f, cut, released := w.beginRequest()
+	f, truncate, stopped := w.beginRequest()
 	defer w.endRequest()
 	if f.Overload {
 		rw.Header().Set(backendhttp.HeaderNotRun, "true")
@@ -178,41 +181,44 @@
 		return
 	}
 	if r.Header.Get(HeaderRunOnce) != "" {
-		w.runs.add(r.Header.Get(HeaderRunOnce))
+		w.executions.add(r.Header.Get(HeaderRunOnce))
 	}
 	if f.Hang {
-		<-released
+		<-stopped
 		return
 	}
-	serveDelay(r, f, released)
-	w.answer(rw, r, body, f, cut)
+	serveDelay(r, f, stopped)
+	w.answer(rw, r, body, f, truncate)
 }
 
-// serveDelay waits for the service time of the request plus SlowMS, or until the worker stops.
-func serveDelay(r *http.Request, f Faults, released <-chan struct{}) {
+// serveDelay waits for the service time of the request plus Faults.SlowMS, or until the worker
+// stops.
+func serveDelay(r *http.Request, f Faults, stopped <-chan struct{}) {
 	ms, _ := time.ParseDuration(r.Header.Get(HeaderServiceMS) + "ms")
 	t := time.NewTimer(ms + time.Duration(f.SlowMS)*time.Millisecond)
 	defer t.Stop()
 	select {
 	case <-t.C:
-	case <-released:
+	case <-stopped:
 	}
 }
 
-func (w *Worker) beginRequest() (f Faults, cut bool, released <-chan struct{}) {
+// beginRequest counts a request. It returns the faults that apply to it, whether its answer is
+// truncated, and a channel that is closed when the worker stops.
+func (w *Worker) beginRequest() (f Faults, truncate bool, stopped <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.counts.Requests++
 	w.inFlight++
-	w.counts.MaxAtOnce = max(w.counts.MaxAtOnce, w.inFlight)
+	w.counts.MaxInFlight = max(w.counts.MaxInFlight, w.inFlight)
 	if w.spec.Slots > 0 && w.inFlight > w.spec.Slots {
 		w.counts.OverSlots++
 	}
 	if !w.draining.IsZero() && time.Since(w.draining) > DrainGrace {
-		w.counts.LateWork++
+		w.counts.LateRequests++
 	}
-	cut = w.faults.Cut || (w.faults.CutEvery > 0 && w.counts.Requests%int64(w.faults.CutEvery) == 0)
-	return w.faults, cut, w.hangReleased
+	truncate = w.faults.TruncateAnswers || (w.faults.TruncateEvery > 0 && w.counts.Requests%int64(w.faults.TruncateEvery) == 0)
+	return w.faults, truncate, w.stopped
 }
 
 func (w *Worker) endRequest() {
@@ -221,17 +227,18 @@
 	w.inFlight--
 }
 
-// paddingLength is the padding in bytes that makes answers long enough to be truncated.
-const paddingLength = 512
+// paddingBytes is the size of the padding that makes answers long enough to be truncated.
+const paddingBytes = 512
 
-func (w *Worker) answer(rw http.ResponseWriter, r *http.Request, body []byte, f Faults, cut bool) {
+// answer writes the answer to a request, with the faults that change it.
+func (w *Worker) answer(rw http.ResponseWriter, r *http.Request, body []byte, f Faults, truncate bool) {
 	sum := sha256.Sum256(body)
 	data, _ := json.Marshal(Answer{
 		Worker: w.spec.ID, Method: r.Method, URI: r.URL.RequestURI(), BodySum: hex.EncodeToString(sum[:]),
-		LoadID: r.Header.Get("X-Load-Id"), Padding: strings.Repeat("x", paddingLength),
+		LoadID: r.Header.Get("X-Load-Id"), Padding: strings.Repeat("x", paddingBytes),
 	})
 	id := r.Header.Get(backendhttp.HeaderRequestID)
-	if f.Foreign {
+	if f.WrongRequestID {
 		id = "foreign"
 	}
 	rw.Header().Set(backendhttp.HeaderRequestID, id)
@@ -239,14 +246,15 @@
 	switch {
 	case f.Fail:
 		rw.WriteHeader(http.StatusInternalServerError)
-	case cut:
-		rw.Header().Set("Content-Length", itoa(len(data)))
+	case truncate:
+		rw.Header().Set("Content-Length", strconv.Itoa(len(data)))
 		_, _ = rw.Write(data[:len(data)/2])
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = rw.Write(data)
 }
 
+// setDraining starts or ends a drain; a drain that already runs keeps its start time.
 func (w *Worker) setDraining(draining bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
