--- a/cmd/postmount-lab/demo.go
+++ b/cmd/postmount-lab/demo.go
@@ -23,7 +23,7 @@
 	o := lab.DemoOptions{Progress: os.Stderr}
 	fleet := fleetFlag(cmd)
 	cmd.Flag("seed", "Seed of the load.").Default("1").Uint64Var(&o.Seed)
-	cmd.Flag("for", "Duration of the load.").Default("24s").DurationVar(&o.For)
+	cmd.Flag("for", "Duration of the load.").Default("24s").DurationVar(&o.Duration)
 	cmd.Flag("entries", "Number of entry daemons.").Default("6").IntVar(&o.Entries)
 	logs := cmd.Flag("logs", "Print the daemons' logs.").Bool()
 	only := cmd.Flag("only", "Part to run: callers' requests to backend servers, jobs, or both at the same time.").Default("all").Enum("all", "requests", "jobs")
@@ -80,16 +80,16 @@
 		if output == "table" {
 			r.Requests.Print(os.Stdout)
 		}
-		violated = len(r.Requests.Broken) > 0
+		violated = len(r.Requests.Violations) > 0
 	}
 	if r.Jobs != nil {
 		if output == "table" {
 			r.Jobs.Print(os.Stdout)
-			for _, violation := range r.Jobs.Broken {
+			for _, violation := range r.Jobs.Violations {
 				fmt.Fprintln(os.Stdout, "BROKEN", violation)
 			}
 		}
-		violated = violated || len(r.Jobs.Broken) > 0
+		violated = violated || len(r.Jobs.Violations) > 0
 	}
 	if violated {
 		return errInvariantViolated
--- a/cmd/postmount-lab/load.go
+++ b/cmd/postmount-lab/load.go
@@ -54,7 +54,7 @@
 // the workers, a request ran twice.
 func checkSummaries(summaries []lab.Summary, workers string) error {
 	for _, s := range summaries {
-		if s.Cut+s.Foreign+s.Differs > 0 {
+		if s.Truncated+s.WrongRequest+s.ResendMismatches > 0 {
 			return errLoadCheckFailed
 		}
 	}
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -20,7 +20,7 @@
 	Topology Topology
 	Entries  int
 	Seed     uint64
-	For      time.Duration // how long the load lasts
+	Duration time.Duration // how long the load lasts
 	Progress io.Writer
 	Logs     io.Writer // nil drops the daemons' logs
 }
@@ -43,19 +43,19 @@
 	// InForceMillis holds, for each change by an operator, the time from its recording until
 	// all daemons applied it.
 	InForceMillis []int64 `json:"in_force_ms"`
-	// Broken lists the violated guarantees.
-	Broken []string `json:"broken"`
-	Took   float64  `json:"took_seconds"`
+	// Violations lists the violated guarantees.
+	Violations  []string `json:"broken"`
+	TookSeconds float64  `json:"took_seconds"`
 }
 
 // PoolReport is one pool's availability over the demo.
 type PoolReport struct {
-	Pool    string `json:"pool"`
-	Size    int    `json:"size"`
-	Allowed int    `json:"allowed_out"`
-	MostOut int    `json:"most_out"`
-	Samples int    `json:"samples"`
-	Broken  int    `json:"broken_samples"`
+	Pool              string `json:"pool"`
+	Size              int    `json:"size"`
+	Allowed           int    `json:"allowed_out"`
+	MaxOut            int    `json:"most_out"`
+	Samples           int    `json:"samples"`
+	SamplesOverBudget int    `json:"broken_samples"`
 }
 
 // WaveReport compares a wave's roll-out time with its lower bound.
@@ -193,10 +193,10 @@
 }
 
 func (d *demo) run(ctx context.Context) error {
-	loadCtx, cancel := context.WithTimeout(ctx, d.o.For)
+	loadCtx, cancel := context.WithTimeout(ctx, d.o.Duration)
 	defer cancel()
 	load := NewLoad(LoadOptions{
-		Topology: d.o.Topology, Entries: d.f.TrafficAddrs(), Ready: d.f.Balancer(), Scale: 1, Resend: 0.1, Seed: d.o.Seed,
+		Topology: d.o.Topology, Entries: d.f.TrafficAddrs(), Ready: d.f.HealthCheck(), Scale: 1, Resend: 0.1, Seed: d.o.Seed,
 	})
 	var wg sync.WaitGroup
 	wg.Add(2)
@@ -219,14 +219,14 @@
 	stopSampling()
 	wg.Wait()
 	d.report.Classes = load.Summaries()
-	d.report.Broken = append(d.report.Broken, load.CheckExecutions(d.f.Workers.RunCount)...)
+	d.report.Violations = append(d.report.Violations, load.CheckExecutions(d.f.Workers.RunCount)...)
 	return err
 }
 
 // runSteps runs the steps when they are due.
 func (d *demo) runSteps(ctx context.Context, started time.Time) error {
 	for _, s := range d.steps() {
-		due := started.Add(time.Duration(s.at * float64(d.o.For)))
+		due := started.Add(time.Duration(s.at * float64(d.o.Duration)))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
@@ -313,10 +313,10 @@
 			}
 		}
 		r.Size, r.Allowed = size, v.Value.Budget.Allowed(size)
-		r.MostOut = max(r.MostOut, out)
+		r.MaxOut = max(r.MaxOut, out)
 		r.Samples++
 		if out > r.Allowed {
-			r.Broken++
+			r.SamplesOverBudget++
 		}
 		d.sample.outSlots += float64(out * workerSlots)
 		d.sample.budgetSlots += float64(r.Allowed * workerSlots)
--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -217,9 +217,9 @@
 	return out
 }
 
-// Balancer returns the health check of a load balancer: it reports whether the entry at addr
+// HealthCheck returns the health check of a load balancer: it reports whether the entry at addr
 // is ready and has not ended.
-func (f *Fixture) Balancer() func(addr string) bool {
+func (f *Fixture) HealthCheck() func(addr string) bool {
 	byAddr := map[string]*RunningDaemon{}
 	for _, d := range f.Daemons {
 		byAddr[d.TrafficAddr()] = d
--- a/lab/fixture_test.go
+++ b/lab/fixture_test.go
@@ -19,12 +19,12 @@
 	defer cancel()
 	require.NoError(t, f.WaitReady(ctx))
 	require.NoError(t, f.Exec(ctx, f.Topology.Statements()))
-	load := NewLoad(LoadOptions{Topology: f.Topology, Entries: f.TrafficAddrs(), Ready: f.Balancer(), Scale: 1, Resend: 0.1, Seed: 1})
+	load := NewLoad(LoadOptions{Topology: f.Topology, Entries: f.TrafficAddrs(), Ready: f.HealthCheck(), Scale: 1, Resend: 0.1, Seed: 1})
 	lctx, lcancel := context.WithTimeout(ctx, time.Second)
 	defer lcancel()
 	load.Run(lctx)
 	for _, s := range load.Summaries() {
-		require.Zero(t, s.Cut+s.Foreign+s.Differs, "%+v", s)
+		require.Zero(t, s.Truncated+s.WrongRequest+s.ResendMismatches, "%+v", s)
 	}
 	require.Empty(t, load.CheckExecutions(f.Workers.RunCount))
 }
--- a/lab/jobload/bench_test.go
+++ b/lab/jobload/bench_test.go
@@ -12,7 +12,7 @@
 // pools, 85 jobs per second of two steps with eight tasks each.
 func grownFleet() Scenario {
 	sc := Scenario{Seed: 1, Length: 15 * time.Second, Instances: 88, Capacity: job.Resources{CPUMilli: 32000, MemMB: 64000}}
-	kind := JobKind{Steps: 2, Width: 8, CPUMilli: 10000, MemMB: 4000, Task: 700 * time.Millisecond, EstimateError: 0.3}
+	kind := JobKind{Steps: 2, Width: 8, CPUMilli: 10000, MemMB: 4000, TaskDuration: 700 * time.Millisecond, EstimateError: 0.3}
 	for _, name := range []string{"a", "b", "c", "d"} {
 		sc.Queues = append(sc.Queues, Queue{Name: name, PerSecond: 85.0 / 4, RateFactor: Constant, Kind: kind})
 	}
--- a/lab/jobload/daemon_test.go
+++ b/lab/jobload/daemon_test.go
@@ -13,8 +13,8 @@
 // rotating load and a spare pool, on a daemon with an eighth of a core and a link of 2 Mbit/s.
 // Each turn needs more tasks than the link can carry: 380 per second of 1.3 KB each.
 func slowLinkFleet(seed uint64, d Daemon) Scenario {
-	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 4500, MemMB: 16000, Task: 800 * time.Millisecond, EstimateError: 0.5}
-	large := JobKind{Steps: 2, Width: 8, CPUMilli: 9700, MemMB: 20000, Task: 1700 * time.Millisecond, EstimateError: 0.5}
+	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 4500, MemMB: 16000, TaskDuration: 800 * time.Millisecond, EstimateError: 0.5}
+	large := JobKind{Steps: 2, Width: 8, CPUMilli: 9700, MemMB: 20000, TaskDuration: 1700 * time.Millisecond, EstimateError: 0.5}
 	sc := Scenario{Seed: seed, Length: 34 * time.Second, Instances: 27, Spare: 24, Capacity: job.Resources{CPUMilli: 32000, MemMB: 131072}, Daemon: &d}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 6.3, Kind: small},
--- a/lab/jobload/decisions_test.go
+++ b/lab/jobload/decisions_test.go
@@ -42,8 +42,8 @@
 func overloadedFleet(seed uint64) Scenario {
 	sc := Scenario{Seed: seed, Length: 12 * time.Second, Instances: 12, Spare: 4, Capacity: job.Resources{CPUMilli: 16000, MemMB: 32768}}
 	for i, q := range []Queue{
-		{Name: "a", PerSecond: 14, Kind: JobKind{Steps: 1.6, Width: 8, CPUMilli: 2300, MemMB: 5000, Task: 800 * time.Millisecond, EstimateError: 0.5}},
-		{Name: "b", PerSecond: 6, Kind: JobKind{Steps: 2, Width: 8, CPUMilli: 3900, MemMB: 2000, Task: 1700 * time.Millisecond, EstimateError: 0.9}, Priority: 1},
+		{Name: "a", PerSecond: 14, Kind: JobKind{Steps: 1.6, Width: 8, CPUMilli: 2300, MemMB: 5000, TaskDuration: 800 * time.Millisecond, EstimateError: 0.5}},
+		{Name: "b", PerSecond: 6, Kind: JobKind{Steps: 2, Width: 8, CPUMilli: 3900, MemMB: 2000, TaskDuration: 1700 * time.Millisecond, EstimateError: 0.9}, Priority: 1},
 	} {
 		q.RateFactor = Rotating(i, 2, 4*time.Second, 1.7, 0.3)
 		sc.Queues = append(sc.Queues, q)
--- a/lab/jobload/jobload_test.go
+++ b/lab/jobload/jobload_test.go
@@ -16,8 +16,8 @@
 // measured from the arrival of jobs on that customer's days.
 func rotatingLoad(seed uint64) Scenario {
 	const turn, high, low = 8600 * time.Millisecond, 4.0, 0.05
-	small := JobKind{Steps: 1.6, Width: 6, CPUMilli: 880, MemMB: 910, Task: time.Second, EstimateError: 0.5}
-	large := JobKind{Steps: 2, Width: 8, CPUMilli: 1900, MemMB: 3500, Task: 1700 * time.Millisecond, EstimateError: 0.9}
+	small := JobKind{Steps: 1.6, Width: 6, CPUMilli: 880, MemMB: 910, TaskDuration: time.Second, EstimateError: 0.5}
+	large := JobKind{Steps: 2, Width: 8, CPUMilli: 1900, MemMB: 3500, TaskDuration: 1700 * time.Millisecond, EstimateError: 0.9}
 	sc := Scenario{Seed: seed, Length: 36 * time.Second, Instances: 10, Spare: 9, Capacity: job.Resources{CPUMilli: 16000, MemMB: 32768}}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 7.2, Kind: small},
--- a/lab/jobload/jobs.go
+++ b/lab/jobload/jobs.go
@@ -33,7 +33,7 @@
 	spec := &job.Job{ID: job.ID(fmt.Sprintf("%016x", s.result.Jobs)), Queue: q.Name, Service: q.Name}
 	j := &simJob{spec: spec, first: s.engine.now}
 	for n := range s.stepCount(q.Kind) {
-		mean := time.Duration(s.logNormal(float64(q.Kind.Task)))
+		mean := time.Duration(s.logNormal(float64(q.Kind.TaskDuration)))
 		step := job.Step{
 			Count: max(1, int(s.logNormal(float64(q.Kind.Width)))) * wide,
 			Need:  job.Resources{CPUMilli: int(s.logNormal(float64(q.Kind.CPUMilli))), MemMB: int(s.logNormal(float64(q.Kind.MemMB)))},
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -51,7 +51,7 @@
 	Width         int     // mean number of tasks of a step
 	CPUMilli      int     // mean of a task
 	MemMB         int
-	Task          time.Duration // mean duration of a task
+	TaskDuration  time.Duration // mean duration of a task
 	EstimateError float64       // maximum relative error of estimates, in either direction
 }
 
--- a/lab/jobload/unusedmoves_test.go
+++ b/lab/jobload/unusedmoves_test.go
@@ -15,8 +15,8 @@
 func oversizedFleet(seed uint64, instances int) Scenario {
 	const lead, turn, high, low = 10 * time.Second, 5 * time.Second, 4.0, 0.05
 	of := float64(instances) / 5040 // share of the customer's fleet
-	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 6400, MemMB: 23000, Task: 800 * time.Millisecond, EstimateError: 0.5}
-	large := JobKind{Steps: 2, Width: 8, CPUMilli: 14000, MemMB: 40000, Task: 1700 * time.Millisecond, EstimateError: 0.9}
+	small := JobKind{Steps: 1.6, Width: 8, CPUMilli: 6400, MemMB: 23000, TaskDuration: 800 * time.Millisecond, EstimateError: 0.5}
+	large := JobKind{Steps: 2, Width: 8, CPUMilli: 14000, MemMB: 40000, TaskDuration: 1700 * time.Millisecond, EstimateError: 0.9}
 	sc := Scenario{Seed: seed, Length: lead + 25*time.Second, Instances: instances / 4, Spare: instances / 5, Capacity: job.Resources{CPUMilli: 32000, MemMB: 131072}}
 	for i, q := range []Queue{
 		{Name: "a", PerSecond: 25.1 * of, Kind: small},
--- a/lab/jobsdemo/demo.go
+++ b/lab/jobsdemo/demo.go
@@ -24,11 +24,11 @@
 	Completed  int      `json:"completed"`
 	Starts     int      `json:"starts"`
 	MedianMs   int64    `json:"median_ms"`
-	WorstMs    int64    `json:"worst_ms"`
+	MaxMs      int64    `json:"worst_ms"`
 	Owners     int      `json:"owners"` // changes of the owner, the first election included
 	Maintained int      `json:"maintained"`
 	StoreCalls int      `json:"store_calls"`
-	Broken     []string `json:"broken"`
+	Violations []string `json:"broken"`
 }
 
 // Timing of the demo.
@@ -199,12 +199,12 @@
 }
 
 func (d *demo) finish() {
-	d.rep.Broken = d.in.Checker.Violations()
+	d.rep.Violations = d.in.Checker.Violations()
 	if n := len(d.open); n > 0 {
-		d.rep.Broken = append(d.rep.Broken, fmt.Sprintf("%d accepted jobs are not completed", n))
+		d.rep.Violations = append(d.rep.Violations, fmt.Sprintf("%d accepted jobs are not completed", n))
 	}
 	if !d.in.WaveDone(1) {
-		d.rep.Broken = append(d.rep.Broken, "the wave is not completed")
+		d.rep.Violations = append(d.rep.Violations, "the wave is not completed")
 	}
 	d.rep.Starts = d.in.Checker.Starts()
 	d.rep.Maintained = d.in.Checker.MaintainedCount(1)
@@ -218,13 +218,13 @@
 	if len(took) > 0 {
 		sort.Slice(took, func(a, b int) bool { return took[a] < took[b] })
 		d.rep.MedianMs = took[len(took)/2]
-		d.rep.WorstMs = took[len(took)-1]
+		d.rep.MaxMs = took[len(took)-1]
 	}
 }
 
 // Print writes the report as text.
 func (r *Report) Print(w io.Writer) {
 	fmt.Fprintf(w, "\njobs    accepted %d, refused attempts %d, completed %d; task starts %d for %d tasks\n", r.Accepted, r.Refused, r.Completed, r.Starts, 6*r.Accepted)
-	fmt.Fprintf(w, "        time from first submission to completion: median %d ms, maximum %d ms\n", r.MedianMs, r.WorstMs)
+	fmt.Fprintf(w, "        time from first submission to completion: median %d ms, maximum %d ms\n", r.MedianMs, r.MaxMs)
 	fmt.Fprintf(w, "        %d successive owners, %d instances maintained, %d calls to the store\n", r.Owners, r.Maintained, r.StoreCalls)
 }
--- a/lab/jobsdemo/demo_test.go
+++ b/lab/jobsdemo/demo_test.go
@@ -13,7 +13,7 @@
 func TestDemoHasNoViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := Run(t.Context(), io.Discard)
-		assert.Empty(t, r.Broken)
+		assert.Empty(t, r.Violations)
 		assert.Equal(t, jobCount, r.Completed)
 		assert.Equal(t, 3, r.Maintained)
 		assert.GreaterOrEqual(t, r.Owners, 2)
--- a/lab/load.go
+++ b/lab/load.go
@@ -53,17 +53,17 @@
 
 // ClassStats are the results of one class.
 type ClassStats struct {
-	mu      sync.Mutex
-	Sent    int64
-	Done    int64
-	NotRun  int64
-	MayRun  int64
-	Lost    int64 // sends without any answer, as from an entry that has ended
-	Cut     int64 // truncated answers
-	Foreign int64 // answers to another request
-	Differs int64 // resends whose answer differs from the first
-	Codes   map[string]int64
-	latency *hdrhistogram.Histogram // microseconds; complete answers of done requests only
+	mu               sync.Mutex
+	Sent             int64
+	Done             int64
+	NotRun           int64
+	MayHaveRun       int64
+	Unanswered       int64 // sends without any answer, as from an entry that has ended
+	Truncated        int64 // truncated answers
+	WrongRequest     int64 // answers to another request
+	ResendMismatches int64 // resends whose answer differs from the first
+	Codes            map[string]int64
+	latency          *hdrhistogram.Histogram // microseconds; complete answers of done requests only
 }
 
 const (
@@ -177,7 +177,7 @@
 	l.recordOutcome(r, first)
 	l.recordOutcome(r, second)
 	if first.verdict == verdict.Done && second.verdict == verdict.Done && !bytes.Equal(first.body, second.body) {
-		l.count(r, func(s *ClassStats) { s.Differs++ })
+		l.count(r, func(s *ClassStats) { s.ResendMismatches++ })
 	}
 }
 
@@ -218,7 +218,7 @@
 	l.count(r, func(s *ClassStats) { s.Sent++ })
 	resp, body, err := l.exchange(r, l.pickEntry(n))
 	if resp == nil {
-		l.count(r, func(s *ClassStats) { s.Lost++ })
+		l.count(r, func(s *ClassStats) { s.Unanswered++ })
 		return answer{verdict: verdict.MayHaveRun}
 	}
 	v := verdict.Parse(resp.Header.Get(verdict.Header))
@@ -226,16 +226,16 @@
 	l.count(r, func(s *ClassStats) {
 		switch {
 		case err != nil:
-			s.Cut++
+			s.Truncated++
 		case v == verdict.Done:
 			s.Done++
 			_ = s.latency.RecordValue(min(took.Microseconds(), maxLatency))
-			s.Foreign += countForeign(r, body, resp.StatusCode)
+			s.WrongRequest += countForeign(r, body, resp.StatusCode)
 		case v == verdict.NotRun:
 			s.NotRun++
 			s.Codes[problemCode(body)]++
 		default:
-			s.MayRun++
+			s.MayHaveRun++
 			s.Codes[problemCode(body)]++
 		}
 	})
@@ -293,21 +293,21 @@
 
 // Summary is the result of a class.
 type Summary struct {
-	Service string           `json:"service"`
-	Class   string           `json:"class"`
-	Sent    int64            `json:"sent"`
-	Done    int64            `json:"done"`
-	NotRun  int64            `json:"not_run"`
-	MayRun  int64            `json:"may_have_run"`
-	Lost    int64            `json:"lost"`
-	Cut     int64            `json:"cut"`
-	Foreign int64            `json:"foreign"`
-	Differs int64            `json:"differs"`
-	Codes   map[string]int64 `json:"codes"`
-	P50MS   float64          `json:"p50_ms"`
-	P99MS   float64          `json:"p99_ms"`
-	P999MS  float64          `json:"p999_ms"`
-	MaxMS   float64          `json:"max_ms"`
+	Service          string           `json:"service"`
+	Class            string           `json:"class"`
+	Sent             int64            `json:"sent"`
+	Done             int64            `json:"done"`
+	NotRun           int64            `json:"not_run"`
+	MayHaveRun       int64            `json:"may_have_run"`
+	Unanswered       int64            `json:"lost"`
+	Truncated        int64            `json:"cut"`
+	WrongRequest     int64            `json:"foreign"`
+	ResendMismatches int64            `json:"differs"`
+	Codes            map[string]int64 `json:"codes"`
+	P50MS            float64          `json:"p50_ms"`
+	P99MS            float64          `json:"p99_ms"`
+	P999MS           float64          `json:"p999_ms"`
+	MaxMS            float64          `json:"max_ms"`
 }
 
 // Summaries returns the results in the order of the topology.
@@ -319,8 +319,8 @@
 			st.mu.Lock()
 			ms := func(q float64) float64 { return float64(st.latency.ValueAtQuantile(q)) / 1000 }
 			out = append(out, Summary{
-				Service: s.Name, Class: c.Name, Sent: st.Sent, Done: st.Done, NotRun: st.NotRun, MayRun: st.MayRun,
-				Lost: st.Lost, Cut: st.Cut, Foreign: st.Foreign, Differs: st.Differs, Codes: st.Codes,
+				Service: s.Name, Class: c.Name, Sent: st.Sent, Done: st.Done, NotRun: st.NotRun, MayHaveRun: st.MayHaveRun,
+				Unanswered: st.Unanswered, Truncated: st.Truncated, WrongRequest: st.WrongRequest, ResendMismatches: st.ResendMismatches, Codes: st.Codes,
 				P50MS: ms(50), P99MS: ms(99), P999MS: ms(99.9), MaxMS: float64(st.latency.Max()) / 1000,
 			})
 			st.mu.Unlock()
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -85,7 +85,7 @@
 	if t.singleEntry {
 		addrs = addrs[:1]
 	}
-	load := NewLoad(LoadOptions{Topology: t.topology, Entries: addrs, Ready: f.Balancer(), Scale: 1, Resend: t.resend, Seed: seed})
+	load := NewLoad(LoadOptions{Topology: t.topology, Entries: addrs, Ready: f.HealthCheck(), Scale: 1, Resend: t.resend, Seed: seed})
 	loadCtx, stop := context.WithTimeout(ctx, t.length)
 	defer stop()
 	if t.during != nil {
@@ -277,7 +277,7 @@
 				}
 				s := m.classes["retail"]
 				rows = append(rows, Row{c.name, []string{
-					fmt.Sprint(s.Sent), percent(s.Done, s.Sent), percent(s.NotRun, s.Sent), percent(s.MayRun, s.Sent), percent(s.Lost, s.Sent), formatMS(s.P99MS), formatMS(s.MaxMS),
+					fmt.Sprint(s.Sent), percent(s.Done, s.Sent), percent(s.NotRun, s.Sent), percent(s.MayHaveRun, s.Sent), percent(s.Unanswered, s.Sent), formatMS(s.P99MS), formatMS(s.MaxMS),
 				}})
 			}
 			return rows, nil
--- a/lab/report.go
+++ b/lab/report.go
@@ -28,7 +28,7 @@
 		r.BufferShare = d.sample.outSlots / n / total
 		r.IdealBuffer = d.sample.budgetSlots / n / total
 	}
-	r.Took = time.Since(d.start).Seconds()
+	r.TookSeconds = time.Since(d.start).Seconds()
 	d.findViolations()
 }
 
@@ -72,17 +72,17 @@
 	r := &d.report
 	addViolation := func(n int64, what string) {
 		if n > 0 {
-			r.Broken = append(r.Broken, fmt.Sprintf("%d %s", n, what))
+			r.Violations = append(r.Violations, fmt.Sprintf("%d %s", n, what))
 		}
 	}
 	for _, c := range r.Classes {
 		name := c.Service + "/" + c.Class
-		addViolation(c.Cut, "truncated answers in "+name)
-		addViolation(c.Foreign, "answers to another request in "+name)
-		addViolation(c.Differs, "resends with a different answer in "+name)
+		addViolation(c.Truncated, "truncated answers in "+name)
+		addViolation(c.WrongRequest, "answers to another request in "+name)
+		addViolation(c.ResendMismatches, "resends with a different answer in "+name)
 	}
 	for _, p := range r.Pools {
-		addViolation(int64(p.Broken), "samples over the budget of pool "+p.Pool)
+		addViolation(int64(p.SamplesOverBudget), "samples over the budget of pool "+p.Pool)
 	}
 	addViolation(int64(len(r.Workers.Duplicates)), "run-once requests that ran more than once")
 	addViolation(r.Workers.OverSlots, "requests beyond a worker's slots")
@@ -90,10 +90,10 @@
 	addViolation(r.Workers.LateRequests, "requests to a worker after the grace time of its drain")
 	addViolation(r.Workers.ConcurrentAttempts, "tasks that ran at the same time as another attempt")
 	if !r.Wave.Done {
-		r.Broken = append(r.Broken, "the wave did not end")
+		r.Violations = append(r.Violations, "the wave did not end")
 	}
 	if r.JobsDone != r.Jobs {
-		r.Broken = append(r.Broken, fmt.Sprintf("only %d of %d jobs were done", r.JobsDone, r.Jobs))
+		r.Violations = append(r.Violations, fmt.Sprintf("only %d of %d jobs were done", r.JobsDone, r.Jobs))
 	}
 }
 
@@ -103,7 +103,7 @@
 	fmt.Fprintln(t, "class\tsent\tdone\tnot run\tmay have run\tlost\tcut\tforeign\tdiffers\tp50 ms\tp99 ms\tmax ms\t")
 	for _, s := range sums {
 		fmt.Fprintf(t, "%s/%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\t%.1f\t%.1f\t\n",
-			s.Service, s.Class, s.Sent, s.Done, s.NotRun, s.MayRun, s.Lost, s.Cut, s.Foreign, s.Differs, s.P50MS, s.P99MS, s.MaxMS)
+			s.Service, s.Class, s.Sent, s.Done, s.NotRun, s.MayHaveRun, s.Unanswered, s.Truncated, s.WrongRequest, s.ResendMismatches, s.P50MS, s.P99MS, s.MaxMS)
 	}
 	_ = t.Flush()
 }
@@ -124,7 +124,7 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "pool\tsize\tallowed out\tmost out\tsamples\tover budget\t")
 	for _, p := range r.Pools {
-		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", p.Pool, p.Size, p.Allowed, p.MostOut, p.Samples, p.Broken)
+		fmt.Fprintf(t, "%s\t%d\t%d\t%d\t%d\t%d\t\n", p.Pool, p.Size, p.Allowed, p.MaxOut, p.Samples, p.SamplesOverBudget)
 	}
 	_ = t.Flush()
 	fmt.Fprintf(w, "\nwave: %d instances in %.1f s; the budgets and the reboot time alone allow %.1f s\n", r.Wave.Instances, r.Wave.Seconds, r.Wave.BoundSeconds)
@@ -137,9 +137,9 @@
 	}
 	fmt.Fprintf(w, "workers: %d requests, %d keyed ones ran, %d ran twice; at most %d at once on one worker\n",
 		r.Workers.Requests, r.Workers.RunOnceExecuted, len(r.Workers.Duplicates), r.Workers.MaxInFlight)
-	if len(r.Broken) == 0 {
-		fmt.Fprintf(w, "\nno violations (%.1f s)\n", r.Took)
+	if len(r.Violations) == 0 {
+		fmt.Fprintf(w, "\nno violations (%.1f s)\n", r.TookSeconds)
 		return
 	}
-	fmt.Fprintf(w, "\nBROKEN:\n  %s\n", strings.Join(r.Broken, "\n  "))
+	fmt.Fprintf(w, "\nBROKEN:\n  %s\n", strings.Join(r.Violations, "\n  "))
 }
