--- a/lab/control.go
+++ b/lab/control.go
@@ -12,11 +12,11 @@
 	"github.com/postmount/postmount/standin/platform"
 )
 
-// ControlExperiments returns the measurements of the control path.
-func ControlExperiments() []Experiment { return []Experiment{controlCost(), rollOut(), weights()} }
+// ControlExperiments returns the experiments on the control path.
+func ControlExperiments() []Experiment { return []Experiment{controlCost(), rollOut(), waveWeights()} }
 
-// newReadyFixture starts a fixture with n daemons, waits until they are ready and creates the
-// topology's pools.
+// newReadyFixture starts a fixture with n daemons, waits until they are ready and executes the
+// topology's statements.
 func newReadyFixture(ctx context.Context, t Topology, n int, adjust func(*settings.Settings)) (*Fixture, error) {
 	f, err := NewFixture(t, n, adjust, io.Discard)
 	if err != nil {
@@ -43,8 +43,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// usage holds the store calls and bytes of all daemons' control work, and the CPU time of the
-// process, up to a moment.
+// usage holds cumulative counts at a time: the store calls and bytes of all daemons' control work,
+// and the CPU time of the process.
 type usage struct {
 	reads, writes, bytes int64
 	cpu                  time.Duration
@@ -62,8 +62,9 @@
 	return u
 }
 
-// perDaemon formats what each daemon used between two moments. The CPU time includes the
-// stand-ins, which run in the same process.
+// perDaemon formats what each of n daemons used on average between two times: store reads and
+// writes per hour, kB per second, and the share of a core. The CPU time includes the stand-ins,
+// which run in the same process.
 func perDaemon(before, after usage, n int) []string {
 	seconds := after.at.Sub(before.at).Seconds() * float64(n)
 	return []string{
@@ -105,8 +106,8 @@
 
 // waitForWave waits until a wave has ended and returns its duration. It resumes a halted wave
 // at once, as an operator would after checking it.
-func (f *Fixture) waitForWave(ctx context.Context, name string, atMost time.Duration) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, atMost)
+func (f *Fixture) waitForWave(ctx context.Context, name string, timeout time.Duration) (time.Duration, error) {
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	for {
 		for w, v := range f.Daemons[0].Snapshot().State.Waves {
@@ -135,10 +136,10 @@
 		Columns: []string{"seconds", "lower bound", "ratio", "finished", "given up"},
 		Run: func(ctx context.Context, _ uint64) (rows []Row, err error) {
 			for _, c := range []struct {
-				name     string
-				width    int
-				rebootMS int
-				never    []string
+				name        string
+				width       int
+				rebootMS    int
+				neverReturn []string
 			}{
 				{"as wide as the budgets, reboot 0.4 s", 0, 400, nil},
 				{"one at a time, reboot 0.4 s", 1, 400, nil},
@@ -146,7 +147,7 @@
 				{"one at a time, reboot 2 s", 1, 2000, nil},
 				{"as wide as the budgets, reboot 2 s, 1 of each pool never returns", 0, 2000, []string{"tidewater-01", "harbour-01", "northgate-01", "meridian-01", "settlement-01"}},
 			} {
-				row, err := rollOutOnce(ctx, c.width, c.rebootMS, c.never)
+				row, err := rollOutOnce(ctx, c.width, c.rebootMS, c.neverReturn)
 				if err != nil {
 					return nil, fmt.Errorf("%s: %w", c.name, err)
 				}
@@ -157,7 +158,8 @@
 	}
 }
 
-func rollOutOnce(ctx context.Context, width, rebootMS int, never []string) ([]string, error) {
+// rollOutOnce measures one case of rollOut. width 0 means as wide as the budgets allow.
+func rollOutOnce(ctx context.Context, width, rebootMS int, neverReturn []string) ([]string, error) {
 	f, err := newReadyFixture(ctx, OrderDesks(), 6, func(s *settings.Settings) {
 		s.Control.WaveMaxConcurrent = width
 		s.Control.RebootTimeout = settings.Duration(3 * time.Second)
@@ -168,7 +170,7 @@
 	defer f.Close()
 	faults := platform.DefaultFaults
 	faults.RebootMS = rebootMS
-	faults.NeverReturn = never
+	faults.NeverReturn = neverReturn
 	f.Platform.SetFaults(faults)
 	if err := f.Exec(ctx, "start wave w on all pools"); err != nil {
 		return nil, err
@@ -186,9 +188,9 @@
 	}, nil
 }
 
-// weights measures the same wave under the weights of both users. The buffer is the mean
-// number of instances out of service during the wave.
-func weights() Experiment {
+// waveWeights measures the same wave under the weights of both users. It reports the roll-out time
+// and the mean number of instances that are out of service during the wave.
+func waveWeights() Experiment {
 	return Experiment{
 		Name:    "A wave under both users' weights, 50 workers in 5 pools, budget 4 a pool, reboot 1 s",
 		Columns: []string{"roll-out seconds", "over the bound", "instances out on average", "over those of one a pool"},
@@ -236,7 +238,7 @@
 	return []string{fmt.Sprintf("%.1f", took.Seconds()), fmt.Sprintf("%.2f", took.Seconds()/bound), fmt.Sprintf("%.1f", mean), fmt.Sprintf("%.2f", mean/pools)}, nil
 }
 
-// meanOutOfService returns the mean number of instances out of service until ctx ended.
+// meanOutOfService returns the mean number of instances out of service until ctx ends.
 func (f *Fixture) meanOutOfService(ctx context.Context) float64 {
 	t := time.NewTicker(sampleInterval)
 	defer t.Stop()
--- a/lab/demo.go
+++ b/lab/demo.go
@@ -31,7 +31,8 @@
 	Pools   []PoolReport  `json:"pools"`
 	Workers worker.Report `json:"workers"`
 	Wave    WaveReport    `json:"wave"`
-	// InstanceMoves counts instances moved between pools, JobMoves further attempts of jobs.
+	// InstanceMoves counts the instances moved between pools; JobMoves counts the attempts of jobs
+	// beyond the first.
 	InstanceMoves int `json:"instance_moves"`
 	JobMoves      int `json:"job_moves"`
 	Jobs          int `json:"jobs"`
@@ -48,7 +49,8 @@
 	TookSeconds float64  `json:"took_seconds"`
 }
 
-// PoolReport is one pool's availability over the demo.
+// PoolReport is the availability of a pool during the demo; Allowed and MaxOut are numbers of
+// instances out of service.
 type PoolReport struct {
 	Pool              string `json:"pool"`
 	Size              int    `json:"size"`
@@ -68,45 +70,46 @@
 
 // demo is the state of a running demo.
 type demo struct {
-	o      DemoOptions
-	f      *Fixture
-	start  time.Time
-	report Report
-	mu     sync.Mutex
-	pools  map[fleet.PoolName]*PoolReport
-	sample struct {
-		n           int
-		outSlots    float64
-		budgetSlots float64
+	options DemoOptions
+	fixture *Fixture
+	start   time.Time
+	report  Report
+	mu      sync.Mutex
+	pools   map[fleet.PoolName]*PoolReport
+	sample  struct {
+		n           int     // number of samples
+		outSlots    float64 // slots out of service, summed over the samples
+		budgetSlots float64 // slots that the budgets allow to be out, summed over the samples
 	}
 }
 
-// Demo runs daemons under load and applies jobs, a wave over every pool, an instance move, a
-// budget change, a graceful stop, a store outage, a kill and a daemon start, overlapping.
+// Demo runs daemons under load while the operator's changes and the faults of demo.steps overlap:
+// jobs, a wave over every pool, an instance move, a budget change, a graceful stop, a store outage,
+// a kill and a daemon start.
 func Demo(ctx context.Context, o DemoOptions) (*Report, error) {
 	logs := o.Logs
 	if logs == nil {
 		logs = io.Discard
 	}
-	d := &demo{o: o, start: time.Now(), pools: map[fleet.PoolName]*PoolReport{}}
+	d := &demo{options: o, start: time.Now(), pools: map[fleet.PoolName]*PoolReport{}}
 	f, err := NewFixture(o.Topology, o.Entries, nil, logs)
 	if err != nil {
 		return nil, err
 	}
 	defer f.Close()
-	d.f = f
+	d.fixture = f
 	if err := d.setUp(ctx); err != nil {
 		return nil, err
 	}
 	if err := d.run(ctx); err != nil {
 		return nil, err
 	}
-	d.finish()
+	d.buildReport()
 	return &d.report, nil
 }
 
 func (d *demo) progressf(format string, args ...any) {
-	fmt.Fprintf(d.o.Progress, "%5.1fs  %s\n", time.Since(d.start).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(d.options.Progress, "%5.1fs  %s\n", time.Since(d.start).Seconds(), fmt.Sprintf(format, args...))
 }
 
 const readyTimeout = 15 * time.Second
@@ -114,20 +117,20 @@
 func (d *demo) setUp(ctx context.Context) error {
 	wait, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	if err := d.f.WaitReady(wait); err != nil {
+	if err := d.fixture.WaitReady(wait); err != nil {
 		return err
 	}
-	d.progressf("%d entry daemons agree on a view", d.o.Entries)
-	if err := d.exec(ctx, d.o.Topology.Statements()); err != nil {
+	d.progressf("%d entry daemons agree on a view", d.options.Entries)
+	if err := d.exec(ctx, d.options.Topology.Statements()); err != nil {
 		return err
 	}
-	d.progressf("%d pools with %d workers are in force", len(d.o.Topology.Services), len(d.o.Topology.Workers()))
+	d.progressf("%d pools with %d workers are in force", len(d.options.Topology.Services), len(d.options.Topology.Workers()))
 	return nil
 }
 
-// exec runs statements and records how long each took to be in force.
+// exec executes statements and records the time until each was in force.
 func (d *demo) exec(ctx context.Context, text string) error {
-	a, err := d.f.Client().Exec(ctx, text)
+	a, err := d.fixture.Client().Exec(ctx, text)
 	if err != nil {
 		return err
 	}
@@ -150,7 +153,7 @@
 }
 
 func (d *demo) steps() []step {
-	pools := d.o.Topology.Services
+	pools := d.options.Topology.Services
 	first, second := pools[0].Name, pools[1].Name
 	return []step{
 		{0.06, "jobs are submitted", func(ctx context.Context) error { return d.exec(ctx, d.jobStatements()) }},
@@ -160,17 +163,17 @@
 			return d.exec(ctx, "set budget "+second+" max-unavailable 3")
 		}},
 		{0.38, "an entry daemon is stopped gracefully", func(context.Context) error {
-			d.f.Daemons[0].Stop()
+			d.fixture.Daemons[0].Stop()
 			return nil
 		}},
-		{0.50, "the store goes down", func(context.Context) error { d.f.Store.SetFaults(store.Faults{Down: true}); return nil }},
-		{0.56, "an entry daemon is killed", func(context.Context) error { d.f.Daemons[1].Kill(); return nil }},
+		{0.50, "the store goes down", func(context.Context) error { d.fixture.Store.SetFaults(store.Faults{Down: true}); return nil }},
+		{0.56, "an entry daemon is killed", func(context.Context) error { d.fixture.Daemons[1].Kill(); return nil }},
 		{0.66, "the store is back, and loses the answers of its next 5 writes", func(context.Context) error {
-			d.f.Store.SetFaults(store.Faults{LoseAnswers: 5})
+			d.fixture.Store.SetFaults(store.Faults{LoseAnswers: 5})
 			return nil
 		}},
 		{0.74, "a fresh entry daemon starts", func(ctx context.Context) error {
-			_, err := d.f.StartDaemon(d.o.Entries + 1)
+			_, err := d.fixture.StartDaemon(d.options.Entries + 1)
 			return err
 		}},
 	}
@@ -179,7 +182,7 @@
 // jobStatements returns statements that submit a normal and an urgent job to every pool.
 func (d *demo) jobStatements() string {
 	var b strings.Builder
-	for _, s := range d.o.Topology.Services {
+	for _, s := range d.options.Topology.Services {
 		fmt.Fprintf(&b, "submit job rebuild to pool %s count 4 cpu 4 memory 16GB run 6s;\n", s.Name)
 		fmt.Fprintf(&b, "submit job urgent to pool %s cpu 2 memory 4GB run 2s urgent;\n", s.Name)
 	}
@@ -189,14 +192,14 @@
 // move moves the last instance of a pool; the move waits until the budget allows it.
 func (d *demo) move(ctx context.Context, from, to string) error {
 	d.report.InstanceMoves++
-	return d.exec(ctx, fmt.Sprintf("move instance %s to pool %s", WorkerID(from, d.o.Topology.Services[0].Workers), to))
+	return d.exec(ctx, fmt.Sprintf("move instance %s to pool %s", WorkerID(from, d.options.Topology.Services[0].Workers), to))
 }
 
 func (d *demo) run(ctx context.Context) error {
-	loadCtx, cancel := context.WithTimeout(ctx, d.o.Duration)
+	loadCtx, cancel := context.WithTimeout(ctx, d.options.Duration)
 	defer cancel()
 	load := NewLoad(LoadOptions{
-		Topology: d.o.Topology, Entries: d.f.TrafficAddrs(), Ready: d.f.HealthCheck(), Scale: 1, Resend: 0.1, Seed: d.o.Seed,
+		Topology: d.options.Topology, Entries: d.fixture.TrafficAddrs(), Ready: d.fixture.HealthCheck(), Scale: 1, Resend: 0.1, Seed: d.options.Seed,
 	})
 	var wg sync.WaitGroup
 	wg.Add(2)
@@ -219,14 +222,14 @@
 	stopSampling()
 	wg.Wait()
 	d.report.Classes = load.Summaries()
-	d.report.Violations = append(d.report.Violations, load.CheckExecutions(d.f.Workers.RunCount)...)
+	d.report.Violations = append(d.report.Violations, load.CheckExecutions(d.fixture.Workers.RunCount)...)
 	return err
 }
 
 // runSteps runs the steps when they are due.
 func (d *demo) runSteps(ctx context.Context, started time.Time) error {
 	for _, s := range d.steps() {
-		due := started.Add(time.Duration(s.at * float64(d.o.Duration)))
+		due := started.Add(time.Duration(s.at * float64(d.options.Duration)))
 		select {
 		case <-time.After(time.Until(due)):
 		case <-ctx.Done():
@@ -243,6 +246,7 @@
 // waveTimeout bounds the wait for the end of the wave.
 const waveTimeout = 15 * time.Second
 
+// waitWave waits until the wave has ended, at most for waveTimeout.
 func (d *demo) waitWave(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, waveTimeout)
 	defer cancel()
@@ -259,9 +263,10 @@
 	}
 }
 
+// runningDaemon returns the first daemon that has not ended.
 func (d *demo) runningDaemon() *RunningDaemon {
-	i := slices.IndexFunc(d.f.Daemons, func(r *RunningDaemon) bool { return !r.Ended() })
-	return d.f.Daemons[i]
+	i := slices.IndexFunc(d.fixture.Daemons, func(r *RunningDaemon) bool { return !r.Ended() })
+	return d.fixture.Daemons[i]
 }
 
 func (d *demo) wave() *fleet.Wave {
@@ -292,7 +297,7 @@
 // with its budget.
 func (d *demo) takeSample() {
 	s := d.runningDaemon().Snapshot().State
-	truth := d.f.Platform.States()
+	actual := d.fixture.Platform.States()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.sample.n++
@@ -308,7 +313,7 @@
 				continue
 			}
 			size++
-			if truth[string(m.Instance)] != string(fleet.InstanceReady) {
+			if actual[string(m.Instance)] != string(fleet.InstanceReady) {
 				out++
 			}
 		}
--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -116,7 +116,7 @@
 // fixtureToken is the daemons' shared peer token.
 const fixtureToken = "fixture-token-of-the-lab"
 
-// StartDaemon starts the daemon of entry i, counted from 1.
+// StartDaemon starts the daemon with id "entry-i", with the daemons so far as its seeds.
 func (f *Fixture) StartDaemon(i int) (*RunningDaemon, error) {
 	s := settings.Default()
 	s.Entry = settings.Entry{ID: fmt.Sprintf("entry-%d", i), Zone: f.Topology.Zones[(i-1)%len(f.Topology.Zones)]}
@@ -165,14 +165,15 @@
 	}
 	for _, r := range a.Results {
 		if r.Verdict != verdict.Done {
-			return fmt.Errorf("statement %d: %s", r.Statement, r.Message)
+			return fmt.Errorf("statement %d: %s: %s", r.Statement, r.Verdict, r.Message)
 		}
 	}
 	return nil
 }
 
-// errNotReady means that the daemons did not agree on a view in time.
-var errNotReady = errors.New("the entry daemons did not become ready")
+// errNotReady means that the daemons were not ready, or had different members in their view, in
+// time.
+var errNotReady = errors.New("the entry daemons did not become ready with a common view in time")
 
 // WaitReady waits until every running daemon is ready and their view has exactly the running
 // daemons as members.
@@ -199,6 +200,7 @@
 	}
 }
 
+// viewSize returns the number of members in the view of the first running daemon.
 func (f *Fixture) viewSize() int {
 	for _, d := range f.Daemons {
 		if !d.Ended() {
--- a/lab/fixture_test.go
+++ b/lab/fixture_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWholePath sends load through daemons over real connections and checks every answer, but
-// no latency.
+// TestWholePath sends load through daemons over real connections and checks every answer. It
+// doesn't check latency, which depends on the machine.
 func TestWholePath(t *testing.T) {
 	f, err := NewFixture(OrderDesks(), 3, nil, io.Discard)
 	require.NoError(t, err)
--- a/lab/load.go
+++ b/lab/load.go
@@ -31,10 +31,10 @@
 	Entries []string
 	// Ready reports whether an entry passes the balancer's health check; nil means that all do.
 	Ready func(addr string) bool
-	// Scale multiplies every arrival rate.
+	// Scale is a factor on the arrival rate of every class.
 	Scale float64
 	// Resend is the share of keyed requests that are sent twice, the second time through another
-	// entry; half of them while the first is in flight.
+	// entry. Half of them are sent again while the first send is in flight, the others after it.
 	Resend float64
 	Seed   uint64
 }
@@ -42,13 +42,13 @@
 // Load is an open-loop load generator: requests are sent when they are due, whether or not
 // earlier ones were answered, and latency counts from the due time.
 type Load struct {
-	opts  LoadOptions
-	http  *http.Client
-	next  atomic.Uint64
-	stats map[string]*ClassStats // by "service/class"; the map doesn't change after NewLoad
+	opts         LoadOptions
+	http         *http.Client
+	entryCounter atomic.Uint64
+	stats        map[string]*ClassStats // by "service/class"; the map doesn't change after NewLoad
 
-	mu      sync.Mutex
-	outcome map[string]verdict.Verdict // of each keyed request, over all its sends
+	mu       sync.Mutex
+	outcomes map[string]verdict.Verdict // of each keyed request by id: the strongest of its sends
 }
 
 // ClassStats are the results of one class.
@@ -67,7 +67,7 @@
 }
 
 const (
-	maxLatency        = 60 * 1000 * 1000 // microseconds
+	maxLatencyMicros  = 60 * 1000 * 1000 // longer latencies are recorded as this
 	significantDigits = 3
 )
 
@@ -80,12 +80,12 @@
 			MaxIdleConnsPerHost: 256,
 			DisableCompression:  true,
 		}},
-		stats:   map[string]*ClassStats{},
-		outcome: map[string]verdict.Verdict{},
+		stats:    map[string]*ClassStats{},
+		outcomes: map[string]verdict.Verdict{},
 	}
 	for _, s := range o.Topology.Services {
 		for _, c := range s.Classes {
-			l.stats[s.Name+"/"+c.Name] = &ClassStats{Codes: map[string]int64{}, latency: hdrhistogram.New(1, maxLatency, significantDigits)}
+			l.stats[s.Name+"/"+c.Name] = &ClassStats{Codes: map[string]int64{}, latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits)}
 		}
 	}
 	return l
@@ -124,11 +124,11 @@
 			return
 		case <-t.C:
 		}
-		resend, early := rnd.Float64() < l.opts.Resend, rnd.IntN(2) == 0
+		resend, concurrent := rnd.Float64() < l.opts.Resend, rnd.IntN(2) == 0
 		wg.Add(1)
 		go func(due time.Time) {
 			defer wg.Done()
-			l.sendRequest(service, c, due, resend && c.Keyed, early)
+			l.sendRequest(service, c, due, resend && c.Keyed, concurrent)
 		}(due)
 	}
 }
@@ -148,30 +148,32 @@
 	body    []byte // nil if there was no answer
 }
 
-func (l *Load) sendRequest(service string, c Class, due time.Time, resend, early bool) {
+// sendRequest sends a new request that was due at due, and sends it again if resend is set: while
+// the first send is in flight if concurrent is set, else after it.
+func (l *Load) sendRequest(service string, c Class, due time.Time, resend, concurrent bool) {
 	id, err := uuid.NewV7()
 	if err != nil {
 		return
 	}
 	r := request{service: service, class: c, id: id.String(), due: due, body: []byte("order " + id.String())}
-	entryNumber := int(l.next.Add(1))
+	entryNumber := int(l.entryCounter.Add(1))
 	if !resend {
 		l.recordOutcome(r, l.send(r, entryNumber))
 		return
 	}
 	var second answer
 	var wg sync.WaitGroup
-	again := func() {
+	sendAgain := func() {
 		defer wg.Done()
 		second = l.send(r, entryNumber+1)
 	}
 	wg.Add(1)
-	if early {
-		go again()
+	if concurrent {
+		go sendAgain()
 	}
 	first := l.send(r, entryNumber)
-	if !early {
-		again()
+	if !concurrent {
+		sendAgain()
 	}
 	wg.Wait()
 	l.recordOutcome(r, first)
@@ -189,9 +191,9 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	old, known := l.outcome[r.id]
+	old, known := l.outcomes[r.id]
 	if !known || a.verdict == verdict.Done || (a.verdict == verdict.MayHaveRun && old == verdict.NotRun) {
-		l.outcome[r.id] = a.verdict
+		l.outcomes[r.id] = a.verdict
 	}
 }
 
@@ -216,7 +218,7 @@
 // send sends a request once, checks its answer and counts the result.
 func (l *Load) send(r request, n int) answer {
 	l.count(r, func(s *ClassStats) { s.Sent++ })
-	resp, body, err := l.exchange(r, l.pickEntry(n))
+	resp, body, err := l.roundTrip(r, l.pickEntry(n))
 	if resp == nil {
 		l.count(r, func(s *ClassStats) { s.Unanswered++ })
 		return answer{verdict: verdict.MayHaveRun}
@@ -229,8 +231,8 @@
 			s.Truncated++
 		case v == verdict.Done:
 			s.Done++
-			_ = s.latency.RecordValue(min(took.Microseconds(), maxLatency))
-			s.WrongRequest += countForeign(r, body, resp.StatusCode)
+			_ = s.latency.RecordValue(min(took.Microseconds(), maxLatencyMicros))
+			s.WrongRequest += countWrongRequest(r, body)
 		case v == verdict.NotRun:
 			s.NotRun++
 			s.Codes[problemCode(body)]++
@@ -242,12 +244,15 @@
 	return answer{verdict: v, body: body}
 }
 
-func (l *Load) exchange(r request, addr string) (*http.Response, []byte, error) {
+// roundTrip sends a request to addr and reads the whole answer. The response is nil if there is no
+// answer; an error beside a response means that its body is truncated.
+func (l *Load) roundTrip(r request, addr string) (*http.Response, []byte, error) {
 	method := http.MethodGet
 	if r.class.Keyed {
 		method = http.MethodPost
 	}
-	// Without GetBody the caller's transport can't replay the request by itself.
+	// Hiding the type of the body leaves GetBody unset, so that the transport can't send the
+	// request a second time by itself.
 	req, err := http.NewRequest(method, "http://"+addr+"/"+r.class.Name+"/"+r.id, struct{ io.Reader }{bytes.NewReader(r.body)})
 	if err != nil {
 		return nil, nil, err
@@ -270,8 +275,8 @@
 	return resp, body, err
 }
 
-// countForeign returns 1 if a complete answer doesn't belong to r, else 0.
-func countForeign(r request, body []byte, status int) int64 {
+// countWrongRequest returns 1 if a complete answer doesn't belong to r, else 0.
+func countWrongRequest(r request, body []byte) int64 {
 	var a worker.Answer
 	if err := json.Unmarshal(body, &a); err != nil {
 		return 1
@@ -283,6 +288,7 @@
 	return 0
 }
 
+// problemCode returns the code in a problem answer, "unknown" if it isn't one.
 func problemCode(body []byte) string {
 	var p entry.Problem
 	if json.Unmarshal(body, &p) != nil || p.Type == "" {
@@ -329,22 +335,22 @@
 	return out
 }
 
-// CheckExecutions compares the verdicts that callers got for keyed requests with how often the
-// workers ran them. It returns one line for each violation.
+// CheckExecutions compares the verdict that the caller of each keyed request got with how often
+// the workers ran it, according to ran. It returns one line for each violation.
 func (l *Load) CheckExecutions(ran func(id string) int) []string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var broken []string
-	for id, v := range l.outcome {
+	var violations []string
+	for id, v := range l.outcomes {
 		n := ran(id)
 		switch {
 		case n > 1:
-			broken = append(broken, fmt.Sprintf("request %s ran %d times", id, n))
+			violations = append(violations, fmt.Sprintf("request %s ran %d times", id, n))
 		case v == verdict.NotRun && n != 0:
-			broken = append(broken, fmt.Sprintf("request %s ran, its caller was told that it did not", id))
+			violations = append(violations, fmt.Sprintf("request %s ran, its caller was told that it did not", id))
 		case v == verdict.Done && n != 1:
-			broken = append(broken, fmt.Sprintf("request %s was answered and ran %d times", id, n))
+			violations = append(violations, fmt.Sprintf("request %s was answered and ran %d times", id, n))
 		}
 	}
-	return broken
+	return violations
 }
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -17,14 +17,14 @@
 	Figures []string
 }
 
-// Experiment measures several cases, a baseline among them, with the same seed.
+// Experiment measures several cases with the same seed; one of them is the baseline.
 type Experiment struct {
 	Name    string
 	Columns []string
 	Run     func(ctx context.Context, seed uint64) ([]Row, error)
 }
 
-// Experiments returns the measurements of the request path.
+// Experiments returns the experiments on the request path.
 func Experiments() []Experiment {
 	return []Experiment{saturation(), goodput(), amplification(), slowWorker(), daemonEnd(), slotShares()}
 }
@@ -46,7 +46,7 @@
 type trial struct {
 	topology Topology
 	entries  int
-	length   time.Duration
+	duration time.Duration
 	resend   float64
 	adjust   func(*settings.Settings)
 	// singleEntry sends all requests through the first entry.
@@ -56,29 +56,29 @@
 	during  func(*Fixture)
 }
 
-// measured is the result of a trial.
-type measured struct {
+// trialResult is the result of a trial.
+type trialResult struct {
 	classes map[string]Summary
 	workers worker.Report
 }
 
-func (t trial) run(ctx context.Context, seed uint64) (measured, error) {
+func (t trial) run(ctx context.Context, seed uint64) (trialResult, error) {
 	f, err := NewFixture(t.topology, t.entries, t.adjust, io.Discard)
 	if err != nil {
-		return measured{}, err
+		return trialResult{}, err
 	}
 	defer f.Close()
 	wait, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := f.WaitReady(wait); err != nil {
-		return measured{}, err
+		return trialResult{}, err
 	}
 	if err := f.Exec(ctx, t.topology.Statements()); err != nil {
-		return measured{}, err
+		return trialResult{}, err
 	}
 	if t.prepare != nil {
 		if err := t.prepare(f); err != nil {
-			return measured{}, err
+			return trialResult{}, err
 		}
 	}
 	addrs := f.TrafficAddrs()
@@ -86,13 +86,13 @@
 		addrs = addrs[:1]
 	}
 	load := NewLoad(LoadOptions{Topology: t.topology, Entries: addrs, Ready: f.HealthCheck(), Scale: 1, Resend: t.resend, Seed: seed})
-	loadCtx, stop := context.WithTimeout(ctx, t.length)
+	loadCtx, stop := context.WithTimeout(ctx, t.duration)
 	defer stop()
 	if t.during != nil {
 		go t.during(f)
 	}
 	load.Run(loadCtx)
-	m := measured{classes: map[string]Summary{}, workers: f.Workers.Report()}
+	m := trialResult{classes: map[string]Summary{}, workers: f.Workers.Report()}
 	for _, s := range load.Summaries() {
 		m.classes[s.Class] = s
 	}
@@ -102,13 +102,14 @@
 	return m, nil
 }
 
-// singleService returns a fleet of one service, with 8 slots per worker.
-func singleService(workers int, classes ...Class) Topology {
+// singleServiceTopology returns a fleet of one service whose workers have workerSlots slots each.
+func singleServiceTopology(workers int, classes ...Class) Topology {
 	return Topology{Name: "desk", Zones: []string{"zone-a", "zone-b", "zone-c", "zone-d"}, Services: []Service{{Name: "desk", Workers: workers, Classes: classes}}}
 }
 
 func formatMS(v float64) string { return fmt.Sprintf("%.1f", v) }
 
+// percent formats part as a percentage of whole.
 func percent(part, whole int64) string {
 	if whole == 0 {
 		return "-"
@@ -116,6 +117,7 @@
 	return fmt.Sprintf("%.2f%%", 100*float64(part)/float64(whole))
 }
 
+// admission returns a settings change that selects an admission policy.
 func admission(policy string) func(*settings.Settings) {
 	return func(s *settings.Settings) { s.Policies.Admit = policy }
 }
@@ -129,10 +131,10 @@
 		Run: func(ctx context.Context, seed uint64) (rows []Row, err error) {
 			for _, policy := range []string{"weighted", "fifo"} {
 				m, err := trial{
-					topology: singleService(4,
+					topology: singleServiceTopology(4,
 						Class{Name: "retail", Weight: 8, Rate: 40, ServiceMS: 10, DeadlineMS: 5000, Keyed: true, Availability: 99},
 						Class{Name: "bulk", Weight: 1, Rate: 1200, ServiceMS: 40, DeadlineMS: 10000, Availability: 90}),
-					entries: 6, length: 8 * time.Second, adjust: admission(policy),
+					entries: 6, duration: 8 * time.Second, adjust: admission(policy),
 				}.run(ctx, seed)
 				if err != nil {
 					return nil, err
@@ -160,8 +162,8 @@
 					}
 					const length = 6 * time.Second
 					m, err := trial{
-						topology: singleService(4, class("retail", 8, 0.2), class("intraday", 4, 0.3), class("bulk", 1, 0.5)),
-						entries:  6, length: length, adjust: admission(policy),
+						topology: singleServiceTopology(4, class("retail", 8, 0.2), class("intraday", 4, 0.3), class("bulk", 1, 0.5)),
+						entries:  6, duration: length, adjust: admission(policy),
 					}.run(ctx, seed)
 					if err != nil {
 						return nil, err
@@ -196,8 +198,8 @@
 				failing int
 			}{{"budgeted", 2}, {"unbudgeted", 2}, {"budgeted", 6}, {"unbudgeted", 6}} {
 				m, err := trial{
-					topology: singleService(6, Class{Name: "intraday", Weight: 1, Rate: 300, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
-					entries:  6, length: 6 * time.Second,
+					topology: singleServiceTopology(6, Class{Name: "intraday", Weight: 1, Rate: 300, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
+					entries:  6, duration: 6 * time.Second,
 					adjust: func(s *settings.Settings) { s.Policies.Retry = c.policy },
 					prepare: func(f *Fixture) error {
 						for i := range c.failing {
@@ -232,8 +234,8 @@
 				slowMS       int
 			}{{"none slow (ideal)", "least-loaded", 0}, {"least-loaded", "least-loaded", 500}, {"random", "random", 500}} {
 				m, err := trial{
-					topology: singleService(6, Class{Name: "intraday", Weight: 1, Rate: 600, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
-					entries:  6, length: 6 * time.Second,
+					topology: singleServiceTopology(6, Class{Name: "intraday", Weight: 1, Rate: 600, ServiceMS: 10, DeadlineMS: 2000, Availability: 99}),
+					entries:  6, duration: 6 * time.Second,
 					adjust: func(s *settings.Settings) { s.Policies.Pick = c.policy },
 					prepare: func(f *Fixture) error {
 						return f.Workers.SetFaults(WorkerID("desk", 1), worker.Faults{SlowMS: c.slowMS})
@@ -265,8 +267,8 @@
 				{"killed", func(f *Fixture) { f.Daemons[0].Kill() }},
 			} {
 				m, err := trial{
-					topology: singleService(6, Class{Name: "retail", Weight: 1, Rate: 400, ServiceMS: 10, DeadlineMS: 2000, Keyed: true, Availability: 99}),
-					entries:  6, length: 12 * time.Second, resend: 0.1,
+					topology: singleServiceTopology(6, Class{Name: "retail", Weight: 1, Rate: 400, ServiceMS: 10, DeadlineMS: 2000, Keyed: true, Availability: 99}),
+					entries:  6, duration: 12 * time.Second, resend: 0.1,
 					during: func(f *Fixture) {
 						time.Sleep(2 * time.Second)
 						c.end(f)
@@ -286,7 +288,7 @@
 }
 
 // slotShares measures the wait when all requests enter through one of six daemons, whose own
-// share is a sixth of the slots. The ideal is a single daemon that has all slots.
+// share is a sixth of the slots. The baseline is a single daemon that has all slots.
 func slotShares() Experiment {
 	return Experiment{
 		Name:    "Wait caused by slot shares: all requests through one daemon (6 workers, 800 a second of 1200)",
@@ -299,8 +301,8 @@
 				loans   string
 			}{{"one daemon (ideal)", 1, "on"}, {"six, idle shares lent", 6, "on"}, {"six, no loans", 6, "off"}} {
 				m, err := trial{
-					topology: singleService(6, Class{Name: "retail", Weight: 1, Rate: 800, ServiceMS: 40, DeadlineMS: 4000, Availability: 99}),
-					entries:  c.entries, length: 6 * time.Second, singleEntry: true,
+					topology: singleServiceTopology(6, Class{Name: "retail", Weight: 1, Rate: 800, ServiceMS: 40, DeadlineMS: 4000, Availability: 99}),
+					entries:  c.entries, duration: 6 * time.Second, singleEntry: true,
 					adjust: func(s *settings.Settings) { s.Policies.Loans = c.loans },
 				}.run(ctx, seed)
 				if err != nil {
--- a/lab/path_bench_test.go
+++ b/lab/path_bench_test.go
@@ -13,7 +13,7 @@
 	"github.com/postmount/postmount/requests/entry"
 )
 
-// benchPath measures requests without service time to addr.
+// benchPath sends requests without service time to addr, in parallel.
 func benchPath(b *testing.B, addr string, keyed bool) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64, DisableCompression: true}}
 	defer client.CloseIdleConnections()
@@ -49,7 +49,7 @@
 // BenchmarkPath compares a request through an entry daemon with one sent directly to a worker.
 // Caller, daemon and worker share the process, so the allocations are those of all three.
 func BenchmarkPath(b *testing.B) {
-	f, err := NewFixture(singleService(6, Class{Name: "retail", Weight: 1, Rate: 1, Availability: 99}, Class{Name: "order", Weight: 1, Rate: 1, Keyed: true, Availability: 99}), 3, nil, io.Discard)
+	f, err := NewFixture(singleServiceTopology(6, Class{Name: "retail", Weight: 1, Rate: 1, Availability: 99}, Class{Name: "order", Weight: 1, Rate: 1, Keyed: true, Availability: 99}), 3, nil, io.Discard)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/lab/report.go
+++ b/lab/report.go
@@ -12,10 +12,10 @@
 	"github.com/postmount/postmount/standin/platform"
 )
 
-// finish computes the report and lists the violated guarantees.
-func (d *demo) finish() {
+// buildReport completes the report and lists the violated guarantees.
+func (d *demo) buildReport() {
 	r := &d.report
-	r.Workers = d.f.Workers.Report()
+	r.Workers = d.fixture.Workers.Report()
 	for _, name := range d.runningDaemon().Snapshot().State.SortedPools() {
 		if p := d.pools[name]; p != nil {
 			r.Pools = append(r.Pools, *p)
@@ -23,7 +23,7 @@
 	}
 	d.finishWave()
 	d.finishJobs()
-	total := float64(len(d.o.Topology.Workers()) * workerSlots)
+	total := float64(len(d.options.Topology.Workers()) * workerSlots)
 	if n := float64(d.sample.n); n > 0 {
 		r.BufferShare = d.sample.outSlots / n / total
 		r.IdealBuffer = d.sample.budgetSlots / n / total
@@ -41,20 +41,21 @@
 	}
 	r := &d.report.Wave
 	r.Done = w.State == fleet.WaveDone
-	r.Instances = len(d.o.Topology.Workers())
+	r.Instances = len(d.options.Topology.Workers())
 	end := w.EndedAt
 	if end.IsZero() {
 		end = time.Now()
 	}
 	r.Seconds = end.Sub(w.StartedAt).Seconds()
 	reboot := float64(platform.DefaultFaults.RebootMS) / 1000
-	for _, s := range d.o.Topology.Services {
+	for _, s := range d.options.Topology.Services {
 		const allowed = 2 // max-unavailable of the pools, see Topology.Statements
 		rounds := (s.Workers + allowed - 1) / allowed
 		r.BoundSeconds = max(r.BoundSeconds, float64(rounds)*reboot)
 	}
 }
 
+// finishJobs counts the jobs, those that are done, and the attempts beyond the first.
 func (d *demo) finishJobs() {
 	for _, js := range d.runningDaemon().Snapshot().State.Jobs {
 		for _, j := range js.Value.Jobs {
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -97,7 +97,7 @@
 	workersPerRack    = 4
 )
 
-// WorkerID returns the id of worker i of a service, counted from 1.
+// WorkerID returns the id of the i-th worker of a service, counted from 1.
 func WorkerID(service string, i int) string { return fmt.Sprintf("%s-%02d", service, i) }
 
 // Workers returns the specs of all workers; each listens on a free port.
@@ -120,7 +120,7 @@
 // Host returns the host name of a service.
 func Host(service string) string { return service + ".example" }
 
-// Statements returns the commands that create the fleet: services, routes, objectives, pools
+// Statements returns the statements that create the fleet: services, routes, objectives, pools
 // with max-unavailable 2, and their instances.
 func (t Topology) Statements() string {
 	var b strings.Builder
