--- a/standin/store/direct.go
+++ b/standin/store/direct.go
@@ -10,14 +10,15 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// Direct implements port.Store on an engine without a network, for tests in virtual time.
-// Several callers may share an engine, each through a Direct with faults of its own.
+// Direct implements port.Store on an engine without a network, for tests in virtual time. Several
+// callers may share an engine, each through a Direct of its own. It injects the faults Down,
+// DelayMillis and, for CompareAndSwap only, LoseAnswers; it ignores the limits.
 type Direct struct {
 	Engine *Engine
 
 	mu     sync.Mutex
 	faults Faults
-	closed chan struct{} // closed to end the watches; replaced then
+	closed chan struct{} // closed and replaced to end the watches
 	Calls  Calls
 }
 
@@ -26,7 +27,7 @@
 // NewDirect returns a healthy store over engine e.
 func NewDirect(e *Engine) *Direct { return &Direct{Engine: e, closed: make(chan struct{})} }
 
-// SetFaults replaces the faults. Down ends all watches.
+// SetFaults replaces the faults. If Down is set it ends all watches.
 func (d *Direct) SetFaults(f Faults) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -37,12 +38,12 @@
 	}
 }
 
-// errDown returns the error of a call while the service is down.
+// errDown returns the error of a call while Faults.Down is set.
 func errDown() error {
-	return verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "the store is down")
+	return verdict.New(verdict.NotRun, port.CodeStoreUnavailable, "store stand-in: the store is down")
 }
 
-// beginCall counts a call and applies the faults that act before its effect.
+// beginCall counts a call and applies the faults that act before it takes effect.
 func (d *Direct) beginCall(ctx context.Context, write bool) error {
 	d.mu.Lock()
 	f := d.faults
@@ -66,15 +67,16 @@
 	return nil
 }
 
-// loseAnswer returns an error if the answer of a write that took effect is to be lost.
-func (d *Direct) loseAnswer() error {
+// lostAnswerError returns an error if the answer to a write that took effect is lost because of
+// Faults.LoseAnswers.
+func (d *Direct) lostAnswerError() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.faults.LoseAnswers == 0 {
 		return nil
 	}
 	d.faults.LoseAnswers--
-	return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "the answer was lost")
+	return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store stand-in: the answer to the write was lost")
 }
 
 // Get implements port.Store.
@@ -113,7 +115,7 @@
 	}
 	rev, ok := d.Engine.Put(key, int64(expect), value, int64(lease))
 	if ok {
-		if err := d.loseAnswer(); err != nil {
+		if err := d.lostAnswerError(); err != nil {
 			return 0, false, err
 		}
 	}
--- a/standin/store/engine.go
+++ b/standin/store/engine.go
@@ -1,6 +1,5 @@
-// Package store is a small stand-in for the platform's key-value service. It serves the parts
-// of the etcd v3 JSON gateway that postmount uses, keeps its data in memory and can inject
-// faults.
+// Package store is a small stand-in for the platform's key-value service. It serves the part of
+// the etcd v3 JSON gateway that postmount uses, keeps its data in memory and can inject faults.
 package store
 
 import (
@@ -19,7 +18,7 @@
 	lease          int64
 }
 
-// change is an event in the history that watches replay.
+// change is a write or deletion of a key; the history of changes feeds the watches.
 type change struct {
 	key      string
 	value    []byte
@@ -33,9 +32,9 @@
 	expires time.Time
 }
 
-// historySize is the maximum number of events kept for watches; the oldest tenth is compacted
-// when it is exceeded.
-const historySize = 50_000
+// maxHistoryEvents is the maximum number of changes kept for watches. When there are more, the
+// oldest tenth is compacted.
+const maxHistoryEvents = 50_000
 
 // Engine holds the keys, revisions, leases and history of the service. Its methods are safe
 // for concurrent use.
@@ -93,8 +92,8 @@
 	return e.keys[key].modRevision
 }
 
-// Put writes key if its revision is expect, 0 for a key that doesn't exist. ok is false if it
-// is another, or if the lease doesn't exist; leaseID 0 means no lease.
+// Put writes key if its revision is expect, 0 for a key that doesn't exist. ok is false if its
+// revision is another one or the lease doesn't exist; leaseID 0 means no lease.
 func (e *Engine) Put(key string, expect int64, value []byte, leaseID int64) (revision int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -116,7 +115,7 @@
 	return e.revision, true
 }
 
-// Delete removes key if it exists and its revision is expect.
+// Delete removes key if it exists and its revision is expect; else ok is false.
 func (e *Engine) Delete(key string, expect int64) (revision int64, ok bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -134,10 +133,11 @@
 	e.recordLocked(change{key: key, revision: e.revision, deleted: true})
 }
 
+// recordLocked adds a change to the history and wakes the watches.
 func (e *Engine) recordLocked(c change) {
 	e.history = append(e.history, c)
-	if len(e.history) > historySize {
-		drop := historySize / 10
+	if len(e.history) > maxHistoryEvents {
+		drop := maxHistoryEvents / 10
 		e.compacted = e.history[drop-1].revision
 		e.history = slices.Clone(e.history[drop:])
 	}
@@ -145,7 +145,7 @@
 	e.changed = make(chan struct{})
 }
 
-// Grant creates a lease.
+// Grant creates a lease and returns its id.
 func (e *Engine) Grant(ttl time.Duration) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,6 +175,7 @@
 	e.revokeLocked(id)
 }
 
+// revokeLocked ends a lease and deletes its keys. Keys without a lease have lease id 0.
 func (e *Engine) revokeLocked(id int64) {
 	delete(e.leases, id)
 	if id == 0 {
@@ -211,8 +212,8 @@
 	}
 }
 
-// ExtendLeases moves every expiry by d, the duration of an outage: leases don't expire while
-// the service itself is down.
+// ExtendLeases extends every lease by d, the duration of an outage: leases don't expire while the
+// service itself is down.
 func (e *Engine) ExtendLeases(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -239,6 +240,7 @@
 	return events, e.revision, e.changed, true
 }
 
+// inRange reports whether k is in [key, end); an empty end means key alone.
 func inRange(k, key, end string) bool {
 	if end == "" {
 		return k == key
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -7,19 +7,20 @@
 
 // Faults are the faults that the stand-in injects. The zero value is a healthy service.
 type Faults struct {
-	// Down refuses every call.
+	// Down refuses every call and ends the watches.
 	Down bool `json:"down"`
-	// DelayMillis delays every call.
+	// DelayMillis delays every call, in milliseconds.
 	DelayMillis int `json:"delay_ms"`
-	// LoseAnswers is the number of next writes that take effect and whose connection is closed
-	// before the answer.
+	// LoseAnswers is the number of writes, from the next one on, that take effect but whose
+	// connection is closed before the answer.
 	LoseAnswers int `json:"lose_answers"`
-	// ReadsPerSecond and WritesPerSecond limit calls; 0 means no limit.
+	// ReadsPerSecond and WritesPerSecond limit the calls; watches count as reads. 0 means no limit.
 	ReadsPerSecond  int `json:"reads_per_second"`
 	WritesPerSecond int `json:"writes_per_second"`
 }
 
-// Calls counts the calls to the service; a watch is one call however long it lasts.
+// Calls counts the calls to the service. A watch is one call however long it lasts. Limited counts
+// the calls over the limits of Faults.
 type Calls struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
@@ -39,18 +40,18 @@
 
 // faultControl holds the current faults and the counts of calls.
 type faultControl struct {
-	mu        sync.Mutex
-	faults    Faults
-	calls     Calls
-	second    int64 // Unix time in seconds that used counts for
-	used      [2]int
-	dropWatch chan struct{} // closed to end every watch; replaced then
-	changed   chan struct{} // closed and replaced when the faults change
-	downSince time.Time
+	mu             sync.Mutex
+	faults         Faults
+	calls          Calls
+	second         int64 // the second that callsInSecond counts, in Unix time
+	callsInSecond  [2]int
+	watchesDropped chan struct{} // closed and replaced to end every watch
+	changed        chan struct{} // closed and replaced when the faults change
+	downSince      time.Time
 }
 
 func newFaultControl() *faultControl {
-	return &faultControl{dropWatch: make(chan struct{}), changed: make(chan struct{})}
+	return &faultControl{watchesDropped: make(chan struct{}), changed: make(chan struct{})}
 }
 
 // set replaces the faults. If this ends an outage it returns its duration.
@@ -63,7 +64,7 @@
 	}
 	if !s.faults.Down && f.Down {
 		s.downSince = now
-		s.dropLocked()
+		s.dropWatchesLocked()
 	}
 	s.faults = f
 	close(s.changed)
@@ -71,38 +72,40 @@
 	return outage
 }
 
-func (s *faultControl) dropLocked() {
-	close(s.dropWatch)
-	s.dropWatch = make(chan struct{})
+func (s *faultControl) dropWatchesLocked() {
+	close(s.watchesDropped)
+	s.watchesDropped = make(chan struct{})
 }
 
 func (s *faultControl) dropWatches() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.dropLocked()
+	s.dropWatchesLocked()
 }
 
-// decision is what happens to one call.
+// decision is what the faults do to a call.
 type decision struct {
 	down    bool
 	limited bool
 	delay   time.Duration
-	dropped <-chan struct{}
+	dropped <-chan struct{} // closed when the watches are dropped
 }
 
+// admit counts a call and decides what the faults do to it. Calls while the service is down don't
+// count.
 func (s *faultControl) admit(k callKind, now time.Time) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	d := decision{
 		down:    s.faults.Down,
 		delay:   time.Duration(s.faults.DelayMillis) * time.Millisecond,
-		dropped: s.dropWatch,
+		dropped: s.watchesDropped,
 	}
 	if d.down {
 		return d
 	}
 	s.countLocked(k)
-	d.limited = s.overLimitLocked(k, now)
+	d.limited = s.exceedsLimitLocked(k, now)
 	return d
 }
 
@@ -117,26 +120,27 @@
 	}
 }
 
-func (s *faultControl) overLimitLocked(k callKind, now time.Time) bool {
+// exceedsLimitLocked counts a call in the current second and reports whether it exceeds its limit.
+func (s *faultControl) exceedsLimitLocked(k callKind, now time.Time) bool {
 	if now.Unix() != s.second {
 		s.second = now.Unix()
-		s.used = [2]int{}
+		s.callsInSecond = [2]int{}
 	}
 	limit, slot := s.faults.ReadsPerSecond, 0
 	if k == kindWrite {
 		limit, slot = s.faults.WritesPerSecond, 1
 	}
-	s.used[slot]++
-	if limit == 0 || s.used[slot] <= limit {
+	s.callsInSecond[slot]++
+	if limit == 0 || s.callsInSecond[slot] <= limit {
 		return false
 	}
 	s.calls.Limited++
 	return true
 }
 
-// loseAnswer reports whether the answer of the write that just took effect is to be lost, and
-// counts it.
-func (s *faultControl) loseAnswer() bool {
+// takeLostAnswer reports whether the answer to the write that just took effect is lost, and takes
+// it off Faults.LoseAnswers.
+func (s *faultControl) takeLostAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseAnswers == 0 {
--- a/standin/store/gateway.go
+++ b/standin/store/gateway.go
@@ -85,8 +85,9 @@
 	return kv
 }
 
-// txn supports only the transaction that compare-and-swap needs: one comparison of a key's
-// modification revision and one put or delete of that key.
+// txn executes a transaction. It supports only the form that compare-and-swap and
+// compare-and-delete need: one comparison of a key's modification revision and one put or delete of
+// that key.
 func (s *Server) txn(body json.RawMessage) (any, error) {
 	var req txnRequest
 	if err := json.Unmarshal(body, &req); err != nil {
@@ -99,17 +100,19 @@
 	if err != nil {
 		return nil, err
 	}
-	rev, ok, err := s.apply(req.Success[0], expect)
+	rev, ok, err := s.applyOp(req.Success[0], expect)
 	if err != nil {
 		return nil, err
 	}
-	if ok && s.faults.loseAnswer() {
+	if ok && s.faults.takeLostAnswer() {
 		return nil, errAnswerLost{}
 	}
 	return txnResponse{Header: header{int64String(rev)}, Succeeded: ok}, nil
 }
 
-func (s *Server) apply(op requestOp, expect int64) (int64, bool, error) {
+// applyOp applies a put or delete if the revision of its key is expect. It returns the revision of
+// the store and whether the operation was applied.
+func (s *Server) applyOp(op requestOp, expect int64) (int64, bool, error) {
 	if op.Delete != nil {
 		rev, ok := s.engine.Delete(string(op.Delete.Key), expect)
 		return rev, ok, nil
@@ -125,6 +128,7 @@
 	return rev, ok, nil
 }
 
+// parseInt64 parses a 64-bit integer; a missing one is 0.
 func parseInt64(n json.Number) (int64, error) {
 	if n == "" {
 		return 0, nil
@@ -164,8 +168,8 @@
 	return resp
 }
 
-// streamed is the envelope of a message of a streaming call.
-type streamed[T any] struct {
+// streamMessage is the envelope of each message of a streaming call.
+type streamMessage[T any] struct {
 	Result T `json:"result"`
 }
 
@@ -174,7 +178,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return streamed[leaseResponse]{s.leaseAnswer(id, s.engine.KeepAlive(id))}, nil
+	return streamMessage[leaseResponse]{s.leaseAnswer(id, s.engine.KeepAlive(id))}, nil
 }
 
 func (s *Server) revoke(body json.RawMessage) (any, error) {
@@ -217,7 +221,8 @@
 	Events          []watchEvent `json:"events,omitempty"`
 }
 
-// progressInterval is the time between two progress messages of a watch.
+// progressInterval is the time between two progress messages of a watch, which carry a revision
+// and no events.
 const progressInterval = time.Second
 
 func (s *Server) watch(w http.ResponseWriter, r *http.Request) {
@@ -226,7 +231,7 @@
 		return
 	}
 	var req watchRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest)).Decode(&req); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&req); err != nil {
 		writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 		return
 	}
@@ -238,11 +243,12 @@
 	s.stream(w, r, req.Create, from, d.dropped)
 }
 
+// stream sends the changes from revision from on until the watch ends.
 func (s *Server) stream(w http.ResponseWriter, r *http.Request, create watchCreate, from int64, dropped <-chan struct{}) {
 	enc := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	send := func(m watchResponse) bool {
-		if enc.Encode(streamed[watchResponse]{m}) != nil {
+		if enc.Encode(streamMessage[watchResponse]{m}) != nil {
 			return false
 		}
 		return flush.Flush() == nil
--- a/standin/store/server.go
+++ b/standin/store/server.go
@@ -43,14 +43,14 @@
 // Close stops the lease timer and ends the watches.
 func (s *Server) Close() { close(s.stop) }
 
-// SetFaults replaces the faults. Leases are extended by an outage that it ends.
+// SetFaults replaces the faults. If this ends an outage, leases are extended by its duration.
 func (s *Server) SetFaults(f Faults) {
 	if outage := s.faults.set(f, time.Now()); outage > 0 {
 		s.engine.ExtendLeases(outage)
 	}
 }
 
-// Calls returns the counts since the start.
+// Calls returns the counts of calls since the server was created.
 func (s *Server) Calls() Calls {
 	_, c := s.faults.snapshot()
 	return c
@@ -59,9 +59,10 @@
 // ExpireAllLeases expires every lease.
 func (s *Server) ExpireAllLeases() { s.engine.ExpireAllLeases() }
 
-// DropWatches breaks every watch stream.
+// DropWatches aborts the connection of every watch.
 func (s *Server) DropWatches() { s.faults.dropWatches() }
 
+// expireInterval is the time between two searches for expired leases.
 const expireInterval = 100 * time.Millisecond
 
 func (s *Server) expireLoop() {
@@ -105,16 +106,17 @@
 
 func (errAnswerLost) Error() string { return "answer lost" }
 
-// maxRequest is the maximum request body in bytes: values reach 1 MB before base64 encoding.
-const maxRequest = 2 << 20
+// maxRequestBytes is the maximum size of a request body: values reach 1 MB before base64 encoding.
+const maxRequestBytes = 2 << 20
 
+// handle returns the handler of a call that takes and returns one JSON message.
 func (s *Server) handle(k callKind, serve func(body json.RawMessage) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if _, ok := s.admit(w, r, k); !ok {
 			return
 		}
 		var body json.RawMessage
-		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequest)).Decode(&body); err != nil {
+		if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxRequestBytes)).Decode(&body); err != nil {
 			writeError(w, http.StatusBadRequest, codeInvalidArgument, err.Error())
 			return
 		}
@@ -131,8 +133,8 @@
 	}
 }
 
-// admit applies the faults to a call. It returns false if the call ends here; it has answered
-// it then unless the caller is gone.
+// admit applies the faults to a call. It returns false if the call ends here; it has then answered
+// the call, unless the caller has gone.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, k callKind) (decision, bool) {
 	d := s.faults.admit(k, time.Now())
 	if d.down {
