--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,7 @@
-// Package platform is a small stand-in for the platform's instance list and instance actions;
-// docs/PROTOCOLS.md describes its calls. The list shows changes with a delay, commands are
-// idempotent by id and refused for a wrong generation, and faults can be injected.
+// Package platform is a small stand-in for the platform's instance list and instance commands;
+// docs/PROTOCOLS.md describes its calls. The list shows changes with a delay. A command with a
+// known id has no further effect, and one for another generation of the instance is refused.
+// Faults can be injected.
 package platform
 
 import (
@@ -28,12 +29,14 @@
 
 // Faults are the faults and delays of the stand-in.
 type Faults struct {
-	Down bool `json:"down"` // refuses every call
-	// ListLagMS is the delay until a change shows in the instance list.
+	// Down refuses every call of the platform's API.
+	Down bool `json:"down"`
+	// ListLagMS is the delay in ms until the instance list shows a change.
 	ListLagMS int `json:"list_lag_ms"`
-	// RebootMS is the duration of a reboot.
+	// RebootMS is the duration of a reboot in ms.
 	RebootMS int `json:"reboot_ms"`
-	// DrainLimitMS bounds a drain: the instance is drained then even if work still runs.
+	// DrainLimitMS is the maximum duration of a drain: the instance counts as drained then even if
+	// work still runs.
 	DrainLimitMS int `json:"drain_limit_ms"`
 	// NeverReturn lists instances that do not come back from a reboot.
 	NeverReturn []string `json:"never_return"`
@@ -51,11 +54,11 @@
 // listing is an instance as the list shows it.
 type listing struct {
 	msg     platformhttp.InstanceMessage
-	version int64 // of its last change
+	version int64 // of the list at its last change
 }
 
-// pending is a change that the list doesn't show yet.
-type pending struct {
+// pendingChange is a change that the list doesn't show yet.
+type pendingChange struct {
 	at  time.Time
 	msg platformhttp.InstanceMessage
 }
@@ -69,10 +72,10 @@
 	instances   map[string]*instance
 	listed      map[string]listing
 	version     int64 // of the newest change in listed
-	pending     []pending
-	goneEntries []string
+	pending     []pendingChange
+	goneEntries []string // incarnations of entry daemons that have ended
 	router      chi.Router
-	timers      sync.WaitGroup
+	background  sync.WaitGroup // goroutines of runAsync
 	closed      chan struct{}
 }
 
@@ -80,8 +83,8 @@
 func New(workers Workers, faults Faults) *Platform {
 	p := &Platform{workers: workers, faults: faults, instances: map[string]*instance{}, listed: map[string]listing{}, closed: make(chan struct{})}
 	r := chi.NewRouter()
-	r.Get("/v1/instances", p.unlessDown(p.list))
-	r.Post("/v1/instances/{id}/commands", p.unlessDown(p.command))
+	r.Get("/v1/instances", p.refuseIfDown(p.list))
+	r.Post("/v1/instances/{id}/commands", p.refuseIfDown(p.command))
 	r.Put("/standin/faults", p.putFaults)
 	r.Get("/standin/faults", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(p.Faults()) })
 	r.Post("/standin/instances", p.postInstances)
@@ -95,10 +98,10 @@
 // ServeHTTP implements http.Handler.
 func (p *Platform) ServeHTTP(w http.ResponseWriter, r *http.Request) { p.router.ServeHTTP(w, r) }
 
-// Close ends running drains and reboots and waits for them.
+// Close aborts running drains and reboots and waits for their goroutines.
 func (p *Platform) Close() {
 	close(p.closed)
-	p.timers.Wait()
+	p.background.Wait()
 }
 
 // Faults returns the current faults.
@@ -115,7 +118,7 @@
 	p.faults = f
 }
 
-// Add puts instances into service.
+// Add adds instances to the platform. They are ready and of generation 1.
 func (p *Platform) Add(list []platformhttp.InstanceMessage) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,23 +126,24 @@
 		m.State = string(fleet.InstanceReady)
 		m.Generation = 1
 		p.instances[m.ID] = &instance{msg: m, commands: map[string]bool{}}
-		p.listLocked(m)
+		p.publishLocked(m)
 	}
 }
 
-func (p *Platform) listLocked(m platformhttp.InstanceMessage) {
+// publishLocked makes the list show an instance.
+func (p *Platform) publishLocked(m platformhttp.InstanceMessage) {
 	p.version++
 	p.listed[m.ID] = listing{m, p.version}
 }
 
-// MarkGone adds entry daemons that have ended to the list.
+// MarkGone adds incarnations of entry daemons that have ended to the instance list's answers.
 func (p *Platform) MarkGone(incarnations ...string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.goneEntries = append(p.goneEntries, incarnations...)
 }
 
-// States returns the actual state of every instance, by id.
+// States returns the actual state of every instance by id, without the list's delay.
 func (p *Platform) States() map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -150,30 +154,31 @@
 	return out
 }
 
-// scheduleListingLocked makes the list show an instance's state after the list lag.
+// scheduleListingLocked makes the list show the instance's current state after Faults.ListLagMS.
 func (p *Platform) scheduleListingLocked(i *instance) {
 	lag := time.Duration(p.faults.ListLagMS) * time.Millisecond
-	p.pending = append(p.pending, pending{at: time.Now().Add(lag), msg: i.msg})
+	p.pending = append(p.pending, pendingChange{at: time.Now().Add(lag), msg: i.msg})
 }
 
-func (p *Platform) publishLocked(now time.Time) {
+// publishDueLocked makes the list show the pending changes that are due.
+func (p *Platform) publishDueLocked(now time.Time) {
 	rest := p.pending[:0]
 	for _, c := range p.pending {
 		if c.at.After(now) {
 			rest = append(rest, c)
 			continue
 		}
-		p.listLocked(c.msg)
+		p.publishLocked(c.msg)
 	}
 	p.pending = rest
 }
 
-// list answers with the instances that changed after the version in the query's since, or with
-// all if there is none.
+// list answers with the instances that changed after the version in the query parameter since, or
+// with all instances if since is missing, invalid or newer than the list.
 func (p *Platform) list(w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	p.mu.Lock()
-	p.publishLocked(time.Now())
+	p.publishDueLocked(time.Now())
 	m := platformhttp.ListMessage{Version: p.version, Full: err != nil || since <= 0 || since > p.version, GoneEntries: slices.Clone(p.goneEntries)}
 	for _, id := range slices.Sorted(maps.Keys(p.listed)) {
 		if l := p.listed[id]; m.Full || l.version > since {
@@ -184,7 +189,8 @@
 	_ = json.NewEncoder(w).Encode(m)
 }
 
-func (p *Platform) unlessDown(next http.HandlerFunc) http.HandlerFunc {
+// refuseIfDown wraps a handler to answer with status 503 while Faults.Down is set.
+func (p *Platform) refuseIfDown(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		if p.Faults().Down {
 			http.Error(w, "platform unavailable", http.StatusServiceUnavailable)
@@ -212,13 +218,13 @@
 	i := p.instances[id]
 	switch {
 	case i == nil:
-		return fmt.Errorf("no instance %q", id)
+		return fmt.Errorf("the platform has no instance %q", id)
 	case i.commands[m.ID]:
 		return nil
 	case i.msg.Generation != m.Generation:
 		return fmt.Errorf("instance %s is at generation %d, not %d", id, i.msg.Generation, m.Generation)
 	case i.msg.State == string(fleet.InstanceFailed):
-		return fmt.Errorf("instance %s has failed", id)
+		return fmt.Errorf("instance %s has failed and takes no commands", id)
 	}
 	i.commands[m.ID] = true
 	i.msg.Generation++
@@ -226,13 +232,13 @@
 	generation := i.msg.Generation
 	switch fleet.Action(m.Action) {
 	case fleet.ActionDrain:
-		p.setLocked(i, fleet.InstanceDraining)
+		p.setStateLocked(i, fleet.InstanceDraining)
 		p.runAsync(func() { p.drain(id, generation) })
 	case fleet.ActionReboot:
-		p.setLocked(i, fleet.InstanceRebooting)
+		p.setStateLocked(i, fleet.InstanceRebooting)
 		p.runAsync(func() { p.reboot(id, generation) })
 	case fleet.ActionReturn:
-		p.setLocked(i, fleet.InstanceReady)
+		p.setStateLocked(i, fleet.InstanceReady)
 		p.runAsync(func() { _ = p.workers.SetDraining(id, false) })
 	default:
 		return fmt.Errorf("unknown action %q", m.Action)
@@ -240,15 +246,15 @@
 	return nil
 }
 
-func (p *Platform) setLocked(i *instance, s fleet.InstanceState) {
+func (p *Platform) setStateLocked(i *instance, s fleet.InstanceState) {
 	i.msg.State = string(s)
 	p.scheduleListingLocked(i)
 }
 
 func (p *Platform) runAsync(fn func()) {
-	p.timers.Add(1)
+	p.background.Add(1)
 	go func() {
-		defer p.timers.Done()
+		defer p.background.Done()
 		fn()
 	}()
 }
@@ -259,13 +265,15 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if i := p.instances[id]; i != nil && i.msg.Generation == generation {
-		p.setLocked(i, s)
+		p.setStateLocked(i, s)
 	}
 }
 
-const drainPoll = 20 * time.Millisecond
+// drainPollInterval is the time between two checks whether a draining worker is idle.
+const drainPollInterval = 20 * time.Millisecond
 
-// drain waits until the worker is idle or the drain limit is over.
+// drain waits until the worker is idle, at most for Faults.DrainLimitMS, and marks the instance as
+// drained.
 func (p *Platform) drain(id string, generation int64) {
 	_ = p.workers.SetDraining(id, true)
 	limit := time.Now().Add(time.Duration(p.Faults().DrainLimitMS) * time.Millisecond)
@@ -273,13 +281,15 @@
 		if n, err := p.workers.Busy(id); err == nil && n == 0 {
 			break
 		}
-		if !p.sleep(drainPoll) {
+		if !p.sleep(drainPollInterval) {
 			return
 		}
 	}
 	p.setState(id, generation, fleet.InstanceDrained)
 }
 
+// reboot takes the worker down for Faults.RebootMS, or for good if Faults.NeverReturn
+// lists it.
 func (p *Platform) reboot(id string, generation int64) {
 	_ = p.workers.SetUp(id, false)
 	f := p.Faults()
@@ -290,6 +300,7 @@
 	p.setState(id, generation, fleet.InstanceDrained)
 }
 
+// sleep waits for d. It reports false if the platform is closed meanwhile.
 func (p *Platform) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -307,15 +318,15 @@
 	i := p.instances[id]
 	if i == nil {
 		p.mu.Unlock()
-		return fmt.Errorf("no instance %q", id)
+		return fmt.Errorf("the platform has no instance %q", id)
 	}
 	i.msg.Generation++
-	p.setLocked(i, fleet.InstanceFailed)
+	p.setStateLocked(i, fleet.InstanceFailed)
 	p.mu.Unlock()
 	return p.workers.SetUp(id, false)
 }
 
-// Restart puts an instance back into service without a command.
+// Restart puts an instance back into service without a command, whatever its state.
 func (p *Platform) Restart(id string) error {
 	if err := p.workers.SetUp(id, true); err != nil {
 		return err
@@ -327,10 +338,10 @@
 	defer p.mu.Unlock()
 	i := p.instances[id]
 	if i == nil {
-		return fmt.Errorf("no instance %q", id)
+		return fmt.Errorf("the platform has no instance %q", id)
 	}
 	i.msg.Generation++
-	p.setLocked(i, fleet.InstanceReady)
+	p.setStateLocked(i, fleet.InstanceReady)
 	return nil
 }
 
--- a/standin/platform/remote.go
+++ b/standin/platform/remote.go
@@ -64,7 +64,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("control interface of the workers at %s: %s %s answered %d", r.addr, req.Method, req.URL.Path, resp.StatusCode)
+		return fmt.Errorf("control interface of the workers at %s: %s %s answered with status %d", r.addr, req.Method, req.URL.Path, resp.StatusCode)
 	}
 	if out == nil {
 		return nil
@@ -72,7 +72,7 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
-// InstanceMessages returns the instances that the workers run on.
+// InstanceMessages returns the instances of workers, one for each.
 func InstanceMessages(specs []worker.Spec) []platformhttp.InstanceMessage {
 	out := make([]platformhttp.InstanceMessage, 0, len(specs))
 	for _, s := range specs {
@@ -96,7 +96,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("platform at %s: register workers: answered %d", addr, resp.StatusCode)
+		return fmt.Errorf("platform at %s: adding the workers' instances was answered with status %d", addr, resp.StatusCode)
 	}
 	return nil
 }
