--- a/standin/jobfleet/capacity.go
+++ b/standin/jobfleet/capacity.go
@@ -7,17 +7,17 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// capacityUpdateBound is the time after a decrease of a worker's capacity in which starts may
-// still assume the old one: they, or its registration, are in flight.
+// capacityUpdateBound is how long after a decrease of a worker's capacity starts may still assume
+// the old one, because they or the new registration are in flight.
 const capacityUpdateBound = time.Second
 
-// configure sets which services' workers start tasks beyond their capacity.
+// configure records which services' workers don't enforce their capacity.
 func (f *Fleet) configure(c *job.Catalog) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	clear(f.unenforced)
+	clear(f.overcommits)
 	for _, s := range c.Services {
-		f.unenforced[s.Name] = !s.EnforcesCapacity
+		f.overcommits[s.Name] = !s.EnforcesCapacity
 	}
 }
 
@@ -32,28 +32,29 @@
 	}
 	scale := func(n int) int { return int(share * float64(n)) }
 	full := w.instance.capacity
-	f.resize(w, job.Resources{CPUMilli: scale(full.CPUMilli), MemMB: scale(full.MemMB), GPU: scale(full.GPU)})
-	w.shrank = time.Now()
+	f.setCapacity(w, job.Resources{CPUMilli: scale(full.CPUMilli), MemMB: scale(full.MemMB), GPU: scale(full.GPU)})
+	w.reducedAt = time.Now()
 	time.AfterFunc(d, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if !w.dead {
-			f.resize(w, full)
+			f.setCapacity(w, full)
 		}
 	})
 }
 
-func (f *Fleet) resize(w *worker, capacity job.Resources) {
+// setCapacity changes the capacity in a worker's registration.
+func (f *Fleet) setCapacity(w *worker, capacity job.Resources) {
 	w.reg.Capacity = capacity
 	f.publish(string(w.reg.Worker), &w.reg)
 }
 
-// checkCapacity records a start beyond the capacity of a worker, unless this was reduced just
-// before.
+// checkCapacity records a violation for a start beyond the capacity of a worker, unless the
+// capacity was reduced less than capacityUpdateBound ago.
 func (c *Checker) checkCapacity(t job.TaskID, w *worker) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !w.shrank.IsZero() && time.Since(w.shrank) <= capacityUpdateBound {
+	if !w.reducedAt.IsZero() && time.Since(w.reducedAt) <= capacityUpdateBound {
 		return
 	}
 	c.addViolation("task %s starts on %s, which has no capacity left for it", t, w.reg.Worker)
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -20,7 +20,7 @@
 	drained     map[owner.WorkerID]time.Time
 	waves       map[int]*waveRecord
 	starts      int
-	duties      map[owner.InstanceID]dutyRecord
+	lastOrders  map[owner.InstanceID]orderRecord
 	faultsEnded bool // see FaultsEnded
 
 	crashers map[crasher]bool
@@ -31,23 +31,23 @@
 	lastEvacuatedStart  time.Duration
 }
 
-// dutyRecord is the newest order for an instance.
-type dutyRecord struct {
+// orderRecord is the newest order for an instance: the duty under which it was given, and when.
+type orderRecord struct {
 	owner.Duty
 	at time.Time
 }
 
 type taskRecord struct {
-	running      map[owner.WorkerID]uint64
+	running      map[owner.WorkerID]uint64 // run by worker
 	done         bool
-	acked        bool
+	acked        bool      // a daemon acknowledged its successful end
 	began        time.Time // start of its newest run
 	lastReady    time.Time // when it was last ready
 	endedByOrder bool      // an order ended it, and it has not been ready since
 
-	failures     int // failed runs
-	crashes      int // workers that crashed while running it
-	afterCrashes int // starts since crashesAllowed was reached
+	failures           int // failed runs
+	crashes            int // workers that crashed while running it
+	startsAfterCrashes int // starts since crashesAllowed was reached
 }
 
 type jobRecord struct {
@@ -65,15 +65,15 @@
 }
 
 type waveRecord struct {
-	limit int
-	begun map[owner.InstanceID]bool
+	limit      int
+	maintained map[owner.InstanceID]bool
 }
 
 // Time bounds of the guarantees.
 const (
-	drainBound        = 2 * time.Second
-	cancelBound       = 3 * time.Second
-	dutyHandover      = 3 * time.Second
+	drainBound        = 2 * time.Second // from a worker's drain until no task starts on it
+	cancelBound       = 3 * time.Second // from a job's cancellation until none of its tasks starts
+	dutyHandover      = 3 * time.Second // between orders of two holders for the same instance
 	pendingCountBound = 5 * time.Second // until a waiting job is in its queue's count
 )
 
@@ -82,11 +82,12 @@
 	return &Checker{
 		began: time.Now(), tasks: map[job.TaskID]*taskRecord{}, jobs: map[job.ID]*jobRecord{},
 		drained: map[owner.WorkerID]time.Time{}, waves: map[int]*waveRecord{},
-		duties: map[owner.InstanceID]dutyRecord{}, crashers: map[crasher]bool{}, evacuated: map[string]time.Time{}, limits: map[string][]tenantLimit{},
+		lastOrders: map[owner.InstanceID]orderRecord{}, crashers: map[crasher]bool{}, evacuated: map[string]time.Time{}, limits: map[string][]tenantLimit{},
 	}
 }
 
-// Violations returns a line for each violated guarantee.
+// Violations returns a line for each violation of a guarantee, with the time since the checker
+// was created.
 func (c *Checker) Violations() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +141,7 @@
 	c.jobs[id].cancelled = time.Now()
 }
 
-// StateReported checks a job state that a caller got.
+// StateReported checks the state of a job that a daemon reported to a caller.
 func (c *Checker) StateReported(id job.ID, s job.State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -161,7 +162,7 @@
 	}
 }
 
-// NotFoundReported checks an answer that a job doesn't exist.
+// NotFoundReported checks a daemon's answer to a caller that a job doesn't exist.
 func (c *Checker) NotFoundReported(id job.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -170,7 +171,7 @@
 	}
 }
 
-// Accepted records that a caller knows of the acceptance of its job by a queue.
+// Accepted records that a caller knows that a queue accepted its job.
 func (c *Checker) Accepted(id job.ID, queue string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -181,9 +182,10 @@
 	}
 }
 
-// PendingReported checks the count of a queue's waiting jobs, n, that daemon by gave to a request
-// sent at asked: it must be at least half of the actual count.
-func (c *Checker) PendingReported(queue string, asked time.Time, n int, by string) {
+// PendingReported checks the count of a queue's waiting jobs, n, that a daemon gave to a request
+// sent at asked. It must be at least half of the number of jobs that have waited for longer than
+// pendingCountBound.
+func (c *Checker) PendingReported(queue string, asked time.Time, n int, daemon string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	waiting := 0
@@ -193,7 +195,7 @@
 		}
 	}
 	if 2*n < waiting {
-		c.addViolation("daemon %q reports %d waiting jobs of queue %s, but %d wait for more than %s", by, n, queue, waiting, pendingCountBound)
+		c.addViolation("daemon %q reports %d waiting jobs of queue %s, but %d wait for more than %s", daemon, n, queue, waiting, pendingCountBound)
 	}
 }
 
@@ -224,20 +226,21 @@
 	return true
 }
 
-// SetWaveLimit sets the maximum number of instances of a wave that may be down at once.
+// SetWaveLimit registers a wave and the maximum number of its instances that may be down at once.
 func (c *Checker) SetWaveLimit(wave, limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.waves[wave] = &waveRecord{limit: limit, begun: map[owner.InstanceID]bool{}}
+	c.waves[wave] = &waveRecord{limit: limit, maintained: map[owner.InstanceID]bool{}}
 }
 
 // MaintainedCount returns the number of instances of a wave whose maintenance has begun.
 func (c *Checker) MaintainedCount(wave int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return len(c.waves[wave].begun)
+	return len(c.waves[wave].maintained)
 }
 
+// started checks the start of a task on a worker.
 func (c *Checker) started(t job.TaskID, run uint64, w owner.WorkerID, token uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -258,6 +261,7 @@
 	}
 }
 
+// checkJobStart checks the start of a task against the state of its job.
 func (c *Checker) checkJobStart(t job.TaskID) {
 	r := c.jobs[t.Job]
 	if r == nil {
@@ -279,6 +283,7 @@
 	}
 }
 
+// record returns the record of a task and creates it if there is none.
 func (c *Checker) record(t job.TaskID) *taskRecord {
 	r := c.tasks[t]
 	if r == nil {
@@ -288,13 +293,14 @@
 	return r
 }
 
+// ended records the end of a run; how is the kind of its end.
 func (c *Checker) ended(t job.TaskID, run uint64, w owner.WorkerID, how string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	r := c.record(t)
 	if r.ready() {
 		r.lastReady = time.Now()
-		r.endedByOrder = how == endedWithInstance || how == owner.EndStopped.String() || how == owner.EndLeaseExpired.String() && c.faultsEnded
+		r.endedByOrder = how == endInstanceOrder || how == owner.EndStopped.String() || how == owner.EndLeaseExpired.String() && c.faultsEnded
 	}
 	if r.running[w] == run {
 		delete(r.running, w)
@@ -321,39 +327,39 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.waves[wave]
-	return w != nil && w.begun[id]
+	return w != nil && w.maintained[id]
 }
 
-// instanceOrdered checks an order for an instance; wave is 0 for a move, and down is the number
-// of instances of the wave that are down. late says that the daemon was frozen between its last
-// check and the call, which it can't prevent.
+// instanceOrdered checks an order for an instance; wave is 0 for a move, and down is the number of
+// instances of the wave that are down. late means that the daemon was frozen between its last
+// check of the duty and the call. It can't prevent this, so the holder isn't checked.
 func (c *Checker) instanceOrdered(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !late {
-		c.checkDutyHolder(d, id)
+		c.checkOrderHolder(d, id)
 	}
 	if wave == 0 {
 		return
 	}
 	w := c.waves[wave]
-	w.begun[id] = true
+	w.maintained[id] = true
 	if down > w.limit {
 		c.addViolation("%d instances of wave %d are down, the limit is %d", down, wave, w.limit)
 	}
 }
 
-// checkDutyHolder checks the orders for an instance: its holder must not change within
+// checkOrderHolder checks the orders for an instance: its holder must not change within
 // dutyHandover, and its tokens must not decrease.
-func (c *Checker) checkDutyHolder(d owner.Duty, id owner.InstanceID) {
-	last, ordered := c.duties[id]
+func (c *Checker) checkOrderHolder(d owner.Duty, id owner.InstanceID) {
+	last, ordered := c.lastOrders[id]
 	if ordered && last.Holder != d.Holder && time.Since(last.at) < dutyHandover {
-		c.addViolation("%s gives an order for instance %s only %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
+		c.addViolation("%s orders instance %s only %s after %s did", d.Holder, id, time.Since(last.at), last.Holder)
 	}
 	if ordered && d.Token < last.Token {
-		c.addViolation("%s gives an order for instance %s with token %d after token %d", d.Holder, id, d.Token, last.Token)
+		c.addViolation("%s orders instance %s with token %d after token %d", d.Holder, id, d.Token, last.Token)
 	}
-	c.duties[id] = dutyRecord{d, time.Now()}
+	c.lastOrders[id] = orderRecord{d, time.Now()}
 }
 
 // RunningTasks returns the number of running tasks of a job.
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -28,26 +28,27 @@
 
 // Client is a daemon's client of the store.
 type Client struct {
-	store  *Store
-	daemon string
-	gate   *Gate
-	hook   FailureFunc
+	store       *Store
+	daemon      string
+	gate        *Gate
+	failureFunc FailureFunc
 }
 
-// Client returns a daemon's client of the store. gate blocks its calls while the daemon is
-// frozen and drops them while it is cut off.
-func (s *Store) Client(daemon string, gate *Gate, hook FailureFunc) *Client {
-	return &Client{store: s, daemon: daemon, gate: gate, hook: hook}
+// Client returns a daemon's client of the store. gate delays its calls while the daemon is frozen
+// and drops them while it is cut off.
+func (s *Store) Client(daemon string, gate *Gate, failure FailureFunc) *Client {
+	return &Client{store: s, daemon: daemon, gate: gate, failureFunc: failure}
 }
 
-// storeCall carries out do with the latency of the store and the faults of the daemon.
+// storeCall carries out do with the latency of the store and the failures injected into the
+// daemon's calls.
 func storeCall[T any](ctx context.Context, c *Client, op string, do func() (T, error)) (T, error) {
 	var none T
 	if err := c.gate.pass(ctx, toStore); err != nil {
 		return none, noAnswerError(ctx)
 	}
 	time.Sleep(storeLatency)
-	switch c.hook(c.daemon, op) {
+	switch c.failureFunc(c.daemon, op) {
 	case Refused:
 		return none, verdict.New(verdict.NotRun, ledger.CodeStoreUnavailable, "store: refused")
 	case RequestLost:
@@ -60,7 +61,7 @@
 		<-ctx.Done()
 		return none, noAnswerError(ctx)
 	case Delayed:
-		time.AfterFunc(delayedWrite, func() { _, _ = do() }) // the result is dropped: this is the fault
+		time.AfterFunc(delayedCallDelay, func() { _, _ = do() }) // the daemon gets no result
 		<-ctx.Done()
 		return none, noAnswerError(ctx)
 	}
@@ -116,7 +117,7 @@
 	return err
 }
 
-// direction is the destination of a daemon's calls.
+// direction is the kind of destination of a daemon's calls.
 type direction int
 
 const (
@@ -125,15 +126,16 @@
 	toPeers
 )
 
-// Gate blocks the calls of a daemon. While it is frozen all calls wait for its end; while it is
-// cut off from a direction, calls there are lost.
+// Gate simulates the freezing and network partitions of a daemon. While the daemon is frozen all
+// its calls wait for the end of the freeze; while it is cut off from a direction, calls there are
+// lost.
 type Gate struct {
 	mu     sync.Mutex
 	thaw   chan struct{} // nil: not frozen
 	cut    [toPeers + 1]bool
 	killed bool
 
-	slowdown     float64       // factor that the instance reports to be slower by; 0: normal speed
+	slowdown     float64       // factor on the duration of the CPU probe; 0: normal speed
 	suspendedFor time.Duration // total of the past suspensions
 	suspendedAt  time.Time     // start of the current suspension; zero: none
 }
@@ -155,7 +157,8 @@
 	})
 }
 
-// Suspend freezes the daemon for d, which its monotonic clock doesn't count.
+// Suspend freezes the daemon for d like a suspended virtual machine: its monotonic clock doesn't
+// count this time.
 func (g *Gate) Suspend(d time.Duration) {
 	g.mu.Lock()
 	if g.thaw != nil {
@@ -185,17 +188,17 @@
 // normalProbeTime is the duration of the CPU probe on an instance of normal speed.
 const normalProbeTime = 40 * time.Microsecond
 
-// ReportSlow makes the CPU probe report an instance that is times slower for d. The daemon's
-// actual speed doesn't change.
-func (g *Gate) ReportSlow(times float64, d time.Duration) {
-	g.setSlowdown(times)
+// ReportSlow makes the CPU probe take factor times as long for d, as on a slow instance. The
+// daemon's actual speed doesn't change.
+func (g *Gate) ReportSlow(factor float64, d time.Duration) {
+	g.setSlowdown(factor)
 	time.AfterFunc(d, func() { g.setSlowdown(0) })
 }
 
-func (g *Gate) setSlowdown(times float64) {
+func (g *Gate) setSlowdown(factor float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.slowdown = times
+	g.slowdown = factor
 }
 
 // probe returns the duration of the CPU probe.
@@ -205,7 +208,7 @@
 	return time.Duration(max(1, g.slowdown) * float64(normalProbeTime))
 }
 
-// clock is the clock of a daemon's instance.
+// clock is the clock of a daemon's instance; it stops during suspensions.
 type clock struct{ gate *Gate }
 
 // Now implements node.Clock.
@@ -226,7 +229,7 @@
 	time.AfterFunc(d, func() { g.setCut(false, toStore) })
 }
 
-// Kill drops all calls from now on.
+// Kill makes all calls get lost from now on.
 func (g *Gate) Kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/standin/jobfleet/crash.go
+++ b/standin/jobfleet/crash.go
@@ -22,21 +22,21 @@
 
 func crasherKey(t job.TaskID) crasher { return crasher{t.Job, t.Step, t.Index} }
 
-// crashTimes are the times from the start of a task to its worker's crash, and from the crash
-// to the worker's return.
-type crashTimes struct{ after, back time.Duration }
+// crashTimes are the time from the start of a task to its worker's crash, delay, and from the crash
+// to the worker's restart, downtime.
+type crashTimes struct{ delay, downtime time.Duration }
 
-// CrashOnStart makes every worker that starts a task, in any occurrence, crash after a time and
-// return later. Its address refuses connections meanwhile.
-func (f *Fleet) CrashOnStart(t job.TaskID, after, back time.Duration) {
+// CrashOnStart makes every worker that starts a task, in any occurrence, crash after delay and
+// restart after downtime. Its address refuses connections meanwhile.
+func (f *Fleet) CrashOnStart(t job.TaskID, delay, downtime time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.crashers[crasherKey(t)] = crashTimes{after, back}
+	f.crashers[crasherKey(t)] = crashTimes{delay, downtime}
 	f.checker.addCrasher(t)
 }
 
-// OnCrash sets the function that is called, in a goroutine of its own, after each crash caused
-// by a task.
+// OnCrash sets the function that is called in its own goroutine after each crash that a task
+// causes.
 func (f *Fleet) OnCrash(do func(t job.TaskID)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -49,7 +49,7 @@
 	if !crashes {
 		return
 	}
-	time.AfterFunc(times.after, func() {
+	time.AfterFunc(times.delay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if w.dead || w.active[e.task] != e {
@@ -60,7 +60,7 @@
 			f.checker.crashed(t)
 		}
 		f.endWorker(w.instance, owner.InstanceDown)
-		f.startWorkerAfter(w.instance, times.back)
+		f.startWorkerAfter(w.instance, times.downtime)
 		time.AfterFunc(registrationTTL, func() { f.publish(string(w.reg.Worker), nil) })
 		if f.onCrash != nil {
 			go f.onCrash(e.task)
@@ -82,7 +82,7 @@
 	}
 }
 
-// addCrasher records that a task crashes its workers.
+// addCrasher records that a task may crash its workers.
 func (c *Checker) addCrasher(t job.TaskID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -91,8 +91,8 @@
 
 // Bounds of the check on tasks that crash their workers.
 const (
-	crashesAllowed     = 3 // crashed workers after which further starts are counted
-	startsAfterCrashes = 2 // further starts allowed: the daemon may not know of the last crashes yet
+	crashesAllowed        = 3 // crashed workers after which further starts are counted
+	maxStartsAfterCrashes = 2 // further starts allowed, as the daemon may not know of the last crashes yet
 )
 
 // crashed records a crash of the worker that a task ran on, whichever task caused it.
@@ -121,7 +121,7 @@
 	if r.crashes < crashesAllowed || !c.crashers[crasherKey(t)] {
 		return
 	}
-	if r.afterCrashes++; r.afterCrashes > startsAfterCrashes {
+	if r.startsAfterCrashes++; r.startsAfterCrashes > maxStartsAfterCrashes {
 		c.addViolation("task %s starts after %d workers crashed while running it", t, r.crashes)
 	}
 }
@@ -137,7 +137,7 @@
 	return false
 }
 
-// MaxCrasherCrashes is MaxTaskCrashes over the tasks that cause crashes.
+// MaxCrasherCrashes is MaxTaskCrashes restricted to the tasks that cause crashes.
 func (c *Checker) MaxCrasherCrashes(id job.ID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/jobfleet/disruption.go
+++ b/standin/jobfleet/disruption.go
@@ -7,9 +7,9 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// absenceGrace is how long a long-running task may be not ready before it counts as unavailable
-// whatever the cause.
-const absenceGrace = 4500 * time.Millisecond
+// unavailabilityGrace is how long a long-running task may be not ready. After that it counts as
+// unavailable whatever the cause.
+const unavailabilityGrace = 4500 * time.Millisecond
 
 // FaultsEnded tells the checker that no more faults are injected: from now on an expired lease
 // counts as the daemons' decision, like a stop.
@@ -28,9 +28,10 @@
 // and an order ended it or absenceGrace is over.
 func (c *Checker) isUnavailable(t job.TaskID) bool {
 	r := c.record(t)
-	return !r.ready() && (r.endedByOrder || time.Since(later(r.lastReady, c.jobs[t.Job].submitted)) > absenceGrace)
+	return !r.ready() && (r.endedByOrder || time.Since(later(r.lastReady, c.jobs[t.Job].submitted)) > unavailabilityGrace)
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -38,9 +39,9 @@
 	return b
 }
 
-// checkDisruption checks the end of a task by an order or by its lease: with this task, no more
-// tasks of its step than its budget may be unavailable. It is called before ended. healthy says
-// that the worker has no injected fault.
+// checkDisruption checks the end of a task by an order or an expired lease: including this task, no
+// more tasks of its step than its budget may be unavailable. It must be called before ended.
+// healthy means that the worker has no injected fault.
 func (c *Checker) checkDisruption(t job.TaskID, w owner.WorkerID, how string, healthy bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,9 +51,9 @@
 		return
 	}
 	r, step := c.record(t), &rec.spec.Steps[t.Step]
-	atWork := r.ready()
+	wasReady := r.ready()
 	r.endedByOrder = true
-	if _, draining := c.drained[w]; draining || !healthy || !atWork || !step.LongRunning || step.MayMiss == 0 || !rec.cancelled.IsZero() {
+	if _, draining := c.drained[w]; draining || !healthy || !wasReady || !step.LongRunning || step.MayMiss == 0 || !rec.cancelled.IsZero() {
 		return
 	}
 	others := 0
--- a/standin/jobfleet/disruption_test.go
+++ b/standin/jobfleet/disruption_test.go
@@ -14,14 +14,14 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// TestDisruptionBudgetViolations checks a step of three long-running tasks of which one may be
-// unavailable. Ending the second one by an order violates the budget, whatever ended the first,
-// unless the first is ready again.
+// TestDisruptionBudgetViolations checks that the checker reports violations of the budget of a step
+// with three long-running tasks, one of which may be unavailable. An order that ends the second
+// task violates the budget while the first counts as unavailable.
 func TestDisruptionBudgetViolations(t *testing.T) {
 	const lease = 5 * time.Second
 	for _, c := range []struct {
 		name       string
-		take       func(r *longRunningJob)
+		disrupt    func(r *longRunningJob)
 		violations int
 	}{
 		{"one stop", func(r *longRunningJob) { r.stop(0) }, 0},
@@ -29,7 +29,7 @@
 		{"a stop and a move", func(r *longRunningJob) { r.stop(0); r.move(1) }, 1},
 		{"a stop and a crash", func(r *longRunningJob) { r.stop(0); r.fleet.Crash("i1", time.Hour) }, 0},
 		{"a crash and at once a stop", func(r *longRunningJob) { r.fleet.Crash("i0", time.Hour); r.stop(1) }, 0},
-		{"a crash and later a stop", func(r *longRunningJob) { r.fleet.Crash("i0", time.Hour); r.wait(absenceGrace); r.stop(1) }, 1},
+		{"a crash and later a stop", func(r *longRunningJob) { r.fleet.Crash("i0", time.Hour); r.wait(unavailabilityGrace); r.stop(1) }, 1},
 		{"a stop while the first is back", func(r *longRunningJob) { r.stop(0); r.start(0, 2); r.wait(time.Second); r.stop(1) }, 0},
 		{"a stop while the first starts up", func(r *longRunningJob) { r.stop(0); r.start(0, 2); r.stop(1) }, 1},
 		{"a stop on a worker that drains", func(r *longRunningJob) { r.stop(0); r.fleet.Drain("i1"); r.stop(1) }, 0},
@@ -39,7 +39,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				r := newLongRunningJob(t, lease)
-				c.take(r)
+				c.disrupt(r)
 				assert.Len(t, r.checker.Violations(), c.violations, "%v", r.checker.Violations())
 			})
 		})
@@ -73,19 +73,19 @@
 
 func (r *longRunningJob) wait(d time.Duration) { time.Sleep(d); synctest.Wait() }
 
-func (r *longRunningJob) order(i int) (owner.Target, job.TaskID) {
+func (r *longRunningJob) target(i int) (owner.Target, job.TaskID) {
 	return owner.Target{Worker: owner.WorkerID(fmt.Sprintf("w-%03d", i+1))}, job.TaskID{Job: "0000000000000001", Index: i}
 }
 
 func (r *longRunningJob) start(i int, run uint64) {
-	to, task := r.order(i)
-	until := r.fleet.workers[to.Worker].clock() + r.lease.Milliseconds()
+	to, task := r.target(i)
+	until := r.fleet.workers[to.Worker].clockMs() + r.lease.Milliseconds()
 	a := r.client.Start(context.Background(), owner.Start{Target: to, Task: task, Run: run, LeaseUntilMs: until})
 	require.Equal(r.t, owner.Accepted, a.Outcome)
 }
 
 func (r *longRunningJob) stop(i int) {
-	to, task := r.order(i)
+	to, task := r.target(i)
 	a := r.client.Stop(context.Background(), owner.Stop{Target: to, Task: task, Run: 1})
 	require.Equal(r.t, owner.Accepted, a.Outcome)
 }
--- a/standin/jobfleet/encoding.go
+++ b/standin/jobfleet/encoding.go
@@ -10,7 +10,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Encoding is the encoding of what operators, workers and callers write.
+// Encoding is the encoding of the store entries of operators and workers and of callers' jobs.
 type Encoding struct {
 	node.Formats
 	EncodeCatalog func(*job.Catalog) []byte
@@ -21,11 +21,11 @@
 
 // Store keys of JSONEncoding.
 const (
-	keyCatalog   = "operator/catalog"
-	prefixWave   = "operator/wave/"
-	prefixEvac   = "operator/evacuate/"
-	prefixWorker = "worker/"
-	prefixWaves  = "report/wave/"
+	keyCatalog       = "operator/catalog"
+	prefixWave       = "operator/wave/"
+	prefixEvacuation = "operator/evacuate/"
+	prefixWorker     = "worker/"
+	prefixWaveStatus = "report/wave/"
 )
 
 // JSONEncoding is the default encoding of the stand-ins: the types as JSON.
@@ -34,7 +34,7 @@
 		ConfigKey:        keyCatalog,
 		OperatorPrefix:   "operator/",
 		WavePrefix:       prefixWave,
-		EvacuationPrefix: prefixEvac,
+		EvacuationPrefix: prefixEvacuation,
 		WorkerPrefix:     prefixWorker,
 		DecodeJob: func(raw []byte) (*job.Job, error) {
 			j, err := unmarshal[job.Job](raw)
@@ -49,7 +49,7 @@
 			if done {
 				state = "completed"
 			}
-			return fmt.Sprintf("%s%d", prefixWaves, wave), []byte(state)
+			return fmt.Sprintf("%s%d", prefixWaveStatus, wave), []byte(state)
 		},
 	},
 	EncodeCatalog: func(c *job.Catalog) []byte { return Encode(c) },
@@ -75,7 +75,7 @@
 func Encode(v any) []byte {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		panic(err) // the types of the stand-ins can always be encoded
+		panic(err) // can't happen: all types of the stand-ins are valid JSON values
 	}
 	return raw
 }
--- a/standin/jobfleet/evacuation.go
+++ b/standin/jobfleet/evacuation.go
@@ -7,8 +7,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// evacuationBound is the time after a request to evacuate a zone in which tasks may still start
-// there.
+// evacuationBound is how long after a request to evacuate a zone tasks may still start there.
 const evacuationBound = 5 * time.Second
 
 // SetZone sets the availability zone of an instance.
@@ -23,7 +22,7 @@
 	}
 }
 
-// Evacuate requests the evacuation of a zone, as an operator does: it gets no new tasks.
+// Evacuate requests the evacuation of a zone, as an operator does. No new tasks may start there.
 func (in *Installation) Evacuate(zone string) {
 	in.Store.Put(in.encoding.EvacuationPrefix+zone, []byte("{}"))
 	in.Checker.setEvacuated(zone, time.Now())
@@ -41,7 +40,7 @@
 	c.evacuated[zone] = since
 }
 
-// ExtendEvacuationBound allows more time than evacuationBound, for tests with store outages.
+// ExtendEvacuationBound adds to evacuationBound, for tests with store outages.
 func (c *Checker) ExtendEvacuationBound(by time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -7,21 +7,22 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// FleetClient is a daemon's client of the fleet.
+// FleetClient is a daemon's client of the workers and of the instance manager.
 type FleetClient struct {
-	fleet  *Fleet
-	daemon string
-	gate   *Gate
-	hook   FailureFunc
+	fleet       *Fleet
+	daemon      string
+	gate        *Gate
+	failureFunc FailureFunc
 }
 
-// Client returns a daemon's client of the fleet.
-func (f *Fleet) Client(daemon string, gate *Gate, hook FailureFunc) *FleetClient {
-	return &FleetClient{fleet: f, daemon: daemon, gate: gate, hook: hook}
+// Client returns a daemon's client of the workers and of the instance manager.
+func (f *Fleet) Client(daemon string, gate *Gate, failure FailureFunc) *FleetClient {
+	return &FleetClient{fleet: f, daemon: daemon, gate: gate, failureFunc: failure}
 }
 
-// order carries out do on a worker, with the faults of the daemon and of the worker.
-func (c *FleetClient) order(ctx context.Context, to owner.Target, op string, do func(w *worker) owner.Answer) owner.Answer {
+// callWorker carries out do on a worker, with the latency of the call and the failures injected
+// into the daemon's calls and the worker.
+func (c *FleetClient) callWorker(ctx context.Context, to owner.Target, op string, do func(w *worker) owner.Answer) owner.Answer {
 	unanswered := owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}
 	if c.gate.pass(ctx, toWorkers) != nil {
 		return unanswered
@@ -31,7 +32,7 @@
 	apply := func() owner.Answer {
 		c.fleet.mu.Lock()
 		defer c.fleet.mu.Unlock()
-		w := reached // a delayed order is for the worker as it was when the order arrived, not for its successor
+		w := reached // a delayed order applies to the worker that it reached, not to a later one with the same id
 		switch {
 		case w != nil && w.refuses:
 			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}
@@ -41,14 +42,14 @@
 		return do(w)
 	}
 	a := unanswered
-	switch c.hook(c.daemon, op) {
+	switch c.failureFunc(c.daemon, op) {
 	case Refused:
 		return owner.Answer{Outcome: owner.Unhealthy}
 	case RequestLost:
 	case AnswerLost:
 		apply()
 	case Delayed:
-		time.AfterFunc(delayedOrder, func() { apply() })
+		time.AfterFunc(orderDelay, func() { apply() })
 	default:
 		a = apply()
 	}
@@ -72,24 +73,24 @@
 
 // Start implements owner.WorkerClient.
 func (c *FleetClient) Start(ctx context.Context, o owner.Start) owner.Answer {
-	return c.order(ctx, o.Target, "start", func(w *worker) owner.Answer { return c.fleet.start(w, o) })
+	return c.callWorker(ctx, o.Target, "start", func(w *worker) owner.Answer { return c.fleet.start(w, o) })
 }
 
 // Stop implements owner.WorkerClient.
 func (c *FleetClient) Stop(ctx context.Context, o owner.Stop) owner.Answer {
-	return c.order(ctx, o.Target, "stop", func(w *worker) owner.Answer { return c.fleet.stop(w, o) })
+	return c.callWorker(ctx, o.Target, "stop", func(w *worker) owner.Answer { return c.fleet.stop(w, o) })
 }
 
 // Throttle implements owner.WorkerClient.
 func (c *FleetClient) Throttle(ctx context.Context, o owner.Throttle) owner.Answer {
-	return c.order(ctx, o.Target, "throttle", func(w *worker) owner.Answer {
-		return owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
+	return c.callWorker(ctx, o.Target, "throttle", func(w *worker) owner.Answer {
+		return owner.Answer{Outcome: owner.Accepted, ClockMs: w.clockMs()}
 	})
 }
 
 // Hold implements owner.WorkerClient.
 func (c *FleetClient) Hold(ctx context.Context, o owner.Hold) owner.HoldAnswer {
-	a := c.order(ctx, o.Target, "hold", func(w *worker) owner.Answer { return c.fleet.beginHold(w, o) })
+	a := c.callWorker(ctx, o.Target, "hold", func(w *worker) owner.Answer { return c.fleet.beginHold(w, o) })
 	if a.Outcome != owner.Accepted {
 		return owner.HoldAnswer{Answer: a}
 	}
@@ -135,7 +136,7 @@
 	case w == nil || w.dead || w.cutOff:
 		return owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Unanswered, Err: errNoAnswer}}, nil
 	}
-	return c.fleet.list(w), w.endNotify
+	return c.fleet.currentHoldAnswer(w), w.endNotify
 }
 
 // Instances implements owner.InstanceManager.
@@ -156,7 +157,7 @@
 
 // Move implements owner.InstanceManager.
 func (c *FleetClient) Move(ctx context.Context, d owner.Duty, id owner.InstanceID, pool string) owner.DutyOutcome {
-	return c.act(ctx, "move", func(late bool) owner.DutyOutcome {
+	return c.callManager(ctx, "move", func(late bool) owner.DutyOutcome {
 		i := c.fleet.instances[id]
 		if i == nil {
 			return owner.DutyInvalid
@@ -170,14 +171,14 @@
 		c.fleet.checker.instanceOrdered(d, id, 0, 0, late)
 		c.fleet.endWorker(i, owner.InstanceMoving)
 		i.Pool = pool
-		c.fleet.startWorkerAfter(i, migration)
+		c.fleet.startWorkerAfter(i, moveTime)
 		return owner.DutyDone
 	})
 }
 
 // Maintain implements owner.InstanceManager.
 func (c *FleetClient) Maintain(ctx context.Context, d owner.Duty, id owner.InstanceID, wave int) owner.DutyOutcome {
-	return c.act(ctx, "maintain", func(late bool) owner.DutyOutcome {
+	return c.callManager(ctx, "maintain", func(late bool) owner.DutyOutcome {
 		i := c.fleet.instances[id]
 		if i == nil {
 			return owner.DutyInvalid
@@ -188,15 +189,17 @@
 		if i.State != owner.InstanceUp {
 			return owner.DutyRefused
 		}
-		c.fleet.down[id] = wave
-		c.fleet.checker.instanceOrdered(d, id, wave, c.fleet.downOf(wave), late)
+		c.fleet.waveOfDown[id] = wave
+		c.fleet.checker.instanceOrdered(d, id, wave, c.fleet.downCount(wave), late)
 		c.fleet.endWorker(i, owner.InstanceInMaintenance)
-		c.fleet.startWorkerAfter(i, maintenance)
+		c.fleet.startWorkerAfter(i, maintenanceTime)
 		return owner.DutyDone
 	})
 }
 
-func (c *FleetClient) act(ctx context.Context, op string, do func(late bool) owner.DutyOutcome) owner.DutyOutcome {
+// callManager carries out do on the instance manager, with the latency of the call and the failures
+// injected into the daemon's calls. late is true if the call was held up by a freeze or delayed.
+func (c *FleetClient) callManager(ctx context.Context, op string, do func(late bool) owner.DutyOutcome) owner.DutyOutcome {
 	sent := time.Now()
 	if c.gate.pass(ctx, toWorkers) != nil {
 		return owner.DutyUnanswered
@@ -208,7 +211,7 @@
 		defer c.fleet.mu.Unlock()
 		return do(late)
 	}
-	switch c.hook(c.daemon, op) {
+	switch c.failureFunc(c.daemon, op) {
 	case Refused, RequestLost:
 		return owner.DutyUnanswered
 	case AnswerLost:
@@ -216,7 +219,7 @@
 		return owner.DutyUnanswered
 	case Delayed:
 		late = true
-		time.AfterFunc(delayedOrder, func() { apply() })
+		time.AfterFunc(orderDelay, func() { apply() })
 		return owner.DutyUnanswered
 	}
 	return apply()
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -21,7 +21,7 @@
 	"github.com/postmount/postmount/jobs/policy"
 )
 
-// Installation is a set of daemons with stand-ins for the store, fleet and network.
+// Installation is a set of daemons that share stand-ins for the store, fleet and network.
 type Installation struct {
 	Store   *Store
 	Fleet   *Fleet
@@ -30,12 +30,12 @@
 	// WrapWorkers, if set, wraps the worker client of daemons that start later.
 	WrapWorkers func(owner.WorkerClient) owner.WorkerClient
 
-	encoding Encoding
-	log      *zap.Logger
-	mu       sync.Mutex
-	hook     FailureFunc
-	all      map[string]*Daemon
-	ctx      context.Context
+	encoding    Encoding
+	log         *zap.Logger
+	mu          sync.Mutex
+	failureFunc FailureFunc
+	daemons     map[string]*Daemon
+	ctx         context.Context
 }
 
 // Daemon is a daemon of an installation.
@@ -53,15 +53,15 @@
 }
 
 // NewInstallationWithEncoding returns an installation whose store entries use an encoding.
-func NewInstallationWithEncoding(ctx context.Context, log *zap.Logger, lang Encoding) *Installation {
-	in := &Installation{Store: NewStore(), Network: NewNetwork(), Checker: NewChecker(), encoding: lang, log: log, all: map[string]*Daemon{}, ctx: ctx}
-	in.hook = func(string, string) Failure { return NoFailure }
+func NewInstallationWithEncoding(ctx context.Context, log *zap.Logger, enc Encoding) *Installation {
+	in := &Installation{Store: NewStore(), Network: NewNetwork(), Checker: NewChecker(), encoding: enc, log: log, daemons: map[string]*Daemon{}, ctx: ctx}
+	in.failureFunc = func(string, string) Failure { return NoFailure }
 	in.Fleet = NewFleet(in.Checker, func(key string, r *owner.Registration) {
 		if r == nil {
-			in.Store.Remove(lang.WorkerPrefix + key)
+			in.Store.Remove(enc.WorkerPrefix + key)
 			return
 		}
-		in.Store.Put(lang.WorkerPrefix+key, lang.EncodeWorker(r))
+		in.Store.Put(enc.WorkerPrefix+key, enc.EncodeWorker(r))
 	})
 	return in
 }
@@ -70,17 +70,17 @@
 func (in *Installation) SetFailureFunc(h FailureFunc) {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	in.hook = h
+	in.failureFunc = h
 }
 
 func (in *Installation) failureOf(daemon, op string) Failure {
 	in.mu.Lock()
-	h := in.hook
+	h := in.failureFunc
 	in.mu.Unlock()
 	return h(daemon, op)
 }
 
-// defaultCores is a daemon's CPU share in cores.
+// defaultCores is the CPU share of a daemon that Start starts, in cores.
 const defaultCores = 0.4
 
 // Start starts a daemon.
@@ -110,7 +110,7 @@
 	ctx, cancel := context.WithCancel(in.ctx)
 	d.stop = cancel
 	in.mu.Lock()
-	in.all[name] = d
+	in.daemons[name] = d
 	in.mu.Unlock()
 	go func() {
 		defer close(d.done)
@@ -121,27 +121,28 @@
 
 // Kill ends a daemon without notice, like a loss of power.
 func (in *Installation) Kill(name string) {
-	if d := in.take(name); d != nil {
+	if d := in.remove(name); d != nil {
 		d.Gate.Kill()
 		in.Network.Leave(name + ":1")
 		d.stop()
 	}
 }
 
-// Stop ends a daemon gracefully, with a hand-over.
+// Stop ends a daemon gracefully: it hands over its duties first.
 func (in *Installation) Stop(name string) {
-	if d := in.take(name); d != nil {
+	if d := in.remove(name); d != nil {
 		d.Node.HandOver()
 		in.Network.Leave(name + ":1")
 		d.stop()
 	}
 }
 
-func (in *Installation) take(name string) *Daemon {
+// remove removes a daemon from the running ones and returns it, nil if it isn't running.
+func (in *Installation) remove(name string) *Daemon {
 	in.mu.Lock()
 	defer in.mu.Unlock()
-	d := in.all[name]
-	delete(in.all, name)
+	d := in.daemons[name]
+	delete(in.daemons, name)
 	return d
 }
 
@@ -150,14 +151,14 @@
 	in.mu.Lock()
 	defer in.mu.Unlock()
 	var out []*Daemon
-	for _, d := range in.all {
+	for _, d := range in.daemons {
 		out = append(out, d)
 	}
 	sort.Slice(out, func(a, b int) bool { return out[a].Name < out[b].Name })
 	return out
 }
 
-// Owner returns a daemon that is the owner, nil if there is none.
+// Owner returns a daemon that considers itself the owner, nil if there is none.
 func (in *Installation) Owner() *Daemon {
 	for _, d := range in.Daemons() {
 		if d.Node.IsOwner() {
@@ -167,14 +168,14 @@
 	return nil
 }
 
-// Configure writes a configuration, as an operator does.
+// Configure writes a configuration to the store, as an operator does.
 func (in *Installation) Configure(c *job.Catalog) {
 	in.Fleet.configure(c)
 	in.Checker.configured(c)
 	in.Store.Put(in.encoding.ConfigKey, in.encoding.EncodeCatalog(c))
 }
 
-// RequestWave requests a maintenance wave, as an operator does.
+// RequestWave writes a request for a maintenance wave to the store, as an operator does.
 func (in *Installation) RequestWave(w owner.WaveRequest) {
 	in.Checker.SetWaveLimit(w.Wave, w.MaxDown)
 	in.Store.Put(fmt.Sprintf("%s%d", in.encoding.WavePrefix, w.Wave), in.encoding.EncodeWave(w))
@@ -186,12 +187,11 @@
 	return string(in.Store.Value(key)) == string(done)
 }
 
-// Caller sends requests to the daemons, by default round robin like a load balancer, and reports
-// the answers to the checker.
+// Caller sends requests to the daemons and reports the answers to the checker.
 type Caller struct {
 	in   *Installation
 	send Send
-	name string // of the daemon if all requests go to one, else ""
+	name string // name of the daemon if all requests go to one, else ""
 }
 
 // Send sends a request to a daemon; status 0 means no answer.
@@ -253,7 +253,7 @@
 	return accepted, refused
 }
 
-// State requests the state of a job; "" means no answer or no such job.
+// State requests the state of a job; "" means that there is no answer or no such job.
 func (c *Caller) State(prefix string, id job.ID) job.State {
 	status, body := c.send(http.MethodGet, prefix+string(id), nil)
 	switch status {
@@ -269,7 +269,7 @@
 	return ""
 }
 
-// Cancel cancels a job; it reports whether that was confirmed.
+// Cancel cancels a job and reports whether this was confirmed.
 func (c *Caller) Cancel(prefix string, id job.ID) bool {
 	status, _ := c.send(http.MethodDelete, prefix+string(id), nil)
 	if status == http.StatusOK {
--- a/standin/jobfleet/network.go
+++ b/standin/jobfleet/network.go
@@ -18,12 +18,12 @@
 	mu       sync.Mutex
 	handlers map[string]peer.Handler
 	gates    map[string]*Gate
-	departed map[string]chan struct{} // by address; closed when the daemon there leaves
+	left     map[string]chan struct{} // by address; closed when the daemon there leaves
 }
 
 // NewNetwork returns a network without daemons.
 func NewNetwork() *Network {
-	return &Network{handlers: map[string]peer.Handler{}, gates: map[string]*Gate{}, departed: map[string]chan struct{}{}}
+	return &Network{handlers: map[string]peer.Handler{}, gates: map[string]*Gate{}, left: map[string]chan struct{}{}}
 }
 
 // Join makes a daemon reachable at addr.
@@ -31,7 +31,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.handlers[addr], n.gates[addr] = h, gate
-	n.departed[addr] = make(chan struct{})
+	n.left[addr] = make(chan struct{})
 }
 
 // Leave makes a daemon unreachable.
@@ -39,7 +39,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.handlers[addr] != nil {
-		close(n.departed[addr])
+		close(n.left[addr])
 	}
 	delete(n.handlers, addr)
 }
@@ -53,8 +53,7 @@
 // Client returns a daemon's client of its peers.
 func (n *Network) Client(gate *Gate) *PeerClient { return &PeerClient{n, gate} }
 
-// reach returns the handler of the daemon at addr, once the gates of both daemons let the call
-// pass.
+// reach returns the handler of the daemon at addr once the gates of both daemons let the call pass.
 func (c *PeerClient) reach(ctx context.Context, addr string) (peer.Handler, error) {
 	c.network.mu.Lock()
 	h, gate := c.network.handlers[addr], c.network.gates[addr]
@@ -134,7 +133,7 @@
 		return err
 	}
 	c.network.mu.Lock()
-	left := c.network.departed[addr]
+	left := c.network.left[addr]
 	c.network.mu.Unlock()
 	select {
 	case <-ctx.Done():
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -1,7 +1,7 @@
-// Package jobfleet holds small stand-ins for the environment of the job subsystem: the store,
-// workers, the instance manager and the network between daemons, all in memory and on the
-// process's clock, with fault injection. A Checker checks the subsystem's guarantees from what
-// callers and workers observe.
+// Package jobfleet holds small stand-ins for the environment of the job subsystem: the store, the
+// workers, the instance manager and the network between daemons. They run in memory and on the
+// process's clock and can inject faults. A Checker checks the guarantees of the subsystem from what
+// callers, workers and the instance manager observe.
 package jobfleet
 
 import (
@@ -20,11 +20,11 @@
 // storeLatency is the latency of a call to the store.
 const storeLatency = 2 * time.Millisecond
 
-// delayedWrite is the delay of a call to the store with the failure Delayed.
-const delayedWrite = 2 * time.Second
+// delayedCallDelay is the delay of a call to the store with the failure Delayed.
+const delayedCallDelay = 2 * time.Second
 
-// pageItems is the maximum number of items in a page of a range.
-const pageItems = 100
+// maxPageItems is the maximum number of items in a page of a range.
+const maxPageItems = 100
 
 // Store is an in-memory key-value service with revisions, leases and watches.
 type Store struct {
@@ -77,7 +77,7 @@
 	return n
 }
 
-// Put writes a key on behalf of an operator or a worker.
+// Put writes a key as an operator or a worker does.
 func (s *Store) Put(key string, value []byte) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,7 @@
 	s.notifyWatches()
 }
 
-// Remove removes a key on behalf of an operator or a worker.
+// Remove deletes a key as an operator or a worker does.
 func (s *Store) Remove(key string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,7 +93,8 @@
 	s.notifyWatches()
 }
 
-// CompactHistory deletes the history, so that watches have to start again.
+// CompactHistory deletes the history of changes. Watches from older revisions fail and have to
+// start again.
 func (s *Store) CompactHistory() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +126,7 @@
 	return s.items[key].Value
 }
 
-// notifyWatches makes waiting watches look for changes.
+// notifyWatches wakes the waiting watches.
 func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
@@ -174,6 +175,7 @@
 	return i, ok
 }
 
+// page returns the first keys with a prefix that are greater than after.
 func (s *Store) page(prefix, after string) ledger.Page {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,8 +187,8 @@
 		}
 	}
 	sort.Strings(keys)
-	out := ledger.Page{Revision: s.rev, More: len(keys) > pageItems}
-	for _, k := range keys[:min(len(keys), pageItems)] {
+	out := ledger.Page{Revision: s.rev, More: len(keys) > maxPageItems}
+	for _, k := range keys[:min(len(keys), maxPageItems)] {
 		out.Items = append(out.Items, s.items[k])
 	}
 	return out
@@ -235,6 +237,7 @@
 	}
 }
 
+// commit executes a transaction if all its conditions hold.
 func (s *Store) commit(t ledger.Txn) (ledger.TxnResult, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -271,7 +274,8 @@
 	return ledger.TxnResult{Committed: true, Revision: s.rev}, nil
 }
 
-// setTxnRevision gives all changes of a transaction the same revision.
+// setTxnRevision gives all changes since revision before, those of one transaction, the same
+// revision.
 func (s *Store) setTxnRevision(before int64) {
 	for i := range s.history {
 		e := &s.history[i]
@@ -314,6 +318,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
+// noAnswerError returns the error of a call to the store whose outcome is unknown.
 func noAnswerError(ctx context.Context) error {
 	return verdict.Wrap(errors.Join(errNoAnswer, ctx.Err()), verdict.MayHaveRun, ledger.CodeStoreUnavailable, "store")
 }
--- a/standin/jobfleet/tenants.go
+++ b/standin/jobfleet/tenants.go
@@ -6,12 +6,12 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// Bounds of the check on tenants' limits.
+// Tolerances of the check on tenants' limits.
 const (
-	// limitUpdateBound is how long the previous configuration may still apply after a new one.
+	// limitUpdateBound is how long a limit may still apply after a newer configuration was written.
 	limitUpdateBound = 3 * time.Second
-	// limitOverage is the factor by which a tenant may exceed its limit, in addition to one task.
-	limitOverage = 1.1
+	// limitTolerance is the factor by which a tenant may exceed its limit, in addition to one task.
+	limitTolerance = 1.1
 )
 
 // tenantLimit is the limit of a tenant from a time on.
@@ -29,8 +29,8 @@
 	}
 }
 
-// checkTenantLimit checks the running tasks of a tenant after a start against the highest limit
-// that may apply.
+// checkTenantLimit checks the CPU use of a tenant's running tasks at a start against the highest
+// limit that may apply. A limit of 0 means none.
 func (c *Checker) checkTenantLimit(t job.TaskID, spec *job.Job) {
 	limits := c.limits[spec.Tenant]
 	if spec.Tenant == "" || len(limits) == 0 {
@@ -52,9 +52,9 @@
 			used += len(r.running) * of.spec.Steps[id.Step].Need.CPUMilli
 		}
 	}
-	most := int(limitOverage*float64(highest)) + spec.Steps[t.Step].Need.CPUMilli
-	if used > most {
-		c.addViolation("task %s starts: tenant %s uses %d millicores, %d are allowed", t, spec.Tenant, used, most)
+	allowed := int(limitTolerance*float64(highest)) + spec.Steps[t.Step].Need.CPUMilli
+	if used > allowed {
+		c.addViolation("task %s starts: tenant %s uses %d millicores, %d are allowed", t, spec.Tenant, used, allowed)
 	}
 }
 
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -11,18 +11,18 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Timing of the workers and of the instance manager.
+// Times of the workers and of the instance manager.
 const (
-	workerLatency = time.Millisecond
-	startupTime   = 300 * time.Millisecond  // of a long-running task
-	maintenance   = 2 * time.Second         // of an instance
-	migration     = 1500 * time.Millisecond // of an instance to another pool
-	delayedOrder  = 2500 * time.Millisecond // delay of an order with the failure Delayed
-	maxLease      = 10 * time.Second        // maximum task lease that a worker accepts
+	workerLatency   = time.Millisecond        // of a call to a worker or the instance manager
+	startupTime     = 300 * time.Millisecond  // of a long-running task
+	maintenanceTime = 2 * time.Second         // of an instance
+	moveTime        = 1500 * time.Millisecond // of an instance to another pool
+	orderDelay      = 2500 * time.Millisecond // delay of an order with the failure Delayed
+	maxTaskLease    = 10 * time.Second        // maximum task lease that a worker accepts
 )
 
-// Fleet is a set of instances and their workers. An instance gets a new worker each time it comes
-// up.
+// Fleet is a set of instances and their workers. Each time an instance comes up it gets a new
+// worker, as a rule with a new id; see Restart.
 type Fleet struct {
 	mu          sync.Mutex
 	instances   map[owner.InstanceID]*instance
@@ -32,8 +32,8 @@
 	heartbeats  int
 	checker     *Checker
 	publish     func(key string, r *owner.Registration) // writes a registration; nil removes it
-	down        map[owner.InstanceID]int                // wave of each instance in maintenance
-	unenforced  map[string]bool                         // pools whose workers start tasks beyond their capacity
+	waveOfDown  map[owner.InstanceID]int                // wave of each instance in maintenance
+	overcommits map[string]bool                         // pools whose workers don't enforce their capacity
 	crashers    map[crasher]crashTimes
 	onCrash     func(job.TaskID)
 }
@@ -46,23 +46,23 @@
 }
 
 type worker struct {
-	reg        owner.Registration
-	began      time.Time // origin of its clock
-	instance   *instance
-	token      uint64
-	active     map[job.TaskID]*execution
-	ended      []owner.RunEnd
-	number     uint64
-	latest     map[job.TaskID]uint64 // highest run that ended or was stopped
-	lease      time.Time
-	leaseTimer *time.Timer
-	endNotify  chan struct{} // closed and replaced at the end of a run
-	dead       bool
-	refuses    bool      // its address refuses connections, as it is dead
-	shrank     time.Time // newest decrease of its capacity; zero: none
-	cutOff     bool      // no daemon reaches it
-	failTasks  bool      // every task that starts fails
-	hangTasks  bool      // tasks that start don't end
+	reg          owner.Registration
+	began        time.Time // origin of its clock
+	instance     *instance
+	token        uint64
+	active       map[job.TaskID]*execution
+	ended        []owner.RunEnd
+	lastSeq      uint64
+	lastEndedRun map[job.TaskID]uint64 // highest run of each task that ended or was stopped
+	leaseEnd     time.Time
+	leaseTimer   *time.Timer
+	endNotify    chan struct{} // closed and replaced at the end of a run
+	dead         bool
+	refuses      bool      // its address refuses connections, because a task crashed it
+	reducedAt    time.Time // newest decrease of its capacity; zero: none
+	cutOff       bool      // no daemon reaches it
+	failTasks    bool      // every task that starts fails
+	hangTasks    bool      // tasks that start don't end by themselves
 }
 
 type execution struct {
@@ -76,19 +76,19 @@
 
 // NewFleet returns a fleet without instances. publish is called with each registration, nil for
 // one that ends.
-func NewFleet(j *Checker, publish func(key string, r *owner.Registration)) *Fleet {
+func NewFleet(c *Checker, publish func(key string, r *owner.Registration)) *Fleet {
 	return &Fleet{
-		checker: j, publish: publish,
-		instances:  map[owner.InstanceID]*instance{},
-		workers:    map[owner.WorkerID]*worker{},
-		jobs:       map[job.ID]*job.Job{},
-		down:       map[owner.InstanceID]int{},
-		unenforced: map[string]bool{},
-		crashers:   map[crasher]crashTimes{},
+		checker: c, publish: publish,
+		instances:   map[owner.InstanceID]*instance{},
+		workers:     map[owner.WorkerID]*worker{},
+		jobs:        map[job.ID]*job.Job{},
+		waveOfDown:  map[owner.InstanceID]int{},
+		overcommits: map[string]bool{},
+		crashers:    map[crasher]crashTimes{},
 	}
 }
 
-// RegisterJob makes the tasks of a job known to the workers.
+// RegisterJob makes the tasks of a job known to the workers, which can't start them otherwise.
 func (f *Fleet) RegisterJob(j *job.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -116,10 +116,10 @@
 	w := &worker{
 		reg:      owner.Registration{Worker: id, Service: i.Pool, Addr: string(id), Rack: i.Rack, Zone: i.Zone, Labels: []string{i.Rack}, Capacity: i.capacity, StartedMs: time.Now().UnixMilli()},
 		began:    time.Now(),
-		instance: i, active: map[job.TaskID]*execution{}, latest: map[job.TaskID]uint64{}, endNotify: make(chan struct{}),
+		instance: i, active: map[job.TaskID]*execution{}, lastEndedRun: map[job.TaskID]uint64{}, endNotify: make(chan struct{}),
 	}
 	f.workers[id] = w
-	delete(f.down, i.ID)
+	delete(f.waveOfDown, i.ID)
 	f.publish(string(id), &w.reg)
 }
 
@@ -134,11 +134,11 @@
 	w.dead = true
 	how := "gone"
 	if state != owner.InstanceDown {
-		how = endedWithInstance
+		how = endInstanceOrder
 	}
 	for _, e := range w.active {
 		e.timer.Stop()
-		if how == endedWithInstance {
+		if how == endInstanceOrder {
 			f.checker.checkDisruption(e.task, w.reg.Worker, how, w.healthy())
 		}
 		f.checker.ended(e.task, e.run, w.reg.Worker, how)
@@ -157,8 +157,8 @@
 // healthy reports whether the worker has no injected fault.
 func (w *worker) healthy() bool { return !w.cutOff && !w.failTasks && !w.hangTasks }
 
-// endedWithInstance is the end of the tasks of an instance that is moved or maintained.
-const endedWithInstance = "instance moved or maintained"
+// endInstanceOrder is the kind of end of the tasks of an instance that is moved or maintained.
+const endInstanceOrder = "instance moved or maintained"
 
 // Crash ends an instance's worker without notice; a new one starts after d.
 func (f *Fleet) Crash(id owner.InstanceID, d time.Duration) {
@@ -186,22 +186,23 @@
 	f.startWorkerAfter(i, d)
 }
 
-// Isolate cuts an instance off from all daemons for d; its tasks go on.
+// Isolate cuts an instance off from all daemons for d. Its tasks go on.
 func (f *Fleet) Isolate(id owner.InstanceID, d time.Duration) {
-	f.set(id, d, func(w *worker, on bool) { w.cutOff = on })
+	f.setFault(id, d, func(w *worker, on bool) { w.cutOff = on })
 }
 
 // FailTasks makes tasks that start on an instance in the next d fail at their end.
 func (f *Fleet) FailTasks(id owner.InstanceID, d time.Duration) {
-	f.set(id, d, func(w *worker, on bool) { w.failTasks = on })
+	f.setFault(id, d, func(w *worker, on bool) { w.failTasks = on })
 }
 
 // HangTasks makes tasks that start on an instance in the next d hang.
 func (f *Fleet) HangTasks(id owner.InstanceID, d time.Duration) {
-	f.set(id, d, func(w *worker, on bool) { w.hangTasks = on })
+	f.setFault(id, d, func(w *worker, on bool) { w.hangTasks = on })
 }
 
-func (f *Fleet) set(id owner.InstanceID, d time.Duration, change func(w *worker, on bool)) {
+// setFault turns a fault of an instance's worker on for d.
+func (f *Fleet) setFault(id owner.InstanceID, d time.Duration, change func(w *worker, on bool)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[f.instances[id].Worker]
@@ -241,29 +242,29 @@
 	}
 }
 
-// clockStart is the time on a worker's clock when it starts, in ms.
-const clockStart = 1000
+// clockStartMs is the time on a worker's clock when it starts, in ms.
+const clockStartMs = 1000
 
-func (w *worker) clock() int64 { return time.Since(w.began).Milliseconds() + clockStart }
+func (w *worker) clockMs() int64 { return time.Since(w.began).Milliseconds() + clockStartMs }
 
-// extend extends a worker's task lease to a time in ms on its clock, at most to maxLease from
-// now. It never shortens the lease.
-func (f *Fleet) extend(w *worker, until int64) {
-	end := w.began.Add(time.Duration(until-clockStart) * time.Millisecond)
-	if limit := time.Now().Add(maxLease); end.After(limit) {
+// extendLease extends a worker's task lease to a time in ms on its clock, at most to maxTaskLease
+// from now. It never shortens the lease.
+func (f *Fleet) extendLease(w *worker, until int64) {
+	end := w.began.Add(time.Duration(until-clockStartMs) * time.Millisecond)
+	if limit := time.Now().Add(maxTaskLease); end.After(limit) {
 		end = limit
 	}
-	if until == 0 || !end.After(w.lease) {
+	if until == 0 || !end.After(w.leaseEnd) {
 		return
 	}
-	w.lease = end
+	w.leaseEnd = end
 	if w.leaseTimer != nil {
 		w.leaseTimer.Stop()
 	}
 	w.leaseTimer = time.AfterFunc(time.Until(end), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if w.dead || time.Now().Before(w.lease) {
+		if w.dead || time.Now().Before(w.leaseEnd) {
 			return
 		}
 		for _, e := range w.active {
@@ -272,15 +273,16 @@
 	})
 }
 
+// end records the end of a run and wakes the holds that wait for one.
 func (f *Fleet) end(w *worker, e *execution, kind owner.EndKind) {
 	if w.active[e.task] != e {
 		return
 	}
 	e.timer.Stop()
 	delete(w.active, e.task)
-	w.latest[e.task] = max(w.latest[e.task], e.run)
-	w.number++
-	w.ended = append(w.ended, owner.RunEnd{Seq: w.number, Task: e.task, Run: e.run, Kind: kind})
+	w.lastEndedRun[e.task] = max(w.lastEndedRun[e.task], e.run)
+	w.lastSeq++
+	w.ended = append(w.ended, owner.RunEnd{Seq: w.lastSeq, Task: e.task, Run: e.run, Kind: kind})
 	if kind == owner.EndStopped || kind == owner.EndLeaseExpired {
 		f.checker.checkDisruption(e.task, w.reg.Worker, kind.String(), w.healthy())
 	}
@@ -289,22 +291,23 @@
 	w.endNotify = make(chan struct{})
 }
 
+// start applies a start order at a worker and returns its answer.
 func (f *Fleet) start(w *worker, o owner.Start) owner.Answer {
-	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clockMs()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
 	}
 	w.token = o.Token
-	if o.LeaseUntilMs <= w.clock() {
+	if o.LeaseUntilMs <= w.clockMs() {
 		a.Outcome = owner.LeaseExpired
 		return a
 	}
-	f.extend(w, o.LeaseUntilMs)
+	f.extendLease(w, o.LeaseUntilMs)
 	if e := w.active[o.Task]; e != nil && e.run == o.Run {
 		return a
 	}
-	if w.active[o.Task] != nil || o.Run <= w.latest[o.Task] {
+	if w.active[o.Task] != nil || o.Run <= w.lastEndedRun[o.Task] {
 		a.Outcome = owner.RunTooOld
 		return a
 	}
@@ -313,8 +316,8 @@
 		a.Outcome = owner.Invalid
 		return a
 	}
-	if !f.freeOf(w).Fits(spec.ReservedResources()) {
-		if !f.unenforced[w.reg.Service] {
+	if !f.freeCapacity(w).Fits(spec.ReservedResources()) {
+		if !f.overcommits[w.reg.Service] {
 			a.Outcome = owner.NoCapacity
 			return a
 		}
@@ -332,7 +335,7 @@
 	return &j.Steps[t.Step]
 }
 
-func (f *Fleet) freeOf(w *worker) job.Resources {
+func (f *Fleet) freeCapacity(w *worker) job.Resources {
 	free := w.reg.Capacity
 	for _, e := range w.active {
 		free = free.Sub(e.need)
@@ -340,6 +343,7 @@
 	return free
 }
 
+// execute starts a run and schedules its end.
 func (f *Fleet) execute(w *worker, o owner.Start, spec *job.Step) {
 	e := &execution{task: o.Task, run: o.Run, began: time.Now(), need: spec.ReservedResources()}
 	w.active[o.Task] = e
@@ -367,30 +371,31 @@
 	})
 }
 
+// stop applies a stop order at a worker and returns its answer.
 func (f *Fleet) stop(w *worker, o owner.Stop) owner.Answer {
-	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clockMs()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
 	}
 	w.token = o.Token
-	w.latest[o.Task] = max(w.latest[o.Task], o.Run)
+	w.lastEndedRun[o.Task] = max(w.lastEndedRun[o.Task], o.Run)
 	if e := w.active[o.Task]; e != nil && e.run <= o.Run {
 		f.end(w, e, owner.EndStopped)
 	}
 	return a
 }
 
-// beginHold applies a hold: its token, lease and acknowledgements. The caller waits for ended
-// runs.
+// beginHold applies the token, lease and acknowledgements of a hold. Its caller then waits for the
+// end of a run.
 func (f *Fleet) beginHold(w *worker, o owner.Hold) owner.Answer {
-	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}
+	a := owner.Answer{Outcome: owner.Accepted, ClockMs: w.clockMs()}
 	if o.Token < w.token {
 		a.Outcome = owner.Fenced
 		return a
 	}
 	w.token = o.Token
-	f.extend(w, o.LeaseUntilMs)
+	f.extendLease(w, o.LeaseUntilMs)
 	kept := w.ended[:0]
 	for _, e := range w.ended {
 		if e.Seq > o.AckThrough {
@@ -405,8 +410,9 @@
 	return a
 }
 
-func (f *Fleet) list(w *worker) owner.HoldAnswer {
-	h := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Accepted, ClockMs: w.clock()}, StartedMs: w.reg.StartedMs}
+// currentHoldAnswer returns the worker's running tasks and ended runs.
+func (f *Fleet) currentHoldAnswer(w *worker) owner.HoldAnswer {
+	h := owner.HoldAnswer{Answer: owner.Answer{Outcome: owner.Accepted, ClockMs: w.clockMs()}, StartedMs: w.reg.StartedMs}
 	for _, e := range w.active {
 		h.Active = append(h.Active, owner.ActiveRun{Task: e.task, Run: e.run, Percent: e.percent()})
 	}
@@ -414,6 +420,7 @@
 	return h
 }
 
+// percent returns the progress of the run by its estimated duration.
 func (e *execution) percent() int {
 	duration := e.duration
 	if duration == 0 {
@@ -422,9 +429,10 @@
 	return min(100, int(100*time.Since(e.began)/duration))
 }
 
-func (f *Fleet) downOf(wave int) int {
+// downCount returns the number of instances of a wave that are in maintenance.
+func (f *Fleet) downCount(wave int) int {
 	n := 0
-	for _, w := range f.down {
+	for _, w := range f.waveOfDown {
 		if w == wave {
 			n++
 		}
@@ -434,11 +442,11 @@
 
 // startWorkerAfter brings an instance up after d, unless it went down again meanwhile.
 func (f *Fleet) startWorkerAfter(i *instance, d time.Duration) {
-	fell := i.endedWorkers
+	endedBefore := i.endedWorkers
 	time.AfterFunc(d, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		if i.endedWorkers == fell {
+		if i.endedWorkers == endedBefore {
 			f.startWorker(i)
 		}
 	})
