--- a/lab/jobsdemo/demo.go
+++ b/lab/jobsdemo/demo.go
@@ -31,7 +31,7 @@
 	Violations []string `json:"broken"`
 }
 
-// Timing of the demo.
+// Size and timing of the demo.
 const (
 	jobCount       = 60
 	submitInterval = 120 * time.Millisecond
@@ -43,14 +43,14 @@
 	finishTimeout  = 12 * time.Second
 	pollInterval   = 100 * time.Millisecond
 	resendInterval = 300 * time.Millisecond
-	prefix         = "/orders/"
+	queuePrefix    = "/orders/"
 )
 
-// sentJob is a job, the time of its first submission, and when the caller saw it completed.
+// sentJob is a submitted job.
 type sentJob struct {
 	id   job.ID
-	at   time.Time
-	done time.Time
+	at   time.Time // first submission
+	done time.Time // when the caller saw it completed; zero: not yet
 }
 
 type demo struct {
@@ -60,7 +60,7 @@
 	began     time.Time
 	open      []*sentJob
 	all       []*sentJob
-	rep       Report
+	report    Report
 	lastOwner string
 }
 
@@ -72,15 +72,16 @@
 	d.caller = d.in.Caller()
 	d.setUp()
 	d.submitJobs()
-	d.drainOpen(time.Now().Add(finishTimeout))
+	d.awaitCompletion(time.Now().Add(finishTimeout))
 	d.finish()
-	return d.rep
+	return d.report
 }
 
 func (d *demo) progressf(format string, args ...any) {
 	fmt.Fprintf(d.progress, "%5.1fs  %s\n", time.Since(d.began).Seconds(), fmt.Sprintf(format, args...))
 }
 
+// setUp starts the instances and daemons and waits for an owner.
 func (d *demo) setUp() {
 	for i := range 6 {
 		d.in.Fleet.Add(instance(i), "orders", fmt.Sprintf("r%d", i/2), job.Resources{CPUMilli: 8000, MemMB: 16000})
@@ -90,7 +91,7 @@
 	}
 	d.in.Configure(&job.Catalog{
 		Version:  1,
-		Queues:   []job.Queue{{Name: "orders", Host: "jobs.example", Prefix: prefix, Service: "orders", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second}},
+		Queues:   []job.Queue{{Name: "orders", Host: "jobs.example", Prefix: queuePrefix, Service: "orders", MaxAttempts: 3, ObjectiveFactor: 2, ObjectiveOffset: time.Second}},
 		Services: []job.Service{{Name: "orders", EnforcesCapacity: true}, {Name: "spare", Spare: true}},
 	})
 	for i := range 6 {
@@ -105,7 +106,7 @@
 
 func instance(i int) owner.InstanceID { return owner.InstanceID(fmt.Sprintf("i%d", i)) }
 
-// countOwner counts changes of the owner.
+// countOwner counts the owner if it has changed since the last call.
 func (d *demo) countOwner() {
 	o := d.in.Owner()
 	if o == nil || o.Name == d.lastOwner {
@@ -115,7 +116,7 @@
 		d.progressf("jobs: %s is the owner now", o.Name)
 	}
 	d.lastOwner = o.Name
-	d.rep.Owners++
+	d.report.Owners++
 }
 
 // submitJobs submits the jobs and injects the faults.
@@ -142,6 +143,7 @@
 	}
 }
 
+// storeOutageUntil returns a FailureFunc that refuses all calls to the store until end.
 func storeOutageUntil(end time.Time) jobfleet.FailureFunc {
 	return func(_, op string) jobfleet.Failure {
 		switch op {
@@ -154,7 +156,7 @@
 	}
 }
 
-// submit sends a job until it is accepted, as a caller does.
+// submit sends a job again until it is accepted, as a caller does.
 func (d *demo) submit(n int) {
 	j := &job.Job{ID: job.ID(fmt.Sprintf("%016x", n+1)), Steps: []job.Step{
 		{Count: 4, Need: job.Resources{CPUMilli: 1000, MemMB: 500}, Estimate: 200 * time.Millisecond},
@@ -162,16 +164,16 @@
 	}}
 	s := &sentJob{id: j.ID, at: time.Now()}
 	for {
-		accepted, refused := d.caller.Submit(prefix, j)
+		accepted, refused := d.caller.Submit(queuePrefix, j)
 		if accepted {
 			break
 		}
 		if refused {
-			d.rep.Refused++
+			d.report.Refused++
 		}
 		time.Sleep(resendInterval)
 	}
-	d.rep.Accepted++
+	d.report.Accepted++
 	d.open = append(d.open, s)
 	d.all = append(d.all, s)
 }
@@ -180,9 +182,9 @@
 func (d *demo) poll() {
 	var still []*sentJob
 	for i, s := range d.open {
-		if i < 10 && d.caller.State(prefix, s.id) == job.Completed {
+		if i < 10 && d.caller.State(queuePrefix, s.id) == job.Completed {
 			s.done = time.Now()
-			d.rep.Completed++
+			d.report.Completed++
 			continue
 		}
 		still = append(still, s)
@@ -190,7 +192,8 @@
 	d.open = still
 }
 
-func (d *demo) drainOpen(end time.Time) {
+// awaitCompletion waits until all jobs and the wave are completed, at most until end.
+func (d *demo) awaitCompletion(end time.Time) {
 	for time.Now().Before(end) && (len(d.open) > 0 || !d.in.WaveDone(1)) {
 		d.poll()
 		d.countOwner()
@@ -198,17 +201,18 @@
 	}
 }
 
+// finish completes the report.
 func (d *demo) finish() {
-	d.rep.Violations = d.in.Checker.Violations()
+	d.report.Violations = d.in.Checker.Violations()
 	if n := len(d.open); n > 0 {
-		d.rep.Violations = append(d.rep.Violations, fmt.Sprintf("%d accepted jobs are not completed", n))
+		d.report.Violations = append(d.report.Violations, fmt.Sprintf("%d accepted jobs are not completed", n))
 	}
 	if !d.in.WaveDone(1) {
-		d.rep.Violations = append(d.rep.Violations, "the wave is not completed")
+		d.report.Violations = append(d.report.Violations, "the wave is not completed")
 	}
-	d.rep.Starts = d.in.Checker.Starts()
-	d.rep.Maintained = d.in.Checker.MaintainedCount(1)
-	d.rep.StoreCalls = d.in.Store.Calls("")
+	d.report.Starts = d.in.Checker.Starts()
+	d.report.Maintained = d.in.Checker.MaintainedCount(1)
+	d.report.StoreCalls = d.in.Store.Calls("")
 	var took []int64
 	for _, s := range d.all {
 		if !s.done.IsZero() {
@@ -217,8 +221,8 @@
 	}
 	if len(took) > 0 {
 		sort.Slice(took, func(a, b int) bool { return took[a] < took[b] })
-		d.rep.MedianMs = took[len(took)/2]
-		d.rep.MaxMs = took[len(took)-1]
+		d.report.MedianMs = took[len(took)/2]
+		d.report.MaxMs = took[len(took)-1]
 	}
 }
 
--- a/lab/jobsdemo/demo_test.go
+++ b/lab/jobsdemo/demo_test.go
@@ -9,7 +9,8 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestDemoHasNoViolations runs the demo in virtual time.
+// TestDemoHasNoViolations runs the demo in virtual time and checks that all jobs and the wave are
+// completed without violations.
 func TestDemoHasNoViolations(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := Run(t.Context(), io.Discard)
