--- a/lab/jobload/bench_test.go
+++ b/lab/jobload/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// grownFleet is the fleet that a customer expects after growth, at peak traffic: 352 instances in
-// four pools and 85 jobs per second, each of two steps with eight tasks on average.
+// grownFleet is the fleet of a customer after growth, at peak traffic: 352 instances in four pools
+// and 85 jobs per second, each of two steps with eight tasks on average.
 func grownFleet() Scenario {
 	sc := Scenario{Seed: 1, Length: 15 * time.Second, Instances: 88, Capacity: job.Resources{CPUMilli: 32000, MemMB: 64000}}
 	kind := JobKind{Steps: 2, Width: 8, CPUMilli: 10000, MemMB: 4000, TaskDuration: 700 * time.Millisecond, EstimateError: 0.3}
--- a/lab/jobload/jobload_test.go
+++ b/lab/jobload/jobload_test.go
@@ -13,7 +13,7 @@
 // rotatingLoad has four queues that peak in rotation, as a customer's requirements state. For some
 // seconds the rate of a queue is four times its mean, which is more than its pool can run, and a
 // twentieth of the mean otherwise. Sizes of jobs, instances and pools are from the requirements. The
-// turn of 8.6 s was measured in traces of that customer's job arrivals.
+// turn of 8.6 s was measured from the arrival of jobs on that customer's days.
 func rotatingLoad(seed uint64) Scenario {
 	const turn, high, low = 8600 * time.Millisecond, 4.0, 0.05
 	small := JobKind{Steps: 1.6, Width: 6, CPUMilli: 880, MemMB: 910, TaskDuration: time.Second, EstimateError: 0.5}
@@ -39,8 +39,8 @@
 
 // TestFaultsUnderRotatingLoad injects faults near the start of a turn, when a pool has to grow to
 // five times its size within two seconds. minInTime is the measured share in time, averaged over the
-// seeds, less about 0.03. The comments of the cases give the share without a mechanism, measured with
-// eight seeds.
+// seeds, less about 0.03. The comments of the cases give the share with a mechanism switched off,
+// measured with eight seeds.
 func TestFaultsUnderRotatingLoad(t *testing.T) {
 	const seeds = 4
 	for _, c := range []struct {
@@ -94,8 +94,8 @@
 	assert.LessOrEqual(t, r.Refused, early+r.JobsBySecond[from+2], "the %d jobs of the outage's last 2 s must be accepted", late)
 }
 
-// TestPoolPoliciesDiffer checks that the simulation ranks the pool policies as the measurements with
-// traces of the customers' days do.
+// TestPoolPoliciesDiffer checks that the simulation ranks the pool policies as the measurements on the
+// customers' days do.
 func TestPoolPoliciesDiffer(t *testing.T) {
 	share := func(policy capacity.Policy) float64 {
 		sc := rotatingLoad(1)
