--- a/internal/jobmatrix/overload_test.go
+++ b/internal/jobmatrix/overload_test.go
@@ -16,12 +16,11 @@
 	"github.com/postmount/postmount/standin/jobfleet"
 )
 
-// TestAnOverloadedOwnerYields: an owner that gets answers from hardly any worker hands over to a
-// daemon with a clearly larger CPU share. It guards against an overloaded owner that keeps the lock,
-// since only owners without work yielded and overload was not measured. After a loss of power an
-// owner with a fifth of a core, the first daemon to start, kept the lock for 24 s although six
-// daemons had four fifths, and served under a quarter of the requests. It got answers from 4 % of
-// the workers and released no inherited task until it lost its lease.
+// TestAnOverloadedOwnerYields guards against an overloaded owner that keeps the lock beside a clearly stronger
+// daemon: only owners without work yielded, and overload was not measured. After a loss of power an owner with
+// a fifth of a core, the first daemon to start, kept the lock for 24 s although six daemons had four fifths. It
+// served under a quarter of the requests, got answers from 4 % of the workers and released no inherited task
+// until it lost its lease.
 func TestAnOverloadedOwnerYields(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		j := longRunningJob(0) // an owner with work does not yield merely because another daemon is stronger
@@ -49,12 +48,11 @@
 	})
 }
 
-// TestAMuchWeakerOwnerYields: an owner with a much smaller CPU share than another daemon hands over
-// even if it shows no overload. After a loss of power a daemon with a fifth of a core was elected
-// before any member list existed, and stayed the owner although eight daemons had four fifths. It
-// served under a quarter of the requests, and tasks waited despite free capacity 900 times. With few
-// calls in flight neither its timer nor silent workers showed overload: all workers answered within
-// 1.5 s. Of eight runs only the one with this owner violated the rules.
+// TestAMuchWeakerOwnerYields guards against a much weaker owner that stays because it shows no overload. After
+// a loss of power a daemon with a fifth of a core, elected before any member list existed, stayed the owner
+// beside eight with four fifths. With few calls in flight its timer showed none, and all workers answered
+// within 1.5 s. It served under a quarter of the requests, and tasks waited despite free capacity 900 times.
+// Of eight runs only the one with this owner violated the rules.
 func TestAMuchWeakerOwnerYields(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
--- a/internal/matrix/request_test.go
+++ b/internal/matrix/request_test.go
@@ -275,12 +275,11 @@
 	compareTable(t, "request", requestMatrix(t).text)
 }
 
-// TestAPlannedStopWaitsForEveryAcceptedRequest delays a request after the step at which the stop
-// begins. It guards against a simulated stop that waits for Handler.InFlight only, while the real one
-// waits for connections: a request that was accepted but not yet in the handler lost its view. One of
-// 340 table cells (the receiver owns the key and leaves at accept) was DMD or NDD, not DDD: with
-// GOMAXPROCS 1, 2 and 8 in 0, 1 and 6 of 10,000 runs, with random yields in 3 and 7 of 20 runs, and
-// with a delay at that step in every run.
+// TestAPlannedStopWaitsForEveryAcceptedRequest guards against a simulated stop that waits for
+// Handler.InFlight only, while the real one waits for connections: a request that was accepted but not yet in
+// the handler lost its view. One of 340 table cells (the receiver owns the key and leaves at accept) was DMD
+// or NDD, not DDD: with GOMAXPROCS 1, 2 and 8 in 0, 1 and 6 of 10,000 runs, with random yields in 3 and 7 of
+// 20 runs, and in every run with the request delayed after the step at which the stop begins, as here.
 func TestAPlannedStopWaitsForEveryAcceptedRequest(t *testing.T) {
 	for _, receiverOwns := range []bool{false, true} {
 		for _, s := range steps {
--- a/lab/jobload/lostcalls_test.go
+++ b/lab/jobload/lostcalls_test.go
@@ -10,13 +10,11 @@
 	"github.com/postmount/postmount/jobs/calls"
 )
 
-// TestLostCalls guards against timeouts of calls to workers that are too long when answers are lost.
-// The owner used to wait for each lost start or hold as long as on a saturated link, and the task or
-// worker was blocked meanwhile: 0.73 of the work was served with a fifth of these calls lost, 0.89 with
-// a twentieth, 0.99 with none. Under rotatingLoad the share in time is 0.45 and 0.69 (a fifth, a
-// twentieth) with calls.Patient. With calls.Short it is 0.91 and 0.97, but this policy always holds
-// each worker with tasks eight times a second. The bounds are the goal: a twentieth costs at most 0.03
-// of the share without loss, a fifth at most 0.10.
+// TestLostCalls guards against timeouts that are too long when calls to workers are lost. With those for a
+// saturated link, a lost start or hold blocked its task or worker so long that 0.73 of the work was served
+// with a fifth of these calls lost, 0.89 with a twentieth, 0.99 with none. Under rotatingLoad the share in
+// time is 0.45 and 0.69 (a fifth, a twentieth) with calls.Patient. With calls.Short it is 0.91 and 0.97, but
+// this policy always holds each worker with tasks eight times a second.
 func TestLostCalls(t *testing.T) {
 	const seeds = 12
 	inTimeShare := func(share float64, policy calls.Policy) float64 {
@@ -45,6 +43,7 @@
 	few, many := inTimeShare(0.055, calls.Adaptive), inTimeShare(0.2, calls.Adaptive)
 	t.Logf("none %.3f, few %.3f, many %.3f", none, few, many)
 	assert.InDelta(t, none, inTimeShare(0, calls.Patient), 0.001, "the policy must not matter if no call is lost")
+	// The goal is that a twentieth costs at most 0.03 of the share without loss, a fifth at most 0.10.
 	assert.GreaterOrEqual(t, few, none-0.03)
 	assert.GreaterOrEqual(t, many, none-0.10)
 }
