--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -18,11 +18,12 @@
 	UnlimitedStarts bool
 }
 
-// Costs and limits of the owner's work. CPU times are those of a whole core. They were measured with
-// BenchmarkCalls of package platform, with BenchmarkFleetSize, and on the large fleet (164,000 calls
-// in 15 s of a core). Bytes include headers and payloads.
+// Costs and limits of the owner's work. CPU times are those of a whole core; see BenchmarkCalls of package
+// platform and BenchmarkFleetSize. Bytes include headers and payloads.
 const (
-	callCPUTime              = 90 * time.Microsecond // half of it to send the order, half to read the answer
+	// callCPUTime is half to send the order, half to read the answer. On a large fleet, 164,000 calls take
+	// 15 s of a core.
+	callCPUTime              = 90 * time.Microsecond
 	eventCPUTime             = 10 * time.Microsecond
 	tickCPUTime              = 100 * time.Microsecond
 	orderBytes               = 900 // a start with a payload of 500 bytes
--- a/lab/jobload/jobload_test.go
+++ b/lab/jobload/jobload_test.go
@@ -10,10 +10,9 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// rotatingLoad has four queues that peak in rotation, as a customer's requirements state. For some
-// seconds the rate of a queue is four times its mean, which is more than its pool can run, and a
-// twentieth of the mean otherwise. Sizes of jobs, instances and pools are from the requirements. The
-// turn of 8.6 s was measured from the arrival of jobs on that customer's days.
+// rotatingLoad has four queues that peak in rotation. During its turn the rate of a queue is four times its
+// mean, which is more than its pool can run, and a twentieth of the mean otherwise. The rotation and the sizes
+// of jobs, instances and pools follow a customer's requirements, and the turn of 8.6 s its arrivals of jobs.
 func rotatingLoad(seed uint64) Scenario {
 	const turn, high, low = 8600 * time.Millisecond, 4.0, 0.05
 	small := JobKind{Steps: 1.6, Width: 6, CPUMilli: 880, MemMB: 910, TaskDuration: time.Second, EstimateError: 0.5}
