--- a/adapter/peerrpc/client.go
+++ b/adapter/peerrpc/client.go
@@ -11,7 +11,7 @@
 
 	"github.com/postmount/postmount/internal/rpcconn"
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/slots"
 	"github.com/postmount/postmount/verdict"
@@ -149,17 +149,17 @@
 }
 
 // Claim implements port.Peers.
-func (c *Client) Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error) {
-	return call[once.Reply](ctx, c, addr, "Claim", r)
+func (c *Client) Claim(ctx context.Context, addr string, r idempotency.Request) (idempotency.Reply, error) {
+	return call[idempotency.Reply](ctx, c, addr, "Claim", r)
 }
 
 // ReportAttempt implements port.Peers.
-func (c *Client) ReportAttempt(ctx context.Context, addr string, n once.Claim) (bool, error) {
+func (c *Client) ReportAttempt(ctx context.Context, addr string, n idempotency.Claim) (bool, error) {
 	return call[bool](ctx, c, addr, "Note", n)
 }
 
 // Transfer implements port.Peers.
-func (c *Client) Transfer(ctx context.Context, addr string, t once.Transfer) (bool, error) {
+func (c *Client) Transfer(ctx context.Context, addr string, t idempotency.Transfer) (bool, error) {
 	return call[bool](ctx, c, addr, "Transfer", t)
 }
 
--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/slots"
 	"github.com/postmount/postmount/verdict"
@@ -26,9 +26,9 @@
 func (h *stubHandler) OnHeartbeat(b port.Heartbeat) port.HeartbeatReply {
 	return port.HeartbeatReply{From: "stub", Epoch: b.Epoch, Revision: b.Revision}
 }
-func (h *stubHandler) OnClaim(once.Request) once.Reply {
+func (h *stubHandler) OnClaim(idempotency.Request) idempotency.Reply {
 	<-h.release
-	return once.Reply{Result: once.Granted}
+	return idempotency.Reply{Result: idempotency.Granted}
 }
 func (h *stubHandler) OnReturn([]slots.LoanID) {}
 
@@ -57,9 +57,9 @@
 	require.NoError(t, err)
 	assert.Equal(t, port.HeartbeatReply{From: "stub", Epoch: 7, Revision: 9}, r)
 	require.NoError(t, c.Return(context.Background(), addr, []slots.LoanID{"l"}))
-	reply, err := c.Claim(context.Background(), addr, once.Request{})
+	reply, err := c.Claim(context.Background(), addr, idempotency.Request{})
 	require.NoError(t, err)
-	assert.Equal(t, once.Granted, reply.Result)
+	assert.Equal(t, idempotency.Granted, reply.Result)
 	assert.Positive(t, c.Bytes.Out.Load())
 }
 
@@ -69,7 +69,7 @@
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err := c.Claim(ctx, addr, once.Request{})
+	_, err := c.Claim(ctx, addr, idempotency.Request{})
 	require.Error(t, err)
 	close(h.release)
 }
@@ -92,7 +92,7 @@
 	defer c.Close()
 	claimed := make(chan error, 1)
 	go func() {
-		_, err := c.Claim(context.Background(), addr, once.Request{})
+		_, err := c.Claim(context.Background(), addr, idempotency.Request{})
 		claimed <- err
 	}()
 	<-h.claimed
@@ -113,7 +113,7 @@
 	claimed chan struct{}
 }
 
-func (h *slowHandler) OnClaim(r once.Request) once.Reply {
+func (h *slowHandler) OnClaim(r idempotency.Request) idempotency.Reply {
 	h.claimed <- struct{}{}
 	return h.stubHandler.OnClaim(r)
 }
--- a/adapter/peerrpc/server.go
+++ b/adapter/peerrpc/server.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/slots"
 )
@@ -195,14 +195,23 @@
 }
 
 // Claim handles a peer's claim of an idempotency key.
-func (s *service) Claim(r once.Request, out *once.Reply) error { *out = s.h.OnClaim(r); return nil }
+func (s *service) Claim(r idempotency.Request, out *idempotency.Reply) error {
+	*out = s.h.OnClaim(r)
+	return nil
+}
 
 // Note records the state of an attempt; out is false if this daemon does not own the
 // partition of its key.
-func (s *service) Note(n once.Claim, out *bool) error { *out = s.h.OnAttemptReport(n); return nil }
+func (s *service) Note(n idempotency.Claim, out *bool) error {
+	*out = s.h.OnAttemptReport(n)
+	return nil
+}
 
 // Transfer takes over the claims of a partition; out reports whether it did.
-func (s *service) Transfer(t once.Transfer, out *bool) error { *out = s.h.OnTransfer(t); return nil }
+func (s *service) Transfer(t idempotency.Transfer, out *bool) error {
+	*out = s.h.OnTransfer(t)
+	return nil
+}
 
 // Borrow lends a slot of a worker to a peer.
 func (s *service) Borrow(r port.BorrowRequest, out *port.BorrowReply) error {
--- a/internal/matrix/installation_test.go
+++ b/internal/matrix/installation_test.go
@@ -22,9 +22,9 @@
 	"github.com/postmount/postmount/requests/directory"
 	"github.com/postmount/postmount/requests/entry"
 	"github.com/postmount/postmount/requests/fleet"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/once"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/route"
 	"github.com/postmount/postmount/requests/slots"
@@ -112,7 +112,7 @@
 	d.dispatcher = entry.NewDispatcher(d.self.Incarnation, "z", 10*time.Second, entry.DefaultPolicies, rand.New(rand.NewPCG(2, uint64(n))))
 	d.node = cluster.New(cluster.Options{
 		Self: d.self, Seeds: in.seedPeers, Heartbeat: 300 * time.Millisecond, LeaseTTL: 2 * time.Second, Grace: 2 * time.Second,
-		Member: member.DefaultOptions, Once: once.DefaultOptions,
+		Member: member.DefaultOptions, Idempotency: idempotency.DefaultOptions,
 	}, cluster.Deps{
 		Store: d.store, Peers: &peerClient{in, d}, Mirror: d.mirror, Shares: d.dispatcher, Log: zap.NewNop(), JitterSeed: uint64(n),
 		Connected: d.syncer.Connected.Load, Burn: func() port.BurnCounts { return port.BurnCounts{} },
@@ -359,17 +359,17 @@
 	return callPeer(p, ctx, addr, func(s port.PeerServer) port.Changes { return s.OnChanges(since) })
 }
 
-func (p *peerClient) Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error) {
-	return callPeer(p, ctx, addr, func(s port.PeerServer) once.Reply { return s.OnClaim(r) })
+func (p *peerClient) Claim(ctx context.Context, addr string, r idempotency.Request) (idempotency.Reply, error) {
+	return callPeer(p, ctx, addr, func(s port.PeerServer) idempotency.Reply { return s.OnClaim(r) })
 }
 
-func (p *peerClient) ReportAttempt(ctx context.Context, addr string, n once.Claim) (bool, error) {
+func (p *peerClient) ReportAttempt(ctx context.Context, addr string, n idempotency.Claim) (bool, error) {
 	time.Sleep(networkDelay) // so that the answer has been sent before a fault is injected
 	p.from.reachStep(stepRecord)
 	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnAttemptReport(n) })
 }
 
-func (p *peerClient) Transfer(ctx context.Context, addr string, t once.Transfer) (bool, error) {
+func (p *peerClient) Transfer(ctx context.Context, addr string, t idempotency.Transfer) (bool, error) {
 	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnTransfer(t) })
 }
 
@@ -392,12 +392,12 @@
 	d *daemon
 }
 
-func (h *stepClaims) Reachable(key once.Key) bool {
+func (h *stepClaims) Reachable(key idempotency.Key) bool {
 	h.d.reachStep(stepAdmit)
 	return h.Claims.Reachable(key)
 }
 
-func (h *stepClaims) RequestClaim(ctx context.Context, key once.Key, fp once.Fingerprint) (once.AttemptID, once.Reply, error) {
+func (h *stepClaims) RequestClaim(ctx context.Context, key idempotency.Key, fp idempotency.Fingerprint) (idempotency.AttemptID, idempotency.Reply, error) {
 	h.d.reachStep(stepClaim)
 	attempt, reply, err := h.Claims.RequestClaim(ctx, key, fp)
 	h.d.reachStep(stepClaimed)
@@ -545,8 +545,8 @@
 		binary.BigEndian.PutUint64(id[:], uint64(time.Now().UnixMilli())<<16)
 		binary.BigEndian.PutUint64(id[8:], uint64(i))
 		id[6], id[8] = version, variant
-		k := once.Key(id.String())
-		if once.Owner(d.node.View(), k.Partition()) != d.self.Incarnation {
+		k := idempotency.Key(id.String())
+		if idempotency.Owner(d.node.View(), k.Partition()) != d.self.Incarnation {
 			continue
 		}
 		if n == 0 {
--- a/internal/matrix/mutations.sh
+++ b/internal/matrix/mutations.sh
@@ -37,13 +37,13 @@
 }
 
 M=./internal/matrix
-mutate "nothing (a comment is changed)" requests/once/once.go 's/Package once makes/Package once lets/' "$M ./requests/once"
-mutate "a lost owner's keys are granted" requests/once/once.go 's/case made\.Before\(p\.completeSince\):/case false:/' "$M ./requests/once"
-mutate "a new owner does not wait for the old table" requests/once/once.go 's/if t\.servingSince\.IsZero\(\) \|\| now\.Sub\(t\.viewSetAt\) < t\.opts\.HandoverWait/if false/' "$M ./requests/once"
-mutate "a grant is not recorded" requests/once/once.go 's/\tt\.insert\(p, &Claim\{Key: r\.Key[^\n]*\n//' "$M ./requests/once"
-mutate "an abandoned attempt allows others" requests/once/once.go 's/if refusal, ok := t\.refuseUnknown\(now, p, r\.Key\); ok \{/if refusal, ok := t.refuseUnknown(now, p, r.Key); ok && !found {/' "$M ./requests/once"
-mutate "a transferred claim does not replace an abandoned one" requests/once/once.go 's/case c\.Status == Abandoned && n\.Status != Abandoned:/case false:/' "$M ./requests/once"
-mutate "missed views are not noticed" requests/once/handover.go 's/if missed == 0 \{/if true {/' "$M ./requests/once"
+mutate "nothing (a comment is changed)" requests/idempotency/idempotency.go 's/Package idempotency makes/Package idempotency lets/' "$M ./requests/idempotency"
+mutate "a lost owner's keys are granted" requests/idempotency/idempotency.go 's/case made\.Before\(p\.completeSince\):/case false:/' "$M ./requests/idempotency"
+mutate "a new owner does not wait for the old table" requests/idempotency/idempotency.go 's/if t\.servingSince\.IsZero\(\) \|\| now\.Sub\(t\.viewSetAt\) < t\.opts\.HandoverWait/if false/' "$M ./requests/idempotency"
+mutate "a grant is not recorded" requests/idempotency/idempotency.go 's/\tt\.insert\(p, &Claim\{Key: r\.Key[^\n]*\n//' "$M ./requests/idempotency"
+mutate "an abandoned attempt allows others" requests/idempotency/idempotency.go 's/if refusal, ok := t\.refuseUnknown\(now, p, r\.Key\); ok \{/if refusal, ok := t.refuseUnknown(now, p, r.Key); ok && !found {/' "$M ./requests/idempotency"
+mutate "a transferred claim does not replace an abandoned one" requests/idempotency/idempotency.go 's/case c\.Status == Abandoned && n\.Status != Abandoned:/case false:/' "$M ./requests/idempotency"
+mutate "missed views are not noticed" requests/idempotency/handover.go 's/if missed == 0 \{/if true {/' "$M ./requests/idempotency"
 mutate "a view serves before the earlier one stopped" requests/member/member.go 's/return \w+\.allStopped\n/return true\n/' "$M ./requests/member"
 mutate "a minority serves" requests/member/member.go 's/return 2\*n > total[^\n]*/return true/' "$M ./requests/member"
 mutate "a newer epoch is ignored" requests/member/member.go 's/if \w+\.highestEpoch == \w+\.view\.Epoch \{/if true {/' "$M ./requests/member"
--- a/internal/slopes/slopes_test.go
+++ b/internal/slopes/slopes_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/postmount/postmount/requests/directory"
 	"github.com/postmount/postmount/requests/fleet"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/once"
 	"github.com/postmount/postmount/requests/place"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
@@ -183,15 +183,15 @@
 // BenchmarkClaim measures an owner's decision about an unknown key.
 func BenchmarkClaim(b *testing.B) {
 	v := &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "a"}}}
-	t := once.NewTable("a", once.DefaultOptions)
+	t := idempotency.NewTable("a", idempotency.DefaultOptions)
 	now := time.Now()
 	t.SetView(now, v)
 	b.ReportAllocs()
 	i := 0
 	for b.Loop() {
 		i++
-		key := once.Key(fmt.Sprintf("%08x-%04x-7000-8000-%012x", now.UnixMilli()>>16, now.UnixMilli()&0xffff, i))
-		t.Claim(now, once.ViewStatus{Confirmed: true, Retired: true}, once.Request{Epoch: 1, Key: key, Attempt: "x", Claimer: "a"})
+		key := idempotency.Key(fmt.Sprintf("%08x-%04x-7000-8000-%012x", now.UnixMilli()>>16, now.UnixMilli()&0xffff, i))
+		t.Claim(now, idempotency.ViewStatus{Confirmed: true, Retired: true}, idempotency.Request{Epoch: 1, Key: key, Attempt: "x", Claimer: "a"})
 	}
 }
 
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -11,7 +11,7 @@
 
 	"github.com/postmount/postmount/internal/sleep"
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/verdict"
 )
 
@@ -22,10 +22,10 @@
 	node *Node
 
 	mu    sync.Mutex
-	table *once.Table
+	table *idempotency.Table
 	// attempts holds this daemon's own attempts until the owner of the key has
 	// recorded how they ended.
-	attempts map[once.AttemptID]*localAttempt
+	attempts map[idempotency.AttemptID]*localAttempt
 
 	// background counts the goroutines that send to other daemons. None is started
 	// once closed is set, so that wait returns.
@@ -36,7 +36,7 @@
 
 // localAttempt is one attempt of this daemon.
 type localAttempt struct {
-	claim once.Claim
+	claim idempotency.Claim
 	// granted is true if the owner granted the attempt. Only then may the attempt
 	// be reported to a new owner, because a report is recorded without the checks
 	// that a request for a claim has to pass.
@@ -46,8 +46,8 @@
 func newClaims(n *Node) *Claims {
 	return &Claims{
 		node:     n,
-		table:    once.NewTable(n.opts.Self.Incarnation, n.opts.Once),
-		attempts: map[once.AttemptID]*localAttempt{},
+		table:    idempotency.NewTable(n.opts.Self.Incarnation, n.opts.Idempotency),
+		attempts: map[idempotency.AttemptID]*localAttempt{},
 	}
 }
 
@@ -62,7 +62,7 @@
 		c.startLocked(func() { c.sendTransfer(ctx, tr) })
 	}
 	for _, a := range c.attempts {
-		if a.granted && a.claim.Status == once.Running {
+		if a.granted && a.claim.Status == idempotency.Running {
 			cl := a.claim
 			c.startLocked(func() { _ = c.reportAttempt(ctx, cl) })
 		}
@@ -105,7 +105,7 @@
 
 // sendTransfer hands a partition over to its new owner, with retries for up to
 // deliveryTimeout.
-func (c *Claims) sendTransfer(ctx context.Context, tr once.Transfer) {
+func (c *Claims) sendTransfer(ctx context.Context, tr idempotency.Transfer) {
 	defer func() {
 		c.mu.Lock()
 		c.pendingTransfers--
@@ -123,12 +123,12 @@
 }
 
 // tryTransfer sends a partition to its owner under the newest view.
-func (c *Claims) tryTransfer(ctx context.Context, tr once.Transfer) bool {
+func (c *Claims) tryTransfer(ctx context.Context, tr idempotency.Transfer) bool {
 	v := c.node.View()
 	if v.Epoch < tr.Epoch {
 		return false
 	}
-	owner := v.Member(once.Owner(v, tr.Partition))
+	owner := v.Member(idempotency.Owner(v, tr.Partition))
 	if owner == nil {
 		return false
 	}
@@ -174,36 +174,36 @@
 }
 
 // OnClaim answers a peer, or this daemon, as the owner of a key.
-func (c *Claims) OnClaim(r once.Request) once.Reply {
+func (c *Claims) OnClaim(r idempotency.Request) idempotency.Reply {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	s := c.node.ServingStatus()
-	return c.table.Claim(now, once.ViewStatus{Confirmed: s.HasQuorum(now) && s.Epoch == r.Epoch, Retired: s.EarlierViewsRetired}, r)
+	return c.table.Claim(now, idempotency.ViewStatus{Confirmed: s.HasQuorum(now) && s.Epoch == r.Epoch, Retired: s.EarlierViewsRetired}, r)
 }
 
 // RecordAttempt records the state of a peer's attempt.
-func (c *Claims) RecordAttempt(report once.Claim) bool {
+func (c *Claims) RecordAttempt(report idempotency.Claim) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.RecordAttempt(report)
 }
 
 // OnTransfer receives a partition from its old owner.
-func (c *Claims) OnTransfer(t once.Transfer) bool {
+func (c *Claims) OnTransfer(t idempotency.Transfer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.table.Receive(t)
 }
 
 // OnClaim implements port.PeerServer.
-func (n *Node) OnClaim(r once.Request) once.Reply { return n.Claims.OnClaim(r) }
+func (n *Node) OnClaim(r idempotency.Request) idempotency.Reply { return n.Claims.OnClaim(r) }
 
 // OnAttemptReport implements port.PeerServer.
-func (n *Node) OnAttemptReport(cl once.Claim) bool { return n.Claims.RecordAttempt(cl) }
+func (n *Node) OnAttemptReport(cl idempotency.Claim) bool { return n.Claims.RecordAttempt(cl) }
 
 // OnTransfer implements port.PeerServer.
-func (n *Node) OnTransfer(t once.Transfer) bool { return n.Claims.OnTransfer(t) }
+func (n *Node) OnTransfer(t idempotency.Transfer) bool { return n.Claims.OnTransfer(t) }
 
 // CodeKeyOwnerUnavailable is the code of a request whose key's owner cannot grant a
 // claim now, because it is unreachable or not ready.
@@ -219,9 +219,9 @@
 
 // Reachable reports whether the owner of a key answered recently. Otherwise the
 // request is refused before it takes up a slot.
-func (c *Claims) Reachable(key once.Key) bool {
+func (c *Claims) Reachable(key idempotency.Key) bool {
 	p := c.node.Progress()
-	owner := once.Owner(p.View, key.Partition())
+	owner := idempotency.Owner(p.View, key.Partition())
 	if owner == "" || owner == c.node.opts.Self.Incarnation {
 		return owner != ""
 	}
@@ -233,11 +233,11 @@
 // claimTimeout until the owner decides. If the result is Granted, the caller must
 // end the returned attempt with EndAttempt. An error has verdict NotRun: the attempt
 // must not run.
-func (c *Claims) RequestClaim(ctx context.Context, key once.Key, fp once.Fingerprint) (once.AttemptID, once.Reply, error) {
+func (c *Claims) RequestClaim(ctx context.Context, key idempotency.Key, fp idempotency.Fingerprint) (idempotency.AttemptID, idempotency.Reply, error) {
 	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	attempt := once.AttemptID(uuid.NewString())
-	cl := once.Claim{Key: key, Fingerprint: fp, Attempt: attempt, Claimer: c.node.opts.Self.Incarnation}
+	attempt := idempotency.AttemptID(uuid.NewString())
+	cl := idempotency.Claim{Key: key, Fingerprint: fp, Attempt: attempt, Claimer: c.node.opts.Self.Incarnation}
 	c.mu.Lock()
 	c.attempts[attempt] = &localAttempt{claim: cl}
 	c.mu.Unlock()
@@ -246,30 +246,30 @@
 		asked := c.node.View()
 		reply, mayBeGranted := c.requestClaimOnce(ctx, asked, cl)
 		uncertain = uncertain || mayBeGranted
-		if reply.Result == once.Granted && c.node.View().Epoch != asked.Epoch {
+		if reply.Result == idempotency.Granted && c.node.View().Epoch != asked.Epoch {
 			// The view changed during the request, so the claim is requested again:
 			// the owner may have been paused before it answered and own it no more.
 			uncertain = true
 			continue
 		}
 		switch reply.Result {
-		case once.Granted:
+		case idempotency.Granted:
 			c.markGranted(attempt)
 			return attempt, reply, nil
-		case once.NotOwner, once.NotReady:
+		case idempotency.NotOwner, idempotency.NotReady:
 		default:
 			c.abandon(attempt, uncertain)
 			return "", reply, nil
 		}
 		if !sleep.For(ctx, minRetryPause) {
 			c.abandon(attempt, uncertain)
-			return "", once.Reply{}, verdict.New(verdict.NotRun, CodeKeyOwnerUnavailable, "the entry daemon that owns this idempotency key can't decide on it now")
+			return "", idempotency.Reply{}, verdict.New(verdict.NotRun, CodeKeyOwnerUnavailable, "the entry daemon that owns this idempotency key can't decide on it now")
 		}
 	}
 }
 
 // markGranted records that the owner granted the attempt.
-func (c *Claims) markGranted(attempt once.AttemptID) {
+func (c *Claims) markGranted(attempt idempotency.AttemptID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if a := c.attempts[attempt]; a != nil {
@@ -279,9 +279,9 @@
 
 // abandon gives up an attempt that was not granted. If the owner may have granted
 // it in an answer that was lost, it is told that the attempt never ran.
-func (c *Claims) abandon(attempt once.AttemptID, uncertain bool) {
+func (c *Claims) abandon(attempt idempotency.AttemptID, uncertain bool) {
 	if uncertain {
-		c.EndAttempt(attempt, once.Abandoned, nil)
+		c.EndAttempt(attempt, idempotency.Abandoned, nil)
 		return
 	}
 	c.mu.Lock()
@@ -291,25 +291,25 @@
 
 // requestClaimOnce sends one request to the owner under view v. mayBeGranted is true if the
 // owner may have granted the claim although its answer did not arrive.
-func (c *Claims) requestClaimOnce(ctx context.Context, v *fleet.View, cl once.Claim) (reply once.Reply, mayBeGranted bool) {
-	r := once.Request{Epoch: v.Epoch, Key: cl.Key, Fingerprint: cl.Fingerprint, Attempt: cl.Attempt, Claimer: cl.Claimer}
-	owner := v.Member(once.Owner(v, cl.Key.Partition()))
+func (c *Claims) requestClaimOnce(ctx context.Context, v *fleet.View, cl idempotency.Claim) (reply idempotency.Reply, mayBeGranted bool) {
+	r := idempotency.Request{Epoch: v.Epoch, Key: cl.Key, Fingerprint: cl.Fingerprint, Attempt: cl.Attempt, Claimer: cl.Claimer}
+	owner := v.Member(idempotency.Owner(v, cl.Key.Partition()))
 	if owner == nil {
-		return once.Reply{}, false
+		return idempotency.Reply{}, false
 	}
 	if owner.Incarnation == c.node.opts.Self.Incarnation {
 		return c.OnClaim(r), false
 	}
 	reply, err := c.node.deps.Peers.Claim(ctx, owner.PeerAddr, r)
 	if err != nil {
-		return once.Reply{}, verdict.Of(err) != verdict.NotRun
+		return idempotency.Reply{}, verdict.Of(err) != verdict.NotRun
 	}
 	return reply, false
 }
 
 // EndAttempt records how an attempt ended and reports it to the key's owner in the
 // background. It retries until the owner has recorded it, for up to deliveryTimeout.
-func (c *Claims) EndAttempt(attempt once.AttemptID, status once.Status, answer *once.Answer) {
+func (c *Claims) EndAttempt(attempt idempotency.AttemptID, status idempotency.Status, answer *idempotency.Answer) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	a := c.attempts[attempt]
@@ -324,7 +324,7 @@
 
 // reportEnd reports an ended attempt to the owner of its key until the owner has
 // recorded it, deliveryTimeout has passed or the node has stopped.
-func (c *Claims) reportEnd(cl once.Claim) {
+func (c *Claims) reportEnd(cl idempotency.Claim) {
 	ctx, cancel := context.WithTimeout(context.Background(), deliveryTimeout)
 	defer cancel()
 	var pause backoff
@@ -349,9 +349,9 @@
 }
 
 // reportAttempt sends the state of an attempt to the owner of its key once.
-func (c *Claims) reportAttempt(ctx context.Context, cl once.Claim) bool {
+func (c *Claims) reportAttempt(ctx context.Context, cl idempotency.Claim) bool {
 	v := c.node.View()
-	owner := v.Member(once.Owner(v, cl.Key.Partition()))
+	owner := v.Member(idempotency.Owner(v, cl.Key.Partition()))
 	if owner == nil {
 		return false
 	}
--- a/requests/cluster/claims_test.go
+++ b/requests/cluster/claims_test.go
@@ -13,7 +13,7 @@
 	"go.uber.org/zap"
 
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/port"
 )
 
@@ -24,7 +24,7 @@
 	tries, recorded atomic.Int64
 }
 
-func (p *unreachablePeer) ReportAttempt(context.Context, string, once.Claim) (bool, error) {
+func (p *unreachablePeer) ReportAttempt(context.Context, string, idempotency.Claim) (bool, error) {
 	p.tries.Add(1)
 	if !p.reachable.Load() {
 		return false, errors.New("connection refused")
@@ -45,9 +45,9 @@
 		n := New(Options{Self: fleet.Entry{Incarnation: "self"}}, Deps{Peers: peers, Log: zap.NewNop()})
 		n.progress.Store(&MemberProgress{View: &fleet.View{Epoch: 1, Members: []fleet.Entry{{Incarnation: "owner", PeerAddr: "owner:1"}}}})
 		for i := range attempts {
-			a := once.AttemptID(fmt.Sprintf("a%d", i))
-			n.Claims.attempts[a] = &localAttempt{claim: once.Claim{Key: once.Key(fmt.Sprintf("k%d", i)), Attempt: a}, granted: true}
-			n.Claims.EndAttempt(a, once.Abandoned, nil)
+			a := idempotency.AttemptID(fmt.Sprintf("a%d", i))
+			n.Claims.attempts[a] = &localAttempt{claim: idempotency.Claim{Key: idempotency.Key(fmt.Sprintf("k%d", i)), Attempt: a}, granted: true}
+			n.Claims.EndAttempt(a, idempotency.Abandoned, nil)
 		}
 		time.Sleep(outage)
 		assert.LessOrEqual(t, peers.tries.Load(), int64(12*attempts), "reports sent while the owner is unreachable")
--- a/requests/cluster/node.go
+++ b/requests/cluster/node.go
@@ -16,22 +16,22 @@
 	"go.uber.org/zap"
 
 	"github.com/postmount/postmount/requests/fleet"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/once"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
 )
 
 // Options configure a Node.
 type Options struct {
-	Self      fleet.Entry
-	Seeds     []string      // peer addresses to contact while no view is known
-	Heartbeat time.Duration // between heartbeats to each peer
-	LeaseTTL  time.Duration // of the registration
-	Grace     time.Duration // silence after which an unregistered member is removed
-	Member    member.Options
-	Once      once.Options
+	Self        fleet.Entry
+	Seeds       []string      // peer addresses to contact while no view is known
+	Heartbeat   time.Duration // between heartbeats to each peer
+	LeaseTTL    time.Duration // of the registration
+	Grace       time.Duration // silence after which an unregistered member is removed
+	Member      member.Options
+	Idempotency idempotency.Options
 }
 
 // SlotShares manages the daemon's shares of the workers' slots, which depend on the
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -28,9 +28,9 @@
 	"github.com/postmount/postmount/requests/directory"
 	"github.com/postmount/postmount/requests/entry"
 	"github.com/postmount/postmount/requests/fleet"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/once"
 	"github.com/postmount/postmount/requests/place"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
@@ -170,7 +170,7 @@
 	d.dispatcher = entry.NewDispatcher(d.self.Incarnation, d.self.Zone, s.Limits.MaxTimeout.D()+member.DefaultOptions.ConfirmWindow, policies, newRand())
 	d.node = cluster.New(cluster.Options{
 		Self: d.self, Seeds: s.Peers.Seeds, Heartbeat: s.Peers.Heartbeat.D(), LeaseTTL: s.Peers.LeaseTTL.D(), Grace: s.Peers.Grace.D(),
-		Member: member.DefaultOptions, Once: once.DefaultOptions,
+		Member: member.DefaultOptions, Idempotency: idempotency.DefaultOptions,
 	}, cluster.Deps{
 		Store: d.store, Peers: d.peers, Mirror: d.mirror, Shares: d.dispatcher, Log: d.log, JitterSeed: rand.Uint64(),
 		Connected: d.syncer.Connected.Load, Burn: d.burnCounts, Instances: d.instances, SeedInstances: d.seedInstances,
--- a/requests/entry/handler.go
+++ b/requests/entry/handler.go
@@ -18,8 +18,8 @@
 
 	"github.com/postmount/postmount/internal/sleep"
 	"github.com/postmount/postmount/requests/fleet"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
-	"github.com/postmount/postmount/requests/once"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/verdict"
 )
@@ -53,12 +53,12 @@
 // Claims requests claims of idempotency keys from the daemons that own them.
 type Claims interface {
 	// Reachable reports whether the owner of a key has been in contact recently.
-	Reachable(key once.Key) bool
+	Reachable(key idempotency.Key) bool
 	// RequestClaim asks the owner of a key whether the request may run. If the
-	// result is once.Granted, EndAttempt must be called. Errors have verdict NotRun.
-	RequestClaim(ctx context.Context, key once.Key, fp once.Fingerprint) (once.AttemptID, once.Reply, error)
+	// result is idempotency.Granted, EndAttempt must be called. Errors have verdict NotRun.
+	RequestClaim(ctx context.Context, key idempotency.Key, fp idempotency.Fingerprint) (idempotency.AttemptID, idempotency.Reply, error)
 	// EndAttempt reports how a granted attempt ended. answer may be nil.
-	EndAttempt(attempt once.AttemptID, status once.Status, answer *once.Answer)
+	EndAttempt(attempt idempotency.AttemptID, status idempotency.Status, answer *idempotency.Answer)
 }
 
 // Limits limits the requests that one daemon serves.
@@ -115,7 +115,7 @@
 	route      fleet.Route
 	body       []byte
 	idempotent bool
-	key        once.Key // "" without a key or if the request is idempotent
+	key        idempotency.Key // "" without a key or if the request is idempotent
 	deadline   time.Time
 	started    time.Time
 }
@@ -237,7 +237,7 @@
 	if text == "" || c.idempotent {
 		return nil
 	}
-	key, ok := once.ParseKey(text)
+	key, ok := idempotency.ParseKey(text)
 	if !ok {
 		return verdict.New(verdict.NotRun, CodeBadKey, "%s: want a UUIDv7 in lower case", HeaderKey)
 	}
@@ -373,7 +373,7 @@
 // fingerprint hashes a request's content and its caller's credentials. Each part
 // before the body is prefixed by its length, so that different requests can't yield
 // the same bytes.
-func fingerprint(c *call) once.Fingerprint {
+func fingerprint(c *call) idempotency.Fingerprint {
 	h := sha256.New()
 	for _, part := range []string{c.req.Method, c.req.Host, c.req.URL.RequestURI(), c.req.Header.Get("Authorization"), c.req.Header.Get("Content-Type")} {
 		_, _ = io.WriteString(h, strconv.Itoa(len(part)))
@@ -381,5 +381,5 @@
 		_, _ = io.WriteString(h, part)
 	}
 	_, _ = h.Write(c.body)
-	return once.Fingerprint(h.Sum(nil))
+	return idempotency.Fingerprint(h.Sum(nil))
 }
--- a/requests/entry/handler_test.go
+++ b/requests/entry/handler_test.go
@@ -16,21 +16,21 @@
 
 	"github.com/postmount/postmount/requests/directory"
 	"github.com/postmount/postmount/requests/fleet"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
-	"github.com/postmount/postmount/requests/once"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/route"
 	"github.com/postmount/postmount/verdict"
 )
 
 // fakeClaims gives the same reply to every claim.
-type fakeClaims struct{ reply once.Reply }
+type fakeClaims struct{ reply idempotency.Reply }
 
-func (f *fakeClaims) Reachable(once.Key) bool { return true }
-func (f *fakeClaims) RequestClaim(context.Context, once.Key, once.Fingerprint) (once.AttemptID, once.Reply, error) {
+func (f *fakeClaims) Reachable(idempotency.Key) bool { return true }
+func (f *fakeClaims) RequestClaim(context.Context, idempotency.Key, idempotency.Fingerprint) (idempotency.AttemptID, idempotency.Reply, error) {
 	return "attempt", f.reply, nil
 }
-func (f *fakeClaims) EndAttempt(once.AttemptID, once.Status, *once.Answer) {}
+func (f *fakeClaims) EndAttempt(idempotency.AttemptID, idempotency.Status, *idempotency.Answer) {}
 
 type fakeBackend struct {
 	sent []port.BackendRequest
@@ -114,19 +114,19 @@
 
 func TestAnswersForClaimReplies(t *testing.T) {
 	for _, tc := range []struct {
-		result once.Result
+		result idempotency.Result
 		status int
 		want   verdict.Verdict
 	}{
-		{once.Granted, http.StatusOK, verdict.Done},
-		{once.Answered, http.StatusCreated, verdict.Done},
-		{once.NotRetained, http.StatusConflict, verdict.MayHaveRun},
-		{once.MayHaveRun, http.StatusConflict, verdict.MayHaveRun},
-		{once.Expired, http.StatusConflict, verdict.MayHaveRun},
-		{once.Mismatch, http.StatusUnprocessableEntity, verdict.NotRun},
-		{once.FromFuture, http.StatusBadRequest, verdict.NotRun},
+		{idempotency.Granted, http.StatusOK, verdict.Done},
+		{idempotency.Answered, http.StatusCreated, verdict.Done},
+		{idempotency.NotRetained, http.StatusConflict, verdict.MayHaveRun},
+		{idempotency.MayHaveRun, http.StatusConflict, verdict.MayHaveRun},
+		{idempotency.Expired, http.StatusConflict, verdict.MayHaveRun},
+		{idempotency.Mismatch, http.StatusUnprocessableEntity, verdict.NotRun},
+		{idempotency.FromFuture, http.StatusBadRequest, verdict.NotRun},
 	} {
-		claims := &fakeClaims{reply: once.Reply{Result: tc.result, Answer: &once.Answer{Status: http.StatusCreated}}}
+		claims := &fakeClaims{reply: idempotency.Reply{Result: tc.result, Answer: &idempotency.Answer{Status: http.StatusCreated}}}
 		w := do(newHandler(claims, &fakeBackend{}), http.MethodPost, "http://desk/orders", "buy", HeaderKey, key())
 		assert.Equal(t, tc.status, w.Code, "%v", tc.result)
 		assert.Equal(t, tc.want.String(), w.Header().Get(verdict.Header), "%v", tc.result)
@@ -148,7 +148,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := &fakeBackend{errs: []error{tc.err}}
-			w := do(newHandler(&fakeClaims{reply: once.Reply{Result: once.Granted}}, b), tc.method, "http://desk/orders", "")
+			w := do(newHandler(&fakeClaims{reply: idempotency.Reply{Result: idempotency.Granted}}, b), tc.method, "http://desk/orders", "")
 			assert.Len(t, b.sent, tc.sends)
 			assert.Equal(t, tc.status, w.Code)
 		})
@@ -192,7 +192,7 @@
 		r.Header.Set(HeaderDeadline, deadline)
 		r.Header.Set(HeaderKey, key)
 		w := httptest.NewRecorder()
-		newHandler(&fakeClaims{reply: once.Reply{Result: once.Granted}}, &fakeBackend{}).ServeHTTP(w, r)
+		newHandler(&fakeClaims{reply: idempotency.Reply{Result: idempotency.Granted}}, &fakeBackend{}).ServeHTTP(w, r)
 		if w.Header().Get(verdict.Header) == "" {
 			t.Errorf("status %d: answer without a %s header", w.Code, verdict.Header)
 		}
--- a/requests/entry/keyed.go
+++ b/requests/entry/keyed.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/postmount/postmount/internal/sleep"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/retry"
 	"github.com/postmount/postmount/verdict"
@@ -21,13 +21,13 @@
 func (h *Handler) sendKeyed(ctx context.Context, c *call, grant *Grant, attempt int) (*port.BackendAnswer, error) {
 	fp := fingerprint(c)
 	id, reply, err := h.Claims.RequestClaim(ctx, c.key, fp)
-	if err != nil || reply.Result != once.Granted {
+	if err != nil || reply.Result != idempotency.Granted {
 		h.Dispatcher.ReleaseUnsent(grant)
 	}
 	if err != nil {
 		return nil, &refusal{cause: claimError(err), retryAfter: time.Second}
 	}
-	for reply.Result == once.InProgress {
+	for reply.Result == idempotency.InProgress {
 		if !sleep.For(ctx, inProgressPollInterval) {
 			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key is still running")
 		}
@@ -35,14 +35,14 @@
 		if id, reply, err = h.Claims.RequestClaim(ctx, c.key, fp); err != nil {
 			return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptRunning, "an earlier attempt with this key was running, and asking the key's owner again failed")
 		}
-		if reply.Result == once.Granted {
+		if reply.Result == idempotency.Granted {
 			if grant, err = h.Dispatcher.Acquire(ctx, c.route.Service, c.route.Class, c.deadline); err != nil {
-				h.Claims.EndAttempt(id, once.Abandoned, nil)
+				h.Claims.EndAttempt(id, idempotency.Abandoned, nil)
 				return nil, err
 			}
 		}
 	}
-	if reply.Result != once.Granted {
+	if reply.Result != idempotency.Granted {
 		return earlierAttemptAnswer(reply)
 	}
 	return h.sendClaimed(ctx, c, grant, id, attempt)
@@ -54,26 +54,26 @@
 }
 
 // sendClaimed sends a request whose key is claimed and records the result.
-func (h *Handler) sendClaimed(ctx context.Context, c *call, grant *Grant, id once.AttemptID, attempt int) (*port.BackendAnswer, error) {
+func (h *Handler) sendClaimed(ctx context.Context, c *call, grant *Grant, id idempotency.AttemptID, attempt int) (*port.BackendAnswer, error) {
 	answer, err := h.send(ctx, c, grant, attempt)
 	switch {
 	case err == nil:
-		h.Claims.EndAttempt(id, once.Finished, h.retainedAnswer(answer))
+		h.Claims.EndAttempt(id, idempotency.Finished, h.retainedAnswer(answer))
 	case verdict.Of(err) == verdict.NotRun:
-		h.Claims.EndAttempt(id, once.Abandoned, nil)
+		h.Claims.EndAttempt(id, idempotency.Abandoned, nil)
 	default:
-		h.Claims.EndAttempt(id, once.Unknown, nil)
+		h.Claims.EndAttempt(id, idempotency.Unknown, nil)
 	}
 	return answer, err
 }
 
 // retainedAnswer returns the answer to keep for resent requests, nil if it is
 // larger than Limits.MaxRetained.
-func (h *Handler) retainedAnswer(a *port.BackendAnswer) *once.Answer {
+func (h *Handler) retainedAnswer(a *port.BackendAnswer) *idempotency.Answer {
 	if len(a.Body) > h.Limits.MaxRetained {
 		return nil
 	}
-	return &once.Answer{Status: a.Status, Header: a.Header, Body: a.Body}
+	return &idempotency.Answer{Status: a.Status, Header: a.Header, Body: a.Body}
 }
 
 // HeaderReplayed marks an answer of an earlier attempt with the same key.
@@ -81,22 +81,22 @@
 
 // earlierAttemptAnswer converts the owner's reply about an earlier attempt into
 // the answer or error of this one.
-func earlierAttemptAnswer(r once.Reply) (*port.BackendAnswer, error) {
+func earlierAttemptAnswer(r idempotency.Reply) (*port.BackendAnswer, error) {
 	switch r.Result {
-	case once.Answered:
+	case idempotency.Answered:
 		header := http.Header(r.Answer.Header).Clone()
 		if header == nil {
 			header = http.Header{}
 		}
 		header.Set(HeaderReplayed, "true")
 		return &port.BackendAnswer{Status: r.Answer.Status, Header: header, Body: r.Answer.Body}, nil
-	case once.NotRetained:
+	case idempotency.NotRetained:
 		return nil, verdict.New(verdict.MayHaveRun, CodeAnswerNotRetained, "the request ran, but its answer is no longer retained")
-	case once.Mismatch:
+	case idempotency.Mismatch:
 		return nil, verdict.New(verdict.NotRun, CodeKeyReused, "the idempotency key was already used for a different request")
-	case once.Expired:
+	case idempotency.Expired:
 		return nil, verdict.New(verdict.MayHaveRun, CodeKeyExpired, "the idempotency key is older than the retention period")
-	case once.FromFuture:
+	case idempotency.FromFuture:
 		return nil, verdict.New(verdict.NotRun, CodeKeyFromFuture, "the timestamp of the idempotency key is in the future")
 	default:
 		return nil, verdict.New(verdict.MayHaveRun, CodeEarlierAttemptUnknown, "an earlier attempt with this idempotency key may have run")
--- a/requests/once/bounds.go
+++ b/requests/idempotency/bounds.go
@@ -1,4 +1,4 @@
-package once
+package idempotency
 
 import (
 	"slices"
--- a/requests/once/once.go
+++ b/requests/idempotency/idempotency.go
@@ -1,9 +1,9 @@
-// Package once makes a request with an idempotency key run at most once across
+// Package idempotency makes a request with an idempotency key run at most once across
 // all entry daemons. Each key belongs to a partition and each partition is owned
 // by one member of the view, whose table records which keys have been claimed.
 //
 // The package does no I/O and reads no clock: time is passed in.
-package once
+package idempotency
 
 import (
 	"crypto/sha256"
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/once"
+	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/slots"
 )
 
@@ -60,13 +60,13 @@
 	// Changes fetches the peer's records that are newer than revision since.
 	Changes(ctx context.Context, addr string, since fleet.Revision) (Changes, error)
 	// Claim asks the owner of an idempotency key whether a request may run.
-	Claim(ctx context.Context, addr string, r once.Request) (once.Reply, error)
+	Claim(ctx context.Context, addr string, r idempotency.Request) (idempotency.Reply, error)
 	// ReportAttempt reports the state of an attempt to the owner of its key. recorded
 	// is false if the peer does not own the key's partition.
-	ReportAttempt(ctx context.Context, addr string, claim once.Claim) (recorded bool, err error)
+	ReportAttempt(ctx context.Context, addr string, claim idempotency.Claim) (recorded bool, err error)
 	// Transfer hands a partition of the idempotency keys over. accepted is false if
 	// the peer does not own the partition.
-	Transfer(ctx context.Context, addr string, t once.Transfer) (accepted bool, err error)
+	Transfer(ctx context.Context, addr string, t idempotency.Transfer) (accepted bool, err error)
 	// Borrow asks for the loan of a slot.
 	Borrow(ctx context.Context, addr string, r BorrowRequest) (BorrowReply, error)
 	// Return ends loans granted by the peer.
@@ -79,9 +79,9 @@
 type PeerServer interface {
 	OnHeartbeat(hb Heartbeat) HeartbeatReply
 	OnChanges(since fleet.Revision) Changes
-	OnClaim(r once.Request) once.Reply
-	OnAttemptReport(claim once.Claim) (recorded bool)
-	OnTransfer(t once.Transfer) (accepted bool)
+	OnClaim(r idempotency.Request) idempotency.Reply
+	OnAttemptReport(claim idempotency.Claim) (recorded bool)
+	OnTransfer(t idempotency.Transfer) (accepted bool)
 	OnBorrow(r BorrowRequest) BorrowReply
 	OnReturn(loans []slots.LoanID)
 	OnBurn() BurnCounts
