--- a/internal/boottime/boottime.go
+++ b/internal/suspension/suspension.go
@@ -1,6 +1,6 @@
-// Package boottime measures how long the instance was suspended. The monotonic clock of the Go
+// Package suspension measures how long the instance was suspended. The monotonic clock of the Go
 // runtime stops during suspension, while leases in the store and on workers keep expiring.
-package boottime
+package suspension
 
 import (
 	"fmt"
--- a/internal/boottime/boottime_test.go
+++ b/internal/suspension/suspension_test.go
@@ -1,4 +1,4 @@
-package boottime
+package suspension
 
 import (
 	"testing"
