--- a/internal/importrule/rule_test.go
+++ b/internal/importrule/rule_test.go
@@ -25,7 +25,7 @@
 	"requests/rendezvous":  {},
 	"requests/slo":         {"requests/fleet"},
 	"requests/route":       {"requests/fleet"},
-	"requests/admit":       {"requests/fleet"},
+	"requests/admission":   {"requests/fleet"},
 	"requests/retry":       {"verdict"},
 	"requests/health":      {"requests/fleet"},
 	"requests/budget":      {"requests/fleet"},
--- a/requests/admit/admit.go
+++ b/requests/admission/admission.go
@@ -1,11 +1,11 @@
-// Package admit implements admission control: it decides which waiting request
+// Package admission implements admission control: it decides which waiting request
 // of a service runs next and which is refused immediately. There is one
 // controller per service. Priority classes share the service's slots by weight
 // (stride scheduling), so a burst in one class doesn't delay the others and no
 // class starves.
 //
 // The package does no I/O and reads no clock: time is passed in.
-package admit
+package admission
 
 import (
 	"container/heap"
--- a/requests/admit/admit_test.go
+++ b/requests/admission/admission_test.go
@@ -1,4 +1,4 @@
-package admit
+package admission
 
 import (
 	"testing"
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -22,7 +22,7 @@
 	"github.com/postmount/postmount/adapter/platformhttp"
 	"github.com/postmount/postmount/adapter/workerhttp"
 	"github.com/postmount/postmount/operators/api"
-	"github.com/postmount/postmount/requests/admit"
+	"github.com/postmount/postmount/requests/admission"
 	"github.com/postmount/postmount/requests/cluster"
 	"github.com/postmount/postmount/requests/control"
 	"github.com/postmount/postmount/requests/directory"
@@ -162,7 +162,7 @@
 	s := d.settings
 	d.syncer = &mirror.Syncer{Mirror: d.mirror, Store: d.store, Rand: newRand(), OnConnectionChange: d.storeConnectionChanged}
 	policies := entry.DefaultPolicies
-	policies.Admit.Policy = admit.Policy(s.Policies.Admit)
+	policies.Admit.Policy = admission.Policy(s.Policies.Admit)
 	policies.Admit.MaxQueue = s.Limits.MaxQueue
 	policies.Pick = route.Policy(s.Policies.Pick)
 	policies.Retry.Policy = retry.Policy(s.Policies.Retry)
--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -6,7 +6,7 @@
 	"sync"
 	"time"
 
-	"github.com/postmount/postmount/requests/admit"
+	"github.com/postmount/postmount/requests/admission"
 	"github.com/postmount/postmount/requests/directory"
 	"github.com/postmount/postmount/requests/fleet"
 	"github.com/postmount/postmount/requests/health"
@@ -26,7 +26,7 @@
 // Policies selects for each decision the production algorithm or the baseline for
 // performance comparisons.
 type Policies struct {
-	Admit admit.Options
+	Admit admission.Options
 	Pick  route.Policy
 	Retry retry.Options
 	// DisableLoans stops this daemon from borrowing slots of its peers.
@@ -34,7 +34,7 @@
 }
 
 // DefaultPolicies are the production settings.
-var DefaultPolicies = Policies{Admit: admit.DefaultOptions, Pick: route.PolicyLeastLoaded, Retry: retry.DefaultOptions}
+var DefaultPolicies = Policies{Admit: admission.DefaultOptions, Pick: route.PolicyLeastLoaded, Retry: retry.DefaultOptions}
 
 // Dispatcher assigns requests a slot on a worker, or refuses them. It combines
 // admission control, slot allocation, outlier detection and retry budgets. One
@@ -49,17 +49,17 @@
 	slots    *slots.Allocator
 	services map[fleet.ServiceName]*service
 	view     *fleet.View
-	nextID   admit.ID
+	nextID   admission.ID
 
 	borrowNeeded chan fleet.ServiceName // services that RunLoans is to borrow slots for
 }
 
 // service is the dispatcher's state of one service.
 type service struct {
-	queue   *admit.Controller
+	queue   *admission.Controller
 	health  *health.OutlierDetector
 	budget  *retry.Budget
-	waiting map[admit.ID]chan outcome
+	waiting map[admission.ID]chan outcome
 	inUse   int // slots in use by requests of this daemon
 	// recentPeak is the decaying peak of inUse; that many slots are not lent.
 	recentPeak float64
@@ -104,10 +104,10 @@
 		s := d.services[name]
 		if s == nil {
 			s = &service{
-				queue:   admit.New(d.policies.Admit),
+				queue:   admission.New(d.policies.Admit),
 				health:  health.New(health.DefaultOptions),
 				budget:  retry.NewBudget(d.policies.Retry),
-				waiting: map[admit.ID]chan outcome{},
+				waiting: map[admission.ID]chan outcome{},
 			}
 			d.services[name] = s
 		}
@@ -139,13 +139,13 @@
 	case <-ctx.Done():
 		return d.cancelWait(name, id, ch, verdict.Wrap(ctx.Err(), verdict.NotRun, CodeCallerGone, "the caller disconnected while the request waited for a slot"))
 	case <-timer.C:
-		return d.cancelWait(name, id, ch, overloadedError(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second}))
+		return d.cancelWait(name, id, ch, overloadedError(admission.Refusal{Reason: admission.ReasonDeadlinePassed, RetryAfter: time.Second}))
 	}
 }
 
 // enqueue grants a slot immediately if none of the service's requests is waiting
 // and a slot is free, else queues the request. ch is nil unless it was queued.
-func (d *Dispatcher) enqueue(name fleet.ServiceName, class fleet.ClassName, deadline time.Time) (ch chan outcome, id admit.ID, out outcome) {
+func (d *Dispatcher) enqueue(name fleet.ServiceName, class fleet.ClassName, deadline time.Time) (ch chan outcome, id admission.ID, out outcome) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
@@ -234,7 +234,7 @@
 		}
 		id, ok, expired := s.queue.Pop(now)
 		for _, e := range expired {
-			s.deliver(e, outcome{err: overloadedError(admit.Refusal{Reason: admit.ReasonDeadlinePassed, RetryAfter: time.Second})})
+			s.deliver(e, outcome{err: overloadedError(admission.Refusal{Reason: admission.ReasonDeadlinePassed, RetryAfter: time.Second})})
 		}
 		if !ok {
 			d.slots.Release(g.Worker.ID)
@@ -246,7 +246,7 @@
 }
 
 // deliver sends the result to the goroutine that waits in Acquire.
-func (s *service) deliver(id admit.ID, out outcome) {
+func (s *service) deliver(id admission.ID, out outcome) {
 	if ch := s.waiting[id]; ch != nil {
 		delete(s.waiting, id)
 		ch <- out
@@ -261,7 +261,7 @@
 
 // cancelWait removes a request from the queue. If it was granted a slot in the
 // meantime, the slot is released.
-func (d *Dispatcher) cancelWait(name fleet.ServiceName, id admit.ID, ch chan outcome, err error) (*Grant, error) {
+func (d *Dispatcher) cancelWait(name fleet.ServiceName, id admission.ID, ch chan outcome, err error) (*Grant, error) {
 	d.mu.Lock()
 	s := d.services[name]
 	s.queue.Remove(id)
@@ -339,6 +339,6 @@
 }
 
 // overloadedError returns the error for a request that admission control refused.
-func overloadedError(r admit.Refusal) error {
+func overloadedError(r admission.Refusal) error {
 	return newRefusal(CodeOverloaded, r.Reason, r.RetryAfter)
 }
