--- a/internal/matrix/installation_test.go
+++ b/internal/requestfaults/installation_test.go
@@ -1,6 +1,6 @@
-// Package matrix tests whole entry daemons, without a network and in virtual time, with every
-// fault at every step of a request.
-package matrix
+// Package requestfaults tests whole entry daemons, without a network and in virtual time, with
+// every fault at every step of a request.
+package requestfaults
 
 import (
 	"context"
--- a/internal/matrix/mutations.sh
+++ b/internal/requestfaults/mutations.sh
@@ -36,7 +36,7 @@
   echo "| $1 | $2 | $(grep -oE -- '^--- FAIL: [A-Za-z]+' <<<"$out" | sed 's/--- FAIL: //' | sort -u | head -4 | paste -sd' ' || true) |"
 }
 
-M=./internal/matrix
+M=./internal/requestfaults
 mutate "nothing (a comment is changed)" requests/idempotency/idempotency.go 's/Package idempotency makes/Package idempotency lets/' "$M ./requests/idempotency"
 mutate "a lost owner's keys are granted" requests/idempotency/idempotency.go 's/case made\.Before\(p\.completeSince\):/case false:/' "$M ./requests/idempotency"
 mutate "a new owner does not wait for the old table" requests/idempotency/idempotency.go 's/if t\.servingSince\.IsZero\(\) \|\| now\.Sub\(t\.viewSetAt\) < t\.opts\.HandoverWait/if false/' "$M ./requests/idempotency"
--- a/internal/matrix/request_test.go
+++ b/internal/requestfaults/request_test.go
@@ -1,4 +1,4 @@
-package matrix
+package requestfaults
 
 import (
 	"context"
@@ -341,5 +341,5 @@
 		require.NoError(t, os.WriteFile(faultsPage, []byte(head+begin+table+end+tail), 0o644))
 		return
 	}
-	assert.Equal(t, old, table, "run go test ./internal/matrix -update and review the difference")
+	assert.Equal(t, old, table, "run go test ./internal/requestfaults -update and review the difference")
 }
--- a/internal/matrix/session_test.go
+++ b/internal/requestfaults/session_test.go
@@ -1,4 +1,4 @@
-package matrix
+package requestfaults
 
 import (
 	"context"
