--- a/internal/jobmatrix/deployment_test.go
+++ b/internal/jobfaults/deployment_test.go
@@ -1,7 +1,7 @@
-// Package jobmatrix runs a whole installation of the job subsystem on stand-ins
+// Package jobfaults runs a whole installation of the job subsystem on stand-ins
 // in virtual time and injects every kind of fault at every step. The stand-ins'
 // checker verifies the guarantees.
-package jobmatrix
+package jobfaults
 
 import (
 	"context"
--- a/internal/jobmatrix/pending_test.go
+++ b/internal/jobfaults/pending_test.go
@@ -1,4 +1,4 @@
-package jobmatrix
+package jobfaults
 
 import (
 	"encoding/json"
