--- a/internal/slopes/slopes_test.go
+++ b/internal/scaling/scaling_test.go
@@ -1,8 +1,8 @@
-// Package slopes measures how the cost of the control plane grows with the fleet. The results
+// Package scaling measures how the cost of the control plane grows with the fleet. The results
 // are kept in docs/capacity/points.txt and used in docs/CAPACITY.md:
 //
-//	go test ./internal/slopes -bench . -benchmem -run '^$'
-package slopes
+//	go test ./internal/scaling -bench . -benchmem -run '^$'
+package scaling
 
 import (
 	"encoding/json"
