--- a/internal/importrule/rule_test.go
+++ b/internal/importrule/rule_test.go
@@ -30,7 +30,7 @@
 	"requests/health":      {"requests/fleet"},
 	"requests/budget":      {"requests/fleet"},
 	"requests/wave":        {"requests/fleet", "requests/budget"},
-	"requests/place":       {"requests/fleet"},
+	"requests/placement":   {"requests/fleet"},
 	"requests/member":      {"requests/fleet"},
 	"requests/idempotency": {"requests/fleet", "requests/rendezvous"},
 	"requests/slots":       {"requests/fleet", "requests/rendezvous"},
--- a/internal/scaling/scaling_test.go
+++ b/internal/scaling/scaling_test.go
@@ -16,7 +16,7 @@
 	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/place"
+	"github.com/postmount/postmount/requests/placement"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
 	"github.com/postmount/postmount/requests/wave"
@@ -155,12 +155,12 @@
 // fleet.
 func BenchmarkPlaceJob(b *testing.B) {
 	forSizes(b, func(b *testing.B, n int) {
-		in := place.Input{Now: t0, Jobs: []fleet.Job{{Name: "j", Urgent: true, State: fleet.JobPending, Need: fleet.Resources{CPUMilli: 1000, MemoryMB: 1024}}}}
+		in := placement.Input{Now: t0, Jobs: []fleet.Job{{Name: "j", Urgent: true, State: fleet.JobPending, Need: fleet.Resources{CPUMilli: 1000, MemoryMB: 1024}}}}
 		for _, i := range instances(n) {
-			in.Workers = append(in.Workers, place.Worker{ID: i.ID, Capacity: i.Capacity, Usable: true})
+			in.Workers = append(in.Workers, placement.Worker{ID: i.ID, Capacity: i.Capacity, Usable: true})
 		}
 		for b.Loop() {
-			place.Plan(in)
+			placement.Plan(in)
 		}
 	})
 }
--- a/requests/control/controller.go
+++ b/requests/control/controller.go
@@ -20,7 +20,7 @@
 
 	"github.com/postmount/postmount/requests/fleet"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/place"
+	"github.com/postmount/postmount/requests/placement"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
 	"github.com/postmount/postmount/requests/rendezvous"
@@ -38,7 +38,7 @@
 	ListMaxAge time.Duration
 	TaskLease  time.Duration // how long a task may run without renewal
 	Wave       wave.Options
-	Place      place.Policy
+	Place      placement.Policy
 }
 
 // DefaultOptions are the options used in production.
@@ -48,7 +48,7 @@
 	ListMaxAge:   3 * time.Second,
 	TaskLease:    3 * time.Second,
 	Wave:         wave.Options{RebootTimeout: 10 * time.Minute},
-	Place:        place.PolicyBestFit,
+	Place:        placement.PolicyBestFit,
 }
 
 // Deps are the dependencies of a Controller.
--- a/requests/control/jobs.go
+++ b/requests/control/jobs.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/postmount/postmount/requests/fleet"
-	"github.com/postmount/postmount/requests/place"
+	"github.com/postmount/postmount/requests/placement"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
 )
@@ -91,10 +91,10 @@
 			changed = r.observeJob(name, &next.Jobs[i]) || changed
 		}
 	}
-	in := place.Input{Now: r.now, Jobs: next.Jobs, Workers: r.placeWorkers(name, next), Teams: r.teamUsage(), Policy: r.c.opts.Place}
+	in := placement.Input{Now: r.now, Jobs: next.Jobs, Workers: r.placeWorkers(name, next), Teams: r.teamUsage(), Policy: r.c.opts.Place}
 	weights := r.snap.State.Config.Value.Weights
 	in.PreferTightFit = weights.Buffer > weights.RollOut && weights.Buffer > weights.Moves
-	for _, d := range place.Plan(in) {
+	for _, d := range placement.Plan(in) {
 		changed = r.applyDecision(next.Job(d.Job), d) || changed
 	}
 	return next, changed
@@ -102,7 +102,7 @@
 
 // applyDecision updates a pending job by a placement decision and reports whether
 // the job changed.
-func (r *round) applyDecision(j *fleet.Job, d place.Decision) bool {
+func (r *round) applyDecision(j *fleet.Job, d placement.Decision) bool {
 	if d.State == fleet.JobPending && j.Reason == d.Reason {
 		return false
 	}
@@ -214,7 +214,7 @@
 
 // placeWorkers returns the pool's members that the platform lists, as the input of
 // the placement.
-func (r *round) placeWorkers(name fleet.PoolName, js *fleet.JobSet) []place.Worker {
+func (r *round) placeWorkers(name fleet.PoolName, js *fleet.JobSet) []placement.Worker {
 	used := map[fleet.InstanceID]fleet.Resources{}
 	for _, j := range js.Jobs {
 		if j.State == fleet.JobPlaced {
@@ -222,13 +222,13 @@
 		}
 	}
 	waves := r.runningWaves(name)
-	var out []place.Worker
+	var out []placement.Worker
 	for _, m := range r.members[name] {
 		inst := r.snap.Instances[m.Instance]
 		if inst.ID == "" {
 			continue
 		}
-		out = append(out, place.Worker{
+		out = append(out, placement.Worker{
 			ID: inst.ID, Zone: inst.Zone, Rack: inst.Rack, Capacity: inst.Capacity,
 			Used:                used[inst.ID],
 			Usable:              !m.Joining && r.usable(inst.ID),
@@ -272,10 +272,10 @@
 }
 
 // teamUsage sums the declared resources of each team's placed jobs over all pools.
-func (r *round) teamUsage() map[string]place.TeamUsage {
-	out := map[string]place.TeamUsage{}
+func (r *round) teamUsage() map[string]placement.TeamUsage {
+	out := map[string]placement.TeamUsage{}
 	for _, t := range r.snap.State.Config.Value.Teams {
-		out[t.Name] = place.TeamUsage{Quota: t.Quota, HasQuota: true}
+		out[t.Name] = placement.TeamUsage{Quota: t.Quota, HasQuota: true}
 	}
 	for _, js := range r.snap.State.Jobs {
 		for _, j := range js.Value.Jobs {
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -31,7 +31,7 @@
 	"github.com/postmount/postmount/requests/idempotency"
 	"github.com/postmount/postmount/requests/member"
 	"github.com/postmount/postmount/requests/mirror"
-	"github.com/postmount/postmount/requests/place"
+	"github.com/postmount/postmount/requests/placement"
 	"github.com/postmount/postmount/requests/port"
 	"github.com/postmount/postmount/requests/record"
 	"github.com/postmount/postmount/requests/retry"
@@ -183,7 +183,7 @@
 	opts.TaskLease = s.Control.TaskLease.D()
 	opts.Wave.RebootTimeout = s.Control.RebootTimeout.D()
 	opts.Wave.MaxConcurrent = s.Control.WaveMaxConcurrent
-	opts.Place = place.Policy(s.Policies.Place)
+	opts.Place = placement.Policy(s.Policies.Place)
 	d.controller = control.New(opts, control.Deps{
 		Store: d.store, Mirror: d.mirror, List: d.platform, Actions: d.platform, Tasks: d.tasks, LiveMembers: d.node.LiveMembers,
 		StoreConnected: d.syncer.Connected.Load, OnEntriesEnded: d.node.MarkEnded, OnSnapshot: d.applySnapshot, Log: d.log,
--- a/requests/fleet/service.go
+++ b/requests/fleet/service.go
@@ -76,7 +76,7 @@
 }
 
 // Weights are the weights of three costs. Planning minimises their weighted sum; see
-// wave.ChooseConcurrency and place.Input.PreferTightFit.
+// wave.ChooseConcurrency and placement.Input.PreferTightFit.
 type Weights struct {
 	RollOut float64 // roll-out time relative to its ideal
 	Buffer  float64 // spare capacity relative to its ideal
--- a/requests/place/place.go
+++ b/requests/placement/placement.go
@@ -1,6 +1,6 @@
-// Package place assigns pending jobs to workers. It works on a snapshot and does
+// Package placement assigns pending jobs to workers. It works on a snapshot and does
 // no I/O.
-package place
+package placement
 
 import (
 	"cmp"
--- a/requests/place/place_test.go
+++ b/requests/placement/placement_test.go
@@ -1,4 +1,4 @@
-package place
+package placement
 
 import (
 	"fmt"
