--- a/internal/importrule/rule_test.go
+++ b/internal/importrule/rule_test.go
@@ -36,13 +36,13 @@
 	"requests/slots":       {"requests/fleet", "requests/rendezvous"},
 	"requests/directory":   {"requests/fleet", "requests/route"},
 
-	"jobs/apikey":    {},
-	"jobs/job":       {"jobs/apikey"},
-	"jobs/quota":     {"jobs/job"},
-	"jobs/calls":     {},
-	"jobs/placement": {"jobs/job"},
-	"jobs/capacity":  {},
-	"jobs/owner":     {"jobs/job", "jobs/quota", "jobs/calls", "jobs/placement", "jobs/capacity"},
+	"jobs/apikey":     {},
+	"jobs/job":        {"jobs/apikey"},
+	"jobs/quota":      {"jobs/job"},
+	"jobs/callpolicy": {},
+	"jobs/placement":  {"jobs/job"},
+	"jobs/capacity":   {},
+	"jobs/owner":      {"jobs/job", "jobs/quota", "jobs/callpolicy", "jobs/placement", "jobs/capacity"},
 }
 
 // sideEffectPackages are packages that the packages in pureImports must not import.
--- a/jobs/calls/calls.go
+++ b/jobs/callpolicy/callpolicy.go
@@ -1,10 +1,10 @@
-// Package calls adapts the timeouts and the number of attempts of calls to workers to the outcomes
-// of earlier calls. An unanswered call has one of two causes, which need opposite reactions. On a
-// congested link or CPU all answers are slow: longer timeouts help, and retries add load. If
-// single calls are lost, as with a switch that drops one in twenty, the others are answered
-// within milliseconds: a call that has not been answered by then never will be and should be
-// retried soon.
-package calls
+// Package callpolicy adapts the timeouts and the number of attempts of calls to workers to the
+// outcomes of earlier calls. An unanswered call has one of two causes, which need opposite
+// reactions. On a congested link or CPU all answers are slow: longer timeouts help, and retries
+// add load. If single calls are lost, as with a switch that drops one in twenty, the others are
+// answered within milliseconds: a call that has not been answered by then never will be and should
+// be retried soon.
+package callpolicy
 
 import "time"
 
--- a/jobs/calls/calls_test.go
+++ b/jobs/callpolicy/callpolicy_test.go
@@ -1,4 +1,4 @@
-package calls
+package callpolicy
 
 import (
 	"math/rand/v2"
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/postmount/postmount/jobs/calls"
+	"github.com/postmount/postmount/jobs/callpolicy"
 	"github.com/postmount/postmount/jobs/capacity"
 	"github.com/postmount/postmount/jobs/job"
 	"github.com/postmount/postmount/jobs/quota"
@@ -11,13 +11,13 @@
 
 // Options configures a Core.
 type Options struct {
-	Term           uint64        // term of this ownership; higher for each new owner
-	TaskLease      time.Duration // lease of a worker's tasks, renewed by each hold
-	MaxWorkerLease time.Duration // longest lease that a worker accepts, whatever the order says; 0: TaskLease
-	HoldWait       time.Duration // how long a worker with tasks may delay its answer to a hold (long polling)
-	IdleHoldWait   time.Duration // the same for a worker without tasks; 0: HoldWait
-	CallPolicy     calls.Policy  // policy for call timeouts; "": adaptive
-	MaxHoldsPerSec float64       // holds per second that this daemon's processor can handle; 0: no limit
+	Term           uint64            // term of this ownership; higher for each new owner
+	TaskLease      time.Duration     // lease of a worker's tasks, renewed by each hold
+	MaxWorkerLease time.Duration     // longest lease that a worker accepts, whatever the order says; 0: TaskLease
+	HoldWait       time.Duration     // how long a worker with tasks may delay its answer to a hold (long polling)
+	IdleHoldWait   time.Duration     // the same for a worker without tasks; 0: HoldWait
+	CallPolicy     callpolicy.Policy // policy for call timeouts; "": adaptive
+	MaxHoldsPerSec float64           // holds per second that this daemon's processor can handle; 0: no limit
 	// DutyHandover is the minimum time between orders for one instance by different duty holders.
 	DutyHandover time.Duration
 	// PriorOrders are the recent orders of other duty holders. Their ages are lower bounds as of
@@ -337,7 +337,7 @@
 
 	staleIndexWorkers []*worker // workers with indexStale set
 
-	callLossDetector  calls.LossDetector
+	callLossDetector  callpolicy.LossDetector
 	starvedSince      time.Time     // start of the current or last period in which the owner is starved
 	starvedUntil      time.Time     // end of that period
 	meanAnswerLatency time.Duration // moving average
--- a/jobs/policy/policy.go
+++ b/jobs/policy/policy.go
@@ -4,7 +4,7 @@
 
 import (
 	"github.com/postmount/postmount/internal/strictoml"
-	"github.com/postmount/postmount/jobs/calls"
+	"github.com/postmount/postmount/jobs/callpolicy"
 	"github.com/postmount/postmount/jobs/capacity"
 	"github.com/postmount/postmount/jobs/owner"
 )
@@ -18,7 +18,7 @@
 
 // Workers are the settings for calls to workers.
 type Workers struct {
-	Calls calls.Policy `toml:"calls" validate:"oneof=adaptive patient short"`
+	Calls callpolicy.Policy `toml:"calls" validate:"oneof=adaptive patient short"`
 }
 
 // Jobs are the settings for the order in which jobs are placed.
@@ -40,7 +40,7 @@
 func Default() Settings {
 	return Settings{
 		Jobs:    Jobs{Order: owner.SchedulePriority},
-		Workers: Workers{Calls: calls.Adaptive},
+		Workers: Workers{Calls: callpolicy.Adaptive},
 		Pools: Pools{
 			Size:           capacity.Demand,
 			InstanceSecond: capacity.DefaultWeights.InstanceSecond,
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/postmount/postmount/jobs/calls"
+	"github.com/postmount/postmount/jobs/callpolicy"
 	"github.com/postmount/postmount/jobs/capacity"
 	"github.com/postmount/postmount/jobs/job"
 	"github.com/postmount/postmount/jobs/owner"
@@ -22,7 +22,7 @@
 
 	PoolPolicy       capacity.Policy
 	SchedulingPolicy owner.SchedulingPolicy
-	CallPolicy       calls.Policy
+	CallPolicy       callpolicy.Policy
 
 	// OnDecision is called with each decision of an owner; it may be nil.
 	OnDecision func(at time.Time, d owner.Decision)
