--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -68,7 +68,7 @@
 type Report struct {
 	Accepted     int
 	Jobs         []Job // those that were late, failed or never accepted, sorted by At
-	DroppedLines int   // dropped lines according to the logs
+	DroppedLines int   `json:"LeftOut"` // dropped lines according to the logs
 }
 
 // jobTrace is the state of a job according to its lines.
--- a/jobs/late/late_test.go
+++ b/jobs/late/late_test.go
@@ -103,3 +103,11 @@
 	assert.Equal(t, Failed, jobs[0].Outcome)
 	assert.Equal(t, CrashesWorkers, jobs[0].MainCause())
 }
+
+// TestReportKeepsItsJSONKeys guards against a renamed field that changes the output of
+// `postmount report late --output json`.
+func TestReportKeepsItsJSONKeys(t *testing.T) {
+	raw, err := json.Marshal(Report{Jobs: []Job{{}}})
+	require.NoError(t, err)
+	assert.Equal(t, `{"Accepted":0,"Jobs":[{"ID":"","Queue":"","At":0,"Outcome":"","Total":0,"Allowed":0,"Spent":null}],"LeftOut":0}`, string(raw))
+}
