--- a/internal/requestfaults/mutations.sh
+++ b/internal/requestfaults/mutations.sh
@@ -38,11 +38,11 @@
 
 M=./internal/requestfaults
 mutate "nothing (a comment is changed)" requests/idempotency/idempotency.go 's/Package idempotency makes/Package idempotency lets/' "$M ./requests/idempotency"
-mutate "a lost owner's keys are granted" requests/idempotency/idempotency.go 's/case made\.Before\(p\.completeSince\):/case false:/' "$M ./requests/idempotency"
+mutate "a lost owner's keys are granted" requests/idempotency/idempotency.go 's/case keyTime\.Before\(p\.completeSince\):/case false:/' "$M ./requests/idempotency"
 mutate "a new owner does not wait for the old table" requests/idempotency/idempotency.go 's/if t\.servingSince\.IsZero\(\) \|\| now\.Sub\(t\.viewSetAt\) < t\.opts\.HandoverWait/if false/' "$M ./requests/idempotency"
 mutate "a grant is not recorded" requests/idempotency/idempotency.go 's/\tt\.insert\(p, &Claim\{Key: r\.Key[^\n]*\n//' "$M ./requests/idempotency"
 mutate "an abandoned attempt allows others" requests/idempotency/idempotency.go 's/if refusal, ok := t\.refuseUnknown\(now, p, r\.Key\); ok \{/if refusal, ok := t.refuseUnknown(now, p, r.Key); ok && !found {/' "$M ./requests/idempotency"
-mutate "a transferred claim does not replace an abandoned one" requests/idempotency/idempotency.go 's/case c\.Status == Abandoned && n\.Status != Abandoned:/case false:/' "$M ./requests/idempotency"
+mutate "a transferred claim does not replace an abandoned one" requests/idempotency/idempotency.go 's/case c\.Status == Abandoned && incoming\.Status != Abandoned:/case false:/' "$M ./requests/idempotency"
 mutate "missed views are not noticed" requests/idempotency/handover.go 's/if missed == 0 \{/if true {/' "$M ./requests/idempotency"
 mutate "a view serves before the earlier one stopped" requests/member/member.go 's/return \w+\.allStopped\n/return true\n/' "$M ./requests/member"
 mutate "a minority serves" requests/member/member.go 's/return 2\*n > total[^\n]*/return true/' "$M ./requests/member"
@@ -50,7 +50,7 @@
 mutate "a request that may have run is recorded as not run" requests/entry/keyed.go 's/case verdict\.Of\(err\) == verdict\.NotRun:\n\t\th\.Claims/case true:\n\t\th.Claims/' "$M"
 mutate "the request is sent without a claim" requests/entry/handler.go 's/if c\.key == "" \{\n\t\treturn h\.send/if true {\n\t\treturn h.send/' "$M"
 mutate "a cut-off daemon goes on sending" requests/entry/handler.go 's/if !h\.ServingStatus\(\)\.MayUseSlots\(time\.Now\(\)\) \{/if false {/g' "$M ./requests/entry"
-mutate "a keyed request that may have run is retried" requests/retry/retry.go 's/repeatable := a\.Verdict == verdict\.NotRun \|\| a\.Idempotent/repeatable := true/' "$M ./requests/retry"
+mutate "a keyed request that may have run is retried" requests/retry/retry.go 's/safeToRetry := a\.Verdict == verdict\.NotRun \|\| a\.Idempotent/safeToRetry := true/' "$M ./requests/retry"
 mutate "net/http may replay" adapter/backendhttp/client.go 's/req\.Body = opaqueBody\{bytes\.NewReader\(r\.Body\)\}/req.Body = io.NopCloser(bytes.NewReader(r.Body))\n\treq.GetBody = func() (io.ReadCloser, error) { return io.NopCloser(bytes.NewReader(r.Body)), nil }/' "./adapter/backendhttp"
 mutate "a write after the connection was sealed is allowed" adapter/backendhttp/client.go 's/\tc\.sealed = true\n//' "./adapter/backendhttp"
 mutate "slot shares are used before requests of lost members have ended" requests/slots/slots.go 's/\tif !a\.memberLost \{\n\t\treturn true/\tif true {\n\t\treturn true/' "./requests/slots"
@@ -62,4 +62,4 @@
 mutate "a claim is dropped before the instance is back" requests/wave/advance.go 's/done = inst\.State == fleet\.InstanceReady/done = true/' "$M ./requests/wave"
 mutate "an outdated command counts as carried out" requests/wave/advance.go 's/inst\.Generation == d\.Command\.Generation\+1:/inst.Generation > d.Command.Generation:/' "$M ./requests/wave"
 mutate "a move removes the claim before the instance is back in service" requests/wave/advance.go 's/p\.enterPhase\(d, fleet\.PhaseReturn, inst\)\n\t\treturn\n\t\}\n\tp\.plan\.MembershipChanges/p.complete(d)\n\t\treturn\n\t}\n\tp.plan.MembershipChanges/' "$M ./requests/wave"
-mutate "a request refused by an overloaded worker is retried" requests/retry/retry.go 's/!repeatable \|\| a\.Overloaded/!repeatable/' "./requests/retry"
+mutate "a request refused by an overloaded worker is retried" requests/retry/retry.go 's/!safeToRetry \|\| a\.Overloaded/!safeToRetry/' "./requests/retry"
