--- a/internal/cpuprobe/cpuprobe.go
+++ b/internal/cpuprobe/cpuprobe.go
@@ -1,4 +1,4 @@
-// Package cpuprobe measures the current speed of the processor by timing a fixed computation.
+// Package cpuprobe measures the current speed of the CPU by timing a fixed computation.
 package cpuprobe
 
 import (
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -21,7 +21,7 @@
 const (
 	// atStartTime is how long after a run was confirmed a crash still counts as a crash at its
 	// start. Such a crash happens within milliseconds, but the confirming answer may be read
-	// late by an owner that is short of processor time.
+	// late by an owner that is short of CPU.
 	atStartTime = 150 * time.Millisecond
 	// attributionDelay is the time from the end of a worker's incarnation until its crash is
 	// attributed to a task or not: if its rack failed, the other losses are known by then.
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -3,8 +3,8 @@
 import "time"
 
 // maxRunListAge is how old a worker's run list may be when the owner decides to end tasks: it was
-// requested at most two holds ago. Otherwise an owner that was suspended or is short of
-// processor time would act on outdated state.
+// requested at most two holds ago. Otherwise an owner that was suspended or is short of CPU would
+// act on outdated state.
 const maxRunListAge = 2500 * time.Millisecond
 
 // hasFreshRunList reports whether the worker answers and its run list is recent.
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// Parameters for detecting that the owner is starved: short of processor time or of bandwidth to
-// the workers.
+// Parameters for detecting that the owner is starved: short of CPU or of bandwidth to the workers.
 const (
 	// starvedTimerDelay is the delay of the owner's own timer from which its timeouts say nothing
 	// about the workers: a third of the time that it waits for the answer to a hold.
@@ -119,8 +118,8 @@
 	c.starvedUntil = now.Add(starvedPeriod)
 }
 
-// isStarved reports whether the owner is short of processor time or bandwidth, so that missing
-// answers say nothing about the workers.
+// isStarved reports whether the owner is short of CPU or bandwidth, so that missing answers say
+// nothing about the workers.
 func (c *Core) isStarved(now time.Time) bool { return now.Before(c.starvedUntil) }
 
 // StarvedFor returns how long the owner has been starved without interruption.
--- a/jobs/owner/schedule.go
+++ b/jobs/owner/schedule.go
@@ -83,7 +83,7 @@
 	// minScheduleInterval is the base interval: a hundredth of a small task's duration.
 	minScheduleInterval = 5 * time.Millisecond
 	// scheduleIntervalPerJob is added for each waiting job: thirty times the cost of examining
-	// one, so that a long queue takes only a small part of the processor's time.
+	// one, so that a long queue takes only a small part of the CPU time.
 	scheduleIntervalPerJob = 60 * time.Microsecond
 )
 
@@ -142,7 +142,7 @@
 // queueEntries returns the service's jobs with tasks to place, and removes jobs without any from
 // the placement queue. Inherited jobs are skipped until it is known which runs an earlier owner
 // started. They are skipped before any other check: examining many inherited jobs again for
-// each worker that answers would keep a new owner's processor busy for longer than leases last.
+// each worker that answers would keep a new owner's CPU busy for longer than leases last.
 func (c *Core) queueEntries(service string, pool *poolState, now time.Time) []queueEntry {
 	takenOver := c.earlierRunsKnown(service, now)
 	leasesExpired := takenOver || now.Sub(c.startedAt) > c.maxLeaseDuration()
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -46,8 +46,7 @@
 )
 
 // Parameters of the limit. It is adapted by additive increase and multiplicative decrease, as in
-// TCP, since the number of orders that a daemon's processor and link can handle is not known in
-// advance.
+// TCP, since the number of orders that a daemon's CPU and link can handle is not known in advance.
 const (
 	// congestedLatency is the mean answer latency above which orders or answers queue up
 	// between the owner and the workers: thirty times the normal latency, and a third of
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -17,7 +17,7 @@
 	HoldWait       time.Duration     // how long a worker with tasks may delay its answer to a hold (long polling)
 	IdleHoldWait   time.Duration     // the same for a worker without tasks; 0: HoldWait
 	CallPolicy     callpolicy.Policy // policy for call timeouts; "": adaptive
-	MaxHoldsPerSec float64           // holds per second that this daemon's processor can handle; 0: no limit
+	MaxHoldsPerSec float64           // holds per second that this daemon's CPU can handle; 0: no limit
 	// DutyHandover is the minimum time between orders for one instance by different duty holders.
 	DutyHandover time.Duration
 	// PriorOrders are the recent orders of other duty holders. Their ages are lower bounds as of
--- a/requests/fleet/instance.go
+++ b/requests/fleet/instance.go
@@ -13,7 +13,7 @@
 type Resources struct {
 	Slots        int // concurrent requests
 	Connections  int // TCP connections from all entry daemons together
-	CPUMilli     int // thousandths of a processor core
+	CPUMilli     int // millicores
 	MemoryMB     int
 	Accelerators int
 }
