--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// startsDeferred reports whether the service's starts wait for room in the start window.
+// startsDeferred reports whether the service's starts wait until the start window has headroom.
 func (p *schedulingPass) startsDeferred() bool { return p.core.startWindow.deferred[p.service] }
 
 // deferStarts reports whether the start window is full. If so, it defers the service's starts,
-// so that the service is scheduled again once the window has room.
+// so that the service is scheduled again once the window has headroom.
 func (p *schedulingPass) deferStarts() bool {
 	if !p.core.startWindow.isFull() {
 		return false
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -63,7 +63,7 @@
 	p.poolChanged = true
 }
 
-// budgetAllows reports whether the budget has room for a request. An instance that
+// budgetAllows reports whether the budget has headroom for a request. An instance that
 // is already out of service uses no more of the budget. A move shrinks the pool
 // permanently, so the budget of the smaller pool must hold too.
 func (p *planner) budgetAllows(r fleet.Request, inst fleet.Instance) bool {
