--- a/jobs/capacity/capacity.go
+++ b/jobs/capacity/capacity.go
@@ -36,8 +36,8 @@
 	// more instance: they may need workers that don't run tasks of their step yet.
 	stuckWaitTime = 500 * time.Millisecond
 	// lateWorkWeight is the weight of work that is already late, as long as another pool lacks
-	// capacity for work that can still be in time. The users' specification sheets value a
-	// late job at 1/14 of one in time; the weight is higher so that late jobs are not starved.
+	// capacity for work that can still be on time. The users' specification sheets value a late job
+	// at 1/14 of one on time; the weight is higher so that late jobs are not starved.
 	lateWorkWeight = 0.25
 	// A plan returns at most the share returnSharePerPlan of a pool's instances to the spare pool,
 	// or minReturnsPerPlan instances if that is more. At ten plans per second a large pool of any
@@ -151,8 +151,8 @@
 
 // Plan returns the moves to make now. Instances of the spare pool cost nothing, those of the
 // other pools w.InstanceSecond. At most maxReturns instances are returned to the spare pool.
-// Late work first counts with a reduced weight, so that pools with work that can still be in
-// time get instances first, and then in full.
+// Late work first counts with a reduced weight, so that pools with work that can still be on time
+// get instances first, and then in full.
 func Plan(policy Policy, w Weights, pools []Pool, spare Pool, maxReturns int) []Move {
 	if policy == Fixed {
 		return nil
--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -95,7 +95,7 @@
 }
 
 // OverloadedError means that a job was refused because it would be late by RetryAfter. If it is
-// submitted again after that time, it could be in time.
+// submitted again after that time, it could be on time.
 type OverloadedError struct{ RetryAfter time.Duration }
 
 // Error implements error.
--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -48,7 +48,7 @@
 	At      time.Duration // first attempt, since the first line of all logs
 	Outcome Outcome
 	Total   time.Duration            // from the first attempt until the owner learned of the end
-	Allowed time.Duration            // duration up to which the job is in time
+	Allowed time.Duration            // duration up to which the job is on time
 	Spent   map[string]time.Duration // by cause
 }
 
@@ -162,7 +162,7 @@
 }
 
 // job returns the job's entry in the report. reported is false if, according to the logs, the
-// job was completed in time or its outcome is not known.
+// job was completed on time or its outcome is not known.
 func (t *jobTrace) job(begin time.Time) (j Job, reported bool) {
 	j = Job{ID: t.id, Queue: t.queue, Spent: map[string]time.Duration{}}
 	if !t.firstAttempt.IsZero() {
--- a/jobs/node/admission.go
+++ b/jobs/node/admission.go
@@ -16,7 +16,7 @@
 const codeOverloaded verdict.Code = "scheduler-overloaded"
 
 // checkAdmission returns an error if the owner expects the job to be late: its caller can retry
-// later, and the owner works on jobs that can be in time. The owner is asked only while it is
+// later, and the owner works on jobs that can be on time. The owner is asked only while it is
 // backlogged. A job that is already in the store is not refused, as callers repeat requests that
 // got no answer.
 func (n *Node) checkAdmission(ctx context.Context, j *job.Job) error {
@@ -35,7 +35,7 @@
 }
 
 // estimateLateness asks the owner by how much the job would be late. It returns 0 if the job
-// would be in time or the owner does not answer.
+// would be on time or the owner does not answer.
 func (n *Node) estimateLateness(ctx context.Context, j *job.Job) time.Duration {
 	if t := n.term.Load(); t != nil {
 		return t.admit(j).LateBy
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -18,7 +18,7 @@
 }
 
 // chargeShare charges the job to its tenant's share and records whether it exceeds the share.
-// Jobs over their share get no capacity that jobs within theirs could use in time.
+// Jobs over their share get no capacity that jobs within theirs need to be on time.
 func (c *Core) chargeShare(j *jobState) {
 	if !j.isLongRunning() {
 		j.overShare = !c.shares.Take(j.spec.Tenant, j.spec.AcceptedAt)
--- a/jobs/peer/peer.go
+++ b/jobs/peer/peer.go
@@ -57,11 +57,11 @@
 // the next job is accepted.
 type SubmitReply struct{ Behind bool }
 
-// AdmitRequest asks whether a job that is not accepted yet would be completed in time.
+// AdmitRequest asks whether a job that is not accepted yet would be completed on time.
 type AdmitRequest struct{ Job job.Job }
 
-// AdmitReply is the owner's reply. LateBy is by how much the job would be late, 0 if it would be
-// in time.
+// AdmitReply is the owner's reply. LateBy is by how much the job would be late, 0 if it would be on
+// time.
 type AdmitReply struct {
 	Owner  bool
 	LateBy time.Duration
@@ -237,8 +237,8 @@
 	return out, err
 }
 
-// Admit asks the peer at addr whether a job would be completed in time. It is not repeated, as
-// the owner is asked only while it is backlogged.
+// Admit asks the peer at addr whether a job would be completed on time. It is not repeated, as the
+// owner is asked only while it is backlogged.
 func (c *Client) Admit(ctx context.Context, addr string, j *job.Job) (AdmitReply, error) {
 	var out AdmitReply
 	err := c.call(ctx, addr, "Admit", AdmitRequest{*j}, &out)
