--- a/jobs/callpolicy/callpolicy.go
+++ b/jobs/callpolicy/callpolicy.go
@@ -27,8 +27,8 @@
 
 // Parameters of calls on a lossy link.
 const (
-	// LossyTimeout is the timeout of a call: thirty times the usual response time, and more
-	// than the 100 ms for which a throttled CPU may stall.
+	// LossyTimeout is the timeout of a call: thirty times the usual answer latency, and more than
+	// the 100 ms for which a throttled CPU may stall.
 	LossyTimeout = 120 * time.Millisecond
 	// LossyAttempts is how many times a call is sent. If one in five calls is lost, one in
 	// 15,000 loses all attempts. Together they take no longer than two usual timeouts.
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -15,8 +15,9 @@
 
 // Intervals of the watch of the workers' registrations.
 const (
-	// registrationsWait is how long a watch waits for changes. Its reply confirms that the owner's
-	// registrations are current, so an outage of the store is noticed within half a second more.
+	// registrationsWait is how long a watch waits for changes. The store's answer confirms that the
+	// owner's registrations are current, so an outage of the store is noticed within half a second
+	// more.
 	registrationsWait = time.Second
 	// registrationsInterval is the minimum time between two watch calls that return all changes:
 	// a fifth of the time in which starts to a draining worker must stop. Each worker's heartbeat
@@ -75,15 +76,15 @@
 	}
 }
 
-// truncationDetector guesses from the number of changes in a watch reply whether the store has
-// truncated it. A store may do so without saying it.
+// truncationDetector guesses from the number of changes in the answer to a watch whether the store
+// has truncated it. A store may do so without reporting it.
 type truncationDetector struct{ maxChanges int }
 
-// minTruncatedChanges is the smallest size to which a store may truncate a reply.
+// minTruncatedChanges is the smallest size to which a store may truncate an answer.
 const minTruncatedChanges = 64
 
-// mayBeTruncated reports whether a reply with so many changes may be truncated: it has at least
-// minTruncatedChanges, and three quarters of the largest reply so far.
+// mayBeTruncated reports whether an answer with this number of changes may be truncated: it has at
+// least minTruncatedChanges, and at least three quarters as many as the largest answer so far.
 func (r *truncationDetector) mayBeTruncated(changes int) bool {
 	r.maxChanges = max(r.maxChanges, changes)
 	return changes >= minTruncatedChanges && 4*changes >= 3*r.maxChanges
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -94,7 +94,7 @@
 	// partition must receive a new configuration within 3 s, which exceeds the sum of watchWait,
 	// watchTimeoutMargin and retryPause.
 	watchWait = 2 * time.Second
-	// watchTimeoutMargin is added to the wait of a watch for its reply.
+	// watchTimeoutMargin is added to the wait of a watch for its answer.
 	watchTimeoutMargin = 700 * time.Millisecond
 	// retryPause follows a failed call.
 	retryPause = 100 * time.Millisecond
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -11,7 +11,7 @@
 )
 
 // HandOver prepares a planned stop: the daemon no longer takes part in elections, closes callers'
-// connections after the next reply, and releases the owner's lock so that another one can be
+// connections after the next response, and releases the owner's lock so that another one can be
 // elected at once.
 func (n *Node) HandOver() {
 	n.stopping.Store(true)
@@ -22,7 +22,7 @@
 }
 
 // stop hands over, waits until the load balancer has removed this daemon, and finishes the
-// requests in flight. Requests that take too long are cancelled early enough to send a reply.
+// requests in flight. Requests that take too long are cancelled early enough to send a response.
 func (n *Node) stop(callers *http.Server, cancelRequests func()) {
 	n.log.Info("stopping")
 	end := n.clock.Now().Add(n.settings.StopGrace - exitReserve)
@@ -66,7 +66,7 @@
 const (
 	// exitReserve is the part of StopGrace that is reserved for revoking the lease and exiting.
 	exitReserve = 800 * time.Millisecond
-	// answerReserve is reserved for the replies to requests that are cancelled.
+	// answerReserve is reserved for the responses to requests that are cancelled.
 	answerReserve = 200 * time.Millisecond
 	// revokeLeaseTimeout bounds revoking the lease, which otherwise expires after two seconds.
 	revokeLeaseTimeout = 300 * time.Millisecond
--- a/jobs/node/watch.go
+++ b/jobs/node/watch.go
@@ -17,7 +17,7 @@
 	minInterval time.Duration      // minimum time between two watch calls that return all changes
 	reset       func()             // if set, called before all keys are applied
 	apply       func(ledger.Event) // called for each key, then for each change
-	synced      func()             // if set, called when all keys or changes of a reply are applied
+	synced      func()             // if set, called when all keys or changes of an answer are applied
 }
 
 // watchPrefix reads all keys with a prefix, then every change. It starts over if the store has
@@ -72,7 +72,7 @@
 		}
 		callIfSet(w.synced)
 		revision = max(revision, ch.Revision)
-		current := ch.Revision >= known // otherwise the reply was truncated, and more changes are available
+		current := ch.Revision >= known // otherwise the answer was truncated, and more changes are available
 		if current && len(ch.Events) > 0 && w.minInterval > 0 {
 			sleep.For(ctx, w.minInterval)
 		}
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -122,7 +122,7 @@
 	Timeout      time.Duration // for the answer, beyond Wait
 }
 
-// Outcome is a worker's response to an order.
+// Outcome is how an order to a worker ended.
 type Outcome int
 
 // The outcomes of an order. Only Unanswered leaves open whether the order was carried out or
@@ -217,7 +217,7 @@
 	Token  uint64 // fencing token
 }
 
-// DutyOutcome is the platform's response to an order for an instance.
+// DutyOutcome is the platform's answer to an order for an instance.
 type DutyOutcome int
 
 // The outcomes of an order for an instance.
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -277,8 +277,8 @@
 	}
 }
 
-// abandon gives up an attempt that was not granted. If the owner may have granted
-// it in an answer that was lost, it is told that the attempt never ran.
+// abandon gives up an attempt that was not granted. If the owner may have granted it in
+// a reply that was lost, it is told that the attempt never ran.
 func (c *Claims) abandon(attempt idempotency.AttemptID, uncertain bool) {
 	if uncertain {
 		c.EndAttempt(attempt, idempotency.Abandoned, nil)
@@ -290,7 +290,7 @@
 }
 
 // requestClaimOnce sends one request to the owner under view v. mayBeGranted is true if the
-// owner may have granted the claim although its answer did not arrive.
+// owner may have granted the claim although its reply did not arrive.
 func (c *Claims) requestClaimOnce(ctx context.Context, v *fleet.View, cl idempotency.Claim) (reply idempotency.Reply, mayBeGranted bool) {
 	r := idempotency.Request{Epoch: v.Epoch, Key: cl.Key, Fingerprint: cl.Fingerprint, Attempt: cl.Attempt, Claimer: cl.Claimer}
 	owner := v.Member(idempotency.Owner(v, cl.Key.Partition()))
--- a/requests/port/peers.go
+++ b/requests/port/peers.go
@@ -47,7 +47,7 @@
 	Workers  []fleet.InstanceID
 }
 
-// BorrowReply is a peer's answer to a BorrowRequest.
+// BorrowReply is a peer's reply to a BorrowRequest.
 type BorrowReply struct {
 	Granted bool
 	Loan    slots.Loan
