--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// For sleeps for d and returns true. If ctx is done before that, it returns false at once.
+// For sleeps for d and returns true. If ctx is done before that, it returns false immediately.
 func For(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/internal/strictoml/strictoml.go
+++ b/internal/strictoml/strictoml.go
@@ -1,6 +1,6 @@
 // Package strictoml reads settings from TOML and rejects unknown keys, wrong types and values
-// out of range, which are defined by validate tags. All problems are reported at once, each
-// with its line or key and what is allowed.
+// out of range, which are defined by validate tags. All problems are reported together, each with
+// its line or key and what is allowed.
 package strictoml
 
 import (
--- a/jobs/job/job.go
+++ b/jobs/job/job.go
@@ -88,7 +88,7 @@
 	Image         string        `json:",omitempty"` // tasks with the same image behave alike
 	LatencyTarget time.Duration `json:",omitempty"` // upper bound of a serving task's tail latency; 0: none
 	Filler        bool          `json:",omitempty"` // uses only CPU time that other tasks leave idle
-	MayMiss       int           `json:",omitempty"` // how many of its tasks maintenance may take down at once
+	MayMiss       int           `json:",omitempty"` // how many of its tasks maintenance may take down at the same time
 }
 
 // ReservedResources returns the part of a worker's capacity that a task of the step reserves.
--- a/jobs/ledger/accept.go
+++ b/jobs/ledger/accept.go
@@ -70,7 +70,7 @@
 // Accept stores a job. A nil error means that the job is in the store, by this call or an
 // earlier one; otherwise the error's verdict says whether it may be. While the store is
 // unavailable nothing is sent and the verdict is NotRun, so that callers retry after a delay
-// instead of spending their attempts at once.
+// instead of using up their attempts immediately.
 func (a *Acceptor) Accept(ctx context.Context, j *job.Job) error {
 	if a.store.Unavailable() {
 		return errStoreUnavailable()
--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -106,7 +106,7 @@
 }
 
 // pathFailed records a failed call on a path. If the relay fails too, the direct path is tried
-// again at once, unless no direct connection could be opened: a failure on an open connection
+// again immediately, unless no direct connection could be opened: a failure on an open connection
 // may mean that just this connection was broken.
 func (f *Failover) pathFailed(s Store, began time.Time, err error) {
 	if s != f.direct {
--- a/jobs/ledger/partition.go
+++ b/jobs/ledger/partition.go
@@ -5,7 +5,7 @@
 // Parameters of detecting a partition between this daemon and the store.
 const (
 	// minUnansweredTime is the minimum duration of a failed call that counts as unanswered. A
-	// store that refuses a daemon's calls answers at once.
+	// store that refuses a daemon's calls answers immediately.
 	minUnansweredTime = 100 * time.Millisecond
 	// minUnansweredCalls is how many consecutive unanswered calls indicate a partition. After a
 	// single one, just its answer may have been lost.
--- a/jobs/ledger/term.go
+++ b/jobs/ledger/term.go
@@ -259,7 +259,7 @@
 	return []string{prefixSubmitted + string(id), prefixCancelled + string(id), prefixProgress + string(id)}
 }
 
-// Release ends the term by deleting the lock, so that another daemon can take over at once. It
+// Release ends the term by deleting the lock, so that another daemon can take over immediately. It
 // also applies puts and deletes and records orders, as Write does. It need not wait for an earlier
 // write whose answer was lost: that write fails once the lock is deleted.
 func (t *Term) Release(ctx context.Context, puts []Put, deletes []string, orders []owner.RecentOrder) error {
--- a/jobs/node/calllimiter.go
+++ b/jobs/node/calllimiter.go
@@ -35,8 +35,8 @@
 )
 
 // callLimiter limits concurrent calls, so that waiting for this daemon's CPU does not use up a
-// call's timeout. Without it, thousands of starts that become possible at the same moment would
-// be sent at once, and over half of them would time out before their answers are read and be
+// call's timeout. Without it, thousands of starts that become possible at the same moment would be
+// sent together, and over half of them would time out before their answers are read and be
 // repeated. Answers to holds would be read too late as well, so that task leases expire.
 type callLimiter struct {
 	slots       chan struct{}
--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -15,7 +15,7 @@
 
 // instanceOrders holds orders for instances until a transaction has recorded that they are
 // about to be sent, and tracks which instances had recent orders. The next owner reads the recent
-// orders from the store, and may send orders for all other instances at once.
+// orders from the store, and may send orders for all other instances immediately.
 type instanceOrders struct {
 	self      string // name of this daemon
 	pending   []owner.InstanceOrder
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// RunBackground runs everything but the listeners until ctx ends. It then stops at once, as
-// a killed process does; a planned stop calls HandOver first.
+// RunBackground runs everything but the listeners until ctx ends. It then stops immediately, as a
+// killed process does; a planned stop calls HandOver first.
 func (n *Node) RunBackground(ctx context.Context) {
 	n.acceptor.Run(ctx)
 	var wg sync.WaitGroup
--- a/jobs/node/ownerwatch.go
+++ b/jobs/node/ownerwatch.go
@@ -105,8 +105,9 @@
 }
 
 // mayReplace reports whether this daemon has about as much CPU as the named one, or more. If many
-// processes are killed at once, those with much CPU are back within a second, before the lease
-// expires; a daemon with little CPU that took over at once could not keep up with the owner's work.
+// processes are killed at the same time, those with much CPU have restarted within a second, before
+// the lease expires; a daemon with little CPU that took over immediately could not keep up with the
+// owner's work.
 func (n *Node) mayReplace(node string) bool {
 	list := n.members.Load()
 	if list == nil {
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -104,8 +104,8 @@
 	electionCPUFactor   = 1.25
 	lowCPUElectionDelay = 250 * time.Millisecond
 	// yieldCPUFactor is how many times more CPU another daemon must have for an owner with open
-	// jobs to yield to it at once: such an owner falls behind for as long as a queue lasts, while
-	// a change of owner takes 0.3 s.
+	// jobs to yield to it immediately: such an owner falls behind for as long as a queue lasts,
+	// while a change of owner takes 0.3 s.
 	yieldCPUFactor = 3
 	// cpuStarvedAfter is how long an owner must be short of CPU before it yields to a daemon with
 	// more. It is longer than the load of a takeover, which a change of owner would repeat.
--- a/jobs/node/stop.go
+++ b/jobs/node/stop.go
@@ -12,7 +12,7 @@
 
 // HandOver prepares a planned stop: the daemon no longer takes part in elections, closes callers'
 // connections after the next response, and releases the owner's lock so that another one can be
-// elected at once.
+// elected immediately.
 func (n *Node) HandOver() {
 	n.stopping.Store(true)
 	n.gateway.DisableKeepAlives()
@@ -46,8 +46,8 @@
 	return s.Shutdown(ctx)
 }
 
-// revokeLease revokes this daemon's lease, so that its keys are removed at once instead of at the
-// lease's expiry.
+// revokeLease revokes this daemon's lease, so that its keys are removed immediately instead of at
+// the lease's expiry.
 func (n *Node) revokeLease() {
 	id := ledger.LeaseID(n.lease.Load())
 	if id == 0 {
--- a/jobs/owner/advice.go
+++ b/jobs/owner/advice.go
@@ -145,7 +145,7 @@
 	p := s.permits
 	p.queryOpen = false
 	c.changedServices[j.service] = true
-	c.pool(j.service).lastPassAt = time.Time{} // place at once, as tickets expire soon
+	c.pool(j.service).lastPassAt = time.Time{} // place immediately, as tickets expire soon
 	if a.Err != nil {
 		p.retryAt = now.Add(adviceRetryDelay)
 		c.logDecision(Decision{Event: "advice-failed", Job: j.spec.ID, Reason: a.Err.Error()})
--- a/jobs/owner/crash.go
+++ b/jobs/owner/crash.go
@@ -48,8 +48,8 @@
 }
 
 // onContactLost handles an unanswered call to the worker. Runs that have just started there
-// may have crashed it. An unconfirmed crash is recorded at once, before it is known whether
-// the worker has crashed, so that the next owner knows of it if this one fails.
+// may have crashed it. An unconfirmed crash is recorded immediately, before it is known whether the
+// worker has crashed, so that the next owner knows of it if this one fails.
 func (c *Core) onContactLost(w *worker, a Answer, now time.Time) {
 	if !w.markContactLost(a, now) || c.isStarved(now) {
 		return
--- a/jobs/owner/disruptionbudget.go
+++ b/jobs/owner/disruptionbudget.go
@@ -48,8 +48,8 @@
 
 // canDrainOneByOne reports whether a worker that cannot be taken down may have its long-running
 // tasks moved away one at a time. Each step with such tasks there must allow a task to be
-// unavailable, and must either have more tasks there than may be unavailable at once, or stay
-// within its budget if the worker is taken down now.
+// unavailable, and must either have more tasks there than may be unavailable at the same time, or
+// stay within its budget if the worker is taken down now.
 func canDrainOneByOne(w *worker, now time.Time) bool {
 	for s, n := range longRunningOn(w) {
 		if s.spec.MayMiss == 0 || n <= s.spec.MayMiss && unavailableElsewhere(s, w, now)+n > s.spec.MayMiss {
@@ -59,8 +59,8 @@
 	return true
 }
 
-// drainOneByOne stops one task of each step that has more tasks on the reserved worker than may
-// be unavailable at once, so that the task is started again on another worker.
+// drainOneByOne stops one task of each step that has more tasks on the reserved worker than may be
+// unavailable at the same time, so that the task is started again on another worker.
 func (c *Core) drainOneByOne(w *worker, now time.Time) {
 	for s, n := range longRunningOn(w) {
 		if n <= s.spec.MayMiss || unavailableElsewhere(s, w, now) > 0 || hasRunNotServing(s, w) {
--- a/jobs/owner/ends.go
+++ b/jobs/owner/ends.go
@@ -121,8 +121,8 @@
 	c.finishIfDone(s.job, now)
 }
 
-// failureBackoff is the delay after a failure, so that a task does not use up its attempts at once
-// on one faulty worker.
+// failureBackoff is the delay after a failure, so that a task does not use up its attempts
+// immediately on one faulty worker.
 const failureBackoff = 20 * time.Millisecond
 
 // onTaskFailed counts a failed attempt and delays the next one. The job fails once a task has used
--- a/jobs/owner/losscorrelation.go
+++ b/jobs/owner/losscorrelation.go
@@ -53,7 +53,7 @@
 }
 
 // shareCrashSuspect reports whether one task may have crashed both workers. A task that is
-// started again at once can crash one worker of a rack after another, without a rack failure.
+// started again immediately can crash one worker of a rack after another, without a rack failure.
 func (c *Core) shareCrashSuspect(a, b *worker) bool {
 	suspects := c.crashSuspects(b)
 	return slices.ContainsFunc(c.crashSuspects(a), func(t *task) bool { return slices.Contains(suspects, t) })
--- a/jobs/owner/startwindow.go
+++ b/jobs/owner/startwindow.go
@@ -8,7 +8,7 @@
 
 // startWindow limits the outstanding starts, which are ordered but have no outcome yet, and
 // measures the rate of outcomes. An urgent order would queue behind all orders before it, so no
-// more starts are ordered than can be sent at once.
+// more starts are ordered than can be sent immediately.
 type startWindow struct {
 	maxOutstanding int             // upper bound of limit; 0: unlimited
 	limit          float64         // current limit, adapted to answer latency
--- a/jobs/quota/quota.go
+++ b/jobs/quota/quota.go
@@ -72,9 +72,9 @@
 	return tenant != "" && t.usageOf(tenant).limit != job.Resources{}
 }
 
-// Allows reports whether the tenant may start n tasks at once, each of which needs the given
-// resources. presumed are the resources of runs that may exist but are not known. A single task
-// larger than the limit may start if the tenant has no other run, since it could never start
+// Allows reports whether the tenant may start n tasks at the same time, each of which needs the
+// given resources. presumed are the resources of runs that may exist but are not known. A single
+// task larger than the limit may start if the tenant has no other run, since it could never start
 // otherwise; platforms allow one task beyond the limit.
 func (t *Tracker) Allows(tenant string, need job.Resources, n int, presumed job.Resources) bool {
 	if !t.HasLimit(tenant) {
--- a/jobs/quota/share.go
+++ b/jobs/quota/share.go
@@ -6,7 +6,7 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// shareBurst is the period whose share a tenant may use at once, since jobs don't arrive
+// shareBurst is the period whose share a tenant may use in one burst, since jobs don't arrive
 // evenly.
 const shareBurst = time.Second
 
@@ -57,5 +57,6 @@
 	return true
 }
 
-// burst returns the capacity of a bucket: how many jobs a tenant may submit at once, at least one.
+// burst returns the capacity of a bucket: how many jobs a tenant may submit in one burst, at least
+// one.
 func burst(weight float64) float64 { return max(1, weight*shareBurst.Seconds()) }
--- a/requests/daemon/daemon.go
+++ b/requests/daemon/daemon.go
@@ -310,7 +310,7 @@
 	d.log.Info("stopped")
 }
 
-// Kill ends the daemon at once, as if its process had been killed: no request is
+// Kill ends the daemon immediately, as if its process had been killed: no request is
 // finished and no claim transferred.
 func (d *Daemon) Kill() {
 	d.closeListeners()
--- a/requests/fleet/pool.go
+++ b/requests/fleet/pool.go
@@ -11,8 +11,8 @@
 // PoolName names a pool of instances.
 type PoolName string
 
-// AvailabilityBudget bounds how many instances of a pool may be out of service at
-// once.
+// AvailabilityBudget bounds how many instances of a pool may be out of service at the
+// same time.
 type AvailabilityBudget struct {
 	// MaxUnavailable is a number of instances, or a percentage of the pool if
 	// Percent is true. A percentage is rounded down, so that rounding never allows
@@ -27,8 +27,8 @@
 	SurviveZone bool
 }
 
-// Allowed returns how many instances of a pool of the given size may be out of
-// service at once.
+// Allowed returns how many instances of a pool of the given size may be out of service
+// at the same time.
 func (b AvailabilityBudget) Allowed(size int) int {
 	allowed := b.MaxUnavailable
 	if b.Percent {
--- a/requests/settings/settings.go
+++ b/requests/settings/settings.go
@@ -102,8 +102,8 @@
 	TaskLease Duration `toml:"task_lease" validate:"mindur=500ms,maxdur=10m"`
 	// RebootTimeout is how long a reboot may take before a wave skips the instance.
 	RebootTimeout Duration `toml:"reboot_timeout" validate:"mindur=1s,maxdur=2h"`
-	// WaveMaxConcurrent limits how many instances a wave takes out of one pool at
-	// once; 0 leaves it to the budget.
+	// WaveMaxConcurrent limits how many instances a wave takes out of one pool at the
+	// same time; 0 leaves it to the budget.
 	WaveMaxConcurrent int `toml:"wave_width" validate:"min=0,max=10000"`
 }
 
--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -30,8 +30,8 @@
 	// RebootTimeout is how long a reboot may take before the wave skips the
 	// instance.
 	RebootTimeout time.Duration
-	// MaxConcurrent bounds how many instances a wave takes out of one pool at
-	// once; 0 leaves it to the budget.
+	// MaxConcurrent bounds how many instances a wave takes out of one pool at the same
+	// time; 0 leaves it to the budget.
 	MaxConcurrent int
 }
 
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -121,9 +121,9 @@
 	return n
 }
 
-// concurrencyLimit returns how many instances wave w may have out at once: the
-// number that the weights prefer, or the whole budget if the wave would otherwise
-// miss its deadline, but never more than Options.MaxConcurrent.
+// concurrencyLimit returns how many instances wave w may have out at the same time: the
+// number that the weights prefer, or the whole budget if the wave would otherwise miss
+// its deadline, but never more than Options.MaxConcurrent.
 func (p *planner) concurrencyLimit(w *fleet.Wave, account budget.Status) int {
 	left := len(p.candidates(w)) + p.disruptedBy(w.Name)
 	n := ChooseConcurrency(left, account.Allowed, p.in.Weights)
@@ -136,11 +136,11 @@
 	return n
 }
 
-// ChooseConcurrency chooses how many of n instances to take out at once, at most
-// allowed. A higher concurrency ends the wave sooner but takes more capacity out
-// of service. The result minimises the weighted sum of roll-out time and instances
-// out, each relative to its value at the full budget. Without weights, the result
-// is allowed.
+// ChooseConcurrency chooses how many of n instances to take out at the same time, at
+// most allowed. A higher concurrency ends the wave sooner but takes more capacity out
+// of service. The result minimises the weighted sum of roll-out time and instances out,
+// each relative to its value at the full budget. Without weights, the result is
+// allowed.
 func ChooseConcurrency(n, allowed int, w fleet.Weights) int {
 	if allowed <= 1 || n <= 1 || (w.RollOut == 0 && w.Buffer == 0) {
 		return allowed
