--- a/jobs/late/late.go
+++ b/jobs/late/late.go
@@ -14,7 +14,7 @@
 	"github.com/postmount/postmount/jobs/owner"
 )
 
-// Causes besides those of the owner's time breakdowns.
+// Causes in addition to those of the owner's time breakdowns.
 const (
 	// NotAccepted is the time between a caller's first refused attempt and the attempt that was
 	// accepted.
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -52,7 +52,7 @@
 	startedAt           time.Time     // when the term began
 	leavingSince        time.Time     // when the hand-over began
 	releaseTriedAt      time.Time     // last attempt to release the lock
-	pendingPuts         []ledger.Put  // puts for the next transaction, besides the records
+	pendingPuts         []ledger.Put  // puts for the next transaction, in addition to the records
 	orders              instanceOrders
 	startCalls          callLimiter // start orders to workers
 	holdCalls           callLimiter // holds
--- a/jobs/node/termwatches.go
+++ b/jobs/node/termwatches.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// instanceListPause returns the minimum time until the next read of a list of so many
+// instanceListPause returns the minimum time until the next read of a list of this number of
 // instances, so that reads use at most instancesLinkShare of this daemon's link.
 func (t *termRun) instanceListPause(instances int) time.Duration {
 	if t.n.settings.LinkMbps <= 0 {
--- a/jobs/owner/evacuation.go
+++ b/jobs/owner/evacuation.go
@@ -7,10 +7,10 @@
 )
 
 // SetEvacuatedZones sets the availability zones that get no new tasks; zones set by an earlier
-// call and missing from this one get them again. Running tasks continue: a task that ends by
-// itself completes sooner than after a restart elsewhere, and moving a long-running task costs
-// its startup time even if the evacuation is cancelled soon. Tasks that end in an evacuated
-// zone before they are done are restarted in other zones.
+// call and missing from this one get them again. Running tasks continue: a task that ends on its
+// own completes sooner than after a restart elsewhere, and moving a long-running task costs its
+// startup time even if the evacuation is cancelled soon. Tasks that end in an evacuated zone before
+// they are done are restarted in other zones.
 func (c *Core) SetEvacuatedZones(zones []string) {
 	named := map[string]bool{}
 	for _, z := range zones {
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -16,7 +16,7 @@
 }
 
 // freeIndex holds a service's usable workers ordered by free millicores. The best worker for a
-// task that ends by itself is among the first few that have enough, whatever the size of the
+// task that ends on its own is among the first few that have enough, whatever the size of the
 // service. With 3,000 workers it is found in 0.5 µs, where a scan of all takes 34 µs.
 type freeIndex struct{ classes []*capacityClass }
 
@@ -80,9 +80,9 @@
 	return x.size() == 0
 }
 
-// choose returns the best worker for a task that ends by itself; nil if none has capacity.
-// allowed reports whether a worker may be used, and stepTasks holds the number of the step's
-// tasks on each worker. The result is the same as that of placement.Choose over all workers.
+// choose returns the best worker for a task that ends on its own; nil if none has capacity. allowed
+// reports whether a worker may be used, and stepTasks holds the number of the step's tasks on each
+// worker. The result is the same as that of placement.Choose over all workers.
 func (x *freeIndex) choose(req *placement.Request, allowed func(*worker) bool, stepTasks map[*worker]int, now time.Time) *worker {
 	var best []*worker
 	for _, k := range x.classes {
--- a/jobs/owner/isolation.go
+++ b/jobs/owner/isolation.go
@@ -27,7 +27,8 @@
 	// risky tasks at a time; one worker always may be.
 	maxVacatingShare = 0.25
 	// crashedInstanceAvoidTime is how long a crashed instance is used for risky tasks only if
-	// there is no other. It may crash again by itself, and the task would be blamed for it.
+	// there is no other. It may crash again on its own, and the crash would be attributed to the
+	// task.
 	crashedInstanceAvoidTime = 20 * time.Second
 )
 
@@ -54,7 +55,7 @@
 	return r.phase != starting && r.worker.contactLoss.lostAt.IsZero() && (r.firstSentAt.IsZero() || now.Sub(r.confirmedAt) > stableAfter)
 }
 
-// needsIsolation reports whether nothing of another job may be started beside the run.
+// needsIsolation reports whether nothing of another job may be started on the run's worker.
 func (r *run) needsIsolation(now time.Time) bool {
 	switch r.isolatedRisk {
 	case job.CrashRiskAtStart:
@@ -204,7 +205,7 @@
 			vacating++
 			continue
 		}
-		if w.longRunningRuns > 0 || view.views[i].Excluded || // long-running tasks do not end by themselves
+		if w.longRunningRuns > 0 || view.views[i].Excluded || // long-running tasks do not end on their own
 			!placement.Feasible(&view.views[i], req) {
 			continue
 		}
--- a/jobs/owner/jobstart.go
+++ b/jobs/owner/jobstart.go
@@ -2,12 +2,11 @@
 
 import "time"
 
-// A job counts as started once a worker has confirmed a run of it, by accepting its start or by
-// listing the run or its end. Sending a start is not enough: it may be refused or lost, and as
-// long as workers are slow to answer a new owner, the starts of many jobs are in flight for
-// seconds.
+// A job counts as started once a worker has confirmed one of its runs, by accepting its start or by
+// listing the run or its end. Sending a start is not enough: it may be refused or lost, and as long
+// as workers are slow to answer a new owner, the starts of many jobs are in flight for seconds.
 
-// markJobStarted marks the job as started when a worker first confirms a run of it. A gang has
+// markJobStarted marks the job as started when a worker first confirms one of its runs. A gang has
 // started once all its members are confirmed.
 func (c *Core) markJobStarted(r *run, now time.Time) {
 	s := r.task.step
--- a/jobs/owner/preempt.go
+++ b/jobs/owner/preempt.go
@@ -12,7 +12,7 @@
 	// Most tasks get capacity sooner, as other tasks end.
 	preemptDelay = 300 * time.Millisecond
 	// preemptDelayLongRunning is the same for long-running tasks, which must be restored
-	// within 3 s and may preempt any task that ends by itself.
+	// within 3 s and may preempt any task that ends on its own.
 	preemptDelayLongRunning = 700 * time.Millisecond
 	// preemptInterval is the time between two preemptions for a step, as a worker takes up to a
 	// second to stop a run.
--- a/jobs/owner/schedulingpass.go
+++ b/jobs/owner/schedulingpass.go
@@ -190,7 +190,7 @@
 	}
 }
 
-// logWaiting logs once per job why a task of it could not be placed.
+// logWaiting logs once per job why one of its tasks could not be placed.
 func (p *schedulingPass) logWaiting(s *stepState, possible bool) {
 	j := s.job
 	if j.waitLogged {
--- a/jobs/owner/state.go
+++ b/jobs/owner/state.go
@@ -159,11 +159,11 @@
 	band               priorityBand // as of the last scheduling pass
 
 	overShare        bool // its tenant had used up its share when the job was accepted
-	started          bool // a worker confirmed that a task of it started
+	started          bool // a worker confirmed that one of its tasks started
 	waitLogged       bool // a job-waits line was logged
 	endedAt          time.Time
 	stepsDropped     bool          // steps were freed, as the job's end is stored and it has no runs
-	inherited        bool          // an earlier owner may have started tasks of it
+	inherited        bool          // an earlier owner may have started some of its tasks
 	loadedFromStore  bool          // loaded when this term began
 	version          uint64        // incremented by each change that has to be stored
 	storedVersion    uint64        // latest version in the store
--- a/jobs/owner/tenants.go
+++ b/jobs/owner/tenants.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// presumedUsage is what each tenant may have running besides the known runs.
+// presumedUsage is what each tenant may have running in addition to the known runs.
 type presumedUsage struct {
 	byTenant   map[string]job.Resources
 	computedAt time.Time
@@ -109,7 +109,7 @@
 	return false
 }
 
-// logTenantLimit logs once per job that a task of it waits for its tenant's limit.
+// logTenantLimit logs once per job that one of its tasks waits for its tenant's limit.
 func (c *Core) logTenantLimit(s *stepState) {
 	j := s.job
 	if j.waitLogged {
--- a/jobs/owner/throttle.go
+++ b/jobs/owner/throttle.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Parameters of the throttling of fillers beside serving tasks.
+// Parameters of the throttling of fillers that share a worker with serving tasks.
 const (
 	// throttleInterval is how often a worker's fillers are adjusted; the latencies that a
 	// worker reports cover half a second.
--- a/jobs/owner/workerview.go
+++ b/jobs/owner/workerview.go
@@ -17,7 +17,7 @@
 }
 
 // newWorkerView returns a view of the service's usable workers. Its cost grows with the number of
-// workers, so tasks that end by themselves are placed by the free index instead.
+// workers, so tasks that end on their own are placed by the free index instead.
 func (c *Core) newWorkerView(service string, now time.Time) *workerView {
 	list := c.workersByService[service]
 	v := &workerView{workers: make([]*worker, 0, len(list)), views: make([]placement.Worker, 0, len(list))}
--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -72,10 +72,10 @@
 	return r.MaxPerWorker == 0 || w.SameStep < r.MaxPerWorker
 }
 
-// score rates a worker that fits; higher is better. Tasks that end by themselves go to the
-// fullest worker, so that others stay free for large tasks and for moves. Long-running tasks
-// go to workers that have some already, but are spread by step so that each worker can be taken
-// down for maintenance.
+// score rates a worker that fits; higher is better. Tasks that end on their own go to the fullest
+// worker, so that others stay free for large tasks and for moves. Long-running tasks go to workers
+// that have some already, but are spread by step so that each worker can be taken down for
+// maintenance.
 func score(w *Worker, r *Request) float64 {
 	freeShare := 0.0
 	if w.Capacity.CPUMilli > 0 {
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -248,7 +248,8 @@
 		uncertain = uncertain || mayBeGranted
 		if reply.Result == idempotency.Granted && c.node.View().Epoch != asked.Epoch {
 			// The view changed during the request, so the claim is requested again:
-			// the owner may have been paused before it answered and own it no more.
+			// the owner may have been paused before it answered and may no longer own
+			// the key.
 			uncertain = true
 			continue
 		}
--- a/requests/idempotency/idempotency.go
+++ b/requests/idempotency/idempotency.go
@@ -182,7 +182,7 @@
 	Claimer     fleet.Incarnation
 }
 
-// ViewStatus tells whether the table's view may be served.
+// ViewStatus says whether the table's view may be served.
 type ViewStatus struct {
 	// Confirmed is true if a quorum recently knew of no newer view.
 	Confirmed bool
--- a/requests/record/record.go
+++ b/requests/record/record.go
@@ -178,8 +178,8 @@
 }
 
 // readBack reads the record to find out whether p took effect. resolved is false if
-// this cannot be told yet: the record is at the expected revision or still doesn't
-// exist, or the store doesn't answer.
+// this is not known yet: the record is at the expected revision or still doesn't exist,
+// or the store doesn't answer.
 func (w *Writer) readBack(ctx context.Context, p pendingWrite) (out Written, resolved bool, err error) {
 	kv, found, err := w.store.Get(ctx, p.key)
 	if err != nil {
--- a/requests/slo/slo.go
+++ b/requests/slo/slo.go
@@ -50,7 +50,7 @@
 // NewRecorder returns an empty recorder.
 func NewRecorder() *Recorder { return &Recorder{series: map[Key]*[bucketCount]bucket{}} }
 
-// Record counts a request that ended at time now. good tells whether it met the
+// Record counts a request that ended at time now. good says whether it met the
 // objective.
 func (r *Recorder) Record(now time.Time, k Key, good bool) {
 	r.mu.Lock()
--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -95,7 +95,7 @@
 }
 
 // SetWorkers sets the known workers and their number of slots. A worker that is
-// new to this daemon is new to its peers too, so nothing of it is in use and its
+// new to this daemon is new to its peers too, so none of its slots are in use and its
 // base share is available immediately if the current view has settled.
 func (a *Allocator) SetWorkers(totals map[fleet.InstanceID]int) {
 	for id, total := range totals {
