--- a/jobs/node/instanceorders.go
+++ b/jobs/node/instanceorders.go
@@ -31,7 +31,7 @@
 }
 
 // newInstanceOrders returns instanceOrders with the recent orders of the previous owner. Each is
-// kept for handover, the minimum time between orders of two holders of the duty, plus a margin.
+// kept for handover, the minimum time between orders of two duty holders, plus a margin.
 func newInstanceOrders(self string, handover time.Duration, prior []owner.RecentOrder, electedAt time.Time) instanceOrders {
 	o := instanceOrders{self: self, latest: map[owner.InstanceID]arrival{}, retention: handover + owner.DutyHandoverMargin}
 	for _, p := range prior {
--- a/jobs/node/registrations.go
+++ b/jobs/node/registrations.go
@@ -46,7 +46,7 @@
 }
 
 // watchRegistrationChanges passes changes after a revision to the core. It returns when the term
-// is over or the store has compacted changes that were not read.
+// has ended or the store has compacted changes that were not read.
 func (t *termRun) watchRegistrationChanges(prefix string, revision int64) {
 	var replySizes truncationDetector
 	for t.ctx.Err() == nil {
--- a/jobs/node/slowdown.go
+++ b/jobs/node/slowdown.go
@@ -43,7 +43,7 @@
 	// slowYieldCPUFactor is how many times more CPU another daemon must get at present, according
 	// to its entry in the store, for a slow owner to yield. If all are slow, a change has only costs.
 	slowYieldCPUFactor = 2.0
-	// minTermDuration is the minimum age of a term for a hand-over: a takeover keeps the CPU busy,
+	// minTermDuration is the minimum age of a term for a handover: a takeover keeps the CPU busy,
 	// so that the measured speed says little about the instance.
 	minTermDuration = 2 * time.Second
 )
--- a/jobs/node/termorders.go
+++ b/jobs/node/termorders.go
@@ -85,7 +85,7 @@
 func (t *termRun) callInSlot(limiter callLimiter, timeout time.Duration, call func(context.Context) event) {
 	release, ok := limiter.acquire(t.ctx)
 	if !ok {
-		return // the term is over
+		return // the term has ended
 	}
 	t.callNow(timeout, func(ctx context.Context) event {
 		defer release()
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -33,7 +33,7 @@
 	cancel context.CancelFunc
 
 	deposeOnce sync.Once
-	leaving    chan struct{} // closed when the hand-over begins
+	leaving    chan struct{} // closed when the handover begins
 	released   chan struct{} // closed when the lock is released
 	leaveOnce  sync.Once
 
@@ -50,7 +50,7 @@
 	lastStats           time.Time     // when the metrics were last updated
 	lastExpire          time.Time     // when expired jobs were last removed
 	startedAt           time.Time     // when the term began
-	leavingSince        time.Time     // when the hand-over began
+	leavingSince        time.Time     // when the handover began
 	releaseTriedAt      time.Time     // last attempt to release the lock
 	pendingPuts         []ledger.Put  // puts for the next transaction, in addition to the records
 	orders              instanceOrders
@@ -129,7 +129,7 @@
 	t.enqueue(func(c *owner.Core, _ time.Time) { c.SetEvacuatedZones(t.n.evacuations.list()) })
 }
 
-// enqueue sends an event to the core's goroutine. It drops the event if the term is over.
+// enqueue sends an event to the core's goroutine. It drops the event if the term has ended.
 func (t *termRun) enqueue(e event) {
 	select {
 	case t.events <- e:
@@ -269,7 +269,7 @@
 	}
 }
 
-// isLeaving reports whether the hand-over has begun.
+// isLeaving reports whether the handover has begun.
 func (t *termRun) isLeaving() bool {
 	select {
 	case <-t.leaving:
@@ -279,9 +279,9 @@
 	}
 }
 
-// tryRelease tries to release the lock and reports whether the term is over. The transaction
-// also writes as many pending records as fit. The others need not be written: workers report
-// ends that were not recorded to the next owner as well.
+// tryRelease tries to release the lock and reports whether the term has ended. The transaction also
+// writes as many pending records as fit. The others need not be written: workers report ends that
+// were not recorded to the next owner as well.
 func (t *termRun) tryRelease() bool {
 	now := t.n.clock.Now()
 	if t.leavingSince.IsZero() {
--- a/jobs/node/termwatches.go
+++ b/jobs/node/termwatches.go
@@ -42,7 +42,7 @@
 	t.n.watchPrefix(t.ctx, jobs)
 }
 
-// awaitLease blocks until the lease of the lock is certainly held or the term is over. New jobs
+// awaitLease blocks until the lease of the lock is certainly held or the term has ended. New jobs
 // are passed to the core only while no other daemon can be the owner.
 func (t *termRun) awaitLease() {
 	for !t.leaseHeld() && sleep.For(t.ctx, retryPause) {
