--- a/jobs/gateway/gateway.go
+++ b/jobs/gateway/gateway.go
@@ -140,7 +140,7 @@
 	return max(minHandlerTimeout, d-responseMargin)
 }
 
-// route handles a request and returns the response and the id of the job, "" if it names none.
+// route handles a request and returns the response and the ID of the job, "" if it names none.
 func (g *Gateway) route(ctx context.Context, r *http.Request) (reply, string) {
 	catalog := g.jobs.Catalog()
 	if catalog == nil {
--- a/jobs/owner/freeindex.go
+++ b/jobs/owner/freeindex.go
@@ -12,7 +12,7 @@
 // labels, the same tasks fit on each of them when it is empty.
 type capacityClass struct {
 	capacity job.Resources
-	byFree   []*worker // by free millicores, then by id
+	byFree   []*worker // by free millicores, then by ID
 }
 
 // freeIndex holds a service's usable workers ordered by free millicores. The best worker for a
@@ -20,7 +20,7 @@
 // service. With 3,000 workers it is found in 0.5 µs, where a scan of all takes 34 µs.
 type freeIndex struct{ classes []*capacityClass }
 
-// compareFree orders workers by their indexed free millicores, then by id.
+// compareFree orders workers by their indexed free millicores, then by ID.
 func compareFree(a, b *worker) int {
 	if a.indexedFreeCPUMilli != b.indexedFreeCPUMilli {
 		return a.indexedFreeCPUMilli - b.indexedFreeCPUMilli
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -11,11 +11,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// A worker may restart under the same id. Its new incarnation has no runs, and starts over with
-// its numbers of run ends, its clock and the highest fencing token that it has seen.
-// Incarnations are told apart by their start times. These are compared only for equality, as
-// the worker's time of day may go back across a restart. An unknown start time matches every
-// incarnation.
+// A worker may restart under the same ID. Its new incarnation has no runs, and starts over with its
+// numbers of run ends, its clock and the highest fencing token that it has seen. Incarnations are
+// told apart by their start times. These are compared only for equality, as the worker's time of
+// day may go back across a restart. An unknown start time matches every incarnation.
 
 // incarnation identifies one incarnation of a worker.
 type incarnation struct {
@@ -31,7 +30,7 @@
 	return string(inc.worker) + "@" + strconv.FormatInt(inc.startedMs, 10)
 }
 
-// compareIncarnations orders incarnations by worker id, then by start time.
+// compareIncarnations orders incarnations by worker ID, then by start time.
 func compareIncarnations(a, b incarnation) int {
 	return cmp.Or(cmp.Compare(a.worker, b.worker), cmp.Compare(a.startedMs, b.startedMs))
 }
@@ -112,10 +111,10 @@
 	return w
 }
 
-// startIncarnation ends the known incarnation of a worker and begins a new one under the same
-// id. The runs have ended with the past incarnation, unless their start order reached the new
-// one. They are kept until the first run list of the new one shows which is the case, so that
-// their tasks do not start elsewhere before.
+// startIncarnation ends the known incarnation of a worker and begins a new one under the same ID.
+// The runs have ended with the past incarnation, unless their start order reached the new one. They
+// are kept until the first run list of the new one shows which is the case, so that their tasks do
+// not start elsewhere before.
 func (c *Core) startIncarnation(old *worker, startedMs int64, proof string, now time.Time) *worker {
 	c.logDecision(Decision{Event: "worker-restarted", Worker: old.Worker, Reason: fmt.Sprintf("%s; the past incarnation had %d runs", proof, len(old.runs))})
 	if !old.ended {
@@ -172,7 +171,7 @@
 const pastIncarnationListedFor = 3 * time.Second
 
 // mayShowPastIncarnation reports whether the instance list may still show an earlier
-// incarnation of the worker under the same id.
+// incarnation of the worker under the same ID.
 func (c *Core) mayShowPastIncarnation(id WorkerID, now time.Time) bool {
 	w := c.workers[id]
 	return w != nil && len(w.pastStartsMs) > 0 && now.Sub(w.firstSeenAt) < pastIncarnationListedFor
--- a/jobs/owner/records.go
+++ b/jobs/owner/records.go
@@ -158,7 +158,7 @@
 }
 
 // RemoveExpired removes up to limit jobs that ended more than twice StatusRetention ago, and
-// returns their ids for removal from the store.
+// returns their IDs for removal from the store.
 func (c *Core) RemoveExpired(limit int, now time.Time) []job.ID {
 	var out []job.ID
 	for id, j := range c.jobs {
--- a/jobs/owner/types.go
+++ b/jobs/owner/types.go
@@ -11,8 +11,8 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// WorkerID identifies a worker. A restarted worker may have a new id or the old one.
-// Incarnations with the same id are told apart by their start times.
+// WorkerID identifies a worker. A restarted worker may have a new ID or the old one. Incarnations
+// with the same ID are told apart by their start times.
 type WorkerID string
 
 // InstanceID identifies an instance. It stays the same when the instance's worker restarts.
--- a/jobs/owner/workerset.go
+++ b/jobs/owner/workerset.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// workerSet is a set of workers by id.
+// workerSet is a set of workers by ID.
 type workerSet map[WorkerID]*worker
 
 // put adds the worker to the set, or removes it.
@@ -17,7 +17,7 @@
 	}
 }
 
-// sorted returns the workers sorted by id.
+// sorted returns the workers sorted by ID.
 func (s workerSet) sorted() []*worker {
 	out := make([]*worker, 0, len(s))
 	for _, w := range s {
@@ -29,7 +29,7 @@
 
 func byID(a, b *worker) int { return cmp.Compare(a.Worker, b.Worker) }
 
-// serviceWorkers holds the workers of each service, sorted by id.
+// serviceWorkers holds the workers of each service, sorted by ID.
 type serviceWorkers map[string][]*worker
 
 func (r serviceWorkers) find(w *worker) (index int, found bool) {
--- a/requests/fleet/instance.go
+++ b/requests/fleet/instance.go
@@ -67,7 +67,7 @@
 	// has carried out on it. A command names the generation it expects, so that a
 	// late duplicate is refused.
 	Generation int64
-	// LastCommand is the id of the command that led to Generation.
+	// LastCommand is the ID of the command that led to Generation.
 	LastCommand CommandID
 	Capacity    Resources
 }
