--- a/requests/fleet/state.go
+++ b/requests/fleet/state.go
@@ -1,6 +1,6 @@
 // Package fleet defines the domain types that the other packages share: the records
-// in the platform's key-value service and the instances as the platform reports
-// them. It imports no other package of postmount.
+// in the platform's key-value store and the instances as the platform reports them. It
+// imports no other package of postmount.
 package fleet
 
 import (
--- a/requests/port/port.go
+++ b/requests/port/port.go
@@ -33,7 +33,7 @@
 	Deleted bool
 }
 
-// Store is the platform's key-value service. Every method makes one call.
+// Store is the platform's key-value store. Every method makes one call.
 //
 // The error of a failed write carries a verdict: NotRun if the write certainly
 // had no effect, MayHaveRun otherwise.
