--- a/jobs/quota/quota.go
+++ b/jobs/quota/quota.go
@@ -18,7 +18,7 @@
 	waiting map[string]bool // services in which the tenant's tasks wait because of its limit
 }
 
-// New returns a ledger without limits.
+// New returns a tracker without limits.
 func New() *Tracker { return &Tracker{tenants: map[string]*tenantUsage{}} }
 
 // usageOf returns the usage of a tenant, which it creates if it is missing.
--- a/requests/entry/dispatch.go
+++ b/requests/entry/dispatch.go
@@ -71,7 +71,7 @@
 	err   error
 }
 
-// Grant is an acquired slot on a worker. It must be given back with Release or
+// Grant is an acquired slot on a worker. It must be released with Release or
 // ReleaseUnsent.
 type Grant struct {
 	Worker    directory.Worker
