--- a/jobs/ledger/failover.go
+++ b/jobs/ledger/failover.go
@@ -44,8 +44,8 @@
 	// minDirectBackoff is how long the direct path is avoided after a failure; a probe delays
 	// its call by up to probeTimeout.
 	minDirectBackoff = 700 * time.Millisecond
-	// maxDirectBackoff bounds the backoff while no connection can be opened. A relay adds only
-	// 2 ms to a call, so there is no hurry to return to the direct path.
+	// maxDirectBackoff bounds the backoff while no connection can be opened. A relay adds only 2 ms
+	// to a call, so returning to the direct path is not urgent.
 	maxDirectBackoff = 4 * time.Second
 	// probeTimeout bounds a probe of a direct path that is down. The store answers in 4 ms. While
 	// it is slow it takes 300 ms and the probe fails, but then the relay is used and is no slower.
--- a/jobs/node/settings.go
+++ b/jobs/node/settings.go
@@ -108,7 +108,8 @@
 	// while a change of owner takes 0.3 s.
 	yieldCPUFactor = 3
 	// cpuStarvedAfter is how long an owner must be short of CPU before it yields to a daemon with
-	// more. It is longer than the load of a takeover, which a change of owner would repeat.
+	// more. It is longer than a takeover keeps the CPU busy, as a change of owner would cause
+	// another takeover.
 	cpuStarvedAfter = 3 * time.Second
 	// partitionedYieldAfter is how long an owner that is partitioned from the store continues
 	// through relays. A change of owner takes 0.3 s. Relays may be partitioned as well, and then
@@ -136,14 +137,14 @@
 	commitInterval = 40 * time.Millisecond
 	// commitBacklog is the number of unwritten jobs from which transactions follow each other
 	// without a pause: two full transactions. With pauses, at 300 jobs per second, the backlog would
-	// grow, so that callers learn of a job's end, and workers may forget it, later and later.
+	// grow, so that callers learn of a job's end, and workers may forget it, with a growing delay.
 	commitBacklog = 2 * ledger.MaxWriteEntries
 	// jobsInterval is the minimum time between two reads of new submissions by the owner. Daemons
 	// also notify it directly; the store is the fallback.
 	jobsInterval = 200 * time.Millisecond
 	// taskLease is how long workers run tasks without renewal. It outlasts a change of owner
-	// (expiry of the store lease, an election and the loading of all jobs) and is short enough to
-	// restart a task soon whose worker is partitioned.
+	// (expiry of the store lease, an election and the loading of all jobs) and is short enough that
+	// a task whose worker is partitioned is soon restarted.
 	taskLease = 4500 * time.Millisecond
 	// holdWait is how long a worker waits for a task to end before it answers a hold. It also
 	// bounds the age of the progress that the owner knows of its tasks.
--- a/jobs/node/slowdown.go
+++ b/jobs/node/slowdown.go
@@ -41,7 +41,8 @@
 	slowFactor = 2.5
 	slowAfter  = 100 * time.Millisecond
 	// slowYieldCPUFactor is how many times more CPU another daemon must get at present, according
-	// to its entry in the store, for a slow owner to yield. If all are slow, a change has only costs.
+	// to its entry in the store, for a slow owner to yield. If all are slow, a change of owner
+	// costs time and gains nothing.
 	slowYieldCPUFactor = 2.0
 	// minTermDuration is the minimum age of a term for a handover: a takeover keeps the CPU busy,
 	// so that the measured speed says little about the instance.
--- a/jobs/node/termrun.go
+++ b/jobs/node/termrun.go
@@ -217,8 +217,8 @@
 const minSuspension = 50 * time.Millisecond
 
 // suspensionCheckInterval is the minimum time between two checks, each of which costs a
-// system call. An event in between is older than it seems by at most that; orders that
-// depend on a lease check for themselves.
+// system call. An event between two checks may be older than it seems, by at most this interval;
+// the code that sends an order for an instance checks the lease again.
 const suspensionCheckInterval = 5 * time.Millisecond
 
 // checkSuspension tells the core if the instance was suspended since the last check: the
--- a/jobs/owner/incarnation.go
+++ b/jobs/owner/incarnation.go
@@ -114,7 +114,7 @@
 // startIncarnation ends the known incarnation of a worker and begins a new one under the same ID.
 // The runs have ended with the past incarnation, unless their start order reached the new one. They
 // are kept until the first run list of the new one shows which is the case, so that their tasks do
-// not start elsewhere before.
+// not start elsewhere until then.
 func (c *Core) startIncarnation(old *worker, startedMs int64, proof string, now time.Time) *worker {
 	c.logDecision(Decision{Event: "worker-restarted", Worker: old.Worker, Reason: fmt.Sprintf("%s; the past incarnation had %d runs", proof, len(old.runs))})
 	if !old.ended {
--- a/jobs/owner/instances.go
+++ b/jobs/owner/instances.go
@@ -64,8 +64,8 @@
 }
 
 // updateWaves passes an entry of the instance list to the waves that name the instance,
-// including completed ones: the list does not tell for which wave an instance is under
-// maintenance. It skips waves if the instance is down for another one.
+// including completed ones: the list does not show for which wave an instance is under maintenance.
+// It skips waves if the instance is down for another one.
 func (c *Core) updateWaves(i Instance) {
 	for _, ws := range c.waves {
 		if ws.members[i.ID] && !c.isDownForOtherWave(ws, i.ID) {
--- a/jobs/owner/jobs.go
+++ b/jobs/owner/jobs.go
@@ -71,7 +71,7 @@
 		return
 	}
 	if !c.tenantLimitAllows(j.spec, &j.spec.Steps[0], 1, now) {
-		return // the tenant may not run it, so it is no demand
+		return // the tenant may not run it, so it does not count as demand
 	}
 	c.pool(j.service).arrivalRate.Add(j.work, at)
 }
--- a/jobs/owner/overload.go
+++ b/jobs/owner/overload.go
@@ -15,8 +15,8 @@
 	starvedPeriod = 1500 * time.Millisecond
 	// maxSilentShare is the share of workers up to which silence at the same time is attributed
 	// to the workers. Network partitions and crashes affect a quarter of them at most, while an
-	// overloaded owner reads the answers of only 3 to 40 of 100. maxSilentWorkers, the size of
-	// a small rack, is the number of workers up to which it always is.
+	// overloaded owner reads the answers of only 3 to 40 of 100. The silence of up to
+	// maxSilentWorkers workers, the size of a small rack, is always attributed to them.
 	maxSilentShare   = 0.5
 	maxSilentWorkers = 4
 	// slowAnswerLatency is the mean answer latency from which the owner's own link to the
--- a/jobs/owner/wave.go
+++ b/jobs/owner/wave.go
@@ -58,9 +58,9 @@
 )
 
 // observeInstance updates the wave from the instance list's entry for one of its members.
-// onlyWave says that no other wave names the instance. If several do, the instance list does
-// not tell for which one it is under maintenance. Each of them then orders the maintenance
-// again once the instance is up, and the platform's answer tells which of them is done.
+// onlyWave says that no other wave names the instance. If several do, the instance list does not
+// show for which one it is under maintenance. Each of them then orders the maintenance again once
+// the instance is up, and the platform's answer shows which of them is done.
 func (ws *waveState) observeInstance(i Instance, onlyWave bool) {
 	d, down := ws.down[i.ID]
 	switch {
--- a/jobs/placement/placement.go
+++ b/jobs/placement/placement.go
@@ -125,7 +125,8 @@
 	return slices.ContainsFunc(u.needs, func(need job.Resources) bool { return r.Need.Fits(need) })
 }
 
-// Choose returns the index of the best worker, the first of equals, and -1 if none fits.
+// Choose returns the index of the best worker (the first one if several score the same), and -1 if
+// none fits.
 func Choose(workers []Worker, r Request) int {
 	best := -1
 	var bestScore float64
--- a/requests/slots/slots.go
+++ b/requests/slots/slots.go
@@ -49,8 +49,8 @@
 	// settledPeers holds the members that use no more than their base share under
 	// the current view.
 	settledPeers map[fleet.Incarnation]bool
-	// memberLost is true if a member of an earlier view is gone without having
-	// left; its requests may still run on workers.
+	// memberLost is true if a member of an earlier view is missing from the current
+	// view without having left; its requests may still run on workers.
 	memberLost bool
 	// drainStart is when it was first seen that every member of the current view
 	// had settled and every earlier view had retired; zero before.
@@ -275,9 +275,9 @@
 	}
 }
 
-// Lend lends one idle slot of the first wanted worker that has one to spare.
-// keep returns the number of idle slots of a worker that are not lent. Repeated
-// calls with the same ID return the same loan.
+// Lend lends one idle slot of the first wanted worker that has more idle slots than
+// keep returns for it, and has not lent its whole base share yet. Repeated calls with
+// the same ID return the same loan.
 func (a *Allocator) Lend(now time.Time, id LoanID, borrower fleet.Incarnation, epoch fleet.Epoch, wanted []fleet.InstanceID, keep func(fleet.InstanceID) int) (Loan, bool) {
 	if l, repeated := a.lent[id]; repeated {
 		return l, true
--- a/requests/wave/grant.go
+++ b/requests/wave/grant.go
@@ -33,7 +33,7 @@
 }
 
 // grantRequests grants the operators' drains and moves, oldest first. It
-// reports whether one of them waits for the budget. Waves then take nothing;
+// reports whether one of them waits for the budget. Waves then get none of the budget;
 // otherwise the request might wait forever.
 func (p *planner) grantRequests() (waiting bool) {
 	for _, r := range p.in.Pool.Requests {
