--- a/jobs/ledger/snapshot.go
+++ b/jobs/ledger/snapshot.go
@@ -77,9 +77,8 @@
 	return errors.Join(errs...)
 }
 
-// assemble combines submissions, progress and cancellations. A job with an invalid submission
-// or progress is left out: it is not known which of its tasks are done, and no task may run
-// twice.
+// assemble combines submissions, progress and cancellations. A job with an invalid submission or
+// progress is not loaded: it is not known which of its tasks are done, and no task may run twice.
 func (s *Snapshot) assemble(items, progress []Item) {
 	progressByJob := map[job.ID]Item{}
 	for _, i := range progress {
--- a/jobs/node/node.go
+++ b/jobs/node/node.go
@@ -25,7 +25,7 @@
 // callers' keys.
 type Formats struct {
 	ConfigKey        string
-	OperatorPrefix   string // of ConfigKey, WavePrefix and EvacuationPrefix
+	OperatorPrefix   string // common prefix of ConfigKey, WavePrefix and EvacuationPrefix
 	WavePrefix       string
 	EvacuationPrefix string // followed by the name of a zone that gets no new tasks
 	WorkerPrefix     string
--- a/jobs/node/slowdown.go
+++ b/jobs/node/slowdown.go
@@ -30,7 +30,7 @@
 	probeWindow = 5
 	// maxBaselineSamples is the number of samples, one per second, whose median is the baseline,
 	// and minBaselineSamples how many are needed for one: a process that has just started may run
-	// at two to three times its later speed. Samples of a slow instance are left out, until it has
+	// at two to three times its later speed. Samples of a slow instance are not added until it has
 	// been slow for rebaselineAfter; then a new baseline is measured.
 	maxBaselineSamples = 60
 	minBaselineSamples = 10
--- a/requests/cluster/claims.go
+++ b/requests/cluster/claims.go
@@ -95,7 +95,7 @@
 
 // backoff computes exponentially growing pauses with jitter: each is twice the one
 // before, less a random part of up to half. Hundreds of reports may wait for one
-// owner; when all were retried together every 25 ms, they took a fifth of a core.
+// owner; when all were retried together every 25 ms, they took a fifth of a CPU core.
 type backoff struct{ last time.Duration }
 
 func (b *backoff) next() time.Duration {
--- a/requests/control/controller.go
+++ b/requests/control/controller.go
@@ -74,7 +74,7 @@
 type Snapshot struct {
 	State     *fleet.State
 	Instances map[fleet.InstanceID]fleet.Instance
-	ListedAt  time.Time // when the instance list was requested; zero if it never was read
+	ListedAt  time.Time // when the instance list was requested; zero if it has never been read
 	version   int       // of Instances
 	// Notes explain the last decisions by pool.
 	Notes map[fleet.PoolName][]wave.Note
--- a/requests/wave/advance.go
+++ b/requests/wave/advance.go
@@ -56,7 +56,7 @@
 	Pool              *fleet.Pool
 	Commands          []InstanceCommand
 	MembershipChanges []MembershipChange
-	// Notes explain the decisions to operators (statement "why").
+	// Notes explain the decisions to operators, who read them with the statement "why".
 	Notes []Note
 }
 
