--- a/internal/jobfaults/burst_test.go
+++ b/internal/jobfaults/burst_test.go
@@ -27,8 +27,8 @@
 	<-p.slot
 }
 
-// cpuLimitedWorkers wraps a WorkerClient and charges the daemon's processor for each call,
-// half before and half after the answer. A call that times out meanwhile is charged as well.
+// cpuLimitedWorkers wraps a WorkerClient and charges the daemon's CPU for each call, half before
+// and half after the answer. A call that times out meanwhile is charged as well.
 type cpuLimitedWorkers struct {
 	owner.WorkerClient
 	processor *processor
@@ -36,7 +36,7 @@
 }
 
 // chargeCall makes a call and charges its cost. It returns onTimeout if ctx ended while the call
-// waited for the processor.
+// waited for the CPU.
 func chargeCall[A any](b cpuLimitedWorkers, ctx context.Context, onTimeout A, call func() A) A {
 	b.processor.use(b.cost / 2)
 	if ctx.Err() != nil {
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -9,11 +9,11 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These tests guard against an overloaded owner that takes healthy workers for silent. With a fifth
-// of a core, answers wait for the processor for longer than the owner's timeout: 97 of 100 holds
-// seem unanswered, although the timer is late by only 0.4 s. If each worker is judged by itself,
-// the owner lets leases expire and starts tasks again that workers have reported as done in
-// answers that it has not read.
+// These tests guard against an overloaded owner that considers healthy workers silent. With a fifth
+// of a core, answers wait for the owner's CPU for longer than its timeout: 97 of 100 holds seem
+// unanswered, although its timer is only 0.4 s late. If each worker is considered separately, the
+// owner lets leases expire and restarts tasks that workers have reported as done in answers that it
+// has not read.
 
 // overloadedRig returns a rig with one free worker, followed by n full ones.
 func overloadedRig(t *testing.T, n int) (*rig, []WorkerID) {
@@ -78,7 +78,7 @@
 	}
 	assert.Len(t, renewed, 1+workers, "each hold renews the lease")
 
-	r.now = r.now.Add(2 * rigLease) // the owner gets no processor time
+	r.now = r.now.Add(2 * rigLease) // the owner gets no CPU
 	r.tick(0)
 	assert.Empty(t, r.out.Starts, "the passing of time alone proves nothing")
 }
--- a/jobs/owner/takeover_test.go
+++ b/jobs/owner/takeover_test.go
@@ -14,14 +14,14 @@
 
 // These tests guard against a new owner that lets leases expire because it has a long queue. If it
 // considers all 1,400 inherited jobs again at each answer of its 350 workers, that takes 2 ms
-// an answer and 84% of its processor time. Answers are then read after their holds have timed
-// out, holds are repeated, and leases of the previous owner expire in the meantime.
+// an answer and 84% of its CPU. Answers are then read after their holds have timed out, holds are
+// repeated, and leases of the previous owner expire in the meantime.
 //
-// The tests model the owner's processor: each event takes time, events wait for each other,
-// and a hold times out if its answer is not read in time.
+// The tests model the owner's CPU: each event takes time, events wait for each other, and a hold
+// times out if its answer is not read before the hold's deadline.
 
-// Processor costs, measured on 0.8 of a core: a call to a worker on a new connection, and
-// considering one job for placement.
+// CPU costs, measured on 0.8 of a core: a call to a worker on a new connection, and considering
+// one job for placement.
 const (
 	callCost     = 300 * time.Microsecond
 	considerCost = 1800 * time.Nanosecond
@@ -36,11 +36,11 @@
 	roundTrip          = 4 * time.Millisecond
 )
 
-// busyFleet simulates an owner that is short of processor time, and its workers.
+// busyFleet simulates an owner that is short of CPU, and its workers.
 type busyFleet struct {
 	core      *Core
 	startedAt time.Time
-	freeAt    time.Time // when the processor is free again
+	freeAt    time.Time // when the CPU is free again
 	workers   map[WorkerID]*busyWorker
 	pending   []busyEvent
 	lapsed    int // runs that ended because their lease had expired
@@ -52,7 +52,7 @@
 	ends     []RunEnd
 }
 
-// busyEvent is an event that waits for the processor.
+// busyEvent is an event that waits for the CPU.
 type busyEvent struct {
 	at       time.Time // when it occurs
 	deadline time.Time // timeout of a hold; zero: none
@@ -156,8 +156,7 @@
 	}
 }
 
-// next removes the earliest event, and returns it with the time at which the processor
-// handles it.
+// next removes the earliest event, and returns it with the time at which the CPU handles it.
 func (f *busyFleet) next() (busyEvent, time.Time) {
 	first := 0
 	for i, e := range f.pending {
@@ -173,7 +172,7 @@
 	return e, f.freeAt
 }
 
-// send makes the calls, each at its processor cost.
+// send makes the calls, each at its CPU cost.
 func (f *busyFleet) send(e Effects) {
 	sent := f.freeAt
 	for _, h := range e.Holds {
@@ -222,7 +221,7 @@
 }
 
 // TestATakeoverKeepsLeases: no lease of a healthy worker expires while a new owner that is
-// short of processor time takes over a fleet under a long queue.
+// short of CPU takes over a fleet with a long queue.
 func TestATakeoverKeepsLeases(t *testing.T) {
 	f := newBusyFleet()
 	f.run(6 * time.Second)
@@ -252,8 +251,7 @@
 	assert.LessOrEqual(t, scans, int64(now.Sub(f.startedAt)/daemonTick), "scans of the whole queue, at most one per tick")
 }
 
-// BenchmarkTakeover measures the core's processor time for the first second of such a
-// takeover.
+// BenchmarkTakeover measures the CPU time that Core uses in the first second of such a takeover.
 func BenchmarkTakeover(b *testing.B) {
 	for b.Loop() {
 		f := newBusyFleet()
--- a/jobs/owner/unanswered_test.go
+++ b/jobs/owner/unanswered_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// These tests guard against an owner that stops working tasks because their starts seem
-// unanswered: the workers have carried the starts out, but the answers wait for the owner's
-// processor for longer than its timeout.
+// These tests guard against an owner that stops healthy tasks because their starts seem
+// unanswered: the workers have carried the starts out, but the answers wait for the owner's CPU
+// for longer than its timeout.
 
 // failStarts lets all sends of the start go unanswered.
 func (r *rig) failStarts(s Start) {
