--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -201,11 +201,11 @@
 		assert.Equal(t, "short", m.To)
 	}
 
-	late.LateWaitingCores = 30 // some of its tasks can still be in time
+	late.LateWaitingCores = 30 // some of its tasks can still be on time
 	assert.Empty(t, Plan(Demand, DefaultWeights, []Pool{late, short}, spare(0), 100))
 
 	late.LateWaitingCores = 40
-	short.WaitingCores, short.LateWaitingCores = 20, 20 // no pool has work that can be in time
+	short.WaitingCores, short.LateWaitingCores = 20, 20 // no pool has work that can be on time
 	assert.Len(t, Plan(Demand, DefaultWeights, []Pool{late, short}, spare(0), 100), 1, "late work is weighted 1/4 in both pools")
 	moves = Plan(Demand, DefaultWeights, []Pool{late, short}, spare(9), 100)
 	assert.Len(t, moves, 4, "but spare instances go to late work")
--- a/jobs/gateway/gateway_test.go
+++ b/jobs/gateway/gateway_test.go
@@ -146,7 +146,7 @@
 	assert.Equal(t, "close", w.Header().Get("Connection"))
 }
 
-// TestRetryAfter: Retry-After tells the caller of a refused job when it would be in time, rounded up
+// TestRetryAfter: Retry-After tells the caller of a refused job when it would be on time, rounded up
 // to whole seconds.
 func TestRetryAfter(t *testing.T) {
 	for _, c := range []struct {
