--- a/internal/jobfaults/deployment_test.go
+++ b/internal/jobfaults/deployment_test.go
@@ -187,7 +187,7 @@
 }
 
 // TestWaveMaintainsWorkersOfALongRunningStep: a wave completes although its workers run more
-// tasks of a long-running step than maintenance may stop at once.
+// tasks of a long-running step than maintenance may stop at the same time.
 func TestWaveMaintainsWorkersOfALongRunningStep(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		j := longRunningJob(1)
--- a/internal/jobfaults/evacuation_test.go
+++ b/internal/jobfaults/evacuation_test.go
@@ -67,8 +67,8 @@
 	})
 }
 
-// TestEvacuationsEndedAtOnce: evacuations that are requested twice and ended at once
-// have no lasting effect.
+// TestEvacuationsEndedAtOnce: evacuations that are requested twice and ended immediately have no
+// lasting effect.
 func TestEvacuationsEndedAtOnce(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.assignZones()
--- a/internal/jobfaults/refusal_test.go
+++ b/internal/jobfaults/refusal_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestAnOverloadedOwnerRefuses: for 12 s an owner with a small CPU share gets several times as
-// many jobs as it can start. Jobs that would be late are refused at once and never run; accepted
+// many jobs as it can start. Jobs that would be late are refused immediately and never run; accepted
 // jobs complete. Without refusals all would be late, since the queue grows by thirty jobs a second.
 func TestAnOverloadedOwnerRefuses(t *testing.T) {
 	const instances, jobs, width, interval = 200, 600, 24, 20 * time.Millisecond
--- a/internal/jobfaults/takeovercount_test.go
+++ b/internal/jobfaults/takeovercount_test.go
@@ -13,10 +13,10 @@
 )
 
 // TestPendingCountWhileStartsAreInFlight guards against a count of pending jobs that is too low
-// because a job counts as begun when its starts are sent. Jobs that arrive around a change of owner
-// wait until all workers have answered the new owner or the previous owner's leases have expired;
-// then all starts are sent at once. A connected daemon reported 0 right after 8 jobs had waited for
-// 5 s. Here the count is requested while all starts are in flight.
+// because a job counts as started when its starts are sent. Jobs that arrive around a change of
+// owner wait until all workers have answered the new owner or the previous owner's leases have
+// expired; then all starts are sent at the same time. A connected daemon reported 0 right after 8
+// jobs had waited for 5 s. Here the count is requested while all starts are in flight.
 func TestPendingCountWhileStartsAreInFlight(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		time.Sleep(3 * time.Second) // until the daemons have read the member list
--- a/internal/requestfaults/installation_test.go
+++ b/internal/requestfaults/installation_test.go
@@ -199,7 +199,7 @@
 	return d.dead
 }
 
-// kill ends the daemon at once; the others learn of it 2 s later.
+// kill ends the daemon immediately; the others learn of it 2 s later.
 func (d *daemon) kill() {
 	d.mu.Lock()
 	d.dead = true
--- a/internal/requestfaults/replace_test.go
+++ b/internal/requestfaults/replace_test.go
@@ -52,7 +52,7 @@
 	})
 }
 
-// TestAllDaemonsReplacedAtOnce kills all six daemons and starts six new ones at once:
+// TestAllDaemonsReplacedAtOnce kills all six daemons and starts six new ones at the same time:
 // requests that may have run are not run again, and new keys are served once the old daemons
 // are known to have ended.
 func TestAllDaemonsReplacedAtOnce(t *testing.T) {
--- a/jobs/owner/attempts_test.go
+++ b/jobs/owner/attempts_test.go
@@ -47,7 +47,7 @@
 }
 
 // TestSecondFailureOnSameWorkerDelaysRetry guards against using up all attempts on one faulty
-// worker. If there is no other worker to wait for, a task that is started again at once uses up
+// worker. If there is no other worker to wait for, a task that is started again immediately uses up
 // its three attempts within 0.6 s, while the worker's fault lasts for 0.7 s (soak, seed 41001).
 func TestSecondFailureOnSameWorkerDelaysRetry(t *testing.T) {
 	r := newRig(t, 1)
--- a/jobs/owner/backoff_test.go
+++ b/jobs/owner/backoff_test.go
@@ -10,10 +10,10 @@
 	"github.com/postmount/postmount/jobs/job"
 )
 
-// These tests guard against retries without backoff. Without it, a long-running task that fails at
-// once is restarted without a pause, a task that makes no progress on any worker is restarted
-// every two seconds and each of its workers is avoided, a start that every worker rejects as
-// invalid is sent every second, and a worker without capacity is tried ten times a second.
+// These tests guard against retries without backoff. Without it, a long-running task that fails
+// immediately is restarted without a pause, a task that makes no progress on any worker is
+// restarted every two seconds and each of its workers is avoided, a start that every worker rejects
+// as invalid is sent every second, and a worker without capacity is tried ten times a second.
 
 // answerStarts answers all collected starts, and returns them.
 func (r *rig) answerStarts(a Answer) []Start {
--- a/jobs/owner/overload_test.go
+++ b/jobs/owner/overload_test.go
@@ -63,8 +63,8 @@
 	t.Run("recovers", overloadedOwnerRecovers)
 }
 
-// overloadedOwnerKeepsLeases: if most workers seem silent at once, the owner cannot keep up
-// with their answers. It renews the leases, and starts no task again.
+// overloadedOwnerKeepsLeases: if most workers seem silent at the same time, the owner cannot keep
+// up with their answers. It renews the leases, and starts no task again.
 func overloadedOwnerKeepsLeases(t *testing.T) {
 	const workers = 20
 	r, all := overloadedRig(t, workers)
--- a/jobs/owner/partition_test.go
+++ b/jobs/owner/partition_test.go
@@ -25,7 +25,7 @@
 	return r, partitioned, healthy
 }
 
-// runPartitioned advances the time by d while the healthy workers answer each hold at once and
+// runPartitioned advances the time by d while the healthy workers answer each hold immediately and
 // the holds of the partitioned ones fail.
 func (r *rig) runPartitioned(d time.Duration, partitioned, healthy []WorkerID) {
 	for range d / (100 * time.Millisecond) {
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -123,7 +123,7 @@
 }
 
 // TestExpectedLateness: with 160 tasks to start and 40 answers a second, a job with as much
-// work as the others waits for four seconds, and one with less work is started at once. The
+// work as the others waits for four seconds, and one with less work is started immediately. The
 // wait does not make a job late that has enough slack, is due later or runs until cancelled.
 func TestExpectedLateness(t *testing.T) {
 	const window, jobs, width, estimate = 4, 20, 8, time.Second
--- a/jobs/owner/tenants_test.go
+++ b/jobs/owner/tenants_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestTenantLimit checks that the limit spans services and counts unanswered starts and runs
-// that are being stopped, that the end of a run lets a task start at once in another service,
+// that are being stopped, that the end of a run lets a task start immediately in another service,
 // and that jobs without a limit do not wait.
 func TestTenantLimit(t *testing.T) {
 	r := newRig(t, 1)
--- a/requests/wave/wave_test.go
+++ b/requests/wave/wave_test.go
@@ -165,7 +165,7 @@
 		want       int
 	}{
 		{12, 4, fleet.Weights{}, 4}, {12, 4, orderDesks, 4}, {12, 4, alumniHub, 2}, {12, 1, alumniHub, 1}, {12, 0, orderDesks, 0},
-		{7, 6, orderDesks, 4}, // 4 and 6 at once both take two rounds
+		{7, 6, orderDesks, 4}, // 4 and 6 at the same time both take two rounds
 	} {
 		assert.Equal(t, tc.want, ChooseConcurrency(tc.n, tc.allowed, tc.weights), "%+v", tc)
 	}
