--- a/internal/jobfaults/counts_test.go
+++ b/internal/jobfaults/counts_test.go
@@ -20,7 +20,7 @@
 const countPollInterval = 130 * time.Millisecond
 
 // pollCounts asks all daemons for the number of pending jobs in the orders queue until ctx
-// ends; the checker verifies each answer.
+// ends; the checker verifies each response.
 func (d *deployment) pollCounts(ctx context.Context) {
 	for ctx.Err() == nil {
 		for _, dm := range d.in.Daemons() {
--- a/internal/jobfaults/deployment_test.go
+++ b/internal/jobfaults/deployment_test.go
@@ -104,7 +104,7 @@
 }
 
 // submit sends a job until it is accepted, at most 12 times 500 ms apart, as
-// callers do after a refusal or without an answer.
+// callers do after a refusal or without a response.
 func (d *deployment) submit(prefix string, j *job.Job) {
 	d.jobs = append(d.jobs, j)
 	d.queuePrefix[j.ID] = prefix
--- a/internal/requestfaults/installation_test.go
+++ b/internal/requestfaults/installation_test.go
@@ -316,7 +316,7 @@
 
 var errUnreachable = verdict.New(verdict.NotRun, "peer-unreachable", "unreachable")
 
-// callPeer delivers a message to addr and the answer back. Either may be lost; the caller then
+// callPeer delivers a message to addr and the reply back. Either may be lost; the sender then
 // waits for its timeout.
 func callPeer[R any](p *peerClient, ctx context.Context, addr string, serve func(port.PeerServer) R) (R, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
@@ -364,7 +364,7 @@
 }
 
 func (p *peerClient) ReportAttempt(ctx context.Context, addr string, n idempotency.Claim) (bool, error) {
-	time.Sleep(networkDelay) // so that the answer has been sent before a fault is injected
+	time.Sleep(networkDelay) // so that the response has been sent before a fault is injected
 	p.from.reachStep(stepRecord)
 	return callPeer(p, ctx, addr, func(s port.PeerServer) bool { return s.OnAttemptReport(n) })
 }
@@ -404,7 +404,7 @@
 	return attempt, reply, err
 }
 
-// stepObserver reports the step at which an answer is about to be written.
+// stepObserver reports the step at which a response is about to be written.
 type stepObserver struct{ d *daemon }
 
 func (h *stepObserver) Answered(fleet.ServiceName, fleet.ClassName, verdict.Verdict, verdict.Code, int, time.Duration) {
@@ -498,16 +498,16 @@
 // sendHeader carries the name of one send of a request.
 const sendHeader = "X-Send"
 
-// reply is what a caller got for one send.
+// reply is the response that a caller got to one send, if any.
 type reply struct {
 	name     string
-	noAnswer bool // the daemon ended before it answered
+	noAnswer bool // the daemon ended before it responded
 	verdict  verdict.Verdict
 	body     string
 	latency  time.Duration
 }
 
-// letter returns the reply's letter in the table: L for no answer, D, N or M for the verdict.
+// letter returns the reply's letter in the table: L for no response, D, N or M for the verdict.
 func (r reply) letter() string {
 	if r.noAnswer {
 		return "L"
@@ -515,7 +515,7 @@
 	return map[verdict.Verdict]string{verdict.Done: "D", verdict.NotRun: "N", verdict.MayHaveRun: "M"}[r.verdict]
 }
 
-// request sends a keyed request through daemon d and waits for the reply.
+// request sends a keyed request through daemon d and waits for the response.
 func (d *daemon) request(ctx context.Context, send, key string) reply {
 	started := time.Now()
 	d.openRequests.Add(1)
--- a/internal/requestfaults/replace_test.go
+++ b/internal/requestfaults/replace_test.go
@@ -30,7 +30,7 @@
 }
 
 // TestAllDaemonsReplacedOneByOne: after all daemons were replaced one by one, a resent
-// request gets its first answer and does not run again.
+// request gets its first response and does not run again.
 func TestAllDaemonsReplacedOneByOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(6)
--- a/internal/requestfaults/request_test.go
+++ b/internal/requestfaults/request_test.go
@@ -33,7 +33,7 @@
 type fault struct {
 	name   string
 	inject func(c *scenario)
-	// delaysReply is true if replies may be late because a daemon is paused.
+	// delaysReply is true if responses may be late because a daemon is paused.
 	delaysReply bool
 }
 
@@ -195,7 +195,7 @@
 const maxLatency = 2100 * time.Millisecond
 
 // checkGuarantees records violations of what must hold under any fault. ran are the names of the
-// sends that ran on a worker; mayBeLate allows replies after maxLatency.
+// sends that ran on a worker; mayBeLate allows responses after maxLatency.
 func (r *result) checkGuarantees(ran []string, mayBeLate bool) {
 	addViolation := func(format string, args ...any) { r.violations = append(r.violations, fmt.Sprintf(format, args...)) }
 	if len(ran) > 1 {
--- a/jobs/node/ownerwatch_test.go
+++ b/jobs/node/ownerwatch_test.go
@@ -16,7 +16,7 @@
 type fakePresences struct {
 	Peers
 	own    peer.Presence
-	others map[string]peer.Presence // by the peer asked; one that is missing does not answer
+	others map[string]peer.Presence // by the peer asked; one that is missing does not reply
 }
 
 func (s fakePresences) CheckPresence(context.Context, string) peer.Presence { return s.own }
