--- a/internal/jobfaults/entries_test.go
+++ b/internal/jobfaults/entries_test.go
@@ -10,7 +10,7 @@
 )
 
 // malformedEntries maps store keys to malformed values, as another writer might leave them. No
-// caller submits a job with the ids used here.
+// caller submits a job with the IDs used here.
 var malformedEntries = map[string]string{
 	"worker/stranger":           `{"Service":"orders"}`,
 	"worker/of-no-service":      `{"Worker":"of-no-service","Service":"nobody's","Addr":"x","Room":{"CPUMilli":64000,"MemMB":64000}}`,
--- a/internal/jobfaults/workerrestart_test.go
+++ b/internal/jobfaults/workerrestart_test.go
@@ -15,7 +15,7 @@
 // up according to the platform's specification. The workers below restart about once a second.
 const minCrashesToGiveUp = 2
 
-// TestWorkersThatRestartUnderTheirID: worker processes restart under the same id while some starts
+// TestWorkersThatRestartUnderTheirID: worker processes restart under the same ID while some starts
 // go unanswered and are carried out late, possibly by the new process. The new process starts again
 // with its sequence numbers of task ends and its clock, so what the owner knows of the previous
 // process does not apply to it.
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -19,7 +19,7 @@
 	r.collectEffects()
 }
 
-// restartAs has the worker's instance answer as a new worker with the given id.
+// restartAs has the worker's instance answer as a new worker with the given ID.
 func (r *rig) restartAs(id WorkerID, as string) WorkerID {
 	for n := range r.inst {
 		if r.inst[n].Worker == id {
@@ -36,7 +36,7 @@
 	return WorkerID(as)
 }
 
-// crashAndRestart has a worker crash and come back under a new id.
+// crashAndRestart has a worker crash and come back under a new ID.
 func (r *rig) crashAndRestart(id WorkerID, as string) WorkerID {
 	r.failConnection(id)
 	r.tick(100 * time.Millisecond)
@@ -210,7 +210,7 @@
 	}
 }
 
-// crashTogether has workers crash at the same time and come back under new ids.
+// crashTogether has workers crash at the same time and come back under new IDs.
 func (r *rig) crashTogether(lost ...WorkerID) {
 	r.publishLists()
 	for _, w := range lost {
