--- a/internal/requestfaults/installation_test.go
+++ b/internal/requestfaults/installation_test.go
@@ -80,7 +80,7 @@
 	wg      sync.WaitGroup
 
 	seedPeers []string // addresses of peers in the settings of new daemons
-	storeDown bool     // the store is down for new daemons
+	storeDown bool     // the store is unavailable to new daemons
 
 	mu         sync.Mutex
 	partitions map[[2]int]bool // pairs of daemon indexes, from and to, that can't communicate
--- a/internal/requestfaults/replace_test.go
+++ b/internal/requestfaults/replace_test.go
@@ -141,8 +141,9 @@
 	})
 }
 
-// TestStartInAStoreOutage: a daemon that starts while the store is down gets the records from a
-// seed peer, refuses requests, since no view can include it, and serves once the store is back.
+// TestStartInAStoreOutage: a daemon that starts while the store is unavailable gets the records
+// from a seed peer, refuses requests, since no view can include it, and serves once the store is
+// available again.
 func TestStartInAStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		in := newInstallation(3)
--- a/jobs/ledger/accept_test.go
+++ b/jobs/ledger/accept_test.go
@@ -15,8 +15,8 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// resettingStore is a store that, while it is down, resets connections after the transaction was
-// sent.
+// resettingStore is a store that, while it is unavailable, resets connections after the transaction
+// was sent.
 type resettingStore struct {
 	Store
 	down    atomic.Bool
--- a/jobs/owner/registrations_test.go
+++ b/jobs/owner/registrations_test.go
@@ -8,8 +8,8 @@
 )
 
 // TestRegistrationsLostInAStoreOutage: entries that expired during a store outage are deleted
-// when the store is back, and written again soon after. Their workers count as registered
-// for reregistrationGrace; those still missing then do not.
+// when the store is available again, and written again soon after. Their workers count as
+// registered for reregistrationGrace; those still missing then do not.
 func TestRegistrationsLostInAStoreOutage(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
