--- a/internal/jobfaults/crash_test.go
+++ b/internal/jobfaults/crash_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// TestTasksThatCrashTheirWorkers: such a task is given up after three crashes at most, or two
-// starts more, its job fails, and all other jobs complete. It guards against endless restarts:
+// TestTasksThatCrashTheirWorkers: such a task is given up after at most three crashes, or after up
+// to two more starts, its job fails, and all other jobs complete. It guards against endless restarts:
 // a run lost with its worker left no record in memory or in the store, so that a copy started
 // elsewhere within 8 to 60 ms or the task was queued again immediately. Such tasks ran dozens of
 // times, also across a change of owner, and ended 90 worker processes in 10 s.
--- a/internal/jobfaults/cutowner_test.go
+++ b/internal/jobfaults/cutowner_test.go
@@ -16,8 +16,8 @@
 // TestAnOwnerCutOffFromTheStoreHandsOver guards against an owner that keeps its role by relaying
 // store calls through peers while a third of the daemons are cut off from the store for 12 s.
 // Each relay through a peer that was cut off as well blocked commits and instance orders for 1 s,
-// and orders were 1.6 s old when they reached the platform. The score of the run was 0.39, without
-// the fault 0.61.
+// and orders were 1.6 s old when they reached the platform. The score of the run was 0.39; without
+// the fault it was 0.61.
 func TestAnOwnerCutOffFromTheStoreHandsOver(t *testing.T) {
 	simulate(t, func(d *deployment) {
 		d.submitBatchJobs(0, 2)
--- a/internal/jobfaults/faults_test.go
+++ b/internal/jobfaults/faults_test.go
@@ -29,7 +29,7 @@
 	return fault{name, func(*deployment, string) jobfleet.Failure { return f }}
 }
 
-// sideFault returns a fault that leaves the call itself intact.
+// sideFault returns a fault that does not affect the call itself.
 func sideFault(name string, f func(d *deployment, daemon string)) fault {
 	return fault{name, func(d *deployment, daemon string) jobfleet.Failure {
 		f(d, daemon)
--- a/internal/jobfaults/manystops_test.go
+++ b/internal/jobfaults/manystops_test.go
@@ -15,8 +15,8 @@
 // TestStopsDoNotDelayLeaseRenewals guards against stops that are sent again 0.5 s after the decision
 // although they still wait for a call slot, and so delay the holds, which queue for the same slots. After
 // an owner with a fifth of a core had cancelled 1,440 tasks, the leases of the 240 others expired within
-// 10 s on healthy workers, beyond their budget. The workers received over twice as many stops as there
-// were runs.
+// 10 s on healthy workers, more than their budget allows. The workers received over twice as many stops
+// as there were runs.
 func TestStopsDoNotDelayLeaseRenewals(t *testing.T) {
 	const instances, width, kept, cancelled = 240, 24, 10, 60
 	simulateCPULimited(t, instances, weakCallCost, func(in *jobfleet.Installation) {
--- a/internal/jobfaults/slowowner_test.go
+++ b/internal/jobfaults/slowowner_test.go
@@ -31,8 +31,8 @@
 
 // TestASlowOwnerHandsOver: an owner that runs clearly slower than usual hands over once, to a
 // daemon that is not slow. It guards against an owner that runs at a fifth of its speed for 8 s but
-// keeps its role and delays all work: it renewed its lease, and only the CPU share set at a
-// daemon's start decided the election. On three fleets this fault lowered the score from 0.725 to
+// keeps its role and delays all work: it renewed its lease, and the election considered only the
+// CPU share set at a daemon's start. On three fleets this fault lowered the score from 0.725 to
 // 0.427, from 0.747 to 0.386 and from 0.681 to 0.388; a killed owner did not lower it.
 func TestASlowOwnerHandsOver(t *testing.T) {
 	const duration = 8 * time.Second
--- a/internal/jobfaults/takeovercount_test.go
+++ b/internal/jobfaults/takeovercount_test.go
@@ -34,7 +34,7 @@
 		submitted := time.Now()
 		for i := range jobs {
 			j := batchJob(i)
-			j.Steps[0].Need.CPUMilli = 300 // one worker has room for all of them
+			j.Steps[0].Need.CPUMilli = 300 // one worker has the capacity for all of them
 			accepted, _ := caller.Submit(ordersPrefix, j)
 			require.True(t, accepted)
 		}
--- a/jobs/capacity/capacity_test.go
+++ b/jobs/capacity/capacity_test.go
@@ -188,7 +188,7 @@
 }
 
 // TestLateWorkYieldsInstancesToWorkInTime: if all pools lack instances, a pool with only late
-// work keeps what it needs with that work weighted 1/4, and gives the others away.
+// work keeps what it needs with that work weighted 1/4, and its other instances go to other pools.
 func TestLateWorkYieldsInstancesToWorkInTime(t *testing.T) {
 	late := pool("late", 8, 4, 0)
 	late.BusyCores, late.WaitingCores, late.LateWaitingCores = 30, 40, 40 // needs 9 instances in full, 5 with late work weighted 1/4
--- a/jobs/node/ownerwatch_test.go
+++ b/jobs/node/ownerwatch_test.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestMayReplaceOnlyOwnerWithSimilarCPU: a daemon with far less CPU than the owner leaves the
-// owner's lease to expire.
+// TestMayReplaceOnlyOwnerWithSimilarCPU: a daemon with far less CPU than the owner waits until the
+// owner's lease has expired.
 func TestMayReplaceOnlyOwnerWithSimilarCPU(t *testing.T) {
 	list := []ledger.Member{{Node: "large", Cores: 0.8}, {Node: "similar", Cores: 0.7}, {Node: "small", Cores: 0.2}}
 	for _, c := range []struct {
--- a/jobs/node/relays_test.go
+++ b/jobs/node/relays_test.go
@@ -13,7 +13,7 @@
 
 // TestRelaysAreBalancedByCPU: daemons that lose the store at the same moment must not all use the
 // same relay, whose link carries little more than its own traffic. Daemons with more CPU, and so
-// more bandwidth, are relays for more of them.
+// more bandwidth, are relays for more daemons.
 func TestRelaysAreBalancedByCPU(t *testing.T) {
 	const large, small = 6, 34
 	var list []ledger.Member
--- a/jobs/owner/core_test.go
+++ b/jobs/owner/core_test.go
@@ -433,8 +433,8 @@
 	}
 }
 
-// TestFillersAreThrottledBesideASlowServingTask: fillers are slowed down, and get their speed
-// back when the tail latency is well below its target.
+// TestFillersAreThrottledBesideASlowServingTask: fillers are slowed down, and run at full speed
+// again when the tail latency is well below its target.
 func TestFillersAreThrottledBesideASlowServingTask(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
--- a/jobs/owner/crash_test.go
+++ b/jobs/owner/crash_test.go
@@ -98,7 +98,7 @@
 
 // TestRiskyTasksAreIsolated checks that two tasks on a worker that crashed at their start are
 // started on separate workers, and that nothing else is placed there. After a second crash one
-// task is given up and its job fails; the other goes on.
+// task is given up and its job fails; the other one continues.
 func TestRiskyTasksAreIsolated(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
@@ -128,7 +128,7 @@
 }
 
 // TestCrashConfirmedAfterLeaseExpiry: the lease of a silent worker expires and its task starts
-// elsewhere before it is known that the worker had crashed. The crash has to count all the same.
+// elsewhere before it is known that the worker had crashed. The crash must still count.
 func TestCrashConfirmedAfterLeaseExpiry(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("w0", "w1", "w2", "w3", "w4")
--- a/jobs/owner/handover_test.go
+++ b/jobs/owner/handover_test.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// TestANewOwnerMovesInstancesAtOnce: only instances for which the previous owner may have
-// sent a recent order are left alone for DutyHandover.
+// TestANewOwnerMovesInstancesAtOnce: only instances for which the previous owner may have sent a
+// recent order get no order for the period DutyHandover.
 func TestANewOwnerMovesInstancesAtOnce(t *testing.T) {
 	r := newRig(t, 1)
 	opt := r.core.opt
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -105,8 +105,8 @@
 	assert.Len(t, r.confirmStarts(), 1)
 }
 
-// TestCrashCountsAfterARestart: a worker that answers again after a restart does not clear
-// the tasks that may have crashed its past incarnation.
+// TestCrashCountsAfterARestart: tasks that may have crashed the worker's past incarnation remain
+// suspects when the worker answers again after a restart.
 func TestCrashCountsAfterARestart(t *testing.T) {
 	r := newRig(t, 1)
 	r.addWorkers("b", "c", "d")
--- a/jobs/owner/saturatedlink_test.go
+++ b/jobs/owner/saturatedlink_test.go
@@ -11,8 +11,8 @@
 
 // These tests guard against an owner that takes its own saturated network link for worker
 // failures. On a saturated link of 2 Mbit/s holds time out, and 30 to 45% of 132 workers seem
-// silent at a time. These are too few for detectOverload, so the owner let 476 leases expire:
-// long-running tasks ended beyond their disruption budgets, and other tasks were started twice.
+// silent at a time. These are too few for detectOverload, so the owner let 476 leases expire: more
+// long-running tasks ended than their disruption budgets allow, and other tasks were started twice.
 
 // saturatedLinkLatency is the latency of an order over a saturated link.
 const saturatedLinkLatency = 300 * time.Millisecond
--- a/jobs/owner/stale_test.go
+++ b/jobs/owner/stale_test.go
@@ -27,8 +27,8 @@
 	assert.Len(t, r.out.Stops, 1, "the answer to a hold sent 0.9 s later shows no progress")
 }
 
-// TestMaintenanceNeedsFreshRunLists: an owner that was suspended must not rely on run lists
-// from before.
+// TestMaintenanceNeedsFreshRunLists: an owner that was suspended must not rely on run lists from
+// before the suspension.
 func TestMaintenanceNeedsFreshRunLists(t *testing.T) {
 	r := newRig(t, 1)
 	a, b := r.worker("a"), r.worker("b")
--- a/jobs/owner/startwindow_test.go
+++ b/jobs/owner/startwindow_test.go
@@ -91,7 +91,7 @@
 
 // TestDemandCountsWhileTheStartWindowIsFull: tasks without capacity count as demand of their pool
 // also while the start window is full. Otherwise no instance is moved to a full pool, and its
-// tasks wait: two long-running tasks did so for 9.7 s.
+// tasks wait: two long-running tasks waited for 9.7 s.
 func TestDemandCountsWhileTheStartWindowIsFull(t *testing.T) {
 	r := newRig(t, 1)
 	a := r.worker("a")
--- a/requests/control/history_test.go
+++ b/requests/control/history_test.go
@@ -22,8 +22,8 @@
 }
 
 // TestHistoryWaitsForNewerInstanceList guards against a false budget violation in
-// the history: a record shows one instance back and another taken out, while an
-// older instance list still shows the first as out.
+// the history: a record shows one instance back in service and another taken out,
+// while an older instance list still shows the first as out of service.
 func TestHistoryWaitsForNewerInstanceList(t *testing.T) {
 	m := mirror.New()
 	opts := DefaultOptions
--- a/requests/health/health_test.go
+++ b/requests/health/health_test.go
@@ -48,7 +48,7 @@
 
 // TestLatencyCountsUnansweredRequest: a worker that is new or was slow has no
 // recent average. Until its first answer, the time for which a request has gone
-// unanswered counts as its latency, so that it isn't sent more.
+// unanswered counts as its latency, so that it isn't sent more requests.
 func TestLatencyCountsUnansweredRequest(t *testing.T) {
 	d := New(DefaultOptions)
 	assert.Zero(t, d.Latency(t0, "w"))
