--- a/internal/jobfaults/cutowner_test.go
+++ b/internal/jobfaults/cutowner_test.go
@@ -9,13 +9,13 @@
 )
 
 // replacementBound is the maximum time until an owner that is alive but cut off is replaced. As
-// after a loss of power it consists of the lease of 2 s, the rest of its last renewal, and the
+// after a power failure it consists of the lease of 2 s, the rest of its last renewal, and the
 // election.
 const replacementBound = 3 * time.Second
 
 // TestAnOwnerCutOffFromTheStoreHandsOver guards against an owner that keeps its role by relaying
 // store calls through peers while a third of the daemons are cut off from the store for 12 s.
-// Each relay through a peer that was cut off as well blocked commits and instance orders for 1 s,
+// Each relay through a peer that was itself cut off blocked commits and instance orders for 1 s,
 // and orders were 1.6 s old when they reached the platform. The score of the run was 0.39; without
 // the fault it was 0.61.
 func TestAnOwnerCutOffFromTheStoreHandsOver(t *testing.T) {
--- a/internal/jobfaults/overload_test.go
+++ b/internal/jobfaults/overload_test.go
@@ -17,7 +17,7 @@
 )
 
 // TestAnOverloadedOwnerYields guards against an overloaded owner that keeps the lock beside a clearly stronger
-// daemon: only owners without work yielded, and overload was not measured. After a loss of power an owner with
+// daemon: only owners without work yielded, and overload was not measured. After a power failure an owner with
 // a fifth of a core, the first daemon to start, kept the lock for 24 s although six daemons had four fifths. It
 // served under a quarter of the requests, got answers from 4% of the workers and released no inherited task
 // until it lost its lease.
@@ -49,7 +49,7 @@
 }
 
 // TestAMuchWeakerOwnerYields guards against a much weaker owner that stays because it shows no overload. After
-// a loss of power a daemon with a fifth of a core, elected before any member list existed, stayed the owner
+// a power failure a daemon with a fifth of a core, elected before any member list existed, stayed the owner
 // beside eight with four fifths. With few calls in flight its timer showed no overload, and all workers
 // answered within 1.5 s. It served under a quarter of the requests, and tasks waited despite free capacity 900
 // times. Of eight runs only the one with this owner violated the rules.
--- a/jobs/owner/incarnation_test.go
+++ b/jobs/owner/incarnation_test.go
@@ -85,7 +85,7 @@
 	assert.Empty(t, r.out.Starts)
 }
 
-// TestIncarnationWithEarlierStartTime: the worker's time of day went back, so that its new
+// TestIncarnationWithEarlierStartTime: the worker's system clock was set back, so that its new
 // incarnation has the earlier start time.
 func TestIncarnationWithEarlierStartTime(t *testing.T) {
 	r := newRig(t, 1)
--- a/jobs/owner/partition_test.go
+++ b/jobs/owner/partition_test.go
@@ -10,7 +10,7 @@
 )
 
 // These tests guard against an owner that attributes a lasting partition to its own overload. If
-// most workers are partitioned for good and detectOverload has no time limit, the owner renews
+// most workers are partitioned permanently and detectOverload has no time limit, the owner renews
 // their leases forever, none of their tasks starts elsewhere, and a takeover never completes.
 
 // partitionedRig returns a rig with five partitioned and three idle workers.
