--- a/adapter/peerrpc/peerrpc_test.go
+++ b/adapter/peerrpc/peerrpc_test.go
@@ -17,7 +17,7 @@
 	"github.com/postmount/postmount/verdict"
 )
 
-// stubHandler answers heartbeats at once and claims after release is closed.
+// stubHandler replies to heartbeats immediately and to claims after release is closed.
 type stubHandler struct {
 	port.PeerServer
 	release chan struct{}
--- a/cmd/postmount-lab/load.go
+++ b/cmd/postmount-lab/load.go
@@ -14,7 +14,7 @@
 	"github.com/postmount/postmount/standin/worker"
 )
 
-// errLoadCheckFailed is returned if an answer was wrong or a request ran twice.
+// errLoadCheckFailed is returned if a response was wrong or a request ran twice.
 var errLoadCheckFailed = errors.New("load check failed: an answer was truncated, belonged to another request or differed from the answer to the first send, or a request ran twice")
 
 // loadCommand adds "load", the open-loop load generator.
@@ -50,7 +50,7 @@
 // reportTimeout bounds the call for the workers' report.
 const reportTimeout = 5 * time.Second
 
-// checkSummaries returns errLoadCheckFailed if an answer was wrong or, according to
+// checkSummaries returns errLoadCheckFailed if a response was wrong or, according to
 // the workers, a request ran twice.
 func checkSummaries(summaries []lab.Summary, workers string) error {
 	for _, s := range summaries {
--- a/lab/fixture_test.go
+++ b/lab/fixture_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestWholePath sends load through daemons over real connections and checks every answer. It
+// TestWholePath sends load through daemons over real connections and checks every response. It
 // doesn't check latency, which depends on the machine.
 func TestWholePath(t *testing.T) {
 	f, err := NewFixture(OrderDesks(), 3, nil, io.Discard)
--- a/lab/load.go
+++ b/lab/load.go
@@ -40,7 +40,7 @@
 }
 
 // Load is an open-loop load generator: requests are sent when they are due, whether or not
-// earlier ones were answered, and latency counts from the due time.
+// earlier ones got a response, and latency counts from the due time.
 type Load struct {
 	opts         LoadOptions
 	http         *http.Client
@@ -58,12 +58,12 @@
 	Done             int64
 	NotRun           int64
 	MayHaveRun       int64
-	Unanswered       int64 // sends without any answer, as from an entry that has ended
-	Truncated        int64 // truncated answers
-	WrongRequest     int64 // answers to another request
-	ResendMismatches int64 // resends whose answer differs from the first
+	Unanswered       int64 // sends without a response, for example because the entry has ended
+	Truncated        int64 // truncated responses
+	WrongRequest     int64 // responses to another request
+	ResendMismatches int64 // resends whose response differs from the first
 	Codes            map[string]int64
-	latency          *hdrhistogram.Histogram // microseconds; complete answers of done requests only
+	latency          *hdrhistogram.Histogram // microseconds; complete responses to done requests only
 }
 
 const (
@@ -91,7 +91,7 @@
 	return l
 }
 
-// Run sends requests until ctx ends and waits for the last answers.
+// Run sends requests until ctx ends and waits for the last responses.
 func (l *Load) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	seed := l.opts.Seed
@@ -142,10 +142,10 @@
 	due     time.Time
 }
 
-// answer is the result of one send.
+// answer is the result of one send, with the response if there was one.
 type answer struct {
 	verdict verdict.Verdict
-	body    []byte // nil if there was no answer
+	body    []byte // nil if there was no response
 }
 
 // sendRequest sends a new request that was due at due, and sends it again if resend is set: while
@@ -215,7 +215,7 @@
 	return l.opts.Entries[n%len(l.opts.Entries)]
 }
 
-// send sends a request once, checks its answer and counts the result.
+// send sends a request once, checks its response and counts the result.
 func (l *Load) send(r request, n int) answer {
 	l.count(r, func(s *ClassStats) { s.Sent++ })
 	resp, body, err := l.roundTrip(r, l.pickEntry(n))
@@ -244,8 +244,8 @@
 	return answer{verdict: v, body: body}
 }
 
-// roundTrip sends a request to addr and reads the whole answer. The response is nil if there is no
-// answer; an error beside a response means that its body is truncated.
+// roundTrip sends a request to addr and reads the whole response. The response is nil if there was
+// none; a response together with an error means that its body is truncated.
 func (l *Load) roundTrip(r request, addr string) (*http.Response, []byte, error) {
 	method := http.MethodGet
 	if r.class.Keyed {
@@ -275,7 +275,7 @@
 	return resp, body, err
 }
 
-// countWrongRequest returns 1 if a complete answer doesn't belong to r, else 0.
+// countWrongRequest returns 1 if a complete response doesn't belong to r, else 0.
 func countWrongRequest(r request, body []byte) int64 {
 	var a worker.Answer
 	if err := json.Unmarshal(body, &a); err != nil {
@@ -288,7 +288,7 @@
 	return 0
 }
 
-// problemCode returns the code in a problem answer, "unknown" if it isn't one.
+// problemCode returns the code in a problem response, "unknown" if it isn't one.
 func problemCode(body []byte) string {
 	var p entry.Problem
 	if json.Unmarshal(body, &p) != nil || p.Type == "" {
--- a/lab/measure.go
+++ b/lab/measure.go
@@ -187,7 +187,7 @@
 }
 
 // amplification measures attempts per request while two of 6 workers, then all, fail every
-// request. A complete answer that reports a failure counts as done.
+// request. A complete response that reports a failure counts as done.
 func amplification() Experiment {
 	return Experiment{
 		Name:    "Tries per request while workers fail every request",
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -1,5 +1,5 @@
 // Package lab runs postmount against stand-ins of its environment: it defines the fleets of two
-// users, sends load to entry daemons and checks every answer, and runs the experiments and the
+// users, sends load to entry daemons and checks every response, and runs the experiments and the
 // demo.
 package lab
 
--- a/operators/api/messages.go
+++ b/operators/api/messages.go
@@ -11,7 +11,7 @@
 )
 
 // ExecRequest asks to execute the statements in Text. ID identifies the request:
-// a repeat with the same ID is answered but not executed again.
+// a repeat with the same ID gets a response but is not executed again.
 type ExecRequest struct {
 	ID   string `json:"id"`
 	Text string `json:"text"`
@@ -92,8 +92,8 @@
 	Rate    float64 `json:"rate"` // see slo.BurnRate
 }
 
-// WaveReport describes a wave as observed by the answering daemon. It has no
-// samples from before the start of that daemon.
+// WaveReport describes a wave as observed by the daemon that responds. It has
+// no samples from before the start of that daemon.
 type WaveReport struct {
 	Wave     string     `json:"wave"`
 	State    string     `json:"state"`
--- a/operators/client/client.go
+++ b/operators/client/client.go
@@ -24,7 +24,7 @@
 	CodeRefused     verdict.Code = "server-refused"
 )
 
-// Client calls its servers in order until one answers.
+// Client calls its servers in order until one responds.
 type Client struct {
 	servers []string // IP:port of operators' APIs
 	http    *http.Client
@@ -73,14 +73,14 @@
 	}
 }
 
-// Status returns the status of the first server that answers.
+// Status returns the status of the first server that responds.
 func (c *Client) Status(ctx context.Context) (api.Status, error) {
 	var out api.Status
 	_, err := c.tryServers(ctx, http.MethodGet, "/v1/status", nil, &out)
 	return out, err
 }
 
-// Wave returns the report of a wave from the first server that answers.
+// Wave returns the report of a wave from the first server that responds.
 func (c *Client) Wave(ctx context.Context, name string) (api.WaveReport, error) {
 	var out api.WaveReport
 	_, err := c.tryServers(ctx, http.MethodGet, "/v1/waves/"+url.PathEscape(name)+"/report", nil, &out)
@@ -94,7 +94,7 @@
 	return out, err
 }
 
-// tryServers calls one server after another until one answers. mayHaveRun reports
+// tryServers calls one server after another until one responds. mayHaveRun reports
 // that a server whose call failed may have executed the request or still may. The
 // verdict of the error covers all attempts.
 func (c *Client) tryServers(ctx context.Context, method, path string, body []byte, out any) (mayHaveRun bool, err error) {
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -52,12 +52,12 @@
 
 type jobRecord struct {
 	spec            *job.Job
-	refused         bool // all answers to its submissions so far say that it never runs
-	mayRun          bool // an answer is missing or says that it may run
+	refused         bool // all responses to its submissions so far say that it never runs
+	mayRun          bool // a response is missing or says that it may run
 	accepted        bool
 	confirmed       time.Time // when the caller first knew of its acceptance
 	queue           string    // prefix of its queue
-	pendingRequests int       // submissions without an answer yet
+	pendingRequests int       // submissions without a response yet
 	started         bool      // a task of it has started
 	cancelled       time.Time
 
@@ -116,7 +116,7 @@
 	c.jobs[spec.ID].pendingRequests++
 }
 
-// SubmissionAnswered records the answer to a submission: accepted, refused (the job never runs),
+// SubmissionAnswered records the response to a submission: accepted, refused (the job never runs),
 // or neither if the outcome is unknown.
 func (c *Checker) SubmissionAnswered(id job.ID, accepted, refused bool) {
 	c.mu.Lock()
@@ -162,7 +162,7 @@
 	}
 }
 
-// NotFoundReported checks a daemon's answer to a caller that a job doesn't exist.
+// NotFoundReported checks a daemon's response to a caller that a job doesn't exist.
 func (c *Checker) NotFoundReported(id job.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -15,7 +15,7 @@
 // Failures of a call.
 const (
 	NoFailure   Failure = iota
-	Refused             // not carried out; the caller is told
+	Refused             // not carried out; the caller gets an error
 	RequestLost         // not carried out; no answer
 	AnswerLost          // carried out; no answer
 	Delayed             // carried out later; no answer
--- a/standin/jobfleet/installation.go
+++ b/standin/jobfleet/installation.go
@@ -187,14 +187,14 @@
 	return string(in.Store.Value(key)) == string(done)
 }
 
-// Caller sends requests to the daemons and reports the answers to the checker.
+// Caller sends requests to the daemons and reports the responses to the checker.
 type Caller struct {
 	in   *Installation
 	send Send
 	name string // name of the daemon if all requests go to one, else ""
 }
 
-// Send sends a request to a daemon; status 0 means no answer.
+// Send sends a request to a daemon; status 0 means no response.
 type Send func(method, path string, body []byte) (status int, answer string)
 
 // Caller returns a caller that sends to all daemons, round robin.
@@ -235,7 +235,7 @@
 	return w.Code, w.Body.String()
 }
 
-// callerTimeout is how long a caller waits for an answer.
+// callerTimeout is how long a caller waits for a response.
 const callerTimeout = 3 * time.Second
 
 // Submit sends a job once. refused means that it certainly never runs; if both results are false
@@ -253,7 +253,7 @@
 	return accepted, refused
 }
 
-// State requests the state of a job; "" means that there is no answer or no such job.
+// State requests the state of a job; "" means that there is no response or no such job.
 func (c *Caller) State(prefix string, id job.ID) job.State {
 	status, body := c.send(http.MethodGet, prefix+string(id), nil)
 	switch status {
@@ -278,7 +278,7 @@
 	return status == http.StatusOK
 }
 
-// Pending requests the number of waiting jobs of a queue; -1 means no answer.
+// Pending requests the number of waiting jobs of a queue; -1 means no response.
 func (c *Caller) Pending(prefix string) int {
 	asked := time.Now()
 	status, body := c.send(http.MethodGet, prefix, nil)
--- a/standin/jobfleet/tenants.go
+++ b/standin/jobfleet/tenants.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// UnknownKeyAnswered checks the status of the answer to a call with an API key that is in no
+// UnknownKeyAnswered checks the status of the response to a call with an API key that is in no
 // configuration.
 func (c *Checker) UnknownKeyAnswered(status int) {
 	c.mu.Lock()
