--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -171,8 +171,8 @@
 	return nil
 }
 
-// errNotReady means that the daemons were not ready, or had different members in their view, in
-// time.
+// errNotReady means that the context of WaitReady ended before all running daemons were ready with a
+// view of exactly these daemons.
 var errNotReady = errors.New("the entry daemons did not become ready with a common view in time")
 
 // WaitReady waits until every running daemon is ready and their view has exactly the running
--- a/lab/jobload/daemon_test.go
+++ b/lab/jobload/daemon_test.go
@@ -35,7 +35,7 @@
 	for _, c := range []struct {
 		name      string
 		daemon    Daemon
-		minInTime float64 // share of jobs in time
+		minInTime float64 // share of jobs on time
 		maxInTime float64
 	}{
 		{"as built", Daemon{Cores: 0.12, LinkMbps: 2}, 0.6, 1},
--- a/lab/jobload/engine.go
+++ b/lab/jobload/engine.go
@@ -1,5 +1,5 @@
 // Package jobload is a discrete-event simulation of load on the scheduler's real decision code,
-// in virtual time. It reports how many jobs were in time, what delayed the others, and the cost
+// in virtual time. It reports how many jobs were on time, what delayed the others, and the cost
 // in instances.
 //
 // Not simulated: slow and failing workers and, unless Scenario.Daemon is set, the daemons' CPU
--- a/lab/jobload/jobload_test.go
+++ b/lab/jobload/jobload_test.go
@@ -37,15 +37,15 @@
 )
 
 // TestFaultsUnderRotatingLoad injects faults near the start of a turn, when a pool has to grow to
-// five times its size within two seconds. minInTime is the measured share in time, averaged over the
-// seeds, less about 0.03. The comments of the cases give the share with a mechanism switched off,
+// five times its size within two seconds. minInTime is the measured share of jobs on time, averaged over
+// the seeds, less about 0.03. The comments of the cases give the share with a mechanism switched off,
 // measured with eight seeds.
 func TestFaultsUnderRotatingLoad(t *testing.T) {
 	const seeds = 4
 	for _, c := range []struct {
 		name         string
 		faults       []Fault
-		minInTime    float64 // share of all jobs in time
+		minInTime    float64 // share of all jobs on time
 		maxInstances float64 // instances in pools, on average
 	}{
 		{"no faults", nil, 0.95, 46},
@@ -59,7 +59,7 @@
 		{"wave and owner killed", []Fault{{At: 2 * time.Second, For: 26 * time.Second, Kind: Wave, Count: 6}, {At: secondTurn, Kind: OwnerKilled}}, 0.93, 47},
 		{"wide jobs", []Fault{{At: thirdTurn, Kind: WideJobs, Count: 20}}, 0.93, 47},
 		// The whole backlog of the pool is late when the next turn begins: 0.78 if late work counts as
-		// much as work that can still be in time.
+		// much as work that can still be on time.
 		{"wide jobs at the end of a turn", []Fault{{At: 15500 * time.Millisecond, Kind: WideJobs, Count: 60}}, 0.79, 48},
 		{"rack lost", []Fault{{At: thirdTurn, Kind: RackLost, Count: 4}}, 0.94, 46},
 	} {
--- a/lab/jobload/jobs.go
+++ b/lab/jobload/jobs.go
@@ -97,7 +97,7 @@
 // submitSecond returns the second of virtual time in which the job was first submitted.
 func (s *sim) submitSecond(j *simJob) int { return int(j.submittedAt.Sub(s.engine.begin).Seconds()) }
 
-// jobEnded counts a job as in time or late. The time since its first submission counts, and a job
+// jobEnded counts a job as on time or late. The time since its first submission counts, and a job
 // that didn't complete is late.
 func (s *sim) jobEnded(j *simJob, state job.State) {
 	if j.ended {
--- a/lab/jobload/lostcalls_test.go
+++ b/lab/jobload/lostcalls_test.go
@@ -12,7 +12,7 @@
 
 // TestLostCalls guards against timeouts that are too long when calls to workers are lost. With those for a
 // saturated link, a lost start or hold blocked its task or worker so long that 0.73 of the work was served
-// with a fifth of these calls lost, 0.89 with a twentieth, 0.99 with none. Under rotatingLoad the share in
+// with a fifth of these calls lost, 0.89 with a twentieth, 0.99 with none. Under rotatingLoad the share on
 // time is 0.45 and 0.69 (a fifth, a twentieth) with callpolicy.Patient. With callpolicy.Short it is 0.91 and 0.97, but
 // this policy always holds each worker with tasks eight times a second.
 func TestLostCalls(t *testing.T) {
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -127,10 +127,10 @@
 	Meter             Meter          // real time of the owner's decisions
 }
 
-// InTimeShare returns the share of jobs that were in time.
+// InTimeShare returns the share of jobs that were on time.
 func (r *Result) InTimeShare() float64 { return float64(r.InTime) / float64(max(1, r.Jobs)) }
 
-// InTimeShareBetween returns the share in time of the jobs submitted from second a up to
+// InTimeShareBetween returns the share on time of the jobs submitted from second a up to
 // second b.
 func (r *Result) InTimeShareBetween(a, b int) float64 {
 	jobs, late := 0, 0
