--- a/adapter/backendhttp/client.go
+++ b/adapter/backendhttp/client.go
@@ -214,7 +214,7 @@
 	mu           sync.Mutex
 	conns        []*trackedConn
 	writesBefore []int
-	closed       bool // set by sealUnwritten: later connections are sealed at once
+	closed       bool // set by sealUnwritten: later connections are sealed immediately
 }
 
 // gotConn is the httptrace hook that is called before a request is written to conn.
--- a/lab/control.go
+++ b/lab/control.go
@@ -105,7 +105,7 @@
 }
 
 // waitForWave waits until a wave has ended and returns its duration. It resumes a halted wave
-// at once, as an operator would after checking it.
+// immediately, as an operator would after checking it.
 func (f *Fixture) waitForWave(ctx context.Context, name string, timeout time.Duration) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -233,7 +233,7 @@
 	if err != nil {
 		return nil, err
 	}
-	const bound, pools = 3.0, 5.0 // 12 instances, 4 at once, 1 s each
+	const bound, pools = 3.0, 5.0 // 12 instances, 4 at the same time, 1 s each
 	mean := <-out
 	return []string{fmt.Sprintf("%.1f", took.Seconds()), fmt.Sprintf("%.2f", took.Seconds()/bound), fmt.Sprintf("%.1f", mean), fmt.Sprintf("%.2f", mean/pools)}, nil
 }
--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -50,7 +50,7 @@
 	r.markEnded()
 }
 
-// Kill ends the daemon at once.
+// Kill ends the daemon immediately.
 func (r *RunningDaemon) Kill() {
 	r.Daemon.Kill()
 	<-r.done
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -323,7 +323,7 @@
 // drawCallLoss draws at random whether a call to a worker is lost.
 func (s *sim) drawCallLoss() bool { return s.callLoss > 0 && s.rand.Float64() < s.callLoss }
 
-// answerOrLose carries out an order at once or, if the call is lost, later and without an answer.
+// answerOrLose carries out an order immediately or, if the call is lost, later and without an answer.
 func (s *sim) answerOrLose(do func() owner.Answer) owner.Answer {
 	if !s.drawCallLoss() {
 		return do()
--- a/lab/jobload/sim.go
+++ b/lab/jobload/sim.go
@@ -24,7 +24,7 @@
 	dutyHandover             = 3 * time.Second
 	// electionAfterPowerLoss is the time from the owner's loss of power to the next election: its
 	// lease of 2 s and the election. electionAfterKill is the same for a killed process, which is
-	// detected at once.
+	// detected immediately.
 	electionAfterPowerLoss = 2100 * time.Millisecond
 	electionAfterKill      = 100 * time.Millisecond
 	// electionAfterOutage is the time from the end of a store outage to the election of an owner.
@@ -277,7 +277,8 @@
 	s.daemonSim.transfer(&s.daemonSim.down, entry*len(s.ids), onRead)
 }
 
-// deliverAnswer passes a worker's answer to the core at once, or a missing answer after the timeout.
+// deliverAnswer passes a worker's answer to the core immediately, or a missing answer after the
+// timeout.
 func (s *sim) deliverAnswer(kind EventKind, a owner.Answer, timeout time.Duration, term uint64, f func(*owner.Core)) {
 	wait := time.Duration(0)
 	if a.Outcome == owner.Unanswered {
--- a/lab/jobload/unusedmoves_test.go
+++ b/lab/jobload/unusedmoves_test.go
@@ -39,8 +39,8 @@
 // TestUnusedMoves checks that the number of instances moved to a pool in which they then run no task
 // grows with the work, not with the size of the fleet. The arrival rate used to be estimated from the
 // newest five arrivals, which come within milliseconds on a large fleet. So the forecast was ten times
-// the load (18,000 cores a second, 1,800 arrived), and all of it was ordered at once: of 6,000 instances
-// 2,900 were moved to two pools whose peaks needed 300.
+// the load (18,000 cores a second, 1,800 arrived), and instances for all of it were ordered immediately:
+// of 6,000 instances 2,900 were moved to two pools whose peaks needed 300.
 func TestUnusedMoves(t *testing.T) {
 	unusedMovesPerJob := func(instances, seeds int) float64 {
 		moves, jobs := 0, 0
--- a/operators/api/messages.go
+++ b/operators/api/messages.go
@@ -119,7 +119,7 @@
 	Available int       `json:"available"`
 	Floor     int       `json:"floor"` // minimum available that the budget allows
 	Out       int       `json:"out"`
-	Allowed   int       `json:"allowed"` // to be out at once
+	Allowed   int       `json:"allowed"` // maximum number out at the same time
 }
 
 // ErrorResponse is the body of the response to a request refused as a whole.
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -226,7 +226,8 @@
 	return true
 }
 
-// SetWaveLimit registers a wave and the maximum number of its instances that may be down at once.
+// SetWaveLimit registers a wave and the maximum number of its instances that may be down at the
+// same time.
 func (c *Checker) SetWaveLimit(wave, limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// stop ends the worker at once, as a reboot does. Its connections are closed and its tasks are
-// lost.
+// stop ends the worker immediately, as a reboot does. Its connections are closed and its tasks
+// are lost.
 func (w *Worker) stop() {
 	w.mu.Lock()
 	server := w.server
