--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -184,7 +184,7 @@
 	})
 }
 
-// hold transfers a hold and its answer. The worker answers when a run ends or the wait is over;
+// hold transfers a hold and its answer. The worker answers when a run or the wait has ended;
 // an answer that is read after the timeout is dropped.
 func (h *daemonSim) hold(o owner.Hold) {
 	term := h.s.term
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -189,7 +189,7 @@
 	})
 }
 
-// receiveHold applies a hold at a worker, which answers when a run ends or the wait is over. A
+// receiveHold applies a hold at a worker, which answers when a run or the wait has ended. A
 // dead worker does not answer.
 func (s *sim) receiveHold(o owner.Hold, answer func(owner.HoldAnswer)) {
 	w := s.workers[o.Worker]
--- a/lab/jobload/sim.go
+++ b/lab/jobload/sim.go
@@ -69,7 +69,7 @@
 	electedAt         time.Time
 	lastOrderAt       map[owner.InstanceID]time.Time // time of the newest order for the instance
 	callLoss          float64                        // share of the calls to workers whose answer is lost
-	instanceTimeEnded bool                           // the arrivals are over; instance time no longer counts
+	instanceTimeEnded bool                           // the arrivals have ended; instance time no longer counts
 	daemonSim         *daemonSim                     // nil: the owner's work takes no time, see Scenario.Daemon
 	running           map[job.TaskID]int             // number of running runs
 	done              map[job.TaskID]bool
--- a/operators/command/instance.go
+++ b/operators/command/instance.go
@@ -27,7 +27,7 @@
 }
 
 // poolWithCommand returns the pool whose record already includes the command. Once the
-// move is over, the instance no longer belongs to that pool.
+// move has ended, the instance no longer belongs to that pool.
 func (p *planner) poolWithCommand() (fleet.Versioned[fleet.Pool], bool) {
 	for _, v := range p.state.Pools {
 		if v.Value.Applied.Contains(p.ID) {
--- a/standin/jobfleet/checker.go
+++ b/standin/jobfleet/checker.go
@@ -73,7 +73,7 @@
 const (
 	drainBound        = 2 * time.Second // from a worker's drain until no task starts on it
 	cancelBound       = 3 * time.Second // from a job's cancellation until none of its tasks starts
-	dutyHandover      = 3 * time.Second // between orders of two holders for the same instance
+	dutyHandover      = 3 * time.Second // between orders of two duty holders for the same instance
 	pendingCountBound = 5 * time.Second // until a waiting job is in its queue's count
 )
 
@@ -333,7 +333,7 @@
 
 // instanceOrdered checks an order for an instance; wave is 0 for a move, and down is the number of
 // instances of the wave that are down. late means that the daemon was frozen between its last
-// check of the duty and the call. It can't prevent this, so the holder isn't checked.
+// check of the duty and the call. It can't prevent this, so the duty holder isn't checked.
 func (c *Checker) instanceOrdered(d owner.Duty, id owner.InstanceID, wave, down int, late bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -350,8 +350,8 @@
 	}
 }
 
-// checkOrderHolder checks the orders for an instance: its holder must not change within
-// dutyHandover, and its tokens must not decrease.
+// checkOrderHolder checks the orders for an instance: the duty holder must not change within
+// dutyHandover, and the duty's tokens must not decrease.
 func (c *Checker) checkOrderHolder(d owner.Duty, id owner.InstanceID) {
 	last, ordered := c.lastOrders[id]
 	if ordered && last.Holder != d.Holder && time.Since(last.at) < dutyHandover {
--- a/standin/jobfleet/disruption.go
+++ b/standin/jobfleet/disruption.go
@@ -25,7 +25,7 @@
 }
 
 // isUnavailable reports whether a task counts against the budget of its step: it is not ready,
-// and an order ended it or absenceGrace is over.
+// and an order ended it or unavailabilityGrace has elapsed.
 func (c *Checker) isUnavailable(t job.TaskID) bool {
 	r := c.record(t)
 	return !r.ready() && (r.endedByOrder || time.Since(later(r.lastReady, c.jobs[t.Job].submitted)) > unavailabilityGrace)
--- a/standin/store/engine.go
+++ b/standin/store/engine.go
@@ -197,7 +197,7 @@
 	}
 }
 
-// Expire ends the leases whose TTL is over.
+// Expire ends the leases whose TTL has elapsed.
 func (e *Engine) Expire() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// endDueTasks ends the tasks whose run time or lease is over. While Faults.Fail is set it fails
+// endDueTasks ends the tasks whose run time or lease has ended. While Faults.Fail is set it fails
 // every running task.
 func (w *Worker) endDueTasks(now time.Time) {
 	for id, t := range w.tasks {
