--- a/adapter/etcdkv/client.go
+++ b/adapter/etcdkv/client.go
@@ -1,4 +1,4 @@
-// Package etcdkv is a client of the platform's key-value service through the etcd
+// Package etcdkv is a client of the platform's key-value store through the etcd
 // v3 JSON gateway. It implements port.Store only, without elections and locks.
 package etcdkv
 
@@ -22,7 +22,7 @@
 
 // Options of a client.
 type Options struct {
-	Addr    string        // IP:port of the service
+	Addr    string        // IP:port of the store
 	Timeout time.Duration // of every call except a watch
 	// WatchIdleTimeout is how long a watch may receive nothing before it is closed
 	// as broken.
@@ -135,7 +135,7 @@
 	case http.StatusTooManyRequests:
 		return verdict.New(verdict.NotRun, port.CodeStoreRateLimited, "store refused the call: too many requests")
 	case http.StatusServiceUnavailable:
-		// The service also responds with 503 when a proposal timed out, which may
+		// The store also answers with 503 when a proposal timed out, which may
 		// still take effect. Only "no leader" means that nothing was proposed.
 		if !bytes.Contains(body, []byte("no leader")) {
 			return verdict.New(verdict.MayHaveRun, port.CodeStoreUnavailable, "store unavailable: %s", bytes.TrimSpace(body))
@@ -199,7 +199,7 @@
 }
 
 // GrantLease implements port.Store. ttl is rounded up to whole seconds, the unit of
-// the service.
+// the store.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (port.LeaseID, error) {
 	seconds := (ttl + time.Second - 1) / time.Second
 	var resp leaseMessage
--- a/cmd/postmount-lab/store.go
+++ b/cmd/postmount-lab/store.go
@@ -8,7 +8,7 @@
 	"github.com/postmount/postmount/standin/store"
 )
 
-// storeCommand adds "store", the stand-in for the platform's key-value service.
+// storeCommand adds "store", the stand-in for the platform's key-value store.
 func storeCommand(app *kingpin.Application, runners map[string]runner) {
 	cmd := app.Command("store", "Stand-in for the platform's key-value service (etcd v3 JSON gateway).")
 	listen := cmd.Flag("listen", "Listen address.").Default("127.0.0.1:7100").String()
--- a/standin/jobfleet/store.go
+++ b/standin/jobfleet/store.go
@@ -26,7 +26,7 @@
 // maxPageItems is the maximum number of items in a page of a range.
 const maxPageItems = 100
 
-// Store is an in-memory key-value service with revisions, leases and watches.
+// Store is an in-memory key-value store with revisions, leases and watches.
 type Store struct {
 	mu             sync.Mutex
 	rev            int64
--- a/standin/store/engine.go
+++ b/standin/store/engine.go
@@ -1,4 +1,4 @@
-// Package store is a small stand-in for the platform's key-value service. It serves the part of
+// Package store is a small stand-in for the platform's key-value store. It serves the part of
 // the etcd v3 JSON gateway that postmount uses, keeps its data in memory and can inject faults.
 package store
 
@@ -36,7 +36,7 @@
 // oldest tenth is compacted.
 const maxHistoryEvents = 50_000
 
-// Engine holds the keys, revisions, leases and history of the service. Its methods are safe
+// Engine holds the keys, revisions, leases and history of the store. Its methods are safe
 // for concurrent use.
 type Engine struct {
 	mu        sync.Mutex
@@ -213,7 +213,7 @@
 }
 
 // ExtendLeases extends every lease by d, the duration of an outage: leases don't expire while the
-// service itself is down.
+// store itself is unavailable.
 func (e *Engine) ExtendLeases(d time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Faults are the faults that the stand-in injects. The zero value is a healthy service.
+// Faults are the faults that the stand-in injects. The zero value is a healthy store.
 type Faults struct {
 	// Down refuses every call and ends the watches.
 	Down bool `json:"down"`
@@ -19,7 +19,7 @@
 	WritesPerSecond int `json:"writes_per_second"`
 }
 
-// Calls counts the calls to the service. A watch is one call however long it lasts. Limited counts
+// Calls counts the calls to the store. A watch is one call however long it lasts. Limited counts
 // the calls over the limits of Faults.
 type Calls struct {
 	Reads   int64 `json:"reads"`
@@ -91,8 +91,8 @@
 	dropped <-chan struct{} // closed when the watches are dropped
 }
 
-// admit counts a call and decides what the faults do to it. Calls while the service is down don't
-// count.
+// admit counts a call and decides what the faults do to it. Calls while the store is unavailable
+// don't count.
 func (s *faultControl) admit(k callKind, now time.Time) decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
