--- a/lab/fixture.go
+++ b/lab/fixture.go
@@ -116,7 +116,7 @@
 // fixtureToken is the daemons' shared peer token.
 const fixtureToken = "fixture-token-of-the-lab"
 
-// StartDaemon starts the daemon with id "entry-i", with the daemons so far as its seeds.
+// StartDaemon starts the daemon with ID "entry-i". Its seeds are the daemons started before it.
 func (f *Fixture) StartDaemon(i int) (*RunningDaemon, error) {
 	s := settings.Default()
 	s.Entry = settings.Entry{ID: fmt.Sprintf("entry-%d", i), Zone: f.Topology.Zones[(i-1)%len(f.Topology.Zones)]}
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -284,7 +284,7 @@
 	}
 }
 
-// listFleet returns the instances and registrations, ordered by instance id.
+// listFleet returns the instances and registrations, ordered by instance ID.
 func (s *sim) listFleet() (inst []owner.Instance, regs []owner.Registration) {
 	for _, id := range s.ids {
 		i := s.instances[id]
--- a/lab/load.go
+++ b/lab/load.go
@@ -48,7 +48,7 @@
 	stats        map[string]*ClassStats // by "service/class"; the map doesn't change after NewLoad
 
 	mu       sync.Mutex
-	outcomes map[string]verdict.Verdict // of each keyed request by id: the strongest of its sends
+	outcomes map[string]verdict.Verdict // of each keyed request by ID: the strongest of its sends
 }
 
 // ClassStats are the results of one class.
--- a/lab/topology.go
+++ b/lab/topology.go
@@ -97,7 +97,7 @@
 	workersPerRack    = 4
 )
 
-// WorkerID returns the id of the i-th worker of a service, counted from 1.
+// WorkerID returns the ID of the i-th worker of a service, counted from 1.
 func WorkerID(service string, i int) string { return fmt.Sprintf("%s-%02d", service, i) }
 
 // Workers returns the specs of all workers; each listens on a free port.
--- a/operators/client/client.go
+++ b/operators/client/client.go
@@ -43,13 +43,13 @@
 }
 
 // Exec executes the statements in text. Every server that is tried gets the same
-// command id, so that a command which one of them may have executed is not
+// command ID, so that a command which one of them may have executed is not
 // executed again by the next.
 func (c *Client) Exec(ctx context.Context, text string) (api.ExecResponse, error) {
 	return c.ExecWithID(ctx, uuid.NewString(), text)
 }
 
-// ExecWithID is Exec with a command id chosen by the caller.
+// ExecWithID is Exec with a command ID chosen by the caller.
 func (c *Client) ExecWithID(ctx context.Context, id, text string) (api.ExecResponse, error) {
 	body, err := json.Marshal(api.ExecRequest{ID: id, Text: text})
 	if err != nil {
--- a/operators/command/command_test.go
+++ b/operators/command/command_test.go
@@ -30,7 +30,7 @@
 	mirror    *mirror.Mirror
 	instances map[fleet.InstanceID]fleet.Instance
 	now       time.Time
-	commands  int // number of command ids used by run
+	commands  int // number of command IDs used by run
 	out       strings.Builder
 }
 
@@ -51,7 +51,7 @@
 	return &control.Snapshot{State: s.mirror.State(), Instances: s.instances, ListedAt: s.now}
 }
 
-// run executes statements under a new command id.
+// run executes statements under a new command ID.
 func (s *session) run(text string) {
 	s.commands++
 	s.runAs(fmt.Sprint("id", s.commands), text)
--- a/operators/command/plan.go
+++ b/operators/command/plan.go
@@ -55,7 +55,7 @@
 
 // Input is what a statement is planned from.
 type Input struct {
-	ID       fleet.CommandID // repeats of a command have the same id
+	ID       fleet.CommandID // repeats of a command have the same ID
 	Now      time.Time
 	Snapshot *control.Snapshot
 }
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -32,7 +32,7 @@
 	apply := func() owner.Answer {
 		c.fleet.mu.Lock()
 		defer c.fleet.mu.Unlock()
-		w := reached // a delayed order applies to the worker that it reached, not to a later one with the same id
+		w := reached // a delayed order applies to the worker that it reached, not to a later one with the same ID
 		switch {
 		case w != nil && w.refuses:
 			return owner.Answer{Outcome: owner.Unanswered, Err: errRefused, ConnFailed: true}
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -22,7 +22,7 @@
 )
 
 // Fleet is a set of instances and their workers. Each time an instance comes up it gets a new
-// worker, as a rule with a new id; see Restart.
+// worker, usually with a new ID; see Restart.
 type Fleet struct {
 	mu          sync.Mutex
 	instances   map[owner.InstanceID]*instance
@@ -42,7 +42,7 @@
 	owner.Instance
 	capacity     job.Resources
 	endedWorkers int  // number of its workers that have ended
-	keepWorkerID bool // its next worker gets the id of the last one
+	keepWorkerID bool // its next worker gets the ID of the last one
 }
 
 type worker struct {
@@ -169,7 +169,7 @@
 	f.startWorkerAfter(i, d)
 }
 
-// Restart ends an instance's worker without notice; it starts again after d with the same id. Its
+// Restart ends an instance's worker without notice; it starts again after d with the same ID. Its
 // registration stays in the store meanwhile.
 func (f *Fleet) Restart(id owner.InstanceID, d time.Duration) {
 	f.mu.Lock()
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,6 +1,6 @@
 // Package platform is a small stand-in for the platform's instance list and instance commands;
 // docs/PROTOCOLS.md describes its calls. The list shows changes with a delay. A command with a
-// known id has no further effect, and one for another generation of the instance is refused.
+// known ID has no further effect, and one for another generation of the instance is refused.
 // Faults can be injected.
 package platform
 
@@ -48,7 +48,7 @@
 // instance is the actual state of an instance.
 type instance struct {
 	msg      platformhttp.InstanceMessage
-	commands map[string]bool // ids of executed commands
+	commands map[string]bool // IDs of executed commands
 }
 
 // listing is an instance as the list shows it.
@@ -143,7 +143,7 @@
 	p.goneEntries = append(p.goneEntries, incarnations...)
 }
 
-// States returns the actual state of every instance by id, without the list's delay.
+// States returns the actual state of every instance by ID, without the list's delay.
 func (p *Platform) States() map[string]string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/standin/store/engine.go
+++ b/standin/store/engine.go
@@ -145,7 +145,7 @@
 	e.changed = make(chan struct{})
 }
 
-// Grant creates a lease and returns its id.
+// Grant creates a lease and returns its ID.
 func (e *Engine) Grant(ttl time.Duration) int64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -175,7 +175,7 @@
 	e.revokeLocked(id)
 }
 
-// revokeLocked ends a lease and deletes its keys. Keys without a lease have lease id 0.
+// revokeLocked ends a lease and deletes its keys. Keys without a lease have lease ID 0.
 func (e *Engine) revokeLocked(id int64) {
 	delete(e.leases, id)
 	if id == 0 {
--- a/standin/worker/fleet.go
+++ b/standin/worker/fleet.go
@@ -122,7 +122,7 @@
 // Report holds the counts of all workers together.
 type Report struct {
 	Counts
-	// Duplicates lists the ids of the run-once requests that ran more than once.
+	// Duplicates lists the IDs of the run-once requests that ran more than once.
 	Duplicates []string `json:"duplicates"`
 	// RunOnceExecuted is the number of run-once requests that ran.
 	RunOnceExecuted int `json:"ran_once"`
--- a/standin/worker/worker.go
+++ b/standin/worker/worker.go
@@ -26,7 +26,7 @@
 	SlowMS          int  `json:"slow_ms"`   // added to the time of every request
 	TruncateAnswers bool `json:"cut"`       // closes the connection in the middle of every answer
 	Hang            bool `json:"hang"`      // doesn't answer until it is stopped
-	WrongRequestID  bool `json:"foreign"`   // answers with the id of another request
+	WrongRequestID  bool `json:"foreign"`   // answers with the ID of another request
 	Overload        bool `json:"overload"`  // refuses every request without running it
 	TruncateEvery   int  `json:"cut_every"` // closes the connection in the middle of every n-th answer; 0: of none
 }
@@ -59,7 +59,7 @@
 // DrainGrace is how long after the start of a drain requests may still arrive.
 const DrainGrace = 3 * time.Second
 
-// HeaderRunOnce holds the id of a request that must run at most once ("run-once").
+// HeaderRunOnce holds the ID of a request that must run at most once ("run-once").
 const HeaderRunOnce = "X-Load-Once"
 
 // HeaderServiceMS is the service time of a request in milliseconds, set by the load generator.
