--- a/lab/jobload/daemon.go
+++ b/lab/jobload/daemon.go
@@ -21,8 +21,8 @@
 // Costs and limits of the owner's work. CPU times are those of a whole core; see BenchmarkCalls of package
 // platform and BenchmarkFleetSize. Bytes include headers and payloads.
 const (
-	// callCPUTime is half to send the order, half to read the answer. On a large fleet, 164,000 calls take
-	// 15 s of a core.
+	// Half of callCPUTime is used to send the order, half to read the answer. On a large fleet, 164,000
+	// calls take 15 s of CPU time.
 	callCPUTime              = 90 * time.Microsecond
 	eventCPUTime             = 10 * time.Microsecond
 	tickCPUTime              = 100 * time.Microsecond
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -49,8 +49,8 @@
 type JobKind struct {
 	Steps         float64       // mean number of steps; each job has it rounded up or down, at least 1
 	Width         int           // mean number of tasks of a step
-	CPUMilli      int           // mean of a task
-	MemMB         int           // mean of a task
+	CPUMilli      int           // mean of a task, in millicores
+	MemMB         int           // mean of a task, in MB
 	TaskDuration  time.Duration // mean duration of a task
 	EstimateError float64       // maximum relative error of estimates, in either direction
 }
--- a/operators/command/config.go
+++ b/operators/command/config.go
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// milliPerCore converts cores to thousandths of a core.
+// milliPerCore converts cores to millicores.
 const milliPerCore = 1000
 
 // resources converts the amounts of a statement. If a resource is given twice, the
