--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -43,7 +43,7 @@
 	ranTask      bool  // a task has run here
 }
 
-// pendingHold is a hold that waits for the end of a task.
+// pendingHold is a hold (see owner.Hold) that waits for the end of a task.
 type pendingHold struct{ answer func(owner.HoldAnswer) }
 
 type execution struct {
@@ -72,7 +72,8 @@
 	s.workers[id] = i.worker
 }
 
-// endWorker ends the instance's worker and its tasks; the instance is up again after back.
+// endWorker ends the instance's worker and its tasks; the instance comes up again after the
+// duration back.
 func (s *sim) endWorker(i *instance, state owner.InstanceState, back time.Duration) {
 	i.State = state
 	if w := i.worker; w != nil {
--- a/lab/jobload/scenario.go
+++ b/lab/jobload/scenario.go
@@ -55,8 +55,8 @@
 	EstimateError float64       // maximum relative error of estimates, in either direction
 }
 
-// Rotating returns the RateFactor of queue i of n that peak in rotation: each is at high times
-// its mean for a turn and at low times its mean otherwise.
+// Rotating returns the RateFactor of queue i of n that peak in rotation: the factor is high
+// during the queue's own turn and low during the turns of the others.
 func Rotating(i, n int, turn time.Duration, high, low float64) RateFactor {
 	return func(at time.Duration) float64 {
 		if int(at/turn)%n == i {
@@ -80,8 +80,8 @@
 
 // Fault kinds.
 const (
-	// StoreUnavailable means that no job can be accepted or recorded; the owner goes on with
-	// what it knows. Callers retry as submitAttempts says.
+	// StoreUnavailable means that no job can be accepted or recorded; the owner continues
+	// with what it knows. Callers retry at the times in submitAttempts.
 	StoreUnavailable FaultKind = iota
 	// StoreLeasesExpired is StoreUnavailable for so long that the owner's lock expires: at its
 	// end a daemon, the same or another one, is elected.
--- a/operators/api/messages.go
+++ b/operators/api/messages.go
@@ -39,7 +39,7 @@
 	InForceMillis int64 `json:"in_force_ms,omitempty"`
 }
 
-// Status is the status of one daemon. Counts of calls and bytes are since its start.
+// Status is the status of one daemon. Calls and bytes are counted from its start.
 type Status struct {
 	Entry         string    `json:"entry"`
 	Zone          string    `json:"zone"`
@@ -109,7 +109,7 @@
 type WavePool struct {
 	Pool           string       `json:"pool"`
 	MaxOut         int          `json:"most_out"`
-	BudgetExceeded bool         `json:"broken"` // more was out than allowed at some point
+	BudgetExceeded bool         `json:"broken"` // at some point more instances were out of service than allowed
 	Samples        []PoolSample `json:"samples"`
 }
 
--- a/operators/command/instance.go
+++ b/operators/command/instance.go
@@ -60,7 +60,7 @@
 }
 
 // returnInstance ends an operator's drain of an instance, or withdraws a request
-// that still waits for the budget.
+// that still waits for the budget to allow it.
 func (p *planner) returnInstance(id fleet.InstanceID) (Plan, error) {
 	v, err := p.poolOfInstance(id)
 	if err != nil {
--- a/standin/jobfleet/capacity.go
+++ b/standin/jobfleet/capacity.go
@@ -22,7 +22,7 @@
 }
 
 // ReduceCapacity reduces the capacity of an instance's worker to a share of the instance's
-// capacity for d. Running tasks go on.
+// capacity for d. Tasks that already run keep running.
 func (f *Fleet) ReduceCapacity(id owner.InstanceID, share float64, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/jobfleet/client.go
+++ b/standin/jobfleet/client.go
@@ -229,7 +229,7 @@
 	time.AfterFunc(d, func() { g.setCut(false, toStore) })
 }
 
-// Kill makes all calls get lost from now on.
+// Kill drops all calls of the daemon from now on.
 func (g *Gate) Kill() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -245,7 +245,7 @@
 }
 
 // pass waits until the daemon may send to direction d, or receive from there. If the call is
-// lost it returns an error at the end of ctx.
+// dropped, pass returns an error when ctx ends.
 func (g *Gate) pass(ctx context.Context, d direction) error {
 	for {
 		g.mu.Lock()
--- a/standin/jobfleet/crash.go
+++ b/standin/jobfleet/crash.go
@@ -13,7 +13,8 @@
 
 var errRefused = errors.New("connection refused")
 
-// crasher identifies a task that crashes every worker that starts it, in every occurrence.
+// crasher identifies a task that crashes every worker that starts it, in every occurrence of
+// its job.
 type crasher struct {
 	job   job.ID
 	step  int
@@ -26,8 +27,8 @@
 // to the worker's restart, downtime.
 type crashTimes struct{ delay, downtime time.Duration }
 
-// CrashOnStart makes every worker that starts a task, in any occurrence, crash after delay and
-// restart after downtime. Its address refuses connections meanwhile.
+// CrashOnStart makes every worker that starts a task, in any occurrence of its job, crash after
+// delay and restart after downtime. Its address refuses connections during the downtime.
 func (f *Fleet) CrashOnStart(t job.TaskID, delay, downtime time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -68,7 +69,7 @@
 	})
 }
 
-// endGang ends the other members of a gang that has lost a member.
+// endGang ends the other tasks of a gang step, whose tasks run only together, after one has ended.
 func (f *Fleet) endGang(lost *execution) {
 	if step := f.stepOf(lost.task); step == nil || !step.Gang {
 		return
--- a/standin/jobfleet/fleetclient.go
+++ b/standin/jobfleet/fleetclient.go
@@ -198,7 +198,8 @@
 }
 
 // callManager carries out do on the instance manager, with the latency of the call and the failures
-// injected into the daemon's calls. late is true if the call was held up by a freeze or delayed.
+// injected into the daemon's calls. late is true if a freeze or the failure Delayed delayed
+// the call.
 func (c *FleetClient) callManager(ctx context.Context, op string, do func(late bool) owner.DutyOutcome) owner.DutyOutcome {
 	sent := time.Now()
 	if c.gate.pass(ctx, toWorkers) != nil {
--- a/standin/jobfleet/workers.go
+++ b/standin/jobfleet/workers.go
@@ -170,7 +170,7 @@
 }
 
 // Restart ends an instance's worker without notice; it starts again after d with the same ID. Its
-// registration stays in the store meanwhile.
+// registration stays in the store in the meantime.
 func (f *Fleet) Restart(id owner.InstanceID, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -186,7 +186,7 @@
 	f.startWorkerAfter(i, d)
 }
 
-// Isolate cuts an instance off from all daemons for d. Its tasks go on.
+// Isolate cuts an instance off from all daemons for d. Its tasks keep running.
 func (f *Fleet) Isolate(id owner.InstanceID, d time.Duration) {
 	f.setFault(id, d, func(w *worker, on bool) { w.cutOff = on })
 }
@@ -440,7 +440,7 @@
 	return n
 }
 
-// startWorkerAfter brings an instance up after d, unless it went down again meanwhile.
+// startWorkerAfter brings an instance up after d, unless it went down again in the meantime.
 func (f *Fleet) startWorkerAfter(i *instance, d time.Duration) {
 	endedBefore := i.endedWorkers
 	time.AfterFunc(d, func() {
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -288,7 +288,7 @@
 	p.setState(id, generation, fleet.InstanceDrained)
 }
 
-// reboot takes the worker down for Faults.RebootMS, or for good if Faults.NeverReturn
+// reboot takes the worker down for Faults.RebootMS, or permanently if Faults.NeverReturn
 // lists it.
 func (p *Platform) reboot(id string, generation int64) {
 	_ = p.workers.SetUp(id, false)
@@ -300,7 +300,7 @@
 	p.setState(id, generation, fleet.InstanceDrained)
 }
 
-// sleep waits for d. It reports false if the platform is closed meanwhile.
+// sleep waits for d. It reports false if the platform is closed before that.
 func (p *Platform) sleep(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/standin/store/faults.go
+++ b/standin/store/faults.go
@@ -138,8 +138,8 @@
 	return true
 }
 
-// takeLostAnswer reports whether the answer to the write that just took effect is lost, and takes
-// it off Faults.LoseAnswers.
+// takeLostAnswer reports whether the answer to the write that just took effect is lost. If so, it
+// decrements Faults.LoseAnswers.
 func (s *faultControl) takeLostAnswer() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/standin/store/server.go
+++ b/standin/store/server.go
@@ -134,7 +134,7 @@
 }
 
 // admit applies the faults to a call. It returns false if the call ends here; it has then answered
-// the call, unless the caller has gone.
+// the call, unless the caller has disconnected.
 func (s *Server) admit(w http.ResponseWriter, r *http.Request, k callKind) (decision, bool) {
 	d := s.faults.admit(k, time.Now())
 	if d.down {
--- a/standin/worker/tasks.go
+++ b/standin/worker/tasks.go
@@ -20,7 +20,7 @@
 }
 
 // usagePercent is the CPU and memory that a task uses, in percent of what it declares. In practice
-// declared sizes are far off.
+// declared sizes differ a lot from the use.
 const usagePercent = 60
 
 // serveTasks serves a call of the task API: it applies the orders and answers with the
@@ -52,7 +52,7 @@
 }
 
 // startTask starts an attempt, unless the worker drains or knows a newer attempt. If it knows the
-// same or a newer one it renews the lease of that.
+// same or a newer one, it renews the lease of the one it knows.
 func (w *Worker) startTask(now, lease time.Time, t workerhttp.TaskMessage) {
 	id := taskID{t.Pool, t.Job}
 	current := w.tasks[id]
