--- a/cmd/postmountd/platform.go
+++ b/cmd/postmountd/platform.go
@@ -23,7 +23,7 @@
 	// runtime's soft limit.
 	memoryLimitShare = 0.6
 	// gcPercent lets the heap grow by 300% between collections: the heap takes only
-	// some megabytes, and CPU time matters more.
+	// a few megabytes, and saving CPU time matters more than saving memory.
 	gcPercent = 300
 )
 
--- a/lab/jobload/fleet.go
+++ b/lab/jobload/fleet.go
@@ -191,7 +191,7 @@
 }
 
 // receiveHold applies a hold at a worker, which answers when a run or the wait has ended. A
-// dead worker does not answer.
+// worker that has ended does not answer.
 func (s *sim) receiveHold(o owner.Hold, answer func(owner.HoldAnswer)) {
 	w := s.workers[o.Worker]
 	if w == nil || w.dead {
